--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -272,7 +272,7 @@
 	c.start(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
-		Account: w.ask.Account, Subject: p.Affinity(), Anew: anew, Copied: x.tokens, Why: why,
+		Account: w.ask.Account, Subject: p.AffinityKey(), Anew: anew, Copied: x.tokens, Why: why,
 	}
 	if x.source != nil {
 		placed.Source = x.source.info.ID
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -160,7 +160,7 @@
 		return w.scores
 	}
 	w.scored, w.scores = c.layout, w.scores[:0]
-	affinity := w.ask.Prompt.Affinity()
+	affinity := w.ask.Prompt.AffinityKey()
 	for _, t := range c.sorted {
 		w.scores = append(w.scores, place.Score(t.info.ID, affinity))
 	}
@@ -183,7 +183,7 @@
 // sharedOf returns how many of the missing tokens belong to parts that other
 // requests share.
 func sharedOf(p *routing.Prompt, missing int) int {
-	return max(missing-p.Own(), 0)
+	return max(missing-p.OwnTokens(), 0)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/cell/kept_test.go
+++ b/core/cell/kept_test.go
@@ -16,7 +16,7 @@
 func TestLearnedKeeperIsPreferred(t *testing.T) {
 	p := &routing.Prompt{Tokens: 13_500, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 7, Tokens: 13_000}, {ID: 8, Tokens: 500}}}
 	keeper, home := "a", "b"
-	if place.Score("a", p.Affinity()) > place.Score("b", p.Affinity()) {
+	if place.Score("a", p.AffinityKey()) > place.Score("b", p.AffinityKey()) {
 		keeper, home = home, keeper
 	}
 	for _, learned := range []bool{false, true} {
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -66,7 +66,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		l.divide(s.Name, targets.Of(s.Name), most)
+		l.divide(s.Name, targets.ByService(s.Name), most)
 	}
 	return l
 }
@@ -140,7 +140,7 @@
 // takesWork tells whether a target of the cell may get anything. One whose targets all
 // leave or lie in evacuated data halls is passed over; the others keep their prompts.
 func (g *Group) takesWork() bool {
-	return slices.ContainsFunc(g.Targets, (*routing.Target).TakesWork)
+	return slices.ContainsFunc(g.Targets, (*routing.Target).AcceptsWork)
 }
 
 // Members returns those of some targets that belong to the cell: a scheduler has no use for the
--- a/core/cell/layout_test.go
+++ b/core/cell/layout_test.go
@@ -18,7 +18,7 @@
 	for i := range targets {
 		set.Targets = append(set.Targets, routing.Target{ID: fmt.Sprintf("t%04d", i), Service: "s"})
 	}
-	return x, set.Build()
+	return x, set.BuildIndex()
 }
 
 func nodes(n int) []place.Node {
--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -103,7 +103,7 @@
 	case err != nil:
 		return Judgement{Verdict: Refused, Answer: h.earlyAnswer(err, call.ID, o.Closes)}
 	case admission == forward.HandOver:
-		return Judgement{Verdict: HandedOver, ID: call.ID, Account: account.NameOf(), Within: route.Timeout}
+		return Judgement{Verdict: HandedOver, ID: call.ID, Account: account.GetName(), Within: route.Timeout}
 	default:
 		return Judgement{Verdict: Admitted}
 	}
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -136,7 +136,7 @@
 		return nil, result.New(result.NotFound, "no route")
 	}
 	var account *routing.ClientAccount
-	if x.Configuration.WithAccounts && !route.Public {
+	if x.Configuration.RequireAccount && !route.Public {
 		if account = x.Account(call.Key); account == nil {
 			return nil, result.New(result.Unauthorized, "unknown key")
 		}
--- a/models/routing/configuration.go
+++ b/models/routing/configuration.go
@@ -24,8 +24,8 @@
 	Services []Service       `json:"services"`
 	Accounts []ClientAccount `json:"accounts"`
 	Limits   Limits          `json:"limits"`
-	// WithAccounts tells that requests need the key of a client account.
-	WithAccounts bool `json:"with_accounts"`
+	// RequireAccount tells that requests need the key of a client account.
+	RequireAccount bool `json:"with_accounts"`
 }
 
 // Route says where the requests below a path of a host go and how they are
@@ -93,8 +93,8 @@
 	Rank *int `json:"rank,omitempty"`
 }
 
-// NameOf returns the account's name, "" for requests that need no account.
-func (a *ClientAccount) NameOf() string {
+// GetName returns the account's name, "" for requests that need no account.
+func (a *ClientAccount) GetName() string {
 	if a == nil {
 		return ""
 	}
--- a/services/follow/cold.go
+++ b/services/follow/cold.go
@@ -38,7 +38,7 @@
 // stampAll stamps targets that were listed; known are those of the table.
 func (t *targetTable) stampAll(now time.Time, listed []routing.Target) []routing.Target {
 	for i := range listed {
-		listed[i] = stampCold(now, t.known[listed[i].Worker()].Target, listed[i])
+		listed[i] = stampCold(now, t.known[listed[i].WorkerName()].Target, listed[i])
 	}
 	return listed
 }
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -96,7 +96,7 @@
 		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), lapses: newLapses(), peerNews: make(chan peerNews, newsRing), counters: metrics.NewSet(), bad: log.NewLimit(badEvery, badAtOnce),
 		watchConfiguration: watch.New(rand.Float64()), watchTargets: watch.New(rand.Float64()),
 	}
-	s.targets.Store((&routing.TargetSet{}).Build())
+	s.targets.Store((&routing.TargetSet{}).BuildIndex())
 	wait, now := o.Start.Wait(rand.Float64()), o.Clock.Now()
 	s.watchConfiguration.Begin(now, wait)
 	s.watchTargets.Begin(now, wait)
--- a/services/follow/lapse.go
+++ b/services/follow/lapse.go
@@ -29,7 +29,7 @@
 	wait := time.Duration(0)
 	set := &routing.TargetSet{Revision: listed.Revision, Targets: append([]routing.Target(nil), listed.Targets...)}
 	for _, t := range before.Targets {
-		if t.Leaving || listed.FindWorker(t.Worker()) != nil {
+		if t.Leaving || listed.FindWorker(t.WorkerName()) != nil {
 			delete(l.until, t.ID)
 			continue
 		}
@@ -50,5 +50,5 @@
 			wait = left
 		}
 	}
-	return set.Build(), wait
+	return set.BuildIndex(), wait
 }
--- a/services/follow/targets.go
+++ b/services/follow/targets.go
@@ -42,7 +42,7 @@
 // present returns what a worker said as of its newest life, and false where it is an older
 // one that said it. One that does not tell its life is taken for the one that is known.
 func (t *targetTable) present(told routing.Target) (routing.Target, bool) {
-	name, newest := told.Worker(), t.born[told.Worker()]
+	name, newest := told.WorkerName(), t.born[told.WorkerName()]
 	switch {
 	case told.Born == 0 && newest != 0:
 		told.Name, told.Born, told.ID = name, newest, routing.TargetID(name, newest)
@@ -65,7 +65,7 @@
 	listed := map[string]bool{}
 	changed := cameBack
 	for _, told := range targets {
-		name := told.Worker()
+		name := told.WorkerName()
 		target, present := t.present(told)
 		old, was := t.known[name]
 		listed[name] = present || was
@@ -95,8 +95,8 @@
 		return t.replace(targets, revision)
 	}
 	return t.replace(slices.DeleteFunc(targets, func(told routing.Target) bool {
-		_, removed := t.removed[told.Worker()]
-		return removed && told.Born <= t.born[told.Worker()]
+		_, removed := t.removed[told.WorkerName()]
+		return removed && told.Born <= t.born[told.WorkerName()]
 	}), revision)
 }
 
@@ -215,5 +215,5 @@
 			leaving++
 		}
 	}
-	return set.Build(), leaving
+	return set.BuildIndex(), leaving
 }
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -106,7 +106,7 @@
 	Carrier string
 }
 
-func (r *Request) account() string { return r.Account.NameOf() }
+func (r *Request) account() string { return r.Account.GetName() }
 
 // Serve answers a request. It returns ErrAborted where the connection must end,
 // and a numbered error where nothing has been written yet.
@@ -180,7 +180,7 @@
 		return Serve, nil
 	}
 	var err error
-	name := account.NameOf()
+	name := account.GetName()
 	verdict := s.opts.Guard.admit(name, movable)
 	switch {
 	case verdict == overload.Refuse:
@@ -197,8 +197,8 @@
 	s.counters.note(service, err, 0)
 	// A flood is told in full at the beginning of each second, then by a sample and by
 	// the counts in the lines of a second: the budget of the log is for what tells more.
-	if n := s.outcomes.noteRefused(account.NameOf(), result.Of(err).Code, call.Prompt.Tokens); n <= refusalLines || sampled(call.ID) {
-		s.log.Request("Request refused at the entry.", "id", call.ID, "account", account.NameOf(), "service", service.Name, "error", err)
+	if n := s.outcomes.noteRefused(account.GetName(), result.Of(err).Code, call.Prompt.Tokens); n <= refusalLines || sampled(call.ID) {
+		s.log.Request("Request refused at the entry.", "id", call.ID, "account", account.GetName(), "service", service.Name, "error", err)
 	}
 	return 0, err
 }
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -54,7 +54,7 @@
 		hold = max(hold, j.r.Route.Objective/8)
 	}
 	d, err := j.s.opts.Mesh.Submit(j.ctx, j.r.Service.Name, cell.Ask{
-		ID: id, Account: j.r.account(), Rank: routing.RankOf(j.r.Route, j.r.Account), Prompt: j.r.Call.Prompt,
+		ID: id, Account: j.r.account(), Rank: routing.EffectiveRank(j.r.Route, j.r.Account), Prompt: j.r.Call.Prompt,
 		Hold: max(hold, 0), Objective: max(j.r.Route.Objective-j.s.opts.Clock.Now().Sub(j.r.Received), time.Millisecond), Deny: j.denied(rests),
 	})
 	j.number, j.scheduler = id, d.Scheduler
@@ -134,14 +134,14 @@
 }
 
 func (j *job) placePlain() (place, error) {
-	targets, rests := j.s.opts.Follow.Targets().Of(j.r.Service.Name), j.s.restsOf(j.r.Service.Name)
+	targets, rests := j.s.opts.Follow.Targets().ByService(j.r.Service.Name), j.s.restsOf(j.r.Service.Name)
 	j.s.mu.Lock()
 	pick := j.s.balancer.Choose(j.s.opts.Clock.Now(), targets, j.denied(rests), j.s.limitsOf(j.r.Service))
 	j.s.mu.Unlock()
 	switch {
 	case pick == nil && rests.All:
 		return nil, allRest(j.r.Service.Name, rests)
-	case pick == nil && !slices.ContainsFunc(targets, (*routing.Target).TakesWork):
+	case pick == nil && !slices.ContainsFunc(targets, (*routing.Target).AcceptsWork):
 		return nil, result.New(result.NoTarget, "no target of %s takes work, %d listed", j.r.Service.Name, len(targets)).After(listAfter)
 	case pick == nil:
 		return nil, result.New(result.NoTarget, "no target of %s, %d listed", j.r.Service.Name, len(targets)).After(soonAfter)
