--- a/models/routing/revision_test.go
+++ b/models/routing/revision_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestRevisionsAreOrderedByEraFirst(t *testing.T) {
+func TestRevisionOrdersByEraThenNumber(t *testing.T) {
 	order := []Revision{0, NewRevision(0, 7), NewRevision(0, 500), NewRevision(1, 0), NewRevision(1, 480), NewRevision(2, 3), NewRevision(math.MaxUint64, math.MaxUint64)}
 	for i := 1; i < len(order); i++ {
 		if order[i] <= order[i-1] {
