--- a/models/result/code_test.go
+++ b/models/result/code_test.go
@@ -12,7 +12,7 @@
 )
 
 // The table in the docs and the table in the code are the same.
-func TestDocsHoldTheTable(t *testing.T) {
+func TestDocsMatchCodeTable(t *testing.T) {
 	text, err := os.ReadFile("../../docs/result-codes.md")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestErrResult(t *testing.T) {
+func TestErrResultKeepsCodeAndCause(t *testing.T) {
 	cause := errors.New("cause")
 	err := fmt.Errorf("outer: %w", Wrap(QueueFull, cause))
 	if !IsErrResult(err) || !errors.Is(err, cause) || Convert(err).Code != QueueFull || Convert(err).Execution() != RanNo {
