--- a/models/conf/chunk.go
+++ b/models/conf/chunk.go
@@ -54,20 +54,20 @@
 	for _, p := range d.Policies {
 		parts = append(parts, Document{Policies: []Policy{p}})
 	}
-	accounts := spread(d.Accounts, accountBuckets, func(a ClientAccount) string { return a.Name })
+	accounts := bucketByName(d.Accounts, accountBuckets, func(a ClientAccount) string { return a.Name })
 	for _, bucket := range accounts {
 		parts = append(parts, Document{Accounts: bucket})
 	}
-	targets := spread(d.Targets, targetBuckets, func(t Target) string { return t.Name })
+	targets := bucketByName(d.Targets, targetBuckets, func(t Target) string { return t.Name })
 	for _, bucket := range targets {
 		parts = append(parts, Document{Targets: bucket})
 	}
 	return parts
 }
 
-// spread sorts items by name into buckets by the hash of the name and leaves
+// bucketByName sorts items by name into buckets by the hash of the name and leaves
 // out the empty ones.
-func spread[T any](items []T, n int, name func(T) string) [][]T {
+func bucketByName[T any](items []T, n int, name func(T) string) [][]T {
 	buckets := make([][]T, n)
 	for _, it := range items {
 		h := fnv.New32a()
--- a/models/conf/conf_test.go
+++ b/models/conf/conf_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func sample(accounts int) *Document {
+func sampleDocument(accounts int) *Document {
 	d := &Document{
 		Policies: []Policy{{Name: "p", Source: "x = 1"}},
 		Pools:    []Pool{{Name: "chat", Kind: KindModel, Models: []string{"m"}}, {Name: "desk", Kind: KindService}},
@@ -22,8 +22,8 @@
 	return d
 }
 
-func TestSplitAndJoin(t *testing.T) {
-	d := sample(200)
+func TestJoinRestoresSplitDocument(t *testing.T) {
+	d := sampleDocument(200)
 	manifest, chunks, err := d.Split()
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestCheckNamesTheField(t *testing.T) {
+func TestCheckErrorNamesField(t *testing.T) {
 	for field, breakIt := range map[string]func(*Document){
 		"account.name":          func(d *Document) { d.Accounts[1].Name = d.Accounts[0].Name },
 		"account.a0.key_sha256": func(d *Document) { d.Accounts[0].KeySHA256 = []string{"zz"} },
@@ -79,19 +79,19 @@
 		"target.t1.address":     func(d *Document) { d.Targets[0].Address = "host:1" },
 		"target.t2.slots":       func(d *Document) { d.Targets[1].Slots = -1 },
 	} {
-		d := sample(2)
+		d := sampleDocument(2)
 		breakIt(d)
 		if err := d.Check(); !IsErrInvalid(err) || !strings.HasPrefix(err.Error(), field+":") {
 			t.Errorf("%s: got %v", field, err)
 		}
 	}
-	if err := sample(2).Check(); err != nil {
+	if err := sampleDocument(2).Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAuthenticate(t *testing.T) {
-	d := sample(1)
+func TestAuthenticateAcceptsOnlyKnownKeys(t *testing.T) {
+	d := sampleDocument(1)
 	d.Accounts[0].KeySHA256 = []string{Hash([]byte("secret"))}
 	x, err := NewIndex(1, "", d)
 	if err != nil {
--- a/models/conf/load.go
+++ b/models/conf/load.go
@@ -14,7 +14,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-const maxFile = 16 << 20
+const maxPolicyBytes = 16 << 20
 
 // LoadFiles reads a document from a TOML file, or from all TOML files of a
 // directory in the order of their names. Policies may name Starlark files,
@@ -50,7 +50,7 @@
 		return ErrInvalid{path, fmt.Sprintf("unknown key %s", unknown[0])}
 	}
 	for i := range part.Policies {
-		if err := part.Policies[i].read(filepath.Dir(path)); err != nil {
+		if err := part.Policies[i].loadSource(filepath.Dir(path)); err != nil {
 			return err
 		}
 	}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (p *Policy) read(dir string) error {
+func (p *Policy) loadSource(dir string) error {
 	if p.File == "" {
 		return nil
 	}
@@ -73,7 +73,7 @@
 		path = filepath.Join(dir, path)
 	}
 	info, err := os.Stat(path)
-	if err != nil || info.Size() > maxFile {
+	if err != nil || info.Size() > maxPolicyBytes {
 		return ErrInvalid{"policy." + p.Name + ".file", fmt.Sprintf("cannot read %s", p.File)}
 	}
 	text, err := os.ReadFile(path)
