--- a/modules/log/async.go
+++ b/modules/log/async.go
@@ -33,15 +33,15 @@
 type lineKind int
 
 const (
-	general lineKind = iota
-	aboutRequest
+	generalLine lineKind = iota
+	requestLine
 )
 
-// flushEvery is how often lines that were left out are told, and flushTime how
+// dropReportInterval is how often lines that were left out are told, and closeTimeout how
 // long the end of the program waits for the output.
 const (
-	flushEvery = time.Second
-	flushTime  = 200 * time.Millisecond
+	dropReportInterval = time.Second
+	closeTimeout       = 200 * time.Millisecond
 )
 
 // AsyncWriter passes lines on to an output that may be slow or stuck: its Write
@@ -55,10 +55,10 @@
 	ring   *ring.Ring[[]byte]
 	flush  chan chan struct{}
 
-	second  atomic.Int64 // second is the one that the counts below belong to.
-	lines   atomic.Int64
-	bytes   atomic.Int64
-	leftOut atomic.Uint64
+	budgetSecond atomic.Int64 // second is the one that the counts below belong to.
+	lines        atomic.Int64
+	bytes        atomic.Int64
+	dropped      atomic.Uint64
 }
 
 // NewAsync starts a writer to out.
@@ -70,30 +70,30 @@
 
 // Write implements io.Writer. It takes one line and never fails.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
-	if !w.within(len(line)) || !w.ring.TryPut(append([]byte(nil), line...)) {
-		w.leftOut.Add(1)
+	if !w.takeBudget(len(line)) || !w.ring.TryPut(append([]byte(nil), line...)) {
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// spent tells whether the budget that a kind of line has in this second is spent; the
+// overBudget tells whether the budget that a kind of line has in this second is overBudget; the
 // line that asks is counted as left out then.
-func (w *AsyncWriter) spent(kind lineKind) bool {
+func (w *AsyncWriter) overBudget(kind lineKind) bool {
 	lines, bytes := int64(w.budget.Lines), int64(w.budget.Bytes)
-	if kind == aboutRequest {
+	if kind == requestLine {
 		lines, bytes = int64(requestShare*float64(lines)), int64(requestShare*float64(bytes))
 	}
-	if w.second.Load() != w.clock.Now().Unix() || w.lines.Load() < lines && w.bytes.Load() < bytes {
+	if w.budgetSecond.Load() != w.clock.Now().Unix() || w.lines.Load() < lines && w.bytes.Load() < bytes {
 		return false
 	}
-	w.leftOut.Add(1)
+	w.dropped.Add(1)
 	return true
 }
 
-// within takes a line from the budget of this second.
-func (w *AsyncWriter) within(size int) bool {
+// takeBudget takes a line from the budget of this second.
+func (w *AsyncWriter) takeBudget(size int) bool {
 	now := w.clock.Now().Unix()
-	if w.second.Swap(now) != now {
+	if w.budgetSecond.Swap(now) != now {
 		w.lines.Store(0)
 		w.bytes.Store(0)
 	}
@@ -101,10 +101,10 @@
 }
 
 // LeftOut returns how many lines were left out and not told yet.
-func (w *AsyncWriter) LeftOut() uint64 { return w.leftOut.Load() }
+func (w *AsyncWriter) LeftOut() uint64 { return w.dropped.Load() }
 
 func (w *AsyncWriter) run() error {
-	tell := w.clock.After(flushEvery)
+	tell := w.clock.After(dropReportInterval)
 	for {
 		select {
 		case <-w.t.Dying():
@@ -112,8 +112,8 @@
 		case line := <-w.ring.Out():
 			_, _ = w.out.Write(line)
 		case <-tell:
-			w.tellLeftOut()
-			tell = w.clock.After(flushEvery)
+			w.reportDropped()
+			tell = w.clock.After(dropReportInterval)
 		case done := <-w.flush:
 			w.drain()
 			close(done)
@@ -121,8 +121,8 @@
 	}
 }
 
-func (w *AsyncWriter) tellLeftOut() {
-	if n := w.leftOut.Swap(0); n > 0 {
+func (w *AsyncWriter) reportDropped() {
+	if n := w.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w.out, "[log] Lines left out. lines=%d\n", n)
 	}
 }
@@ -133,7 +133,7 @@
 		case line := <-w.ring.Out():
 			_, _ = w.out.Write(line)
 		default:
-			w.tellLeftOut()
+			w.reportDropped()
 			return
 		}
 	}
@@ -146,9 +146,9 @@
 	case w.flush <- done:
 		select {
 		case <-done:
-		case <-time.After(flushTime):
+		case <-time.After(closeTimeout):
 		}
-	case <-time.After(flushTime):
+	case <-time.After(closeTimeout):
 	}
 	w.t.Kill(nil)
 }
--- a/modules/log/async_test.go
+++ b/modules/log/async_test.go
@@ -12,28 +12,28 @@
 	"madderway/modules/clock"
 )
 
-// gate is an output that takes nothing until it is opened.
-type gate struct {
+// blockingWriter is an output that takes nothing until it is opened.
+type blockingWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingWriter) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(p)
 }
 
-func (g *gate) String() string {
+func (g *blockingWriter) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
 }
 
-func TestStuckOutputNeverBlocks(t *testing.T) {
-	out := &gate{open: make(chan struct{})}
+func TestAsyncWriterNeverBlocksOnStuckOutput(t *testing.T) {
+	out := &blockingWriter{open: make(chan struct{})}
 	w := NewAsync(out, clock.NewFake(), Budget{Lines: 1000, Bytes: 1 << 20, Ring: 8})
 	for range 100 { // would never end if a line waited for the output
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-func TestBudgetOfASecond(t *testing.T) {
-	out := &gate{open: make(chan struct{})}
+func TestAsyncWriterDropsLinesOverBudget(t *testing.T) {
+	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
 	c := clock.NewFake()
 	w := NewAsync(out, c, Budget{Lines: 3, Bytes: 100, Ring: 100})
@@ -61,7 +61,7 @@
 	if n := w.LeftOut(); n != 2 {
 		t.Errorf("%d lines left out of five, three are allowed", n)
 	}
-	c.Advance(2 * flushEvery)
+	c.Advance(2 * dropReportInterval)
 	_, _ = w.Write([]byte(strings.Repeat("x", 101)))
 	_, _ = w.Write([]byte("after\n"))
 	w.Close()
@@ -72,8 +72,8 @@
 }
 
 // A flood of lines about single requests leaves room for the lines that tell of it.
-func TestFloodOfRequestsLeavesRoomForOtherLines(t *testing.T) {
-	out := &gate{open: make(chan struct{})}
+func TestRequestLinesLeaveBudgetForOthers(t *testing.T) {
+	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
 	w := NewAsync(out, clock.NewFake(), Budget{Lines: 100, Bytes: 1 << 20, Ring: 200})
 	Setup(w, 0)
--- a/modules/log/limit.go
+++ b/modules/log/limit.go
@@ -11,30 +11,30 @@
 // Limit bounds lines of one kind that others decide the number of, such as what a peer sends
 // and cannot be read: they would take the whole log's budget. Counters hold all.
 type Limit struct {
-	every  time.Duration
-	atOnce int
+	interval time.Duration
+	burst    int
 
-	mu     sync.Mutex
-	since  time.Time
-	told   int
-	hidden int
+	mu          sync.Mutex
+	windowStart time.Time
+	written     int
+	suppressed  int
 }
 
 // NewLimit returns a limit of so many lines in a time.
-func NewLimit(every time.Duration, atOnce int) *Limit { return &Limit{every: every, atOnce: atOnce} }
+func NewLimit(every time.Duration, atOnce int) *Limit { return &Limit{interval: every, burst: atOnce} }
 
 // Allow reports whether a line is written, and how many were not since the last one.
 func (l *Limit) Allow(now time.Time) (allowed bool, hidden int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.since) >= l.every {
-		l.since, l.told = now, 0
+	if now.Sub(l.windowStart) >= l.interval {
+		l.windowStart, l.written = now, 0
 	}
-	if l.told >= l.atOnce {
-		l.hidden++
+	if l.written >= l.burst {
+		l.suppressed++
 		return false, 0
 	}
-	l.told++
-	hidden, l.hidden = l.hidden, 0
+	l.written++
+	hidden, l.suppressed = l.suppressed, 0
 	return true, hidden
 }
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -24,20 +24,20 @@
 // run several routers.
 func (l Logger) With(name string) Logger { return Logger{l.prefix + name + ": "} }
 
-// output is the writer in use where it has a budget.
-var output atomic.Pointer[AsyncWriter]
+// asyncOutput is the writer in use where it has a budget.
+var asyncOutput atomic.Pointer[AsyncWriter]
 
-// over tells whether the budget of this second is spent, and counts the line
+// overBudget tells whether the budget of this second is spent, and counts the line
 // that is left out for it. It is asked before a line is put together, since that
 // is most of its cost.
-func over(kind lineKind) bool {
-	w := output.Load()
-	return w != nil && w.spent(kind)
+func overBudget(kind lineKind) bool {
+	w := asyncOutput.Load()
+	return w != nil && w.overBudget(kind)
 }
 
 // Info writes a line with key-value pairs.
 func (l Logger) Info(msg string, kv ...any) {
-	if !over(general) {
+	if !overBudget(generalLine) {
 		klog.InfoSDepth(1, l.prefix+msg, kv...)
 	}
 }
@@ -45,7 +45,7 @@
 // Request writes a line about a single request. A flood of these leaves a part of the
 // budget to all other lines.
 func (l Logger) Request(msg string, kv ...any) {
-	if !over(aboutRequest) {
+	if !overBudget(requestLine) {
 		klog.InfoSDepth(1, l.prefix+msg, kv...)
 	}
 }
@@ -59,7 +59,7 @@
 
 // Warn writes a warning with key-value pairs.
 func (l Logger) Warn(msg string, kv ...any) {
-	if over(general) {
+	if overBudget(generalLine) {
 		return
 	}
 	klog.WarningDepth(1, l.prefix+msg+pairs(kv))
@@ -94,6 +94,6 @@
 	_ = fs.Set("one_output", "true")
 	_ = fs.Set("v", fmt.Sprint(verbosity))
 	w, _ := out.(*AsyncWriter)
-	output.Store(w)
+	asyncOutput.Store(w)
 	klog.SetOutput(out)
 }
--- a/modules/log/parse.go
+++ b/modules/log/parse.go
@@ -19,20 +19,20 @@
 	Text    string // the whole line
 }
 
-// head matches what klog writes before a message, and the message; a prefix of
+// linePattern matches what klog writes before a message, and the message; a prefix of
 // whoever gathered the logs may stand before it.
-var head = regexp.MustCompile(`[IWE](\d{4} \d\d:\d\d:\d\d\.\d+)\s+\d+ \S+\] "?\[(\w+)\] (?:([\w.-]+): )?([^"=]*\.)"?(.*)$`)
+var linePattern = regexp.MustCompile(`[IWE](\d{4} \d\d:\d\d:\d\d\.\d+)\s+\d+ \S+\] "?\[(\w+)\] (?:([\w.-]+): )?([^"=]*\.)"?(.*)$`)
 
-var pair = regexp.MustCompile(`([\w ]+?)=("(?:[^"\\]|\\.)*"|\S*)`)
+var pairPattern = regexp.MustCompile(`([\w ]+?)=("(?:[^"\\]|\\.)*"|\S*)`)
 
 // ParseLine reads a line that a Logger wrote; it reports false for any other.
 func ParseLine(text string) (Line, bool) {
-	m := head.FindStringSubmatch(text)
+	m := linePattern.FindStringSubmatch(text)
 	if m == nil {
 		return Line{}, false
 	}
 	l := Line{Time: m[1], Part: m[2], Process: m[3], Message: m[4], Values: map[string]string{}, Text: text}
-	for _, p := range pair.FindAllStringSubmatch(m[5], -1) {
+	for _, p := range pairPattern.FindAllStringSubmatch(m[5], -1) {
 		value := p[2]
 		if unquoted, err := strconv.Unquote(value); err == nil {
 			value = unquoted
