--- a/modules/log/async.go
+++ b/modules/log/async.go
@@ -17,13 +17,13 @@
 
 // Budget bounds what is written to the log.
 type Budget struct {
-	Lines int // a second, and at once
-	Bytes int // a second, and at once
-	Ring  int // lines that may wait for the output
+	Lines     int // a second, and at once
+	Bytes     int // a second, and at once
+	QueueSize int // lines that may wait for the output
 }
 
 // DefaultBudget keeps a log readable and its cost small.
-func DefaultBudget() Budget { return Budget{Lines: 200, Bytes: 64 << 10, Ring: 1024} }
+func DefaultBudget() Budget { return Budget{Lines: 200, Bytes: 64 << 10, QueueSize: 1024} }
 
 // requestShare is the part of the budget that lines about single requests may take, so
 // that a flood of requests does not leave out what tells of the flood.
@@ -63,7 +63,7 @@
 
 // NewAsync starts a writer to out.
 func NewAsync(out io.Writer, c clock.Clock, b Budget) *AsyncWriter {
-	w := &AsyncWriter{out: out, clock: c, budget: b, ring: ring.New[[]byte]("log", b.Ring), flush: make(chan chan struct{})}
+	w := &AsyncWriter{out: out, clock: c, budget: b, ring: ring.New[[]byte]("log", b.QueueSize), flush: make(chan chan struct{})}
 	w.t.Go(w.run)
 	return w
 }
@@ -100,8 +100,8 @@
 	return w.lines.Add(1) <= int64(w.budget.Lines) && w.bytes.Add(int64(size)) <= int64(w.budget.Bytes)
 }
 
-// LeftOut returns how many lines were left out and not told yet.
-func (w *AsyncWriter) LeftOut() uint64 { return w.dropped.Load() }
+// Dropped returns how many lines were left out and not told yet.
+func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
 func (w *AsyncWriter) run() error {
 	tell := w.clock.After(dropReportInterval)
--- a/modules/log/async_test.go
+++ b/modules/log/async_test.go
@@ -34,13 +34,13 @@
 
 func TestAsyncWriterNeverBlocksOnStuckOutput(t *testing.T) {
 	out := &blockingWriter{open: make(chan struct{})}
-	w := NewAsync(out, clock.NewFake(), Budget{Lines: 1000, Bytes: 1 << 20, Ring: 8})
+	w := NewAsync(out, clock.NewFake(), Budget{Lines: 1000, Bytes: 1 << 20, QueueSize: 8})
 	for range 100 { // would never end if a line waited for the output
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatalf("%d, %v", n, err)
 		}
 	}
-	if n := w.LeftOut(); n < 90 {
+	if n := w.Dropped(); n < 90 {
 		t.Errorf("%d lines left out of 100 with room for eight", n)
 	}
 	close(out.open)
@@ -54,11 +54,11 @@
 	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
 	c := clock.NewFake()
-	w := NewAsync(out, c, Budget{Lines: 3, Bytes: 100, Ring: 100})
+	w := NewAsync(out, c, Budget{Lines: 3, Bytes: 100, QueueSize: 100})
 	for range 5 {
 		_, _ = w.Write([]byte("short\n"))
 	}
-	if n := w.LeftOut(); n != 2 {
+	if n := w.Dropped(); n != 2 {
 		t.Errorf("%d lines left out of five, three are allowed", n)
 	}
 	c.Advance(2 * dropReportInterval)
@@ -75,7 +75,7 @@
 func TestRequestLinesLeaveBudgetForOthers(t *testing.T) {
 	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
-	w := NewAsync(out, clock.NewFake(), Budget{Lines: 100, Bytes: 1 << 20, Ring: 200})
+	w := NewAsync(out, clock.NewFake(), Budget{Lines: 100, Bytes: 1 << 20, QueueSize: 200})
 	Setup(w, 0)
 	defer Setup(io.Discard, 0)
 	l := New("test")
--- a/modules/log/limit.go
+++ b/modules/log/limit.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Limit bounds lines of one kind that others decide the number of, such as what a peer sends
+// RateLimiter bounds lines of one kind that others decide the number of, such as what a peer sends
 // and cannot be read: they would take the whole log's budget. Counters hold all.
-type Limit struct {
+type RateLimiter struct {
 	interval time.Duration
 	burst    int
 
@@ -20,11 +20,13 @@
 	suppressed  int
 }
 
-// NewLimit returns a limit of so many lines in a time.
-func NewLimit(every time.Duration, atOnce int) *Limit { return &Limit{interval: every, burst: atOnce} }
+// NewRateLimiter returns a limit of so many lines in a time.
+func NewRateLimiter(every time.Duration, atOnce int) *RateLimiter {
+	return &RateLimiter{interval: every, burst: atOnce}
+}
 
 // Allow reports whether a line is written, and how many were not since the last one.
-func (l *Limit) Allow(now time.Time) (allowed bool, hidden int) {
+func (l *RateLimiter) Allow(now time.Time) (allowed bool, hidden int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.windowStart) >= l.interval {
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -51,13 +51,13 @@
 	expired time.Time
 
 	counters counters
-	lines    *log.Limit
+	lines    *log.RateLimiter
 }
 
 // New returns a service that has heard nothing.
 func New(logger log.Logger, o Options) *Service {
 	return &Service{
-		log: logger, opts: o, leaving: leaving.New(), rests: pushback.New(), counters: newCounters(o.Figures), lines: log.NewLimit(linesEvery, linesAtOnce),
+		log: logger, opts: o, leaving: leaving.New(), rests: pushback.New(), counters: newCounters(o.Figures), lines: log.NewRateLimiter(linesEvery, linesAtOnce),
 	}
 }
 
