--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -38,18 +38,18 @@
 type fakeTimer struct {
 	at   time.Time
 	ch   chan time.Time // ch is nil where there is a call.
-	call *fakeCall
+	call *fakeFunc
 }
 
-// fakeCall is a call that has been put off.
-type fakeCall struct {
+// fakeFunc is a call that has been put off.
+type fakeFunc struct {
 	clock *Fake
 	f     func()
 	done  bool // done tells that it was made or taken back.
 }
 
 // Stop implements Timer.
-func (c *fakeCall) Stop() bool {
+func (c *fakeFunc) Stop() bool {
 	c.clock.mu.Lock()
 	defer c.clock.mu.Unlock()
 	was := c.done
@@ -84,7 +84,7 @@
 func (f *Fake) AfterFunc(d time.Duration, call func()) Timer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := &fakeCall{clock: f, f: call}
+	c := &fakeFunc{clock: f, f: call}
 	f.timers = append(f.timers, fakeTimer{at: f.now.Add(d), call: c})
 	return c
 }
@@ -97,11 +97,11 @@
 }
 
 // advance moves the clock and returns the calls that are due.
-func (f *Fake) advance(d time.Duration) []*fakeCall {
+func (f *Fake) advance(d time.Duration) []*fakeFunc {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now = f.now.Add(d)
-	var due []*fakeCall
+	var due []*fakeFunc
 	kept := f.timers[:0]
 	for _, t := range f.timers {
 		switch {
--- a/modules/clock/system.go
+++ b/modules/clock/system.go
@@ -13,23 +13,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// jumpLeast is by how much the time of day must run away from the steady clock before the
+// minDrift is by how much the time of day must run away from the steady clock before the
 // machine's clock is read for time in suspension. What keeps the time of day right moves it
 // by a thousandth at most.
-const jumpLeast = 5 * time.Millisecond
+const minDrift = 5 * time.Millisecond
 
-// reading is one look at the clocks of the machine.
-type reading struct {
-	steady time.Duration // steady does not count the time in suspension.
-	boot   time.Duration // boot does.
+// clockReading is one look at the clocks of the machine.
+type clockReading struct {
+	monotonic time.Duration // steady does not count the time in suspension.
+	boot      time.Duration // boot does.
 }
 
-// suspension keeps how much time of the machine the steady clock of the runtime has left
+// suspendTracker keeps how much time of the machine the steady clock of the runtime has left
 // out. The time of day counts it, too, and is read with each steady time: where they run
-// apart, the machine's clock since its start tells whether that was a suspension or a step
+// apart, the machine's clock since its start tells whether that was a suspendTracker or a step
 // of the time of day.
-type suspension struct {
-	read   func() (reading, error)
+type suspendTracker struct {
+	read   func() (clockReading, error)
 	report func(error)
 
 	epoch  time.Time    // epoch is a reading of both clocks at the start.
@@ -37,9 +37,9 @@
 	total  atomic.Int64 // total is the time in suspension since epoch.
 	failed atomic.Bool
 
-	mu     sync.Mutex
-	first  *reading            // first is the reading that others are compared with; nil where none could be had.
-	timers map[*timer]struct{} // timers are those that have not fired.
+	mu       sync.Mutex
+	baseline *clockReading       // first is the reading that others are compared with; nil where none could be had.
+	timers   map[*timer]struct{} // timers are those that have not fired.
 }
 
 // timer fires when a span has passed, the time in suspension included.
@@ -49,14 +49,14 @@
 	fire  func()
 }
 
-func newSuspension(read func() (reading, error), report func(error)) *suspension {
-	s := &suspension{read: read, report: report, epoch: time.Now(), timers: map[*timer]struct{}{}}
+func newSuspension(read func() (clockReading, error), report func(error)) *suspendTracker {
+	s := &suspendTracker{read: read, report: report, epoch: time.Now(), timers: map[*timer]struct{}{}}
 	s.check()
 	return s
 }
 
-// machine is the suspension of the machine that this process runs on.
-var machine = newSuspension(readMachine, func(err error) {
+// systemTracker is the suspension of the systemTracker that this process runs on.
+var systemTracker = newSuspension(readClocks, func(err error) {
 	if report := onError.Load(); report != nil {
 		(*report)(err)
 	}
@@ -70,35 +70,35 @@
 // is not counted then.
 func OnError(report func(error)) {
 	onError.Store(&report)
-	if machine.failed.Load() {
-		machine.report(errUnreadable)
+	if systemTracker.failed.Load() {
+		systemTracker.report(errUnreadable)
 	}
 }
 
-func readMachine() (reading, error) {
+func readClocks() (clockReading, error) {
 	var steady, boot unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
-		return reading{}, err
+		return clockReading{}, err
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
-		return reading{}, err
+		return clockReading{}, err
 	}
-	return reading{time.Duration(steady.Nano()), time.Duration(boot.Nano())}, nil
+	return clockReading{time.Duration(steady.Nano()), time.Duration(boot.Nano())}, nil
 }
 
-func (s *suspension) fail(err error) {
+func (s *suspendTracker) fail(err error) {
 	if s.failed.CompareAndSwap(false, true) {
 		s.report(err)
 	}
 }
 
 // now returns the time with that in suspension counted.
-func (s *suspension) now() time.Time { return s.correct(time.Now()) }
+func (s *suspendTracker) now() time.Time { return s.correct(time.Now()) }
 
 // correct adds the time in suspension to a reading of the runtime's clocks.
-func (s *suspension) correct(now time.Time) time.Time {
+func (s *suspendTracker) correct(now time.Time) time.Time {
 	drift := int64(now.Round(0).Sub(s.epoch.Round(0)) - now.Sub(s.epoch))
-	if time.Duration(drift-s.drift.Load()).Abs() > jumpLeast {
+	if time.Duration(drift-s.drift.Load()).Abs() > minDrift {
 		s.drift.Store(drift)
 		s.check()
 	}
@@ -107,18 +107,18 @@
 
 // check reads the machine's clock and counts what was left out. A clock that goes back, or
 // cannot be read, takes nothing away: time has passed.
-func (s *suspension) check() {
+func (s *suspendTracker) check() {
 	r, err := s.read()
 	if err != nil {
 		s.fail(err)
 		return
 	}
 	s.mu.Lock()
-	if s.first == nil {
-		s.first = &r
+	if s.baseline == nil {
+		s.baseline = &r
 	}
-	total := (r.boot - s.first.boot) - (r.steady - s.first.steady)
-	if total <= time.Duration(s.total.Load())+jumpLeast/2 {
+	total := (r.boot - s.baseline.boot) - (r.monotonic - s.baseline.monotonic)
+	if total <= time.Duration(s.total.Load())+minDrift/2 {
 		s.mu.Unlock()
 		return
 	}
@@ -135,10 +135,10 @@
 }
 
 // afterFunc calls a function in its own goroutine when a span has passed.
-func (s *suspension) afterFunc(d time.Duration, f func()) *timer {
+func (s *suspendTracker) afterFunc(d time.Duration, f func()) *timer {
 	t := &timer{due: s.now().Add(d)}
 	t.fire = func() {
-		if s.forget(t) {
+		if s.remove(t) {
 			f()
 		}
 	}
@@ -149,9 +149,9 @@
 	return t
 }
 
-// forget takes a timer out and reports whether it was there: a timer that is set anew while
+// remove takes a timer out and reports whether it was there: a timer that is set anew while
 // it fires must not fire twice.
-func (s *suspension) forget(t *timer) bool {
+func (s *suspendTracker) remove(t *timer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, there := s.timers[t]
@@ -161,44 +161,44 @@
 
 // Suspended returns how long the machine has been suspended since the start of the process,
 // as far as that has shown.
-func Suspended() time.Duration { return time.Duration(machine.total.Load()) }
+func Suspended() time.Duration { return time.Duration(systemTracker.total.Load()) }
 
 // Now implements Clock. The time in which the machine was suspended counts: leases, deadlines
 // and ages would otherwise be believed as if nobody had gone on meanwhile.
-func (System) Now() time.Time { return machine.now() }
+func (System) Now() time.Time { return systemTracker.now() }
 
 // After implements Clock.
 func (System) After(d time.Duration) <-chan time.Time {
 	ch := make(chan time.Time, 1)
-	machine.afterFunc(d, func() { ch <- machine.now() })
+	systemTracker.afterFunc(d, func() { ch <- systemTracker.now() })
 	return ch
 }
 
 // AfterFunc implements Clock.
 func (System) AfterFunc(d time.Duration, f func()) Timer {
-	return stopper{machine, machine.afterFunc(d, f)}
+	return systemTimer{systemTracker, systemTracker.afterFunc(d, f)}
 }
 
 // Check reads the machine's clock for time in suspension that a step of the time of day may
 // hide from Now; whoever watches for standstills calls it.
-func (System) Check() { machine.check() }
+func (System) Check() { systemTracker.check() }
 
-type stopper struct {
-	s *suspension
+type systemTimer struct {
+	s *suspendTracker
 	t *timer
 }
 
 // Stop implements Timer.
-func (s stopper) Stop() bool {
+func (s systemTimer) Stop() bool {
 	s.t.timer.Stop()
-	return s.s.forget(s.t)
+	return s.s.remove(s.t)
 }
 
 // WithDeadline returns a context that ends at a time of the clock, with the error of a
 // deadline that has passed.
 func WithDeadline(parent context.Context, c Clock, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
-	d := &deadline{Context: ctx, at: at}
+	d := &deadlineContext{Context: ctx, at: at}
 	t := c.AfterFunc(at.Sub(c.Now()), func() {
 		d.passed.Store(true)
 		cancel()
@@ -209,14 +209,14 @@
 	}
 }
 
-type deadline struct {
+type deadlineContext struct {
 	context.Context
 	at     time.Time
 	passed atomic.Bool
 }
 
 // Err implements context.Context.
-func (d *deadline) Err() error {
+func (d *deadlineContext) Err() error {
 	err := d.Context.Err()
 	if err != nil && d.passed.Load() {
 		return context.DeadlineExceeded
--- a/modules/clock/system_test.go
+++ b/modules/clock/system_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// fakeMachine is a machine whose clocks are set.
-type fakeMachine struct {
-	r   reading
+// fakeClocks is a machine whose clocks are set.
+type fakeClocks struct {
+	r   clockReading
 	err error
 }
 
-func (m *fakeMachine) read() (reading, error) { return m.r, m.err }
+func (m *fakeClocks) read() (clockReading, error) { return m.r, m.err }
 
-func newFakeMachine(t *testing.T) (*fakeMachine, *suspension) {
+func newFakeMachine(t *testing.T) (*fakeClocks, *suspendTracker) {
 	t.Helper()
-	m := &fakeMachine{r: reading{steady: time.Hour, boot: 2 * time.Hour}}
+	m := &fakeClocks{r: clockReading{monotonic: time.Hour, boot: 2 * time.Hour}}
 	return m, newSuspension(m.read, func(error) {})
 }
 
 // suspend lets the machine stand still for a while: its steady clock does not count that, its
 // clock since the start does.
-func (m *fakeMachine) suspend(d time.Duration) { m.r.boot += d }
+func (m *fakeClocks) suspend(d time.Duration) { m.r.boot += d }
 
 // The time in suspension counts, as soon as the time of day shows that there was any.
-func TestTimeInSuspensionCounts(t *testing.T) {
+func TestNowCountsSuspension(t *testing.T) {
 	m, s := newFakeMachine(t)
 	before := s.epoch
 	m.suspend(5 * time.Second)
@@ -46,7 +46,7 @@
 
 // A step of the time of day, forward or back, changes nothing; clocks that go back, or that
 // cannot be read, take no time away.
-func TestBadClocksTakeNoTimeAway(t *testing.T) {
+func TestClockErrorsNeverMoveTimeBack(t *testing.T) {
 	m, s := newFakeMachine(t)
 	m.suspend(3 * time.Second)
 	s.check()
@@ -68,8 +68,8 @@
 
 // Where the machine's clock could not be read at the start, what was suspended before it can be
 // is not counted.
-func TestClockThatCanBeReadLateCountsFromThen(t *testing.T) {
-	m := &fakeMachine{r: reading{steady: time.Hour, boot: 9 * time.Hour}, err: errors.New("not yet")}
+func TestSuspensionCountsFromFirstReading(t *testing.T) {
+	m := &fakeClocks{r: clockReading{monotonic: time.Hour, boot: 9 * time.Hour}, err: errors.New("not yet")}
 	s := newSuspension(m.read, func(error) {})
 	m.err = nil
 	s.check()
@@ -91,7 +91,7 @@
 	s.afterFunc(time.Hour, func() { fired <- "over" })
 	s.afterFunc(9*time.Hour, func() { fired <- "not yet" })
 	stopped := s.afterFunc(time.Hour, func() { fired <- "stopped" })
-	if !(stopper{s, stopped}).Stop() {
+	if !(systemTimer{s, stopped}).Stop() {
 		t.Error("a timer that has not fired could not be stopped")
 	}
 	m.suspend(2 * time.Hour)
@@ -107,7 +107,7 @@
 
 // A context ends at its time of the clock, as one whose deadline has passed; one that is
 // canceled says so.
-func TestDeadlineOfTheClock(t *testing.T) {
+func TestWithDeadlineFollowsClock(t *testing.T) {
 	c := NewFake()
 	ctx, cancel := WithDeadline(context.Background(), c, c.Now().Add(time.Second))
 	defer cancel()
@@ -142,7 +142,7 @@
 	})
 	b.Run("machine", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := readMachine(); err != nil {
+			if _, err := readClocks(); err != nil {
 				b.Fatal(err)
 			}
 		}
