--- a/modules/clock/system.go
+++ b/modules/clock/system.go
@@ -66,9 +66,9 @@
 
 var onError atomic.Pointer[func(error)]
 
-// OnError has it reported, once, where the machine's clock cannot be read: time in suspension
+// OnReadError has it reported, once, where the machine's clock cannot be read: time in suspension
 // is not counted then.
-func OnError(report func(error)) {
+func OnReadError(report func(error)) {
 	onError.Store(&report)
 	if systemTracker.failed.Load() {
 		systemTracker.report(errUnreadable)
@@ -179,9 +179,9 @@
 	return systemTimer{systemTracker, systemTracker.afterFunc(d, f)}
 }
 
-// Check reads the machine's clock for time in suspension that a step of the time of day may
+// CheckSuspension reads the machine's clock for time in suspension that a step of the time of day may
 // hide from Now; whoever watches for standstills calls it.
-func (System) Check() { systemTracker.check() }
+func (System) CheckSuspension() { systemTracker.check() }
 
 type systemTimer struct {
 	s *suspendTracker
--- a/router/standstill.go
+++ b/router/standstill.go
@@ -29,7 +29,7 @@
 // late takes how late the process has come to its work. All that keeps a process from running
 // ends here: a signal, want of processor time, a suspended machine.
 func (g *Gateway) late(lateness time.Duration) {
-	clock.System{}.Check() // a step of the time of day may have hidden a suspension
+	clock.System{}.CheckSuspension() // a step of the time of day may have hidden a suspension
 	if lateness >= standstillLeast {
 		g.stoodStill(lateness)
 	}
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -280,7 +280,7 @@
 			case <-ended:
 				over = true
 			default:
-				if c.Waiting() > 0 {
+				if c.PendingTimers() > 0 {
 					c.Advance(probeEvery)
 					probes++
 				}
