--- a/modules/peernet/auth.go
+++ b/modules/peernet/auth.go
@@ -25,10 +25,10 @@
 
 const (
 	protocolVersion = 1
-	// carryVersion is the version in the hello of a connection that carries requests of
+	// relayVersion is the version in the hello of a connection that carries requests of
 	// callers. It is the only one sent there: a thousand of these are opened in a second
 	// where a flood begins. Whoever repeats one can send what any caller can.
-	carryVersion     = 2
+	relayVersion     = 2
 	nonceSize        = 16
 	handshakeTimeout = 3 * time.Second
 	maxHello         = 4096
@@ -138,8 +138,8 @@
 	return h, err
 }
 
-// dial exchanges hellos with the peer that was dialled and returns its ID.
-func (a *Auth) dial(conn net.Conn) (string, error) {
+// clientHandshake exchanges hellos with the peer that was dialled and returns its ID.
+func (a *Auth) clientHandshake(conn net.Conn) (string, error) {
 	_ = conn.SetDeadline(netopt.In(handshakeTimeout))
 	defer conn.SetDeadline(time.Time{})
 	mine, err := a.hello(protocolVersion)
@@ -157,9 +157,9 @@
 	return theirs.Id, a.check(conn, r, true, mine, theirs)
 }
 
-// accept exchanges hellos with a peer that has dialled. It returns the peer's ID and
+// serverHandshake exchanges hellos with a peer that has dialled. It returns the peer's ID and
 // whether the connection carries requests.
-func (a *Auth) accept(conn net.Conn) (id string, carries bool, err error) {
+func (a *Auth) serverHandshake(conn net.Conn) (id string, carries bool, err error) {
 	_ = conn.SetDeadline(netopt.In(handshakeTimeout))
 	defer conn.SetDeadline(time.Time{})
 	r := newByteReader(conn)
@@ -167,8 +167,8 @@
 	if err != nil {
 		return "", false, err
 	}
-	if theirs.Protocol == carryVersion {
-		return theirs.Id, true, a.checkCarrying(conn, theirs)
+	if theirs.Protocol == relayVersion {
+		return theirs.Id, true, a.checkRelayHello(conn, theirs)
 	}
 	mine, err := a.hello(protocolVersion)
 	if err != nil {
@@ -185,41 +185,41 @@
 		return ErrHandshake{fmt.Sprintf("protocol %d, not %d", theirs.Protocol, protocolVersion)}
 	}
 	if a.tls != nil {
-		return checkName(conn, theirs.Id)
+		return checkCertName(conn, theirs.Id)
 	}
 	return a.proveKey(conn, r, client, mine, theirs)
 }
 
-// sayCarrying sends the hello of a connection that carries requests.
-func (a *Auth) sayCarrying(conn net.Conn) error {
-	h, err := a.hello(carryVersion)
+// sendRelayHello sends the hello of a connection that carries requests.
+func (a *Auth) sendRelayHello(conn net.Conn) error {
+	h, err := a.hello(relayVersion)
 	if err != nil {
 		return err
 	}
 	if a.tls == nil {
-		h.Mac = a.carryMAC(h)
+		h.Mac = a.relayMAC(h)
 	}
 	return writeMessage(conn, h)
 }
 
-func (a *Auth) checkCarrying(conn net.Conn, theirs *wire.Hello) error {
+func (a *Auth) checkRelayHello(conn net.Conn, theirs *wire.Hello) error {
 	if a.tls != nil {
-		return checkName(conn, theirs.Id)
+		return checkCertName(conn, theirs.Id)
 	}
-	if !hmac.Equal(theirs.Mac, a.carryMAC(theirs)) {
+	if !hmac.Equal(theirs.Mac, a.relayMAC(theirs)) {
 		return ErrHandshake{"wrong key"}
 	}
 	return nil
 }
 
-func (a *Auth) carryMAC(author *wire.Hello) []byte {
+func (a *Auth) relayMAC(author *wire.Hello) []byte {
 	m := hmac.New(sha256.New, a.sharedKey)
 	fmt.Fprintf(m, "madderway carry\x00%s\x00", author.Id)
 	m.Write(author.Nonce)
 	return m.Sum(nil)
 }
 
-func checkName(conn net.Conn, id string) error {
+func checkCertName(conn net.Conn, id string) error {
 	tc, ok := conn.(*tls.Conn)
 	if !ok {
 		return ErrHandshake{"no certificate"}
--- a/modules/peernet/carry.go
+++ b/modules/peernet/carry.go
@@ -24,11 +24,11 @@
 // DialCarrying connects to a peer that takes requests of callers over. It proves who this
 // process is and waits for nothing.
 func DialCarrying(ctx context.Context, o CarryOptions) (net.Conn, error) {
-	conn, err := dialWrapped(ctx, o.Auth, o.Meter, o.Address, o.DialTimeout)
+	conn, err := dialConn(ctx, o.Auth, o.Meter, o.Address, o.DialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if err := o.Auth.sayCarrying(conn); err != nil {
+	if err := o.Auth.sendRelayHello(conn); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
--- a/modules/peernet/codec.go
+++ b/modules/peernet/codec.go
@@ -15,13 +15,13 @@
 
 // writeMessage sends a message and its length in one write.
 func writeMessage(w io.Writer, m proto.Message) error {
-	_, err := protodelim.MarshalTo(oneWrite{w}, m)
+	_, err := protodelim.MarshalTo(singleWriter{w}, m)
 	return err
 }
 
-// oneWrite marks a writer whose writes must not be split; protodelim makes one
+// singleWriter marks a writer whose writes must not be split; protodelim makes one
 // write per message already.
-type oneWrite struct{ io.Writer }
+type singleWriter struct{ io.Writer }
 
 func readMessage(r protodelim.Reader, m proto.Message) error {
 	return protodelim.UnmarshalOptions{MaxSize: MaxMessage}.UnmarshalFrom(r, m)
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -26,20 +26,20 @@
 )
 
 const (
-	redialFirst = 100 * time.Millisecond
-	redialMax   = 2 * time.Second
+	minRedialBackoff = 100 * time.Millisecond
+	maxRedialBackoff = 2 * time.Second
 )
 
 // Link sends to one peer. It dials when there is something to send.
 type Link struct {
-	t       *tomb.Tomb
-	auth    *Auth
-	meter   *Meter
-	id      string
-	timeout time.Duration
-	idle    time.Duration
-	frames  *ring.Ring[*wire.Frame]
-	renewal renewal
+	t           *tomb.Tomb
+	auth        *Auth
+	meter       *Meter
+	peerID      string
+	dialTimeout time.Duration
+	idleTimeout time.Duration
+	frames      *ring.Ring[*wire.Frame]
+	reconnect   reconnectState
 
 	mu      sync.Mutex
 	address string
@@ -66,8 +66,8 @@
 // NewLink starts the goroutine that sends to a peer; it ends with the tomb.
 func NewLink(t *tomb.Tomb, o LinkOptions) *Link {
 	l := &Link{
-		t: t, auth: o.Auth, meter: o.Meter, id: o.PeerID, address: o.Address, timeout: o.DialTimeout, idle: o.Idle,
-		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.Ring), backoff: redialFirst,
+		t: t, auth: o.Auth, meter: o.Meter, peerID: o.PeerID, address: o.Address, dialTimeout: o.DialTimeout, idleTimeout: o.Idle,
+		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.Ring), backoff: minRedialBackoff,
 	}
 	t.Go(l.run)
 	return l
@@ -87,7 +87,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address != "" && address != l.address {
-		l.address, l.retryAt, l.backoff = address, time.Time{}, redialFirst
+		l.address, l.retryAt, l.backoff = address, time.Time{}, minRedialBackoff
 	}
 }
 
@@ -113,30 +113,30 @@
 			l.close()
 			return nil
 		case f := <-l.frames.Out():
-			stream = l.deliver(stream, f)
+			stream = l.writeFrame(stream, f)
 			used = now()
-			if unused == nil && l.idle > 0 {
-				unused = time.After(l.idle)
+			if unused == nil && l.idleTimeout > 0 {
+				unused = time.After(l.idleTimeout)
 			}
 		case <-unused:
 			unused = nil
-			if left := l.idle - now().Sub(used); left > 0 {
+			if left := l.idleTimeout - now().Sub(used); left > 0 {
 				unused = time.After(left)
 				continue
 			}
 			if stream != nil {
-				closeAfterLast(stream)
+				closeAfterRead(stream)
 			}
-			l.drop()
+			l.closeSession()
 			stream = nil
 		}
 	}
 }
 
-// deliver writes a frame and returns the stream for the next one. A frame that
+// writeFrame writes a frame and returns the stream for the next one. A frame that
 // cannot be written is lost: all of it is state that will be sent again.
-func (l *Link) deliver(stream *yamux.Stream, f *wire.Frame) *yamux.Stream {
-	if l.renewal.session.Load() {
+func (l *Link) writeFrame(stream *yamux.Stream, f *wire.Frame) *yamux.Stream {
+	if l.reconnect.newConnection.Load() {
 		stream = nil
 	}
 	for range 2 {
@@ -149,7 +149,7 @@
 		if err := writeMessage(stream, f); err == nil {
 			return stream
 		}
-		l.drop()
+		l.closeSession()
 		stream = nil
 	}
 	return nil
@@ -164,11 +164,11 @@
 	defer cancel()
 	stream, err := session.OpenStream(ctx)
 	if err != nil {
-		l.drop()
+		l.closeSession()
 		return nil, err
 	}
 	if _, err := stream.Write([]byte{kind}); err != nil {
-		l.drop()
+		l.closeSession()
 		return nil, err
 	}
 	return stream, nil
@@ -177,12 +177,12 @@
 func (l *Link) connect() (*yamux.Session, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.renewal.session.Swap(false) && l.session != nil {
+	if l.reconnect.newConnection.Swap(false) && l.session != nil {
 		_ = l.session.Close()
 		l.session = nil
 	}
-	if l.renewal.backoff.Swap(false) {
-		l.retryAt, l.backoff = time.Time{}, redialFirst
+	if l.reconnect.resetBackoff.Swap(false) {
+		l.retryAt, l.backoff = time.Time{}, minRedialBackoff
 	}
 	if l.session != nil && !l.session.IsClosed() {
 		return l.session, nil
@@ -194,21 +194,21 @@
 		return nil, l.lastErr
 	}
 	session, err := l.dial()
-	l.renewal.failing.Store(err != nil)
+	l.reconnect.failing.Store(err != nil)
 	if err != nil {
 		l.lastErr = err
 		l.retryAt = now().Add(l.backoff)
-		l.backoff = min(2*l.backoff, redialMax)
+		l.backoff = min(2*l.backoff, maxRedialBackoff)
 		return nil, err
 	}
-	l.session, l.backoff, l.retryAt = session, redialFirst, time.Time{}
+	l.session, l.backoff, l.retryAt = session, minRedialBackoff, time.Time{}
 	return session, nil
 }
 
 func (l *Link) dial() (*yamux.Session, error) {
-	ctx, end := l.renewal.begin()
+	ctx, end := l.reconnect.beginAttempt()
 	defer end()
-	conn, err := dialPeer(ctx, l.auth, l.meter, l.id, l.address, l.timeout)
+	conn, err := dialPeer(ctx, l.auth, l.meter, l.peerID, l.address, l.dialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -217,11 +217,11 @@
 
 // dialPeer connects to a peer and checks who it is; an empty ID is for anybody.
 func dialPeer(ctx context.Context, auth *Auth, meter *Meter, id, address string, timeout time.Duration) (net.Conn, error) {
-	conn, err := dialWrapped(ctx, auth, meter, address, timeout)
+	conn, err := dialConn(ctx, auth, meter, address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	peer, err := auth.dial(conn)
+	peer, err := auth.clientHandshake(conn)
 	if err == nil && id != "" && peer != id {
 		err = ErrHandshake{"dialled " + id + ", met " + peer}
 	}
@@ -232,7 +232,7 @@
 	return conn, nil
 }
 
-func dialWrapped(ctx context.Context, auth *Auth, meter *Meter, address string, timeout time.Duration) (net.Conn, error) {
+func dialConn(ctx context.Context, auth *Auth, meter *Meter, address string, timeout time.Duration) (net.Conn, error) {
 	raw, err := netopt.Dialer(timeout).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -245,7 +245,7 @@
 	return conn, nil
 }
 
-func (l *Link) drop() {
+func (l *Link) closeSession() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session != nil {
@@ -254,7 +254,7 @@
 	}
 }
 
-func (l *Link) close() { l.drop() }
+func (l *Link) close() { l.closeSession() }
 
 // Call sends a request on a stream of its own and waits for the reply.
 func (l *Link) Call(ctx context.Context, call *wire.Call) (*wire.Reply, error) {
@@ -268,7 +268,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = stream.SetDeadline(deadline)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(past) })
+	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(pastDeadline) })
 	defer stop()
 	if err := writeMessage(stream, call); err != nil {
 		return nil, err
--- a/modules/peernet/renew.go
+++ b/modules/peernet/renew.go
@@ -14,18 +14,18 @@
 // seconds. What is heard from the peer itself ends both at once. The signals are
 // set by other goroutines while the link's own one may hang in an attempt.
 
-// renewal holds what the link has been told since its last attempt.
-type renewal struct {
-	session atomic.Bool // session tells that the open connection is to a former life.
-	backoff atomic.Bool // backoff tells that the peer can be reached again.
-	failing atomic.Bool // failing tells that the last attempt failed.
+// reconnectState holds what the link has been told since its last attempt.
+type reconnectState struct {
+	newConnection atomic.Bool // session tells that the open connection is to a former life.
+	resetBackoff  atomic.Bool // backoff tells that the peer can be reached again.
+	failing       atomic.Bool // failing tells that the last attempt failed.
 
 	mu     sync.Mutex
 	cancel context.CancelFunc // cancel ends the attempt that is under way, nil where none is.
 }
 
-// begin returns the context of an attempt, and what to call at its end.
-func (r *renewal) begin() (context.Context, func()) {
+// beginAttempt returns the context of an attempt, and what to call at its end.
+func (r *reconnectState) beginAttempt() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.mu.Lock()
 	r.cancel = cancel
@@ -38,7 +38,7 @@
 	}
 }
 
-func (r *renewal) stopAttempt() {
+func (r *reconnectState) stopAttempt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cancel != nil {
@@ -49,15 +49,15 @@
 // Renew tells that the peer has begun a new life: the next frame takes a new
 // connection. It does not wait.
 func (l *Link) Renew() {
-	l.renewal.session.Store(true)
-	l.renewal.backoff.Store(true)
-	l.renewal.stopAttempt()
+	l.reconnect.newConnection.Store(true)
+	l.reconnect.resetBackoff.Store(true)
+	l.reconnect.stopAttempt()
 }
 
 // Reachable tells that the peer has been heard from: where attempts to reach it
 // failed, the next frame tries at once. It does not wait.
 func (l *Link) Reachable() {
-	if l.renewal.failing.Load() {
-		l.renewal.backoff.Store(true)
+	if l.reconnect.failing.Load() {
+		l.reconnect.resetBackoff.Store(true)
 	}
 }
--- a/modules/peernet/server.go
+++ b/modules/peernet/server.go
@@ -43,7 +43,7 @@
 	auth     *Auth
 	meter    *Meter
 	handler  Handler
-	carrier  Carrier // carrier is nil where none are taken.
+	relay    Carrier // carrier is nil where none are taken.
 	listener net.Listener
 	slots    chan struct{}
 
@@ -61,11 +61,11 @@
 // NewCarryingServer is NewServer that also takes what peers carry.
 func NewCarryingServer(t *tomb.Tomb, logger log.Logger, auth *Auth, meter *Meter, l net.Listener, h Handler, c Carrier) *Server {
 	s := &Server{
-		t: t, log: logger, auth: auth, meter: meter, handler: h, carrier: c, listener: l,
+		t: t, log: logger, auth: auth, meter: meter, handler: h, relay: c, listener: l,
 		slots: make(chan struct{}, maxConnections), conns: map[net.Conn]string{}, blocked: map[string]bool{},
 	}
 	t.Go(s.accept)
-	t.Go(s.closeAtEnd)
+	t.Go(s.closeOnDying)
 	return s
 }
 
@@ -114,14 +114,14 @@
 		s.track(conn, "")
 		s.t.Go(func() error {
 			defer func() { <-s.slots }()
-			defer s.forget(conn)
+			defer s.untrack(conn)
 			s.serve(conn)
 			return nil
 		})
 	}
 }
 
-func (s *Server) closeAtEnd() error {
+func (s *Server) closeOnDying() error {
 	<-s.t.Dying()
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -141,7 +141,7 @@
 	}
 }
 
-func (s *Server) forget(conn net.Conn) {
+func (s *Server) untrack(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
@@ -161,15 +161,15 @@
 		s.refuse(raw, err)
 		return
 	}
-	peer, carries, err := s.auth.accept(conn)
+	peer, carries, err := s.auth.serverHandshake(conn)
 	if err != nil {
 		s.refuse(raw, err)
 		return
 	}
 	s.track(raw, peer)
 	if carries {
-		if s.carrier != nil {
-			s.carrier.HandleCarried(peer, conn)
+		if s.relay != nil {
+			s.relay.HandleCarried(peer, conn)
 		}
 		return
 	}
--- a/modules/peernet/session.go
+++ b/modules/peernet/session.go
@@ -18,52 +18,52 @@
 	// writeTimeout is how long a peer may not read before its connection is given up;
 	// its heartbeats have been missed for twice as long by then.
 	writeTimeout = 5 * time.Second
-	// measureRTTEvery is how often yamux measures a round trip after its first one. It
+	// rttInterval is how often yamux measures a round trip after its first one. It
 	// wants the figure for windows that grow; frames here need no more than the first.
-	measureRTTEvery = time.Hour
-	// closeTime is how long a peer may take to confirm that it has read the last frame
+	rttInterval = time.Hour
+	// closeTimeout is how long a peer may take to confirm that it has read the last frame
 	// of a connection that is no longer used.
-	closeTime = time.Second
+	closeTimeout = time.Second
 )
 
-// past is a deadline that is over.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that is over.
+var pastDeadline = time.Unix(1, 0)
 
 func yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
 	cfg.EnableKeepAlive = false // the fleet's own heartbeats tell who lives
-	cfg.MeasureRTTInterval = measureRTTEvery
+	cfg.MeasureRTTInterval = rttInterval
 	cfg.LogOutput = io.Discard
 	cfg.ConnectionWriteTimeout = writeTimeout
 	return cfg
 }
 
 func clientSession(conn net.Conn) (*yamux.Session, error) {
-	return yamux.Client(&promptConn{Conn: conn}, yamuxConfig(), nil)
+	return yamux.Client(&asyncCloseConn{Conn: conn}, yamuxConfig(), nil)
 }
 
 func serverSession(conn net.Conn) (*yamux.Session, error) {
-	return yamux.Server(&promptConn{Conn: conn}, yamuxConfig(), nil)
+	return yamux.Server(&asyncCloseConn{Conn: conn}, yamuxConfig(), nil)
 }
 
-// promptConn is a connection whose Close never waits: yamux closes it before it tells
+// asyncCloseConn is a connection whose Close never waits: yamux closes it before it tells
 // anybody that the session has ended.
-type promptConn struct {
+type asyncCloseConn struct {
 	net.Conn
 	once sync.Once
 }
 
 // Close implements net.Conn. Its error tells nothing that anybody could act on.
-func (c *promptConn) Close() error {
+func (c *asyncCloseConn) Close() error {
 	c.once.Do(func() { go func() { _ = c.Conn.Close() }() })
 	return nil
 }
 
-// closeAfterLast ends the stream on which frames were sent once the peer has read them
+// closeAfterRead ends the stream on which frames were sent once the peer has read them
 // all: yamux's writes return before anything is sent, and the end of a session drops
 // what waits.
-func closeAfterLast(stream *yamux.Stream) {
-	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.In(closeTime)) != nil {
+func closeAfterRead(stream *yamux.Stream) {
+	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.In(closeTimeout)) != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, stream)
@@ -78,7 +78,7 @@
 	for {
 		stream, err := session.AcceptStream()
 		if err != nil {
-			open.endReads()
+			open.abortReads()
 			return
 		}
 		open.add(stream)
@@ -108,10 +108,10 @@
 	delete(s.streams, stream)
 }
 
-func (s *streamSet) endReads() {
+func (s *streamSet) abortReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for stream := range s.streams {
-		_ = stream.SetReadDeadline(past)
+		_ = stream.SetReadDeadline(pastDeadline)
 	}
 }
--- a/modules/peernet/session_test.go
+++ b/modules/peernet/session_test.go
@@ -18,15 +18,15 @@
 	"madderway/modules/wire"
 )
 
-// heldConn is a connection whose reads, or whose close, are held up until the test lets
+// blockingConn is a connection whose reads, or whose close, are held up until the test lets
 // them go: what a close needs to become done may take long.
-type heldConn struct {
+type blockingConn struct {
 	net.Conn
 	holdRead, holdClose bool
 	release             chan struct{}
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *blockingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil && c.holdRead {
 		<-c.release
@@ -34,7 +34,7 @@
 	return n, err
 }
 
-func (c *heldConn) Close() error {
+func (c *blockingConn) Close() error {
 	err := c.Conn.Close()
 	if c.holdClose {
 		<-c.release
@@ -43,7 +43,7 @@
 }
 
 // sessions returns two ends of a session; the server's connection is held up.
-func sessions(t *testing.T, held *heldConn) (client, server *yamux.Session) {
+func sessions(t *testing.T, held *blockingConn) (client, server *yamux.Session) {
 	t.Helper()
 	near, far := net.Pipe()
 	held.Conn, held.release = far, make(chan struct{})
@@ -66,7 +66,7 @@
 		"closed here":  func(_, server *yamux.Session) { go server.Close() },
 		"closed there": func(client, _ *yamux.Session) { _ = client.Close() },
 	}
-	for _, held := range []heldConn{{}, {holdRead: true}, {holdClose: true}, {holdRead: true, holdClose: true}} {
+	for _, held := range []blockingConn{{}, {holdRead: true}, {holdClose: true}, {holdRead: true, holdClose: true}} {
 		for name, ending := range endings {
 			if name == "closed there" && held.holdRead {
 				continue // nothing tells this side of the end before the read is let go
