--- a/modules/peernet/peernet_test.go
+++ b/modules/peernet/peernet_test.go
@@ -68,7 +68,7 @@
 	return &wire.Frame{Demands: []*wire.Demand{{Account: account}}}
 }
 
-func TestFramesAndCalls(t *testing.T) {
+func TestLinkCarriesFramesAndCalls(t *testing.T) {
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	meter := &Meter{}
 	link := linkTo(tb, s, NewSharedKey("client", "the shared key"), meter)
@@ -99,7 +99,7 @@
 
 // A connection that carries nothing is closed after a while, and the next frame opens
 // another one.
-func TestIdleConnectionIsClosed(t *testing.T) {
+func TestLinkClosesIdleConnection(t *testing.T) {
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := NewLink(tb, LinkOptions{
 		Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: s.listener.Addr().String(),
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestWrongKeyIsRefused(t *testing.T) {
+func TestServerRefusesWrongKey(t *testing.T) {
 	_, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := linkTo(tb, s, NewSharedKey("client", "another key here"), &Meter{})
 	if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
@@ -192,7 +192,7 @@
 	return auth
 }
 
-func TestMutualTLS(t *testing.T) {
+func TestServerRequiresMatchingCertificate(t *testing.T) {
 	ca := newAuthority(t)
 	root := ca.path("authority.pem")
 	_, s, tb := serve(t, ca.auth("server", "server", root))
--- a/modules/peernet/renew_test.go
+++ b/modules/peernet/renew_test.go
@@ -38,7 +38,7 @@
 
 // A peer that was away for long is reached at once when it has been heard from,
 // not when the pause between two attempts is over.
-func TestHeardPeerIsReachedAtOnce(t *testing.T) {
+func TestResetBackoffRedialsAtOnce(t *testing.T) {
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := linkTo(tb, s, NewSharedKey("client", "the shared key"), &Meter{})
 	address := link.address
@@ -66,7 +66,7 @@
 
 // After the peer has begun a new life, frames take a new connection, though the old
 // one looks sound.
-func TestNewLifeTakesANewConnection(t *testing.T) {
+func TestReconnectUsesNewConnection(t *testing.T) {
 	old, before, tb := serve(t, NewSharedKey("server", "the shared key"))
 	fresh, after, _ := serve(t, NewSharedKey("server", "the shared key"))
 	link := linkTo(tb, before, NewSharedKey("client", "the shared key"), &Meter{})
@@ -86,7 +86,7 @@
 
 // A link that hears nothing while it is told of a new life does not make the
 // caller wait.
-func TestRenewDoesNotWait(t *testing.T) {
+func TestReconnectDoesNotBlock(t *testing.T) {
 	address, accepted := silentListener(t)
 	tb := &tomb.Tomb{}
 	link := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: address, DialTimeout: time.Second, Ring: 4})
--- a/modules/peernet/session_test.go
+++ b/modules/peernet/session_test.go
@@ -60,7 +60,7 @@
 
 // A read of a peer's stream ends with its session, whatever holds up the library: the
 // close of the connection, its receive loop, a stream that is opened just then.
-func TestReadsEndWithTheSession(t *testing.T) {
+func TestReadsEndWithSession(t *testing.T) {
 	type end func(client, server *yamux.Session)
 	endings := map[string]end{
 		"closed here":  func(_, server *yamux.Session) { go server.Close() },
@@ -117,7 +117,7 @@
 func (discarder) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{Ok: true} }
 
 // Sessions that are cut at random while they carry frames leave no goroutine behind.
-func TestCutSessionsLeaveNothingBehind(t *testing.T) {
+func TestCutSessionsLeakNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
