--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -57,17 +57,17 @@
 	PeerID      string // PeerID is who must answer, empty for anybody.
 	Address     string
 	DialTimeout time.Duration
-	Ring        int
-	// Idle is how long a connection that carries nothing stays open, 0 for ever. A
+	QueueSize   int
+	// IdleTimeout is how long a connection that carries nothing stays open, 0 for ever. A
 	// router of a large fleet has something to say to many others now and then.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
 // NewLink starts the goroutine that sends to a peer; it ends with the tomb.
 func NewLink(t *tomb.Tomb, o LinkOptions) *Link {
 	l := &Link{
-		t: t, auth: o.Auth, meter: o.Meter, peerID: o.PeerID, address: o.Address, dialTimeout: o.DialTimeout, idleTimeout: o.Idle,
-		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.Ring), backoff: minRedialBackoff,
+		t: t, auth: o.Auth, meter: o.Meter, peerID: o.PeerID, address: o.Address, dialTimeout: o.DialTimeout, idleTimeout: o.IdleTimeout,
+		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.QueueSize), backoff: minRedialBackoff,
 	}
 	t.Go(l.run)
 	return l
--- a/modules/peernet/peernet_test.go
+++ b/modules/peernet/peernet_test.go
@@ -61,7 +61,7 @@
 }
 
 func linkTo(tb *tomb.Tomb, s *Server, auth *Auth, meter *Meter) *Link {
-	return NewLink(tb, LinkOptions{Auth: auth, Meter: meter, PeerID: "server", Address: s.listener.Addr().String(), DialTimeout: time.Second, Ring: 16})
+	return NewLink(tb, LinkOptions{Auth: auth, Meter: meter, PeerID: "server", Address: s.listener.Addr().String(), DialTimeout: time.Second, QueueSize: 16})
 }
 
 func frame(account string) *wire.Frame {
@@ -103,7 +103,7 @@
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := NewLink(tb, LinkOptions{
 		Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: s.listener.Addr().String(),
-		DialTimeout: time.Second, Ring: 16, Idle: 5 * time.Millisecond,
+		DialTimeout: time.Second, QueueSize: 16, IdleTimeout: 5 * time.Millisecond,
 	})
 	for _, name := range []string{"a", "b"} {
 		link.Send(frame(name))
@@ -122,7 +122,7 @@
 	if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
 		t.Fatal("a call went through without the key")
 	}
-	wrongName := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "somebody", Address: s.listener.Addr().String(), DialTimeout: time.Second, Ring: 1})
+	wrongName := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "somebody", Address: s.listener.Addr().String(), DialTimeout: time.Second, QueueSize: 1})
 	if _, err := wrongName.Call(context.Background(), &wire.Call{}); !IsErrHandshake(err) {
 		t.Fatalf("dialled one router and met another: %v", err)
 	}
--- a/modules/peernet/renew.go
+++ b/modules/peernet/renew.go
@@ -46,17 +46,17 @@
 	}
 }
 
-// Renew tells that the peer has begun a new life: the next frame takes a new
+// Reconnect tells that the peer has begun a new life: the next frame takes a new
 // connection. It does not wait.
-func (l *Link) Renew() {
+func (l *Link) Reconnect() {
 	l.reconnect.newConnection.Store(true)
 	l.reconnect.resetBackoff.Store(true)
 	l.reconnect.stopAttempt()
 }
 
-// Reachable tells that the peer has been heard from: where attempts to reach it
+// ResetBackoff tells that the peer has been heard from: where attempts to reach it
 // failed, the next frame tries at once. It does not wait.
-func (l *Link) Reachable() {
+func (l *Link) ResetBackoff() {
 	if l.reconnect.failing.Load() {
 		l.reconnect.resetBackoff.Store(true)
 	}
--- a/modules/peernet/renew_test.go
+++ b/modules/peernet/renew_test.go
@@ -57,7 +57,7 @@
 	if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
 		t.Fatal("the pause was not kept")
 	}
-	link.Reachable()
+	link.ResetBackoff()
 	link.Send(frame("a"))
 	if got := <-r.frames; got != "client/a" {
 		t.Errorf("got %s", got)
@@ -77,7 +77,7 @@
 	if got := <-old.frames; got != "client/b" {
 		t.Fatalf("got %s on the old connection", got)
 	}
-	link.Renew()
+	link.Reconnect()
 	link.Send(frame("c"))
 	if got := <-fresh.frames; got != "client/c" {
 		t.Errorf("got %s on the new connection", got)
@@ -89,13 +89,13 @@
 func TestReconnectDoesNotBlock(t *testing.T) {
 	address, accepted := silentListener(t)
 	tb := &tomb.Tomb{}
-	link := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: address, DialTimeout: time.Second, Ring: 4})
+	link := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: address, DialTimeout: time.Second, QueueSize: 4})
 	link.Send(frame("a"))
 	conn := <-accepted // the link now waits for the peer's hello
 	done := make(chan struct{})
 	go func() {
-		link.Renew()
-		link.Reachable()
+		link.Reconnect()
+		link.ResetBackoff()
 		close(done)
 	}()
 	<-done
--- a/modules/peernet/session_test.go
+++ b/modules/peernet/session_test.go
@@ -137,7 +137,7 @@
 		if rng.IntN(6) == 0 {
 			s.Block(fmt.Sprint("client-", i), true)
 			s.Block(fmt.Sprint("client-", i), false)
-			links[i].Renew()
+			links[i].Reconnect()
 		}
 		runtime.Gosched()
 	}
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -23,7 +23,7 @@
 		case member.Gone:
 			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
 			if link := l.links[a.ID]; link != nil {
-				link.Renew()
+				link.Reconnect()
 			}
 			for key, s := range l.cells {
 				l.schedule(now, key, s, cell.EntryGone{Entry: a.ID})
@@ -48,7 +48,7 @@
 func (l *Loop) frame(now time.Time, peer string, f *wire.Frame) {
 	l.traffic.note(receivedFromPeers, f)
 	if link := l.links[peer]; link != nil {
-		link.Reachable()
+		link.ResetBackoff()
 	}
 	if f.Heartbeat != nil {
 		l.takeHeartbeat(now, peer, f.Heartbeat)
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -44,8 +44,8 @@
 	return carrier
 }
 
-// HandleCarried implements peernet.Carrier.
-func (s *Server) HandleCarried(peer string, conn net.Conn) {
+// HandleRelay implements peernet.Carrier.
+func (s *Server) HandleRelay(peer string, conn net.Conn) {
 	ctx, cancel := context.WithCancel(context.WithValue(context.Background(), carrierKey{}, peer))
 	defer cancel()
 	f := &farEnd{s: s, ctx: ctx, conn: conn, requests: map[uint32]*served{}}
