--- a/modules/netopt/ended_test.go
+++ b/modules/netopt/ended_test.go
@@ -12,7 +12,7 @@
 // A server that cuts a connection and lives on takes the next connect; one that has ended
 // refuses it. One that starts again at the address is another one, so that it is asked anew
 // once the finding is old.
-func TestEndedServerRefusesConnects(t *testing.T) {
+func TestExitedServerRefusesConnects(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	}
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	e.findings["w@3"] = &finding{done: make(chan struct{})}
+	e.probes["w@3"] = &probe{done: make(chan struct{})}
 	if ended, known := e.Ended(over, "w@3", address); ended || known {
 		t.Error("something is known that nobody has found out")
 	}
--- a/modules/netopt/netopt.go
+++ b/modules/netopt/netopt.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	probeIdle     = 2 * time.Second
-	probeInterval = time.Second
-	probeCount    = 3
-	// unconfirmed is how long sent bytes may stay without confirmation before
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
+	// userTimeout is how long sent bytes may stay without confirmation before
 	// the connection is given up.
-	unconfirmed = 3 * time.Second
+	userTimeout = 3 * time.Second
 )
 
-func keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
+func keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-func control(_, _ string, c syscall.RawConn) error {
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var inner error
 	err := c.Control(func(fd uintptr) {
-		inner = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unconfirmed.Milliseconds()))
+		inner = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -40,12 +40,12 @@
 
 // Dialer returns a dialer whose connections have the options set.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(), Control: control}
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 }
 
 // Listen returns a TCP listener whose connections have the options set.
 func Listen(address string) (net.Listener, error) {
-	lc := net.ListenConfig{KeepAliveConfig: keepAlive(), Control: control}
+	lc := net.ListenConfig{KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 	return lc.Listen(context.Background(), "tcp4", address)
 }
 
