--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -179,7 +179,7 @@
 		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyAfter)
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(netopt.In(deadline.Sub(h.opts.Clock.Now())))
+	_ = control.SetReadDeadline(netopt.DeadlineIn(deadline.Sub(h.opts.Clock.Now())))
 	reader := io.Reader(r.Body)
 	if limits.MaxBodyBytes > 0 {
 		reader = http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
--- a/modules/peernet/server.go
+++ b/modules/peernet/server.go
@@ -197,7 +197,7 @@
 	case streamFrames:
 		s.readFrames(peer, r)
 	case streamCall:
-		_ = stream.SetDeadline(netopt.In(callTimeout))
+		_ = stream.SetDeadline(netopt.DeadlineIn(callTimeout))
 		call := &wire.Call{}
 		if readMessage(r, call) == nil {
 			_ = writeMessage(stream, s.handler.HandleCall(peer, call))
--- a/modules/peernet/session.go
+++ b/modules/peernet/session.go
@@ -63,7 +63,7 @@
 // all: yamux's writes return before anything is sent, and the end of a session drops
 // what waits.
 func closeAfterRead(stream *yamux.Stream) {
-	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.In(closeTimeout)) != nil {
+	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.DeadlineIn(closeTimeout)) != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, stream)
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -71,7 +71,7 @@
 	log      log.Logger
 	opts     Options
 	counters *counters
-	endings  *netopt.Endings
+	endings  *netopt.ExitDetector
 
 	mu         sync.Mutex
 	budgets    *budget.Set
@@ -83,7 +83,7 @@
 // New returns a service whose detached work ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	return &Service{
-		t: t, log: logger, opts: o, counters: newCounters(), endings: netopt.NewEndings(),
+		t: t, log: logger, opts: o, counters: newCounters(), endings: netopt.NewExitDetector(),
 		budgets:   budget.NewSet(o.RetryRatio, o.RetryBurst),
 		estimates: estimates{},
 		prefixes:  map[string]*place.PrefixMap{},
