--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -87,12 +87,12 @@
 }
 
 // WantsRest takes what a target of a service says of the rest that it wants.
-func (s *Service) WantsRest(target, service string, r retryafter.Rest) {
-	if r.For > 0 {
-		s.rest(target, service, r.For)
+func (s *Service) WantsRest(target, service string, r retryafter.Result) {
+	if r.Delay > 0 {
+		s.rest(target, service, r.Delay)
 	}
-	if r.Unread > 0 {
-		s.unread(target, service, r.Unread)
+	if r.Invalid > 0 {
+		s.unread(target, service, r.Invalid)
 	}
 }
 
