--- a/modules/retryafter/retryafter.go
+++ b/modules/retryafter/retryafter.go
@@ -30,7 +30,7 @@
 		return r
 	}
 	for _, value := range h.Values(Header) {
-		d, ok := readWait(strings.TrimSpace(value), h)
+		d, ok := parseDelay(strings.TrimSpace(value), h)
 		if !ok {
 			r.Invalid++
 			continue
@@ -40,10 +40,10 @@
 	return r
 }
 
-// readWait reads one value; it reports false where that is neither a number of seconds that is
+// parseDelay reads one value; it reports false where that is neither a number of seconds that is
 // not negative nor a date. A date is compared with the sender's own, whose clock may differ
 // from this machine's by seconds.
-func readWait(value string, h http.Header) (time.Duration, bool) {
+func parseDelay(value string, h http.Header) (time.Duration, bool) {
 	if s, err := strconv.ParseFloat(value, 64); err == nil {
 		if math.IsNaN(s) || s < 0 {
 			return 0, false
--- a/modules/retryafter/retryafter_test.go
+++ b/modules/retryafter/retryafter_test.go
@@ -11,7 +11,7 @@
 
 // Whatever a target writes as its time to rest, it is read, or counted as not understood;
 // nothing of it ends in a panic or a wait without end.
-func TestTimesToRest(t *testing.T) {
+func TestReadValues(t *testing.T) {
 	const date = "Tue, 03 Jun 2025 10:00:00 GMT"
 	for _, c := range []struct {
 		name   string
@@ -48,7 +48,7 @@
 }
 
 // A date without the sender's own is compared with this machine's clock.
-func TestDateToRestWithoutTheSendersClock(t *testing.T) {
+func TestReadDateWithoutDateHeader(t *testing.T) {
 	h := http.Header{"Retry-After": {time.Now().Add(time.Minute).UTC().Format(http.TimeFormat)}}
 	if got := Read(503, h).Delay; got < 30*time.Second || got > time.Minute {
 		t.Errorf("%v, want about a minute", got)
