--- a/modules/httphead/httphead.go
+++ b/modules/httphead/httphead.go
@@ -11,8 +11,8 @@
 	"strconv"
 )
 
-// maxNames is how many fields Get looks for at once.
-const maxNames = 8
+// maxGetNames is how many fields Get looks for at once.
+const maxGetNames = 8
 
 var (
 	lineEnd = []byte("\r\n")
@@ -26,7 +26,7 @@
 	Host   []byte
 	Length int   // Length is that of the head, the blank line included.
 	Body   int64 // Body is the length of the body.
-	lines  []byte
+	fields []byte
 }
 
 // Parse reads the head at the beginning of b. It reports false where the head is not whole
@@ -37,12 +37,12 @@
 	if end < 0 || first == end {
 		return Head{}, false
 	}
-	h := Head{Length: end + len(headEnd), lines: b[first+len(lineEnd) : end+len(lineEnd)]}
-	return h, h.parseFirst(b[:first]) && h.parseLines()
+	h := Head{Length: end + len(headEnd), fields: b[first+len(lineEnd) : end+len(lineEnd)]}
+	return h, h.parseRequestLine(b[:first]) && h.parseFields()
 }
 
-// parseFirst reads the method and the target.
-func (h *Head) parseFirst(line []byte) bool {
+// parseRequestLine reads the method and the target.
+func (h *Head) parseRequestLine(line []byte) bool {
 	rest, ok := bytes.CutSuffix(line, version)
 	if !ok {
 		return false
@@ -65,40 +65,40 @@
 	return true
 }
 
-// parseLines checks all fields, and reads those that say where the request ends.
-func (h *Head) parseLines() bool {
+// parseFields checks all fields, and reads those that say where the request ends.
+func (h *Head) parseFields() bool {
 	hosts, lengths := 0, 0
-	for rest := h.lines; len(rest) > 0; {
+	for rest := h.fields; len(rest) > 0; {
 		line, after, _ := bytes.Cut(rest, lineEnd)
 		rest = after
-		name, value, ok := field(line)
+		name, value, ok := splitField(line)
 		if !ok {
 			return false
 		}
 		switch {
-		case is(name, "Host"):
+		case equalFold(name, "Host"):
 			hosts++
 			h.Host = value
-		case is(name, "Content-Length"):
+		case equalFold(name, "Content-Length"):
 			lengths++
 			n, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil {
 				return false
 			}
 			h.Body = int64(n)
-		case is(name, "Connection"):
-			if !is(value, "keep-alive") {
+		case equalFold(name, "Connection"):
+			if !equalFold(value, "keep-alive") {
 				return false
 			}
-		case is(name, "Transfer-Encoding"), is(name, "Expect"), is(name, "Upgrade"), is(name, "Trailer"), is(name, "Te"):
+		case equalFold(name, "Transfer-Encoding"), equalFold(name, "Expect"), equalFold(name, "Upgrade"), equalFold(name, "Trailer"), equalFold(name, "Te"):
 			return false
 		}
 	}
 	return hosts == 1 && lengths <= 1
 }
 
-// field divides a line into the name and the value of a field.
-func field(line []byte) (name, value []byte, ok bool) {
+// splitField divides a line into the name and the value of a splitField.
+func splitField(line []byte) (name, value []byte, ok bool) {
 	name, value, ok = bytes.Cut(line, []byte(":"))
 	if !ok || len(name) == 0 {
 		return nil, nil, false
@@ -117,21 +117,21 @@
 	return name, bytes.Trim(value, " \t"), true
 }
 
-// is compares without regard to case; name is the canonical form.
-func is(b []byte, name string) bool {
+// equalFold compares without regard to case; name equalFold the canonical form.
+func equalFold(b []byte, name string) bool {
 	return len(b) == len(name) && bytes.EqualFold(b, []byte(name))
 }
 
 // Get returns the values of some fields, empty where one is not there. It reports false
 // where one of them is there more than once.
 func (h *Head) Get(values []string, names ...string) bool {
-	var found [maxNames]bool
-	for rest := h.lines; len(rest) > 0; {
+	var found [maxGetNames]bool
+	for rest := h.fields; len(rest) > 0; {
 		line, after, _ := bytes.Cut(rest, lineEnd)
 		rest = after
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		for i, wanted := range names {
-			if !is(name, wanted) {
+			if !equalFold(name, wanted) {
 				continue
 			}
 			if found[i] {
--- a/modules/httphead/httphead_test.go
+++ b/modules/httphead/httphead_test.go
@@ -14,7 +14,7 @@
 
 const plain = "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\nauthorization:  Bearer k \r\nContent-Length: 3\r\nConnection: Keep-Alive\r\n\r\nabc"
 
-func TestPlainHead(t *testing.T) {
+func TestParsePlainHead(t *testing.T) {
 	h, ok := Parse([]byte(plain))
 	if !ok || string(h.Path) != "/a/b" || string(h.Host) != "h.example" || h.Body != 3 || h.Length != len(plain)-3 {
 		t.Fatalf("%v, %+v", ok, h)
@@ -27,7 +27,7 @@
 
 // What could be understood in two ways, or ends a request in another way than by its
 // length, is not plain.
-func TestOtherHeadsAreNotPlain(t *testing.T) {
+func TestParseRejectsAmbiguousHeads(t *testing.T) {
 	for name, head := range map[string]string{
 		"not whole":         "GET / HTTP/1.1\r\nHost: h\r\n",
 		"no host":           "GET / HTTP/1.1\r\nA: b\r\n\r\n",
