--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -107,11 +107,11 @@
 			return n, err
 		}
 		head, plain := httphead.Parse(p[:n])
-		rest := head.Body - int64(n-head.Length)
+		rest := head.ContentLength - int64(n-head.Length)
 		if !plain || rest < 0 {
 			return n, c.toServer(NotJudged, endless)
 		}
-		if head.Body > earlyBody || !c.server.judges() {
+		if head.ContentLength > earlyBody || !c.server.judges() {
 			return n, c.toServer(NotJudged, rest)
 		}
 		if c.hasLeft() {
--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -86,7 +86,7 @@
 		return Judgement{}
 	}
 	limits := x.Configuration.Limits
-	if limits.MaxHeaderBytes > 0 && head.Length > limits.MaxHeaderBytes || limits.MaxBodyBytes > 0 && head.Body > limits.MaxBodyBytes {
+	if limits.MaxHeaderBytes > 0 && head.Length > limits.MaxHeaderBytes || limits.MaxBodyBytes > 0 && head.ContentLength > limits.MaxBodyBytes {
 		return Judgement{}
 	}
 	call, ok := h.opts.Dialect.PeekCall(head.Get)
