--- a/modules/lateness/lateness.go
+++ b/modules/lateness/lateness.go
@@ -18,26 +18,26 @@
 	"madderway/modules/clock"
 )
 
-// calm is the lateness up to which a process is in time. After calmSamples of those in a
-// row it is measured calmFactor times as seldom: each measurement wakes the process
+// maxOnTime is the lateness up to which a process is in time. After slowdownSamples of those in a
+// row it is measured slowdownFactor times as seldom: each measurement wakes the process
 // twice. Whoever judges by the least of a few samples needs them all while any is late.
 const (
-	calm        = 3 * time.Millisecond
-	calmSamples = 20
-	calmFactor  = 4
+	maxOnTime       = 3 * time.Millisecond
+	slowdownSamples = 20
+	slowdownFactor  = 4
 )
 
 // Probe sends itself bytes until its tomb dies.
 type Probe struct {
-	t      *tomb.Tomb
-	every  time.Duration
-	report func(lateness time.Duration)
-	reader *os.File
-	writer *os.File
-	due    chan time.Time // due holds the time of the byte that is under way.
-	start  time.Time
-	unread atomic.Int64 // unread is the same time in nanoseconds since start, 0 where none is under way.
-	inTime atomic.Int64 // inTime counts the latest samples in a row that were in time.
+	t           *tomb.Tomb
+	interval    time.Duration
+	report      func(lateness time.Duration)
+	reader      *os.File
+	writer      *os.File
+	due         chan time.Time // due holds the time of the byte that is under way.
+	start       time.Time
+	pendingDue  atomic.Int64 // unread is the same time in nanoseconds since start, 0 where none is under way.
+	onTimeCount atomic.Int64 // inTime counts the latest samples in a row that were in time.
 }
 
 // Start runs a probe that reports a lateness for each span of time, more seldom while
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Probe{t: t, every: every, report: report, reader: reader, writer: writer, due: make(chan time.Time, 1), start: now()}
+	p := &Probe{t: t, interval: every, report: report, reader: reader, writer: writer, due: make(chan time.Time, 1), start: now()}
 	t.Go(p.send)
 	t.Go(p.receive)
 	return p, nil
@@ -59,7 +59,7 @@
 // Overdue returns how late the byte that is under way already is, 0 where none is. A
 // process that is late by seconds has no sample in all that time.
 func (p *Probe) Overdue(now time.Time) time.Duration {
-	due := p.unread.Load()
+	due := p.pendingDue.Load()
 	if due == 0 {
 		return 0
 	}
@@ -69,7 +69,7 @@
 // send writes a byte at each time, unless the last one has not been read yet.
 func (p *Probe) send() error {
 	defer p.writer.Close()
-	due := now().Add(p.pause())
+	due := now().Add(p.nextInterval())
 	timer := time.NewTimer(due.Sub(now()))
 	defer timer.Stop()
 	for {
@@ -80,31 +80,31 @@
 		}
 		select {
 		case p.due <- due:
-			p.unread.Store(int64(due.Sub(p.start)))
+			p.pendingDue.Store(int64(due.Sub(p.start)))
 			if _, err := p.writer.Write([]byte{0}); err != nil {
 				return nil
 			}
 		default:
 		}
-		due = now().Add(p.pause())
+		due = now().Add(p.nextInterval())
 		timer.Reset(due.Sub(now()))
 	}
 }
 
-func (p *Probe) note(lateness time.Duration) {
-	if lateness <= calm {
-		p.inTime.Add(1)
+func (p *Probe) record(lateness time.Duration) {
+	if lateness <= maxOnTime {
+		p.onTimeCount.Add(1)
 	} else {
-		p.inTime.Store(0)
+		p.onTimeCount.Store(0)
 	}
 }
 
-// pause returns how long to wait before the next byte.
-func (p *Probe) pause() time.Duration {
-	if p.inTime.Load() >= calmSamples {
-		return calmFactor * p.every
+// nextInterval returns how long to wait before the next byte.
+func (p *Probe) nextInterval() time.Duration {
+	if p.onTimeCount.Load() >= slowdownSamples {
+		return slowdownFactor * p.interval
 	}
-	return p.every
+	return p.interval
 }
 
 func (p *Probe) receive() error {
@@ -115,9 +115,9 @@
 			return nil // the sender has ended
 		}
 		due := <-p.due
-		p.unread.CompareAndSwap(int64(due.Sub(p.start)), 0) // the next byte may be under way
+		p.pendingDue.CompareAndSwap(int64(due.Sub(p.start)), 0) // the next byte may be under way
 		lateness := max(now().Sub(due), 0)
-		p.note(lateness)
+		p.record(lateness)
 		p.report(lateness)
 	}
 }
--- a/modules/lateness/lateness_test.go
+++ b/modules/lateness/lateness_test.go
@@ -11,7 +11,7 @@
 )
 
 // A probe reports again and again, and ends with its tomb.
-func TestProbeReportsUntilTheEnd(t *testing.T) {
+func TestProbeReportsUntilTombDies(t *testing.T) {
 	var owner tomb.Tomb
 	reports := make(chan time.Duration)
 	_, err := Start(&owner, time.Millisecond, func(d time.Duration) {
@@ -35,7 +35,7 @@
 }
 
 // A byte that is read late is reported with all of its delay.
-func TestDelayIsReported(t *testing.T) {
+func TestProbeReportsFullDelay(t *testing.T) {
 	var owner tomb.Tomb
 	const delay = 20 * time.Millisecond
 	first := true
@@ -62,26 +62,26 @@
 }
 
 // A process that is late now and then is measured as often as one that always is.
-func TestSeldomOnlyAfterLongCalm(t *testing.T) {
-	p := &Probe{every: time.Millisecond}
-	for i := range 2 * calmSamples {
-		want := p.every
-		if i >= calmSamples {
-			want = calmFactor * p.every
+func TestProbeSlowsDownAfterOnTimeSamples(t *testing.T) {
+	p := &Probe{interval: time.Millisecond}
+	for i := range 2 * slowdownSamples {
+		want := p.interval
+		if i >= slowdownSamples {
+			want = slowdownFactor * p.interval
 		}
-		if got := p.pause(); got != want {
+		if got := p.nextInterval(); got != want {
 			t.Fatalf("after %d samples in time it waits %v, want %v", i, got, want)
 		}
-		p.note(0)
+		p.record(0)
 	}
-	p.note(calm + 1)
-	if got := p.pause(); got != p.every {
+	p.record(maxOnTime + 1)
+	if got := p.nextInterval(); got != p.interval {
 		t.Errorf("after a late sample it waits %v", got)
 	}
 }
 
 // A byte that nobody has read yet is late by all the time since it was due.
-func TestUnreadByteIsOverdue(t *testing.T) {
+func TestOverdueGrowsWhileByteIsUnread(t *testing.T) {
 	var owner tomb.Tomb
 	reading, done := make(chan struct{}), make(chan struct{})
 	first := true
@@ -96,9 +96,9 @@
 		t.Fatal(err)
 	}
 	<-reading
-	for p.unread.Load() == 0 { // until the next byte is under way
+	for p.pendingDue.Load() == 0 { // until the next byte is under way
 	}
-	due := p.start.Add(time.Duration(p.unread.Load()))
+	due := p.start.Add(time.Duration(p.pendingDue.Load()))
 	if got := p.Overdue(due.Add(5 * time.Second)); got != 5*time.Second {
 		t.Errorf("five seconds after its time it is overdue by %v", got)
 	}
