--- a/modules/setting/gateway.go
+++ b/modules/setting/gateway.go
@@ -77,7 +77,7 @@
 func ParseGateway(text string) (*Gateway, error) {
 	file := gatewayFile{Gateway: DefaultGateway()}
 	if _, err := toml.Decode(text, &file); err != nil {
-		return nil, describe(err)
+		return nil, tomlError(err)
 	}
 	g := &file.Gateway
 	return g, g.check()
--- a/modules/setting/gateway_test.go
+++ b/modules/setting/gateway_test.go
@@ -24,7 +24,7 @@
 a_field_of_tomorrow = 1
 `
 
-func TestGatewaySettings(t *testing.T) {
+func TestParseGateway(t *testing.T) {
 	g, err := ParseGateway(gatewaySample)
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 }
 
 // A wrong value is named with its key, in one line.
-func TestWrongGatewaySettingsAreNamed(t *testing.T) {
+func TestParseGatewayErrorNamesKey(t *testing.T) {
 	for key, replace := range map[string][2]string{
 		"gateway.id":          {`id = "front-1"`, `id = ""`},
 		"gateway.callers":     {`callers = "127.0.0.1:1"`, `callers = "localhost:1"`},
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestGatewayFileIsTold(t *testing.T) {
+func TestIsGatewayFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(path, []byte(gatewaySample), 0o600); err != nil {
 		t.Fatal(err)
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -73,7 +73,7 @@
 	s := Default()
 	md, err := toml.Decode(text, s)
 	if err != nil {
-		return nil, describe(err)
+		return nil, tomlError(err)
 	}
 	if unknown := md.Undecoded(); len(unknown) > 0 {
 		keys := make([]string, len(unknown))
@@ -86,7 +86,7 @@
 	return s, s.Check()
 }
 
-func describe(err error) error {
+func tomlError(err error) error {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
 		key := parse.LastKey
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -25,7 +25,7 @@
 }
 
 // The commented lines of the example hold the defaults.
-func TestExampleHoldsTheDefaults(t *testing.T) {
+func TestExampleShowsDefaults(t *testing.T) {
 	text := example(t)
 	want, err := Parse(text)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestErrorsNameTheKey(t *testing.T) {
+func TestParseErrorNamesKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`id        = "router-1"`, `id = "Router 1"`, "router.id"},
 		{`data_hall = "hall-a"`, ``, "router.data_hall"},
