--- a/modules/ident/ident.go
+++ b/modules/ident/ident.go
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-const bytesOfID = 10
+const idBytes = 10
 
 var encoding = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
 // New returns prefix, a dash and 80 random bits.
 func New(prefix string) string {
-	var raw [bytesOfID]byte
+	var raw [idBytes]byte
 	if _, err := rand.Read(raw[:]); err != nil {
 		panic("no random numbers: " + err.Error())
 	}
@@ -27,7 +27,7 @@
 // Valid reports whether id has the form that New gives, with this prefix.
 func Valid(prefix, id string) bool {
 	rest, ok := strings.CutPrefix(id, prefix+"-")
-	if !ok || len(rest) != encoding.EncodedLen(bytesOfID) {
+	if !ok || len(rest) != encoding.EncodedLen(idBytes) {
 		return false
 	}
 	_, err := encoding.DecodeString(rest)
