--- a/models/routing/configuration.go
+++ b/models/routing/configuration.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package routing holds what a gateway knows of its surroundings: routes,
-// services and client accounts of the configuration in force, and the targets
-// that are there. It holds data and look-ups only.
+// Package routing defines the routing data of a gateway: the routes, services and
+// client accounts of the current configuration, and the list of targets. It holds
+// data and lookups only; callers must not change either once it is shared.
 package routing
 
 import "time"
 
-// Repeat says how often a request of a route may be executed.
+// Repeat limits how often a request of a route may be executed.
 type Repeat string
 
 // The values of Repeat.
@@ -17,36 +17,37 @@
 	RepeatSafe  Repeat = "safe"  // any number of executions
 )
 
-// Configuration is one whole version of what operators have set.
+// Configuration is one complete version of the operators' configuration.
 type Configuration struct {
 	Version  uint64          `json:"version"`
 	Routes   []Route         `json:"routes"`
 	Services []Service       `json:"services"`
 	Accounts []ClientAccount `json:"accounts"`
 	Limits   Limits          `json:"limits"`
-	// RequireAccount tells that requests need the key of a client account.
+	// RequireAccount makes requests need a client account's key, except on public routes.
 	RequireAccount bool `json:"with_accounts"`
 }
 
-// Route says where the requests below a path of a host go and how they are
-// treated.
+// Route assigns the requests for a host and path prefix to services and sets how
+// they are handled.
 type Route struct {
 	Name        string        `json:"name"`
 	Host        string        `json:"host"`
 	PathPrefix  string        `json:"path_prefix"`
 	Repeat      Repeat        `json:"repeat"`
-	Stream      bool          `json:"stream"`    // Stream marks answers that are series of events.
-	Resumable   bool          `json:"resumable"` // Resumable streams may go on at another target.
-	Public      bool          `json:"public"`    // Public routes need no key.
-	Timeout     time.Duration `json:"timeout"`   // Timeout is the longest time a request is held.
-	Objective   time.Duration `json:"objective"` // Objective is the time to the (first) answer.
-	Pause       time.Duration `json:"pause"`     // Pause is the longest time between events of a timely stream.
-	Rank        int           `json:"rank"`      // Rank 0 is the most urgent.
+	Stream      bool          `json:"stream"`    // answers are event streams
+	Resumable   bool          `json:"resumable"` // a broken stream may continue on another target
+	Public      bool          `json:"public"`    // no client account key needed
+	Timeout     time.Duration `json:"timeout"`   // maximum total time of a request
+	Objective   time.Duration `json:"objective"` // latency objective: time to the answer, or to the first event of a stream
+	Pause       time.Duration `json:"pause"`     // maximum gap between events of a stream that is on time
+	Rank        int           `json:"rank"`      // priority; 0 is the most urgent
 	MaxAttempts int           `json:"max_attempts"`
-	Split       []Share       `json:"split"` // Split names the services that take the requests.
+	Split       []Share       `json:"split"` // weighted services of the route
 }
 
-// Share is a service's part of a route's requests.
+// Share is the fraction of a route's requests that one service takes; weights are
+// relative to the sum over the route.
 type Share struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
@@ -56,44 +57,43 @@
 type Service struct {
 	Name           string  `json:"name"`
 	HealthPath     string  `json:"health_path"`
-	MaxConnections int     `json:"max_connections"` // of one target, over the whole fleet
+	MaxConnections int     `json:"max_connections"` // per target, over all gateways
 	Engine         *Engine `json:"engine,omitempty"`
-	// ColdStart is how long a target stays cold after it has started.
+	// ColdStart is the warm-up time of a target after its start.
 	ColdStart time.Duration `json:"cold_start,omitempty"`
-	// ColdRate is how many requests a second a cold target bears, 0 for any number.
+	// ColdRate limits the requests per second to a target in warm-up; 0 is unlimited.
 	ColdRate float64 `json:"cold_rate,omitempty"`
 }
 
-// Engine describes the targets of a service that run a model.
+// Engine describes the inference engines of a service whose targets run a model.
 type Engine struct {
-	Slots       int `json:"slots"`        // requests that run at once
-	CacheTokens int `json:"cache_tokens"` // tokens in memory, of running requests and kept prompts
-	EventTokens int `json:"event_tokens"` // tokens in one event of a stream
-	// Transfer tells how engines copy kept parts of prompts from each other, nil
-	// where they do not.
+	Slots       int `json:"slots"`        // concurrent requests
+	CacheTokens int `json:"cache_tokens"` // KV cache capacity, shared by running requests and cached prompts
+	EventTokens int `json:"event_tokens"` // tokens per stream event
+	// Transfer is nil if engines cannot copy cached prompt parts from each other.
 	Transfer *Transfer `json:"transfer,omitempty"`
 }
 
-// Transfer describes the links over which engines copy the memory of prompts.
+// Transfer describes the links over which engines copy KV cache from each other.
 type Transfer struct {
-	TokenBytes     float64 `json:"token_bytes"`      // bytes of memory of one token
-	BytesPerSecond float64 `json:"bytes_per_second"` // bytes a second of an engine's link
+	TokenBytes     float64 `json:"token_bytes"`      // KV cache size per token
+	BytesPerSecond float64 `json:"bytes_per_second"` // bandwidth of one engine's link
 }
 
-// Time returns how long a link carries so many tokens.
+// Time returns the transfer time of the KV cache of this many tokens.
 func (t *Transfer) Time(tokens int) time.Duration {
 	return time.Duration(float64(tokens) * t.TokenBytes / t.BytesPerSecond * float64(time.Second))
 }
 
-// ClientAccount is a tenant with its keys.
+// ClientAccount is a tenant with its API keys.
 type ClientAccount struct {
 	Name string   `json:"name"`
 	Keys []string `json:"keys"`
-	// Rank replaces the rank of the route where it is set.
+	// Rank overrides the route's rank if set.
 	Rank *int `json:"rank,omitempty"`
 }
 
-// GetName returns the account's name, "" for requests that need no account.
+// GetName returns the account's name, or "" for a nil account (a public route).
 func (a *ClientAccount) GetName() string {
 	if a == nil {
 		return ""
@@ -101,11 +101,11 @@
 	return a.Name
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	MaxHeaderBytes  int           `json:"max_header_bytes"`
 	MaxBodyBytes    int64         `json:"max_body_bytes"`
 	HeaderTimeout   time.Duration `json:"header_timeout"`
 	IdleTimeout     time.Duration `json:"idle_timeout"`
-	TokensPerSecond float64       `json:"tokens_per_second"` // of all targets together
+	TokensPerSecond float64       `json:"tokens_per_second"` // capacity of all targets together
 }
--- a/models/routing/index.go
+++ b/models/routing/index.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Index finds routes, services and accounts of one configuration.
+// Index looks up routes, services and accounts of one configuration. It is read-only.
 type Index struct {
 	Configuration *Configuration
 	byHost        map[string][]*Route // longest path prefix first
@@ -16,7 +16,7 @@
 	byKey         map[string]*ClientAccount
 }
 
-// NewIndex builds the look-up tables of a configuration.
+// NewIndex builds the lookup tables of a configuration.
 func NewIndex(c *Configuration) *Index {
 	x := &Index{
 		Configuration: c, byHost: map[string][]*Route{},
@@ -41,8 +41,8 @@
 	return x
 }
 
-// Route returns the route of the host whose path prefix is the longest that
-// begins the path, or nil.
+// Route returns the host's route with the longest path prefix that matches the path,
+// or nil.
 func (x *Index) Route(host, path string) *Route {
 	for _, r := range x.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -52,13 +52,14 @@
 	return nil
 }
 
-// Service returns a service by its name, or nil.
+// Service returns the service with this name, or nil.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Account returns the account that has the key, or nil.
+// Account returns the account that owns the API key, or nil.
 func (x *Index) Account(key string) *ClientAccount { return x.byKey[key] }
 
-// EffectiveRank returns the rank of an account's request on a route.
+// EffectiveRank returns the priority of an account's request on a route: the account's
+// rank if it has one, else the route's. 0 is the most urgent.
 func EffectiveRank(r *Route, a *ClientAccount) int {
 	if a != nil && a.Rank != nil {
 		return *a.Rank
@@ -66,7 +67,8 @@
 	return r.Rank
 }
 
-// PickService draws the service of a request; draw is between 0 and 1.
+// PickService selects a service at random by weight; draw is uniform in [0, 1). It
+// returns "" if no service has a positive weight.
 func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, s := range r.Split {
@@ -85,5 +87,5 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// MayRepeat tells whether a request may be executed more than once.
+// MayRepeat reports whether a request may be executed more than once.
 func (r *Route) MayRepeat() bool { return r.Repeat == RepeatSafe || r.Stream && r.Resumable }
--- a/models/routing/prompt.go
+++ b/models/routing/prompt.go
@@ -3,23 +3,24 @@
 
 package routing
 
-// PromptPart is a piece of a prompt. Parts with the same ID are the same
-// tokens; a target that keeps a part need not read it again.
+// PromptPart is a segment of a prompt. Segments with the same ID hold the same
+// tokens, so a target that has one cached skips its prefill.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Prompt is what a request says of its size before it runs.
+// Prompt holds the size of a request as its caller declares it before it runs.
 type Prompt struct {
-	Parts     []PromptPart // in the order of the prompt; the last one is the request's own
-	Tokens    int          // tokens of the prompt
-	MaxOutput int          // most tokens of the answer
-	Hint      int          // the caller's own estimate of the answer's tokens, 0 for none
+	Parts     []PromptPart // in prompt order; the last one belongs to this request alone
+	Tokens    int          // of the whole prompt
+	MaxOutput int          // upper bound of the answer's tokens
+	Hint      int          // caller's estimate of the answer's tokens, 0 if unknown
 	Model     string
 }
 
-// AffinityKey names the deepest part of the prompt that other requests share, or 0.
+// AffinityKey returns the ID of the longest prompt prefix that other requests may
+// share, or 0. Requests with the same key profit from the same target's cache.
 func (p *Prompt) AffinityKey() uint64 {
 	if len(p.Parts) < 2 {
 		return 0
@@ -27,7 +28,8 @@
 	return p.Parts[len(p.Parts)-2].ID
 }
 
-// OutputEstimate is how many tokens the answer is thought to have.
+// OutputEstimate returns the expected number of tokens in the answer: the caller's
+// hint within MaxOutput, or MaxOutput without one.
 func (p *Prompt) OutputEstimate() int {
 	if p.Hint > 0 {
 		return min(p.Hint, max(p.MaxOutput, 1))
@@ -35,7 +37,7 @@
 	return max(p.MaxOutput, 1)
 }
 
-// OwnTokens returns the tokens of the last part, which belongs to the request itself.
+// OwnTokens returns the tokens that no other request shares: those of the last part.
 func (p *Prompt) OwnTokens() int {
 	if len(p.Parts) == 0 {
 		return p.Tokens
--- a/models/routing/revision.go
+++ b/models/routing/revision.go
@@ -5,32 +5,31 @@
 
 import "fmt"
 
-// Revision is a place in the history of the platform's store: the store's era first, then the
-// count of its changes within that. A store that comes back from an older copy counts the same
-// numbers once more, for other changes, in the next era; so that of two revisions the larger
-// one is always the later, and a number alone is compared with nothing. 0 is before all.
+// Revision orders the changes of the platform's store. The upper bits hold the store's era, the
+// lower bits the number of the change within the era. A store restored from an older backup
+// starts a new era and uses numbers again, so compare whole revisions, never numbers alone. 0
+// precedes every change.
 type Revision uint64
 
 const (
-	// numberBits leave the era 16 bits: a store of 400 changes a second counts to 2^48 in
-	// 22,000 years.
+	// numberBits leaves 16 bits for the era; 2^48 changes last 22,000 years at 400 a second.
 	numberBits = 48
 	maxNumber  = 1<<numberBits - 1
 	maxEra     = 1<<(64-numberBits) - 1
 )
 
-// NewRevision returns a revision; what is larger than any store counts to is cut to that.
+// NewRevision combines an era and a number; values that do not fit are clamped.
 func NewRevision(era, number uint64) Revision {
 	return Revision(min(era, maxEra)<<numberBits | min(number, maxNumber))
 }
 
-// Era returns how often the store had come back from an older copy.
+// Era returns the number of times the store was restored from a backup.
 func (r Revision) Era() uint64 { return uint64(r >> numberBits) }
 
-// Number returns the store's count of changes within the era.
+// Number returns the number of the change within its era.
 func (r Revision) Number() uint64 { return uint64(r & maxNumber) }
 
-// String returns the revision as logs show it.
+// String formats the revision as "era.number", or "number" in era 0.
 func (r Revision) String() string {
 	if r.Era() == 0 {
 		return fmt.Sprint(r.Number())
--- a/models/routing/target.go
+++ b/models/routing/target.go
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// Target is one worker of a service, as it was last listed.
+// Target is one worker of a service, as the platform last listed it.
 type Target struct {
-	// ID tells one life of a worker from all others: whatever is remembered of a target
-	// under its ID is forgotten when the worker starts again.
+	// ID identifies one incarnation of a worker. State that is kept by ID does not carry
+	// over a restart of the worker.
 	ID string `json:"id"`
-	// Name is the worker's own, the same in all its lives; empty where that is the ID.
+	// Name is the worker's name, the same for all incarnations; empty if equal to ID.
 	Name string `json:"name,omitempty"`
-	// Born is the start of this life as the worker tells it, in Unix milliseconds; 0 where
-	// it does not.
+	// Born is the start time of this incarnation in Unix milliseconds, as the worker reports
+	// it; 0 if unknown.
 	Born     int64  `json:"born,omitempty"`
 	Service  string `json:"service"`
 	Address  string `json:"address"`
 	DataHall string `json:"data_hall"`
 	Slots    int    `json:"slots"`
 	Leaving  bool   `json:"leaving"`
-	// ColdFor is how much longer the target said it is cold, when that was read. It
-	// goes between processes; inside one, ColdUntil says the same on its own clock.
+	// ColdFor is the remaining warm-up time at the time of the read. It is sent between
+	// processes; each process converts it to ColdUntil on its own clock.
 	ColdFor   time.Duration `json:"cold_for,omitempty"`
 	ColdUntil time.Time     `json:"-"`
-	// Evacuated tells that the operator has emptied the target's data hall.
+	// Evacuated is set while the operator evacuates the target's data hall.
 	Evacuated bool `json:"-"`
 }
 
-// TargetID returns the ID of a worker's life that began then, 0 for one that is not known.
+// TargetID returns the ID of the worker's incarnation with this start time in Unix
+// milliseconds; 0 means unknown.
 func TargetID(name string, born int64) string {
 	if born == 0 {
 		return name
@@ -40,7 +41,7 @@
 	return name + "@" + strconv.FormatInt(born, 10)
 }
 
-// WorkerName returns the target's name among all lives of workers.
+// WorkerName returns the worker's name, which survives restarts.
 func (t *Target) WorkerName() string {
 	if t.Name == "" {
 		return t.ID
@@ -48,14 +49,15 @@
 	return t.Name
 }
 
-// AcceptsWork tells whether anything new may be sent to the target.
+// AcceptsWork reports whether the target may get new requests.
 func (t *Target) AcceptsWork() bool { return !t.Leaving && !t.Evacuated }
 
-// Cold tells whether the target bears only the few requests of one that has just
-// started.
+// Cold reports whether the target is still in warm-up and limited to its service's
+// ColdRate.
 func (t *Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// TargetSet is the list of all targets at one revision of the platform's list.
+// TargetSet is the platform's list of targets at one revision. Call BuildIndex before
+// any lookup.
 type TargetSet struct {
 	Revision Revision `json:"revision"`
 	Targets  []Target `json:"targets"`
@@ -65,7 +67,8 @@
 	byWorker  map[string]*Target
 }
 
-// BuildIndex makes the look-up tables; call it once after the targets are set.
+// BuildIndex sorts the targets and builds the lookup tables; call it once after the
+// targets are set.
 func (s *TargetSet) BuildIndex() *TargetSet {
 	sort.Slice(s.Targets, func(i, j int) bool { return s.Targets[i].ID < s.Targets[j].ID })
 	s.byService, s.byID, s.byWorker = map[string][]*Target{}, map[string]*Target{}, map[string]*Target{}
@@ -78,10 +81,11 @@
 	return s
 }
 
-// ByService returns the targets of a service, sorted by ID, those included that take no work.
+// ByService returns the targets of a service, sorted by ID, including those that do
+// not accept work.
 func (s *TargetSet) ByService(service string) []*Target { return s.byService[service] }
 
-// LeavingIDs returns the IDs of the targets that leave.
+// LeavingIDs returns the IDs of the targets that are shutting down.
 func (s *TargetSet) LeavingIDs() []string {
 	var out []string
 	for i := range s.Targets {
@@ -92,8 +96,8 @@
 	return out
 }
 
-// FindWorker returns the target that is a worker's present life, or nil.
+// FindWorker returns the current incarnation of the worker with this name, or nil.
 func (s *TargetSet) FindWorker(name string) *Target { return s.byWorker[name] }
 
-// Find returns a target by its ID, or nil.
+// Find returns the target with this ID, or nil.
 func (s *TargetSet) Find(id string) *Target { return s.byID[id] }
