--- a/models/result/code.go
+++ b/models/result/code.go
@@ -1,19 +1,18 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package result defines the numbered outcome of everything that a caller or
-// an operator can ask of a router. docs/result-codes.md holds the same table;
-// a test keeps the two together.
+// Package result defines the numbered result codes that routers return to callers
+// and operators. docs/result-codes.md holds the same table; a test compares the two.
 package result
 
 import "net/http"
 
-// Code is the number that stands in the body of each error.
+// Code is the number in the body of an error response.
 type Code int
 
-// Codes from 1000 are errors in the call itself, from 2000 refusals of work
-// that did not run, from 3000 failures of work that ran or may have run, from
-// 4000 answers to operators, from 5000 faults of the router.
+// The codes by range: 1000 invalid requests, 2000 rejected requests that did not
+// run, 3000 failures of requests that ran or may have run, 4000 responses to
+// operators, 5000 internal errors of the router.
 const (
 	BadRequest        Code = 1001
 	Unauthorized      Code = 1002
@@ -53,7 +52,7 @@
 	Internal          Code = 5001
 )
 
-// Ran tells whether the work behind a result was executed by a target.
+// Ran is the execution status of a request: whether a target executed it.
 type Ran string
 
 // The values of Ran.
@@ -63,13 +62,13 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Info describes one code.
+// Info describes a result code.
 type Info struct {
 	Code    Code
 	Name    string
 	Status  int
 	Ran     Ran
-	Retry   bool // Retry says whether the same call may succeed later.
+	Retry   bool // the same request may succeed later
 	Meaning string
 }
 
@@ -121,7 +120,7 @@
 	return m
 }()
 
-// Lookup returns the description of c; an unlisted code reads as Internal.
+// Lookup returns the description of c, or that of Internal for an unknown code.
 func Lookup(c Code) Info {
 	if info, ok := byCode[c]; ok {
 		return info
--- a/models/result/code_test.go
+++ b/models/result/code_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// The table in the docs and the table in the code are the same.
+// Guards against a code that is added or changed without its documentation.
 func TestDocsMatchCodeTable(t *testing.T) {
 	text, err := os.ReadFile("../../docs/result-codes.md")
 	if err != nil {
@@ -36,9 +36,9 @@
 	cause := errors.New("cause")
 	err := fmt.Errorf("outer: %w", Wrap(QueueFull, cause))
 	if !IsErrResult(err) || !errors.Is(err, cause) || Convert(err).Code != QueueFull || Convert(err).Execution() != RanNo {
-		t.Errorf("%v", err)
+		t.Errorf("wrapped ErrResult lost its code or cause: %v", err)
 	}
 	if Convert(cause).Code != Internal {
-		t.Errorf("%v", Convert(cause))
+		t.Errorf("plain error: got %v, want Internal", Convert(cause))
 	}
 }
--- a/models/result/error.go
+++ b/models/result/error.go
@@ -13,8 +13,8 @@
 type ErrResult struct {
 	Code       Code
 	Detail     string
-	RetryAfter time.Duration // RetryAfter is zero where the caller need not wait.
-	Ran        Ran           // Ran overrides the code's own value where set.
+	RetryAfter time.Duration // 0 if the caller may retry at once
+	Ran        Ran           // overrides the code's default if set
 	Cause      error
 }
 
@@ -28,7 +28,7 @@
 	return &ErrResult{Code: code, Detail: cause.Error(), Cause: cause}
 }
 
-// WithRetryAfter sets the time after which the caller may come back.
+// WithRetryAfter sets the delay after which the caller may retry.
 func (e *ErrResult) WithRetryAfter(d time.Duration) *ErrResult {
 	e.RetryAfter = d
 	return e
@@ -42,7 +42,8 @@
 // Unwrap returns the cause, which may be nil.
 func (e *ErrResult) Unwrap() error { return e.Cause }
 
-// Execution returns whether the work ran.
+// Execution reports whether a target executed the work: Ran if set, else the code's
+// default.
 func (e *ErrResult) Execution() Ran {
 	if e.Ran != "" {
 		return e.Ran
@@ -56,14 +57,14 @@
 	return ok
 }
 
-// FromError returns the ErrResult inside err.
+// FromError returns the ErrResult that err wraps.
 func FromError(err error) (*ErrResult, bool) {
 	var e *ErrResult
 	ok := errors.As(err, &e)
 	return e, ok
 }
 
-// Convert returns the ErrResult inside err, or an Internal one around it.
+// Convert returns the ErrResult that err wraps, or else wraps err as Internal.
 func Convert(err error) *ErrResult {
 	if e, ok := FromError(err); ok {
 		return e
