--- a/models/conf/chunk.go
+++ b/models/conf/chunk.go
@@ -10,27 +10,27 @@
 	"sort"
 )
 
-// Buckets that accounts and targets are spread over. A change touches few of
-// them, so a router fetches little of a large document.
+// Accounts and targets are hashed to buckets, one chunk each, so that a router
+// fetches only the few chunks that a change affects.
 const (
 	accountBuckets = 64
 	targetBuckets  = 16
 )
 
-// Chunk is a part of a document, named by the hash of its content.
+// Chunk is a part of a document, addressed by the hash of its content.
 type Chunk struct {
 	Hash    string
 	Content []byte
 }
 
-// Manifest lists the chunks of a document. The hash of its bytes names the
+// Manifest lists the chunk hashes of a document. The hash of its JSON identifies the
 // whole document.
 type Manifest struct {
 	Chunks []string `json:"chunks"`
 }
 
-// Split cuts a document into its manifest and chunks. The same document always
-// gives the same bytes.
+// Split encodes a document as a manifest and chunks. The encoding is deterministic:
+// equal documents have equal hashes.
 func (d *Document) Split() (manifest Chunk, chunks []Chunk, err error) {
 	var m Manifest
 	for _, part := range d.parts() {
@@ -65,8 +65,8 @@
 	return parts
 }
 
-// bucketByName sorts items by name into buckets by the hash of the name and leaves
-// out the empty ones.
+// bucketByName distributes items over n buckets by the hash of their name and sorts
+// each bucket by name. It omits empty buckets.
 func bucketByName[T any](items []T, n int, name func(T) string) [][]T {
 	buckets := make([][]T, n)
 	for _, it := range items {
@@ -86,11 +86,11 @@
 	return used
 }
 
-// ParseManifest parses and verifies the bytes of a manifest.
+// ParseManifest verifies a manifest against its hash and parses it.
 func ParseManifest(hash string, content []byte) (Manifest, error) {
 	var m Manifest
 	if Hash(content) != hash {
-		return m, ErrInvalid{"manifest", "the content does not have its hash"}
+		return m, ErrInvalid{"manifest", "content does not match its hash"}
 	}
 	if err := json.Unmarshal(content, &m); err != nil {
 		return m, ErrInvalid{"manifest", err.Error()}
@@ -98,7 +98,7 @@
 	return m, nil
 }
 
-// Join builds a document from verified chunks in the manifest's order.
+// Join verifies the chunks and merges them into a document in the manifest's order.
 func Join(m Manifest, chunks map[string][]byte) (*Document, error) {
 	d := &Document{}
 	for _, hash := range m.Chunks {
--- a/models/conf/conf_test.go
+++ b/models/conf/conf_test.go
@@ -22,6 +22,7 @@
 	return d
 }
 
+// Guards against chunks that change without need: routers fetch each changed one.
 func TestJoinRestoresSplitDocument(t *testing.T) {
 	d := sampleDocument(200)
 	manifest, chunks, err := d.Split()
@@ -42,33 +43,33 @@
 	}
 	again, _, err := joined.Split()
 	if err != nil || again.Hash != manifest.Hash {
-		t.Fatal("what was joined splits into another manifest")
+		t.Fatal("splitting the joined document gave another manifest")
 	}
 	joined.Accounts[3].Weight = 2
 	_, changed, err := joined.Split()
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := 0
+	newChunks := 0
 	for _, c := range changed {
 		if _, known := byHash[c.Hash]; !known {
-			news++
+			newChunks++
 		}
 	}
-	if news != 1 {
-		t.Errorf("%d chunks travel for one account", news)
+	if newChunks != 1 {
+		t.Errorf("changing one account changed %d chunks, want 1", newChunks)
 	}
 	damaged := map[string][]byte{}
 	for h := range byHash {
 		damaged[h] = []byte("{}")
 	}
 	if _, err := Join(m, damaged); !IsErrInvalid(err) {
-		t.Errorf("damaged chunks were joined: %v", err)
+		t.Errorf("Join accepted damaged chunks: %v", err)
 	}
 }
 
 func TestCheckErrorNamesField(t *testing.T) {
-	for field, breakIt := range map[string]func(*Document){
+	for field, invalidate := range map[string]func(*Document){
 		"account.name":          func(d *Document) { d.Accounts[1].Name = d.Accounts[0].Name },
 		"account.a0.key_sha256": func(d *Document) { d.Accounts[0].KeySHA256 = []string{"zz"} },
 		"account.a1.key_sha256": func(d *Document) { d.Accounts[1].KeySHA256 = d.Accounts[0].KeySHA256 },
@@ -80,9 +81,9 @@
 		"target.t2.slots":       func(d *Document) { d.Targets[1].Slots = -1 },
 	} {
 		d := sampleDocument(2)
-		breakIt(d)
+		invalidate(d)
 		if err := d.Check(); !IsErrInvalid(err) || !strings.HasPrefix(err.Error(), field+":") {
-			t.Errorf("%s: got %v", field, err)
+			t.Errorf("error for invalid %s: got %v", field, err)
 		}
 	}
 	if err := sampleDocument(2).Check(); err != nil {
@@ -98,12 +99,12 @@
 		t.Fatal(err)
 	}
 	if a, ok := x.Authenticate("secret"); !ok || a.Name != "a0" {
-		t.Error("the right key was refused")
+		t.Error("valid key was rejected")
 	}
 	if _, ok := x.Authenticate("wrong"); ok {
-		t.Error("a wrong key was taken")
+		t.Error("invalid key was accepted")
 	}
 	if got := len(x.TargetsOf("chat")); got != 1 || !reflect.DeepEqual(x.TargetsOf("none"), []*Target(nil)) {
-		t.Errorf("%d targets", got)
+		t.Errorf("TargetsOf: got %d targets for the pool, want 1 and none for an unknown pool", got)
 	}
 }
--- a/models/conf/index.go
+++ b/models/conf/index.go
@@ -9,7 +9,7 @@
 	"encoding/hex"
 )
 
-// Index is a checked document with its look-ups. It is read-only.
+// Index holds a checked document and its lookup tables. It is read-only.
 type Index struct {
 	Version  uint64
 	Hash     string
@@ -23,7 +23,7 @@
 	byPool   map[string][]*Target
 }
 
-// NewIndex checks d and builds its look-ups.
+// NewIndex checks d, which fills in defaults, and builds its lookup tables.
 func NewIndex(version uint64, hash string, d *Document) (*Index, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 		a := &x.Document.Accounts[i]
 		x.accounts[a.Name] = a
 		for _, h := range a.KeySHA256 {
-			raw, _ := hex.DecodeString(h) // checked by Check
+			raw, _ := hex.DecodeString(h) // validated by Document.Check
 			x.keys[[sha256.Size]byte(raw)] = a
 		}
 	}
@@ -68,8 +68,8 @@
 	}
 }
 
-// Authenticate returns the account whose key is given. Only digests are
-// compared, and the last comparison takes constant time.
+// Authenticate returns the account that owns the key. It compares digests only, the
+// last time in constant time.
 func (x *Index) Authenticate(key string) (*ClientAccount, bool) {
 	sum := sha256.Sum256([]byte(key))
 	account, ok := x.keys[sum]
@@ -97,7 +97,7 @@
 	return p, ok
 }
 
-// PoolOfModel returns the pool that serves a model.
+// PoolOfModel returns the pool that serves this model.
 func (x *Index) PoolOfModel(model string) (*Pool, bool) {
 	p, ok := x.models[model]
 	return p, ok
@@ -109,5 +109,5 @@
 	return t, ok
 }
 
-// TargetsOf returns the targets of a pool; the slice must not be changed.
+// TargetsOf returns the targets of a pool; the caller must not change the slice.
 func (x *Index) TargetsOf(pool string) []*Target { return x.byPool[pool] }
--- a/models/conf/load.go
+++ b/models/conf/load.go
@@ -16,9 +16,9 @@
 
 const maxPolicyBytes = 16 << 20
 
-// LoadFiles reads a document from a TOML file, or from all TOML files of a
-// directory in the order of their names. Policies may name Starlark files,
-// relative to the TOML file.
+// LoadFiles reads a document from a TOML file, or merges all TOML files of a
+// directory in the order of their names. Policies may refer to Starlark files by a
+// path relative to the TOML file.
 func LoadFiles(path string) (*Document, error) {
 	info, err := os.Stat(path)
 	if err != nil {
