--- a/modules/log/async.go
+++ b/modules/log/async.go
@@ -15,21 +15,20 @@
 	"madderway/modules/ring"
 )
 
-// Budget bounds what is written to the log.
+// Budget limits the log's output and its buffer.
 type Budget struct {
-	Lines     int // a second, and at once
-	Bytes     int // a second, and at once
-	QueueSize int // lines that may wait for the output
+	Lines     int // per second, also the burst
+	Bytes     int // per second, also the burst
+	QueueSize int // lines buffered for the output
 }
 
-// DefaultBudget keeps a log readable and its cost small.
+// DefaultBudget returns the budget of a router process.
 func DefaultBudget() Budget { return Budget{Lines: 200, Bytes: 64 << 10, QueueSize: 1024} }
 
-// requestShare is the part of the budget that lines about single requests may take, so
-// that a flood of requests does not leave out what tells of the flood.
+// requestShare is the fraction of the budget open to lines about single requests, so
+// that a flood of requests cannot crowd out the warnings about it.
 const requestShare = 0.75
 
-// lineKind is what a line is about.
 type lineKind int
 
 const (
@@ -37,16 +36,14 @@
 	requestLine
 )
 
-// dropReportInterval is how often lines that were left out are told, and closeTimeout how
-// long the end of the program waits for the output.
 const (
 	dropReportInterval = time.Second
-	closeTimeout       = 200 * time.Millisecond
+	closeTimeout       = 200 * time.Millisecond // for a flush to a stuck output
 )
 
-// AsyncWriter passes lines on to an output that may be slow or stuck: its Write
-// never waits. Lines over the budget, or that find the ring full, are left out
-// and counted; a line says how many.
+// AsyncWriter writes lines to an output that may be slow or stuck. Write never
+// blocks: lines over the budget or beyond the full queue are dropped, and a line in
+// the log reports their number.
 type AsyncWriter struct {
 	t      tomb.Tomb
 	out    io.Writer
@@ -55,20 +52,20 @@
 	ring   *ring.Ring[[]byte]
 	flush  chan chan struct{}
 
-	budgetSecond atomic.Int64 // second is the one that the counts below belong to.
+	budgetSecond atomic.Int64 // Unix second that lines and bytes count for
 	lines        atomic.Int64
 	bytes        atomic.Int64
 	dropped      atomic.Uint64
 }
 
-// NewAsync starts a writer to out.
+// NewAsync returns a started writer to out; Close stops it.
 func NewAsync(out io.Writer, c clock.Clock, b Budget) *AsyncWriter {
 	w := &AsyncWriter{out: out, clock: c, budget: b, ring: ring.New[[]byte]("log", b.QueueSize), flush: make(chan chan struct{})}
 	w.t.Go(w.run)
 	return w
 }
 
-// Write implements io.Writer. It takes one line and never fails.
+// Write implements io.Writer for one line. It never fails.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	if !w.takeBudget(len(line)) || !w.ring.TryPut(append([]byte(nil), line...)) {
 		w.dropped.Add(1)
@@ -76,8 +73,8 @@
 	return len(line), nil
 }
 
-// overBudget tells whether the budget that a kind of line has in this second is overBudget; the
-// line that asks is counted as left out then.
+// overBudget reports whether this second's budget for the kind of line is used up, and if so
+// counts the line as dropped.
 func (w *AsyncWriter) overBudget(kind lineKind) bool {
 	lines, bytes := int64(w.budget.Lines), int64(w.budget.Bytes)
 	if kind == requestLine {
@@ -90,7 +87,7 @@
 	return true
 }
 
-// takeBudget takes a line from the budget of this second.
+// takeBudget charges a line to this second's budget and reports whether it fits.
 func (w *AsyncWriter) takeBudget(size int) bool {
 	now := w.clock.Now().Unix()
 	if w.budgetSecond.Swap(now) != now {
@@ -100,7 +97,7 @@
 	return w.lines.Add(1) <= int64(w.budget.Lines) && w.bytes.Add(int64(size)) <= int64(w.budget.Bytes)
 }
 
-// Dropped returns how many lines were left out and not told yet.
+// Dropped returns the number of dropped lines that were not reported yet.
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
 func (w *AsyncWriter) run() error {
@@ -123,7 +120,7 @@
 
 func (w *AsyncWriter) reportDropped() {
 	if n := w.dropped.Swap(0); n > 0 {
-		fmt.Fprintf(w.out, "[log] Lines left out. lines=%d\n", n)
+		fmt.Fprintf(w.out, "[log] Log lines dropped. lines=%d\n", n)
 	}
 }
 
@@ -139,7 +136,7 @@
 	}
 }
 
-// Close writes what waits, unless the output is stuck, and stops the writer.
+// Close stops the writer after writing the queued lines, for closeTimeout at most.
 func (w *AsyncWriter) Close() {
 	done := make(chan struct{})
 	select {
--- a/modules/log/async_test.go
+++ b/modules/log/async_test.go
@@ -12,7 +12,7 @@
 	"madderway/modules/clock"
 )
 
-// blockingWriter is an output that takes nothing until it is opened.
+// blockingWriter is an output whose writes block until open is closed.
 type blockingWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -35,17 +35,17 @@
 func TestAsyncWriterNeverBlocksOnStuckOutput(t *testing.T) {
 	out := &blockingWriter{open: make(chan struct{})}
 	w := NewAsync(out, clock.NewFake(), Budget{Lines: 1000, Bytes: 1 << 20, QueueSize: 8})
-	for range 100 { // would never end if a line waited for the output
+	for range 100 { // more than the queue holds
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
-			t.Fatalf("%d, %v", n, err)
+			t.Fatalf("Write: got %d, %v; want 5, nil", n, err)
 		}
 	}
 	if n := w.Dropped(); n < 90 {
-		t.Errorf("%d lines left out of 100 with room for eight", n)
+		t.Errorf("%d of 100 lines dropped with a queue of 8, want at least 90", n)
 	}
 	close(out.open)
 	w.Close()
-	if text := out.String(); !strings.Contains(text, "Lines left out. lines=9") || strings.Count(text, "line\n") < 8 {
+	if text := out.String(); !strings.Contains(text, "Log lines dropped. lines=9") || strings.Count(text, "line\n") < 8 {
 		t.Errorf("the output holds %q", text)
 	}
 }
@@ -59,7 +59,7 @@
 		_, _ = w.Write([]byte("short\n"))
 	}
 	if n := w.Dropped(); n != 2 {
-		t.Errorf("%d lines left out of five, three are allowed", n)
+		t.Errorf("%d of 5 lines dropped with a budget of 3, want 2", n)
 	}
 	c.Advance(2 * dropReportInterval)
 	_, _ = w.Write([]byte(strings.Repeat("x", 101)))
@@ -71,7 +71,7 @@
 	}
 }
 
-// A flood of lines about single requests leaves room for the lines that tell of it.
+// Guards against a flood of request lines that hides the warnings about it.
 func TestRequestLinesLeaveBudgetForOthers(t *testing.T) {
 	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
@@ -89,9 +89,9 @@
 	w.Close()
 	text := out.String()
 	if n := strings.Count(text, "View."); n != 20 || !strings.Contains(text, "Overloaded.") {
-		t.Errorf("%d of 20 lines came beside a flood, a warning %v", n, strings.Contains(text, "Overloaded."))
+		t.Errorf("%d of 20 general lines written during a flood, warning written: %v", n, strings.Contains(text, "Overloaded."))
 	}
 	if n := strings.Count(text, "Flood."); n < 50 || n > 75 {
-		t.Errorf("%d lines of the flood, 75 are its part", n)
+		t.Errorf("%d request lines written, want 50 to 75", n)
 	}
 }
--- a/modules/log/limit.go
+++ b/modules/log/limit.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// RateLimiter bounds lines of one kind that others decide the number of, such as what a peer sends
-// and cannot be read: they would take the whole log's budget. Counters hold all.
+// RateLimiter limits log lines of one kind that a peer can trigger, such as those about
+// malformed messages, so that they cannot use up the budget of the whole log.
 type RateLimiter struct {
 	interval time.Duration
 	burst    int
@@ -20,13 +20,14 @@
 	suppressed  int
 }
 
-// NewRateLimiter returns a limit of so many lines in a time.
-func NewRateLimiter(every time.Duration, atOnce int) *RateLimiter {
-	return &RateLimiter{interval: every, burst: atOnce}
+// NewRateLimiter returns a limiter that allows burst lines per interval.
+func NewRateLimiter(interval time.Duration, burst int) *RateLimiter {
+	return &RateLimiter{interval: interval, burst: burst}
 }
 
-// Allow reports whether a line is written, and how many were not since the last one.
-func (l *RateLimiter) Allow(now time.Time) (allowed bool, hidden int) {
+// Allow reports whether a line may be written now, and how many were suppressed since
+// the last allowed one.
+func (l *RateLimiter) Allow(now time.Time) (allowed bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.windowStart) >= l.interval {
@@ -37,6 +38,6 @@
 		return false, 0
 	}
 	l.written++
-	hidden, l.suppressed = l.suppressed, 0
-	return true, hidden
+	suppressed, l.suppressed = l.suppressed, 0
+	return true, suppressed
 }
--- a/modules/log/parse.go
+++ b/modules/log/parse.go
@@ -9,23 +9,23 @@
 	"strings"
 )
 
-// Line is one line of a log, read back.
+// Line is a parsed log line.
 type Line struct {
-	Time    string // month, day and time of day, as written
-	Part    string // the part of the program
-	Process string // the process, empty where the line does not name it
+	Time    string // "MMDD hh:mm:ss.uuuuuu"
+	Part    string // part of the program that logged the line
+	Process string // name given to Logger.With, or empty
 	Message string
 	Values  map[string]string
 	Text    string // the whole line
 }
 
-// linePattern matches what klog writes before a message, and the message; a prefix of
-// whoever gathered the logs may stand before it.
+// linePattern matches klog's header, the prefix and the message. A log collector may have
+// put text before the header.
 var linePattern = regexp.MustCompile(`[IWE](\d{4} \d\d:\d\d:\d\d\.\d+)\s+\d+ \S+\] "?\[(\w+)\] (?:([\w.-]+): )?([^"=]*\.)"?(.*)$`)
 
 var pairPattern = regexp.MustCompile(`([\w ]+?)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// ParseLine reads a line that a Logger wrote; it reports false for any other.
+// ParseLine parses a line that a Logger wrote; it reports false for any other.
 func ParseLine(text string) (Line, bool) {
 	m := linePattern.FindStringSubmatch(text)
 	if m == nil {
