--- a/modules/ident/ident.go
+++ b/modules/ident/ident.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package ident makes random identifiers.
+// Package ident generates random identifiers. They are unique without coordination, but
+// do not serve as secrets.
 package ident
 
 import (
@@ -15,7 +16,7 @@
 
 var encoding = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
-// New returns prefix, a dash and 80 random bits.
+// New returns prefix, a dash and 80 random bits in base32.
 func New(prefix string) string {
 	var raw [idBytes]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -24,7 +25,7 @@
 	return prefix + "-" + encoding.EncodeToString(raw[:])
 }
 
-// Valid reports whether id has the form that New gives, with this prefix.
+// Valid reports whether id has the format of New with this prefix.
 func Valid(prefix, id string) bool {
 	rest, ok := strings.CutPrefix(id, prefix+"-")
 	if !ok || len(rest) != encoding.EncodedLen(idBytes) {
@@ -34,8 +35,8 @@
 	return err == nil
 }
 
-// Incarnation returns a random number that names one life of a process. Later
-// lives must be larger, so the upper bits come from the given seconds.
+// Incarnation returns an identifier for one run of a process. The Unix time in seconds
+// forms the upper bits, so that a later run has a larger one.
 func Incarnation(seconds int64) uint64 {
 	var raw [4]byte
 	if _, err := rand.Read(raw[:]); err != nil {
--- a/modules/ring/ring.go
+++ b/modules/ring/ring.go
@@ -1,26 +1,26 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package ring joins goroutines by bounded queues that count what they hold
-// and what they had to drop.
+// Package ring provides bounded queues between goroutines that count the values they
+// hold and drop.
 package ring
 
 import "sync/atomic"
 
-// Ring is a bounded queue between goroutines.
+// Ring is a bounded FIFO queue, safe for concurrent use.
 type Ring[T any] struct {
 	name    string
 	ch      chan T
 	dropped atomic.Uint64
 }
 
-// New returns a ring with room for size values.
+// New returns a ring with a capacity of size values; name identifies it in dumps.
 func New[T any](name string, size int) *Ring[T] {
 	return &Ring[T]{name: name, ch: make(chan T, size)}
 }
 
-// TryPut adds v, or counts it as dropped and reports false when the ring is
-// full.
+// TryPut adds v without blocking. If the ring is full, it counts v as dropped and
+// reports false.
 func (r *Ring[T]) TryPut(v T) bool {
 	select {
 	case r.ch <- v:
@@ -31,8 +31,8 @@
 	}
 }
 
-// Put adds v and waits for room until done is closed; it reports whether v was
-// added.
+// Put adds v and blocks while the ring is full, until done is closed. It reports
+// whether v was added.
 func (r *Ring[T]) Put(done <-chan struct{}, v T) bool {
 	select {
 	case r.ch <- v:
@@ -47,10 +47,10 @@
 	}
 }
 
-// Out returns the channel to read from.
+// Out returns the receiving end.
 func (r *Ring[T]) Out() <-chan T { return r.ch }
 
-// State is what a dump shows of a ring.
+// State is a snapshot of a ring for state dumps.
 type State struct {
 	Name    string `json:"name"`
 	Length  int    `json:"length"`
@@ -58,7 +58,7 @@
 	Dropped uint64 `json:"dropped_total"`
 }
 
-// State returns the ring's state.
+// State returns a snapshot of the ring.
 func (r *Ring[T]) State() State {
 	return State{r.name, len(r.ch), cap(r.ch), r.dropped.Load()}
 }
