--- a/modules/retryafter/retryafter.go
+++ b/modules/retryafter/retryafter.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package retryafter reads for how long the sender of an answer wants nothing more: RFC 9110's
-// Retry-After, and fractions of seconds beside it.
+// Package retryafter parses the Retry-After header of RFC 9110, a number of seconds or a date.
+// It also accepts fractions of a second.
 package retryafter
 
 import (
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// Header is the name of the field.
+// Header is the canonical name of the header field.
 const Header = "Retry-After"
 
-// Result is for how long a sender wants nothing.
+// Result is the parsed Retry-After of a response.
 type Result struct {
-	Delay   time.Duration // For is 0 where it asks for none.
-	Invalid int           // Unread counts the values that could not be read.
+	Delay   time.Duration // 0 for none
+	Invalid int           // number of malformed values
 }
 
-// Read reads the field from the head of an answer that turns a request away: 503 or 429. Where
-// it is named several times the longest holds.
+// Read parses the Retry-After fields of a 503 or 429 response; other statuses have none. Of
+// several fields the longest delay wins.
 func Read(status int, h http.Header) Result {
 	var r Result
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
@@ -40,17 +40,16 @@
 	return r
 }
 
-// parseDelay reads one value; it reports false where that is neither a number of seconds that is
-// not negative nor a date. A date is compared with the sender's own, whose clock may differ
-// from this machine's by seconds.
+// parseDelay parses one value; it reports false unless that is a non-negative number of seconds
+// or a date. A date is relative to the response's Date header if there is one, which cancels
+// the clock skew between sender and receiver.
 func parseDelay(value string, h http.Header) (time.Duration, bool) {
 	if s, err := strconv.ParseFloat(value, 64); err == nil {
 		if math.IsNaN(s) || s < 0 {
 			return 0, false
 		}
-		// Larger ones, infinity included, do not fit a Duration.
-		const most = 1e9
-		return time.Duration(min(s, most) * float64(time.Second)), true
+		const maxSeconds = 1e9 // larger values, such as infinity, overflow a Duration
+		return time.Duration(min(s, maxSeconds) * float64(time.Second)), true
 	}
 	at, err := http.ParseTime(value)
 	if err != nil {
