--- a/modules/netopt/ended.go
+++ b/modules/netopt/ended.go
@@ -15,24 +15,23 @@
 )
 
 const (
-	// connectTimeout is how long a server may take to answer a connect. A port where nobody
-	// listens refuses at once, within a few milliseconds in the same region; a server that
-	// gives no answer may be cut off, and counts as alive.
+	// connectTimeout bounds the probe. A closed port refuses within milliseconds; a server that
+	// does not respond may be partitioned and counts as alive.
 	connectTimeout = 250 * time.Millisecond
-	// probeTTL is how long a finding holds for other answers of the same server that
-	// break off: all its connections break within some milliseconds.
+	// probeTTL is the time for which other broken responses of the same server reuse the
+	// result: the connections of an exited server break within milliseconds of each other.
 	probeTTL = 100 * time.Millisecond
 )
 
-// probe is what a connect to a server whose answer broke off has shown.
+// probe is one connection attempt to a server whose response broke off.
 type probe struct {
-	done   chan struct{} // done is closed when the rest is set.
+	done   chan struct{} // closed once the fields below are set
 	exited bool
 	doneAt time.Time
 }
 
-// ExitDetector finds out whether servers have ended, once for all answers of a server that break
-// off together.
+// ExitDetector checks whether a server process has exited after one of its responses broke off.
+// Responses that break off together share one probe.
 type ExitDetector struct {
 	dialer *net.Dialer
 	clock  clock.Clock
@@ -41,58 +40,58 @@
 	probes map[string]*probe
 }
 
-// NewExitDetector returns an Endings that has found out nothing.
+// NewExitDetector returns a detector without results.
 func NewExitDetector() *ExitDetector {
 	return &ExitDetector{dialer: Dialer(connectTimeout), clock: clock.System{}, probes: map[string]*probe{}}
 }
 
-// Exited tells whether the server of this ID, whose answer broke off, has ended: one that has
-// only lost a connection, or cuts its answers, still takes connects, and one that has ended
-// refuses them. Known is false where the context ended first. It is asked after a failure only.
-func (e *ExitDetector) Exited(ctx context.Context, id, address string) (ended, known bool) {
-	f := e.probeFor(id, address)
+// Exited reports whether the server process with this ID has exited: its port refuses
+// connections then, while a server that only lost a connection still accepts them. known is
+// false if the context ended first. Call it only after a failed response.
+func (e *ExitDetector) Exited(ctx context.Context, id, address string) (exited, known bool) {
+	p := e.probeFor(id, address)
 	select {
-	case <-f.done:
-		return f.exited, true
+	case <-p.done:
+		return p.exited, true
 	case <-ctx.Done():
 		return false, false
 	}
 }
 
-// probeFor returns the finding about a server, and begins one where none holds.
+// probeFor returns the current probe of a server, or starts one.
 func (e *ExitDetector) probeFor(id, address string) *probe {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	if f := e.probes[id]; f != nil && f.fresh(now) {
-		return f
+	if p := e.probes[id]; p != nil && p.fresh(now) {
+		return p
 	}
-	for other, f := range e.probes {
-		if !f.fresh(now) {
+	for other, p := range e.probes {
+		if !p.fresh(now) {
 			delete(e.probes, other)
 		}
 	}
-	f := &probe{done: make(chan struct{})}
-	e.probes[id] = f
-	go e.connect(f, address)
-	return f
+	p := &probe{done: make(chan struct{})}
+	e.probes[id] = p
+	go e.connect(p, address)
+	return p
 }
 
-func (e *ExitDetector) connect(f *probe, address string) {
-	defer close(f.done)
+func (e *ExitDetector) connect(p *probe, address string) {
+	defer close(p.done)
 	conn, err := e.dialer.Dial("tcp4", address)
 	if err == nil {
 		_ = conn.Close()
 	}
-	f.exited = errors.Is(err, syscall.ECONNREFUSED)
-	f.doneAt = e.clock.Now()
+	p.exited = errors.Is(err, syscall.ECONNREFUSED)
+	p.doneAt = e.clock.Now()
 }
 
-// fresh tells whether a finding is under way or still holds.
-func (f *probe) fresh(now time.Time) bool {
+// fresh reports whether the probe is running or its result is still usable.
+func (p *probe) fresh(now time.Time) bool {
 	select {
-	case <-f.done:
-		return now.Sub(f.doneAt) < probeTTL
+	case <-p.done:
+		return now.Sub(p.doneAt) < probeTTL
 	default:
 		return true
 	}
--- a/modules/netopt/ended_test.go
+++ b/modules/netopt/ended_test.go
@@ -9,26 +9,24 @@
 	"testing"
 )
 
-// A server that cuts a connection and lives on takes the next connect; one that has ended
-// refuses it. One that starts again at the address is another one, so that it is asked anew
-// once the finding is old.
+// Guards against taking a lost connection for an exit of the server.
 func TestExitedServerRefusesConnects(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	e, address := NewExitDetector(), l.Addr().String()
-	if ended, known := e.Exited(context.Background(), "w@1", address); ended || !known {
-		t.Errorf("a server that lives: ended %t, known %t", ended, known)
+	if exited, known := e.Exited(context.Background(), "w@1", address); exited || !known {
+		t.Errorf("running server: got exited %t, known %t; want false, true", exited, known)
 	}
 	_ = l.Close()
-	if ended, known := e.Exited(context.Background(), "w@2", address); !ended || !known {
-		t.Errorf("a server that has ended: ended %t, known %t", ended, known)
+	if exited, known := e.Exited(context.Background(), "w@2", address); !exited || !known {
+		t.Errorf("exited server: got exited %t, known %t; want true, true", exited, known)
 	}
-	over, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	e.probes["w@3"] = &probe{done: make(chan struct{})}
-	if ended, known := e.Exited(over, "w@3", address); ended || known {
-		t.Error("something is known that nobody has found out")
+	if exited, known := e.Exited(canceled, "w@3", address); exited || known {
+		t.Error("canceled context: got a result of an unfinished probe")
 	}
 }
--- a/modules/netopt/netopt.go
+++ b/modules/netopt/netopt.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package netopt sets the socket options that make a silent peer show within
-// seconds: keep-alive probes and the time that sent bytes may stay unconfirmed.
+// Package netopt sets the TCP options that detect a dead peer within seconds, and
+// offers helpers for connections: a byte counter, a non-consuming read and a check
+// whether a server has exited.
 package netopt
 
 import (
@@ -18,8 +19,8 @@
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
-	// userTimeout is how long sent bytes may stay without confirmation before
-	// the connection is given up.
+	// userTimeout is TCP_USER_TIMEOUT: sent data may stay unacknowledged for this long
+	// before the connection is closed.
 	userTimeout = 3 * time.Second
 )
 
@@ -38,19 +39,18 @@
 	return inner
 }
 
-// Dialer returns a dialer whose connections have the options set.
+// Dialer returns a dialer for connections that detect a dead peer.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 }
 
-// Listen returns a TCP listener whose connections have the options set.
+// Listen returns a TCP listener for connections that detect a dead peer.
 func Listen(address string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 	return lc.Listen(context.Background(), "tcp4", address)
 }
 
-// DeadlineIn returns the time at which a deadline of a connection ends. Connections and their timers
-// go by the steady clock of the runtime, which does not count suspension: such a deadline ends
-// late by it. It bounds how long a read or a write may take, and promises nothing; what does is
-// a timer of modules/clock, which closes the connection.
+// DeadlineIn returns the deadline for a net.Conn that is d from now. Connection deadlines use
+// the runtime's monotonic clock, which stops while the machine is suspended, so they may fire
+// late. Where that matters, close the connection by a timer of modules/clock.
 func DeadlineIn(d time.Duration) time.Time { return time.Now().Add(d) }
--- a/modules/netopt/peek.go
+++ b/modules/netopt/peek.go
@@ -9,18 +9,18 @@
 	"syscall"
 )
 
-// PeekResult is what can be read of a connection now.
+// PeekResult is the readable state of a connection.
 type PeekResult int
 
-// What can be pending.
+// The values of PeekResult.
 const (
-	PeekUnknown PeekResult = iota // it is no TCP connection
+	PeekUnknown PeekResult = iota // not a TCP connection
 	PeekEmpty
 	PeekData
-	PeekClosed // the other side has closed it, or it was reset
+	PeekClosed // closed by the peer, reset, or closed locally
 )
 
-// Peek tells what can be read of a connection, and leaves it there. It does not wait.
+// Peek reports whether a connection has data to read, without consuming it or blocking.
 func Peek(c net.Conn) PeekResult {
 	if counted, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = counted.NetConn()
@@ -35,7 +35,7 @@
 	}
 	pending := PeekClosed
 	var one [1]byte
-	// Control does not wait for a read that is under way, as Read would.
+	// Unlike raw.Read, Control does not wait for a concurrent read.
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
@@ -46,7 +46,7 @@
 		}
 	})
 	if err != nil {
-		return PeekClosed // it is closed here
+		return PeekClosed // closed locally
 	}
 	return pending
 }
--- a/modules/netopt/traffic.go
+++ b/modules/netopt/traffic.go
@@ -8,17 +8,17 @@
 	"sync/atomic"
 )
 
-// Traffic counts the bytes that cross a process's connections, without the headers of
-// packets.
+// Traffic counts the payload bytes of the connections that it wraps, without packet
+// headers.
 type Traffic struct {
 	sent     atomic.Uint64
 	received atomic.Uint64
 }
 
-// Bytes returns the bytes sent and received so far.
+// Bytes returns the totals of bytes sent and received.
 func (t *Traffic) Bytes() (sent, received uint64) { return t.sent.Load(), t.received.Load() }
 
-// Wrap returns a connection whose bytes are counted.
+// Wrap returns conn with its bytes counted.
 func (t *Traffic) Wrap(conn net.Conn) net.Conn { return &countedConn{conn, t} }
 
 type countedConn struct {
@@ -40,10 +40,10 @@
 	return n, err
 }
 
-// NetConn returns the connection beneath.
+// NetConn returns the wrapped connection.
 func (c *countedConn) NetConn() net.Conn { return c.Conn }
 
-// CloseWrite closes the sending side where the connection beneath can.
+// CloseWrite closes the sending side if the wrapped connection supports it.
 func (c *countedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
