--- a/modules/httphead/httphead.go
+++ b/modules/httphead/httphead.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package httphead looks at the head of an HTTP/1.1 request in the bytes as they came,
-// without the cost of an HTTP server's parse. It knows plain heads only, those that can be
-// understood in one way; all others are for the server.
+// Package httphead parses the head of an HTTP/1.1 request at less cost than
+// net/http. It accepts plain heads only, those with a single interpretation; leave
+// the others to net/http.
 package httphead
 
 import (
@@ -11,7 +11,7 @@
 	"strconv"
 )
 
-// maxGetNames is how many fields Get looks for at once.
+// maxGetNames is the maximum number of names in a call of Get.
 const maxGetNames = 8
 
 var (
@@ -20,17 +20,17 @@
 	version = []byte(" HTTP/1.1")
 )
 
-// Head is a plain head. Its bytes are those that were parsed.
+// Head is a parsed head. Its slices share memory with the parsed bytes.
 type Head struct {
-	Path          []byte // Path is the target of the request without its query.
+	Path          []byte // request target without the query, never percent-encoded
 	Host          []byte
-	Length        int   // Length is that of the head, the blank line included.
-	ContentLength int64 // Body is the length of the body.
+	Length        int   // bytes of the head, including the blank line
+	ContentLength int64 // 0 without the field
 	fields        []byte
 }
 
-// Parse reads the head at the beginning of b. It reports false where the head is not whole
-// or not plain.
+// Parse parses the head at the start of b. It reports false if the head is incomplete or
+// not plain.
 func Parse(b []byte) (Head, bool) {
 	end := bytes.Index(b, headEnd)
 	first := bytes.Index(b, lineEnd)
@@ -41,7 +41,7 @@
 	return h, h.parseRequestLine(b[:first]) && h.parseFields()
 }
 
-// parseRequestLine reads the method and the target.
+// parseRequestLine parses the method, target and version.
 func (h *Head) parseRequestLine(line []byte) bool {
 	rest, ok := bytes.CutSuffix(line, version)
 	if !ok {
@@ -65,7 +65,8 @@
 	return true
 }
 
-// parseFields checks all fields, and reads those that say where the request ends.
+// parseFields validates the header fields and reads Host and those that determine the
+// body's length.
 func (h *Head) parseFields() bool {
 	hosts, lengths := 0, 0
 	for rest := h.fields; len(rest) > 0; {
@@ -97,7 +98,7 @@
 	return hosts == 1 && lengths <= 1
 }
 
-// splitField divides a line into the name and the value of a splitField.
+// splitField splits a header line into name and value, and validates both.
 func splitField(line []byte) (name, value []byte, ok bool) {
 	name, value, ok = bytes.Cut(line, []byte(":"))
 	if !ok || len(name) == 0 {
@@ -117,13 +118,13 @@
 	return name, bytes.Trim(value, " \t"), true
 }
 
-// equalFold compares without regard to case; name equalFold the canonical form.
+// equalFold compares a header's name or value without regard to case.
 func equalFold(b []byte, name string) bool {
 	return len(b) == len(name) && bytes.EqualFold(b, []byte(name))
 }
 
-// Get returns the values of some fields, empty where one is not there. It reports false
-// where one of them is there more than once.
+// Get sets values to those of the named fields, empty if absent. It reports false if one
+// of them occurs more than once. There may be at most maxGetNames names.
 func (h *Head) Get(values []string, names ...string) bool {
 	var found [maxGetNames]bool
 	for rest := h.fields; len(rest) > 0; {
--- a/modules/httphead/httphead_test.go
+++ b/modules/httphead/httphead_test.go
@@ -17,52 +17,51 @@
 func TestParsePlainHead(t *testing.T) {
 	h, ok := Parse([]byte(plain))
 	if !ok || string(h.Path) != "/a/b" || string(h.Host) != "h.example" || h.ContentLength != 3 || h.Length != len(plain)-3 {
-		t.Fatalf("%v, %+v", ok, h)
+		t.Fatalf("Parse: got %+v, %v", h, ok)
 	}
 	values := make([]string, 2)
 	if ok := h.Get(values, "Authorization", "Nothing"); !ok || values[0] != "Bearer k" || values[1] != "" {
-		t.Errorf("%q, %v", values, ok)
+		t.Errorf("Get: got %q, %v", values, ok)
 	}
 }
 
-// What could be understood in two ways, or ends a request in another way than by its
-// length, is not plain.
+// Guards against request smuggling: heads that another parser may interpret differently.
 func TestParseRejectsAmbiguousHeads(t *testing.T) {
 	for name, head := range map[string]string{
-		"not whole":         "GET / HTTP/1.1\r\nHost: h\r\n",
-		"no host":           "GET / HTTP/1.1\r\nA: b\r\n\r\n",
-		"no field":          "GET / HTTP/1.1\r\n\r\n",
-		"two hosts":         "GET / HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n",
-		"old version":       "GET / HTTP/1.0\r\nHost: h\r\n\r\n",
-		"chunked":           "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n",
-		"two lengths":       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n",
-		"signed length":     "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: +3\r\n\r\n",
-		"list of lengths":   "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\n",
-		"no length":         "POST / HTTP/1.1\r\nHost: h\r\nContent-Length:\r\n\r\n",
-		"folded line":       "GET / HTTP/1.1\r\nHost: h\r\nA: b\r\n c\r\n\r\n",
-		"blank before name": "GET / HTTP/1.1\r\nHost: h\r\n A: b\r\n\r\n",
-		"blank after name":  "POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\n",
-		"bare line feed":    "GET / HTTP/1.1\r\nHost: h\nContent-Length: 3\r\n\r\n",
-		"bare return":       "GET / HTTP/1.1\r\nHost: h\rContent-Length: 3\r\n\r\n",
-		"expects":           "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n",
-		"closes":            "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
-		"upgrades":          "GET / HTTP/1.1\r\nHost: h\r\nUpgrade: x\r\n\r\n",
-		"whole URL":         "GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n",
-		"escaped path":      "GET /%2e HTTP/1.1\r\nHost: h\r\n\r\n",
-		"blank in path":     "GET /a b HTTP/1.1\r\nHost: h\r\n\r\n",
+		"incomplete":           "GET / HTTP/1.1\r\nHost: h\r\n",
+		"no host":              "GET / HTTP/1.1\r\nA: b\r\n\r\n",
+		"no header field":      "GET / HTTP/1.1\r\n\r\n",
+		"two hosts":            "GET / HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n",
+		"old version":          "GET / HTTP/1.0\r\nHost: h\r\n\r\n",
+		"chunked":              "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n",
+		"two lengths":          "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n",
+		"signed length":        "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: +3\r\n\r\n",
+		"list of lengths":      "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3, 3\r\n\r\n",
+		"no length":            "POST / HTTP/1.1\r\nHost: h\r\nContent-Length:\r\n\r\n",
+		"folded line":          "GET / HTTP/1.1\r\nHost: h\r\nA: b\r\n c\r\n\r\n",
+		"space before name":    "GET / HTTP/1.1\r\nHost: h\r\n A: b\r\n\r\n",
+		"space after name":     "POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\n",
+		"bare line feed":       "GET / HTTP/1.1\r\nHost: h\nContent-Length: 3\r\n\r\n",
+		"bare carriage return": "GET / HTTP/1.1\r\nHost: h\rContent-Length: 3\r\n\r\n",
+		"expect":               "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n",
+		"connection close":     "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
+		"upgrade":              "GET / HTTP/1.1\r\nHost: h\r\nUpgrade: x\r\n\r\n",
+		"absolute URL":         "GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n",
+		"escaped path":         "GET /%2e HTTP/1.1\r\nHost: h\r\n\r\n",
+		"space in path":        "GET /a b HTTP/1.1\r\nHost: h\r\n\r\n",
 	} {
 		if h, ok := Parse([]byte(head)); ok {
-			t.Errorf("%s: taken for plain: %+v", name, h)
+			t.Errorf("%s: Parse accepted the head: %+v", name, h)
 		}
 	}
 	if h, ok := Parse([]byte("GET / HTTP/1.1\r\nHost: h\r\nKey: a\r\nkey: b\r\n\r\n")); ok {
 		if values := make([]string, 1); h.Get(values, "Key") {
-			t.Errorf("a field that is there twice is %q", values[0])
+			t.Errorf("Get accepted a repeated field: got %q", values[0])
 		}
 	}
 }
 
-// Where a head is plain, the standard library ends the request at the same byte.
+// Accepted heads mean the same to net/http, which ends the request at the same byte.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(plain))
 	f.Add([]byte("GET /x HTTP/1.1\r\nHost: h\r\n\r\nGET /y HTTP/1.1\r\nHost: i\r\n\r\n"))
@@ -74,14 +73,14 @@
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
 		if err != nil {
-			return // the library refuses more
+			return // net/http is stricter in some cases
 		}
 		if r.Host != string(h.Host) || r.URL.Path != string(h.Path) || r.ContentLength != h.ContentLength || len(r.TransferEncoding) > 0 {
-			t.Fatalf("%+v, the library has %q %q %d", h, r.Host, r.URL.Path, r.ContentLength)
+			t.Fatalf("got %+v, net/http has host %q, path %q, length %d", h, r.Host, r.URL.Path, r.ContentLength)
 		}
 		body, _ := io.ReadAll(r.Body)
 		if int64(len(b)-h.Length) >= h.ContentLength && int64(len(body)) != h.ContentLength {
-			t.Fatalf("the library reads a body of %d, not %d", len(body), h.ContentLength)
+			t.Fatalf("net/http reads a body of %d bytes, want %d", len(body), h.ContentLength)
 		}
 	})
 }
