--- a/modules/lateness/lateness.go
+++ b/modules/lateness/lateness.go
@@ -1,11 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package lateness measures how late a process comes to what it is sent. A byte
-// goes through a pipe at regular times; how long after its time it is read tells
-// what a request or an answer waits for timers, the poller and the run queue,
-// whether the processor is short, given in portions, or stood still, or the machine was
-// suspended.
+// Package lateness measures the scheduling delay of the process. A probe writes a byte
+// to a pipe at regular times and measures the time until another goroutine reads it.
+// The delay includes timers, the network poller, the run queue, CPU throttling and
+// suspension of the machine, as a request would experience them.
 package lateness
 
 import (
@@ -18,46 +17,46 @@
 	"madderway/modules/clock"
 )
 
-// maxOnTime is the lateness up to which a process is in time. After slowdownSamples of those in a
-// row it is measured slowdownFactor times as seldom: each measurement wakes the process
-// twice. Whoever judges by the least of a few samples needs them all while any is late.
+// maxOnTime is the lateness up to which a sample is on time. After slowdownSamples of those in
+// a row the interval grows by slowdownFactor, since each sample wakes the process twice. A
+// late sample resets the interval, since callers may need several samples to judge.
 const (
 	maxOnTime       = 3 * time.Millisecond
 	slowdownSamples = 20
 	slowdownFactor  = 4
 )
 
-// Probe sends itself bytes until its tomb dies.
+// Probe measures until its tomb dies.
 type Probe struct {
 	t           *tomb.Tomb
 	interval    time.Duration
 	report      func(lateness time.Duration)
 	reader      *os.File
 	writer      *os.File
-	due         chan time.Time // due holds the time of the byte that is under way.
+	due         chan time.Time // due time of the byte in the pipe
 	start       time.Time
-	pendingDue  atomic.Int64 // unread is the same time in nanoseconds since start, 0 where none is under way.
-	onTimeCount atomic.Int64 // inTime counts the latest samples in a row that were in time.
+	pendingDue  atomic.Int64 // due in nanoseconds since start, 0 if the pipe is empty
+	onTimeCount atomic.Int64 // consecutive samples on time
 }
 
-// Start runs a probe that reports a lateness for each span of time, more seldom while
-// the process is in time; report must not wait.
-func Start(t *tomb.Tomb, every time.Duration, report func(lateness time.Duration)) (*Probe, error) {
+// Start starts a probe that reports a lateness per interval, and less often while the
+// process is on time. report must not block.
+func Start(t *tomb.Tomb, interval time.Duration, report func(lateness time.Duration)) (*Probe, error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	p := &Probe{t: t, interval: every, report: report, reader: reader, writer: writer, due: make(chan time.Time, 1), start: now()}
+	p := &Probe{t: t, interval: interval, report: report, reader: reader, writer: writer, due: make(chan time.Time, 1), start: now()}
 	t.Go(p.send)
 	t.Go(p.receive)
 	return p, nil
 }
 
-// now returns the time with that in suspension counted, which is a lateness like any other.
+// now returns the time including suspension, which counts as lateness.
 func now() time.Time { return clock.System{}.Now() }
 
-// Overdue returns how late the byte that is under way already is, 0 where none is. A
-// process that is late by seconds has no sample in all that time.
+// Overdue returns the lateness so far of the byte in the pipe, or 0 if there is none. It
+// shows a stall before the sample that ends it is reported.
 func (p *Probe) Overdue(now time.Time) time.Duration {
 	due := p.pendingDue.Load()
 	if due == 0 {
@@ -66,7 +65,7 @@
 	return max(now.Sub(p.start)-time.Duration(due), 0)
 }
 
-// send writes a byte at each time, unless the last one has not been read yet.
+// send writes a byte per interval, unless the last one is still unread.
 func (p *Probe) send() error {
 	defer p.writer.Close()
 	due := now().Add(p.nextInterval())
@@ -99,7 +98,7 @@
 	}
 }
 
-// nextInterval returns how long to wait before the next byte.
+// nextInterval returns the time until the next byte.
 func (p *Probe) nextInterval() time.Duration {
 	if p.onTimeCount.Load() >= slowdownSamples {
 		return slowdownFactor * p.interval
@@ -112,10 +111,10 @@
 	one := make([]byte, 1)
 	for {
 		if _, err := p.reader.Read(one); err != nil {
-			return nil // the sender has ended
+			return nil // send has closed the pipe
 		}
 		due := <-p.due
-		p.pendingDue.CompareAndSwap(int64(due.Sub(p.start)), 0) // the next byte may be under way
+		p.pendingDue.CompareAndSwap(int64(due.Sub(p.start)), 0) // keeps the due time of a next byte
 		lateness := max(now().Sub(due), 0)
 		p.record(lateness)
 		p.report(lateness)
--- a/modules/lateness/lateness_test.go
+++ b/modules/lateness/lateness_test.go
@@ -10,7 +10,6 @@
 	"gopkg.in/tomb.v2"
 )
 
-// A probe reports again and again, and ends with its tomb.
 func TestProbeReportsUntilTombDies(t *testing.T) {
 	var owner tomb.Tomb
 	reports := make(chan time.Duration)
@@ -25,7 +24,7 @@
 	}
 	for range 5 {
 		if d := <-reports; d < 0 {
-			t.Errorf("reported %v", d)
+			t.Errorf("got a negative lateness %v", d)
 		}
 	}
 	owner.Kill(nil)
@@ -34,7 +33,7 @@
 	}
 }
 
-// A byte that is read late is reported with all of its delay.
+// Guards against a stalled reader that hides the delay of the byte in the pipe.
 func TestProbeReportsFullDelay(t *testing.T) {
 	var owner tomb.Tomb
 	const delay = 20 * time.Millisecond
@@ -43,7 +42,7 @@
 	_, err := Start(&owner, time.Millisecond, func(d time.Duration) {
 		if first {
 			first = false
-			time.Sleep(delay) // the reader stands still while the next byte is under way
+			time.Sleep(delay) // blocks the reader while the next byte is in the pipe
 			return
 		}
 		select {
@@ -55,13 +54,13 @@
 		t.Fatal(err)
 	}
 	if d := <-reports; d < delay/2 {
-		t.Errorf("%v told of a delay of %v", d, delay)
+		t.Errorf("got lateness %v for a delay of %v", d, delay)
 	}
 	owner.Kill(nil)
 	_ = owner.Wait()
 }
 
-// A process that is late now and then is measured as often as one that always is.
+// Guards against sampling too rarely in a process that is late now and then.
 func TestProbeSlowsDownAfterOnTimeSamples(t *testing.T) {
 	p := &Probe{interval: time.Millisecond}
 	for i := range 2 * slowdownSamples {
@@ -70,17 +69,17 @@
 			want = slowdownFactor * p.interval
 		}
 		if got := p.nextInterval(); got != want {
-			t.Fatalf("after %d samples in time it waits %v, want %v", i, got, want)
+			t.Fatalf("interval after %d samples on time: got %v, want %v", i, got, want)
 		}
 		p.record(0)
 	}
 	p.record(maxOnTime + 1)
 	if got := p.nextInterval(); got != p.interval {
-		t.Errorf("after a late sample it waits %v", got)
+		t.Errorf("interval after a late sample: got %v, want %v", got, p.interval)
 	}
 }
 
-// A byte that nobody has read yet is late by all the time since it was due.
+// Guards against a stall that is invisible until it ends.
 func TestOverdueGrowsWhileByteIsUnread(t *testing.T) {
 	var owner tomb.Tomb
 	reading, done := make(chan struct{}), make(chan struct{})
@@ -89,21 +88,21 @@
 		if first {
 			first = false
 			close(reading)
-			<-done // the reader stands still while the next byte is under way
+			<-done // blocks the reader while the next byte is in the pipe
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-reading
-	for p.pendingDue.Load() == 0 { // until the next byte is under way
+	for p.pendingDue.Load() == 0 { // until the next byte is in the pipe
 	}
 	due := p.start.Add(time.Duration(p.pendingDue.Load()))
 	if got := p.Overdue(due.Add(5 * time.Second)); got != 5*time.Second {
-		t.Errorf("five seconds after its time it is overdue by %v", got)
+		t.Errorf("Overdue 5s after the due time: got %v", got)
 	}
 	if got := p.Overdue(due.Add(-time.Second)); got != 0 {
-		t.Errorf("before its time it is overdue by %v", got)
+		t.Errorf("Overdue before the due time: got %v, want 0", got)
 	}
 	owner.Kill(nil)
 	close(done)
