--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package clock gives the time to the parts that run around the core, so that
-// tests can replace it.
+// Package clock provides the time and timers behind an interface, so that tests can
+// replace them. Unlike package time, its System clock includes the time for which the
+// machine was suspended.
 package clock
 
 import (
@@ -10,25 +11,25 @@
 	"time"
 )
 
-// Clock tells the time and makes timers.
+// Clock provides the current time and timers.
 type Clock interface {
 	Now() time.Time
-	// After returns a channel that gets the time once d has passed.
+	// After returns a channel that receives the time once d has passed.
 	After(d time.Duration) <-chan time.Time
-	// AfterFunc calls a function in its own goroutine once d has passed.
+	// AfterFunc calls f once d has passed; System does so in a goroutine of its own.
 	AfterFunc(d time.Duration, f func()) Timer
 }
 
-// Timer is a call that has been put off.
+// Timer is a pending call of AfterFunc.
 type Timer interface {
-	// Stop takes the call back; it reports false where it has been made, or is being made.
+	// Stop cancels the call. It reports false if the call has started, or was canceled.
 	Stop() bool
 }
 
-// System is the machine's clock.
+// System is the system clock, including suspended time.
 type System struct{}
 
-// Fake is a clock that moves only when it is told to.
+// Fake is a clock for tests that moves only by Advance.
 type Fake struct {
 	mu     sync.Mutex
 	now    time.Time
@@ -37,24 +38,24 @@
 
 type fakeTimer struct {
 	at   time.Time
-	ch   chan time.Time // ch is nil where there is a call.
+	ch   chan time.Time // nil if call is set
 	call *fakeFunc
 }
 
-// fakeFunc is a call that has been put off.
+// fakeFunc is a pending call of Fake.AfterFunc.
 type fakeFunc struct {
 	clock *Fake
 	f     func()
-	done  bool // done tells that it was made or taken back.
+	done  bool // called or canceled
 }
 
 // Stop implements Timer.
 func (c *fakeFunc) Stop() bool {
 	c.clock.mu.Lock()
 	defer c.clock.mu.Unlock()
-	was := c.done
+	wasDone := c.done
 	c.done = true
-	return !was
+	return !wasDone
 }
 
 // NewFake returns a fake clock at a fixed time.
@@ -80,7 +81,7 @@
 	return ch
 }
 
-// AfterFunc implements Clock; the call is made by Advance.
+// AfterFunc implements Clock. Advance makes the call synchronously.
 func (f *Fake) AfterFunc(d time.Duration, call func()) Timer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,14 +90,14 @@
 	return c
 }
 
-// Advance moves the clock and fires the timers that are due.
+// Advance moves the clock and fires the due timers.
 func (f *Fake) Advance(d time.Duration) {
 	for _, c := range f.advance(d) {
 		c.f()
 	}
 }
 
-// advance moves the clock and returns the calls that are due.
+// advance moves the clock, fires the due channels and returns the due calls.
 func (f *Fake) advance(d time.Duration) []*fakeFunc {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +119,7 @@
 	return due
 }
 
-// PendingTimers returns how many timers have not fired yet.
+// PendingTimers returns the number of timers that have not fired yet.
 func (f *Fake) PendingTimers() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/modules/clock/system.go
+++ b/modules/clock/system.go
@@ -13,36 +13,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// minDrift is by how much the time of day must run away from the steady clock before the
-// machine's clock is read for time in suspension. What keeps the time of day right moves it
-// by a thousandth at most.
+// minDrift is the change in drift between the wall clock and the monotonic clock that triggers
+// a read of the kernel's clocks. It is above the drift that clock synchronization causes by
+// slewing the wall clock.
 const minDrift = 5 * time.Millisecond
 
-// clockReading is one look at the clocks of the machine.
+// clockReading is a reading of the kernel's clocks.
 type clockReading struct {
-	monotonic time.Duration // steady does not count the time in suspension.
-	boot      time.Duration // boot does.
+	monotonic time.Duration // CLOCK_MONOTONIC, stops during suspension
+	boot      time.Duration // CLOCK_BOOTTIME, includes suspended time
 }
 
-// suspendTracker keeps how much time of the machine the steady clock of the runtime has left
-// out. The time of day counts it, too, and is read with each steady time: where they run
-// apart, the machine's clock since its start tells whether that was a suspendTracker or a step
-// of the time of day.
+// suspendTracker measures the time for which the machine was suspended, which the monotonic
+// clock of package time does not count. The wall clock does, and time.Now reads both, so a
+// change in their drift is a cheap hint. CLOCK_BOOTTIME then tells a suspension from a step of
+// the wall clock.
 type suspendTracker struct {
 	read   func() (clockReading, error)
 	report func(error)
 
-	epoch  time.Time    // epoch is a reading of both clocks at the start.
-	drift  atomic.Int64 // drift is by how much the time of day was ahead at the last check.
-	total  atomic.Int64 // total is the time in suspension since epoch.
-	failed atomic.Bool
+	epoch  time.Time    // wall and monotonic time at the start
+	drift  atomic.Int64 // nanoseconds that the wall clock was ahead at the last check
+	total  atomic.Int64 // nanoseconds of suspension since epoch
+	failed atomic.Bool  // a read of the clocks has failed
 
 	mu       sync.Mutex
-	baseline *clockReading       // first is the reading that others are compared with; nil where none could be had.
-	timers   map[*timer]struct{} // timers are those that have not fired.
+	baseline *clockReading       // first successful reading, nil before it
+	timers   map[*timer]struct{} // timers that have not fired
 }
 
-// timer fires when a span has passed, the time in suspension included.
+// timer fires at its due time, which includes suspended time.
 type timer struct {
 	due   time.Time
 	timer *time.Timer
@@ -55,18 +55,18 @@
 	return s
 }
 
-// systemTracker is the suspension of the systemTracker that this process runs on.
+// systemTracker tracks the suspension of this machine for System.
 var systemTracker = newSuspension(readClocks, func(err error) {
 	if report := onError.Load(); report != nil {
 		(*report)(err)
 	}
 })
 
-var errUnreadable = errors.New("the clock that counts time in suspension cannot be read")
+var errUnreadable = errors.New("cannot read the clocks that show suspended time")
 
 var onError atomic.Pointer[func(error)]
 
-// OnReadError has it reported, once, where the machine's clock cannot be read: time in suspension
+// OnReadError sets a function to call, once, if the kernel's clocks cannot be read. Suspended time
 // is not counted then.
 func OnReadError(report func(error)) {
 	onError.Store(&report)
@@ -92,10 +92,11 @@
 	}
 }
 
-// now returns the time with that in suspension counted.
+// now returns the current time including suspended time.
 func (s *suspendTracker) now() time.Time { return s.correct(time.Now()) }
 
-// correct adds the time in suspension to a reading of the runtime's clocks.
+// correct adds the suspended time to a result of time.Now. It checks for a suspension if the
+// drift between wall clock and monotonic clock has changed.
 func (s *suspendTracker) correct(now time.Time) time.Time {
 	drift := int64(now.Round(0).Sub(s.epoch.Round(0)) - now.Sub(s.epoch))
 	if time.Duration(drift-s.drift.Load()).Abs() > minDrift {
@@ -105,8 +106,9 @@
 	return now.Add(time.Duration(s.total.Load()))
 }
 
-// check reads the machine's clock and counts what was left out. A clock that goes back, or
-// cannot be read, takes nothing away: time has passed.
+// check reads the kernel's clocks, updates the suspended time and resets the timers if it has
+// grown. The suspended time never shrinks, so that Now does not go back if a clock does or
+// cannot be read.
 func (s *suspendTracker) check() {
 	r, err := s.read()
 	if err != nil {
@@ -134,7 +136,7 @@
 	}
 }
 
-// afterFunc calls a function in its own goroutine when a span has passed.
+// afterFunc calls f in its own goroutine once d has passed, including suspended time.
 func (s *suspendTracker) afterFunc(d time.Duration, f func()) *timer {
 	t := &timer{due: s.now().Add(d)}
 	t.fire = func() {
@@ -149,22 +151,21 @@
 	return t
 }
 
-// remove takes a timer out and reports whether it was there: a timer that is set anew while
-// it fires must not fire twice.
+// remove removes a pending timer and reports whether it was pending. This keeps a timer that
+// check resets while it fires from firing twice.
 func (s *suspendTracker) remove(t *timer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, there := s.timers[t]
+	_, pending := s.timers[t]
 	delete(s.timers, t)
-	return there
+	return pending
 }
 
-// Suspended returns how long the machine has been suspended since the start of the process,
-// as far as that has shown.
+// Suspended returns the detected time of suspension since the start of the process.
 func Suspended() time.Duration { return time.Duration(systemTracker.total.Load()) }
 
-// Now implements Clock. The time in which the machine was suspended counts: leases, deadlines
-// and ages would otherwise be believed as if nobody had gone on meanwhile.
+// Now implements Clock. It includes suspended time, so that leases and deadlines that passed
+// during a suspension count as expired.
 func (System) Now() time.Time { return systemTracker.now() }
 
 // After implements Clock.
@@ -179,8 +180,8 @@
 	return systemTimer{systemTracker, systemTracker.afterFunc(d, f)}
 }
 
-// CheckSuspension reads the machine's clock for time in suspension that a step of the time of day may
-// hide from Now; whoever watches for standstills calls it.
+// CheckSuspension reads the kernel's clocks for suspended time that a step of the wall clock may
+// hide from Now. Call it regularly where that matters.
 func (System) CheckSuspension() { systemTracker.check() }
 
 type systemTimer struct {
@@ -194,8 +195,8 @@
 	return s.s.remove(s.t)
 }
 
-// WithDeadline returns a context that ends at a time of the clock, with the error of a
-// deadline that has passed.
+// WithDeadline is context.WithDeadline with a Clock: the context ends with
+// context.DeadlineExceeded at the given time of c. Its Deadline method is the parent's.
 func WithDeadline(parent context.Context, c Clock, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	d := &deadlineContext{Context: ctx, at: at}
--- a/modules/clock/system_test.go
+++ b/modules/clock/system_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fakeClocks is a machine whose clocks are set.
+// fakeClocks simulates the kernel's clocks.
 type fakeClocks struct {
 	r   clockReading
 	err error
@@ -24,28 +24,26 @@
 	return m, newSuspension(m.read, func(error) {})
 }
 
-// suspend lets the machine stand still for a while: its steady clock does not count that, its
-// clock since the start does.
+// suspend advances CLOCK_BOOTTIME only, as a suspension does.
 func (m *fakeClocks) suspend(d time.Duration) { m.r.boot += d }
 
-// The time in suspension counts, as soon as the time of day shows that there was any.
+// Guards against a clock that leaves out suspended time.
 func TestNowCountsSuspension(t *testing.T) {
 	m, s := newFakeMachine(t)
 	before := s.epoch
 	m.suspend(5 * time.Second)
-	// The time of day has gone on by five seconds, the steady clock by one.
+	// The monotonic clock advances by one second, without the suspension.
 	after := before.Add(time.Second)
 	if got := s.correct(after).Sub(before); got != time.Second {
-		t.Errorf("%v passed before the time of day shows it", got)
+		t.Errorf("before the check: got %v, want 1s", got)
 	}
 	s.check()
 	if got := s.correct(after).Sub(before); got != 6*time.Second {
-		t.Errorf("%v passed, want 6 s", got)
+		t.Errorf("after the check: got %v, want 6s", got)
 	}
 }
 
-// A step of the time of day, forward or back, changes nothing; clocks that go back, or that
-// cannot be read, take no time away.
+// Guards against a time that goes back when a clock goes back or cannot be read.
 func TestClockErrorsNeverMoveTimeBack(t *testing.T) {
 	m, s := newFakeMachine(t)
 	m.suspend(3 * time.Second)
@@ -57,78 +55,74 @@
 	m.err = errors.New("no such clock")
 	s.check()
 	if got := s.correct(now); !got.Equal(want) || !s.failed.Load() {
-		t.Errorf("%v became %v; failure noticed: %t", want, got, s.failed.Load())
+		t.Errorf("got %v, want %v; failure recorded: %t", got, want, s.failed.Load())
 	}
 	m.err, m.r.boot = nil, m.r.boot+20*time.Hour
 	s.check()
 	if got := s.correct(now).Sub(want); got != 19*time.Hour {
-		t.Errorf("a jump of hours counts as %v", got)
+		t.Errorf("suspension of 19h: got %v", got)
 	}
 }
 
-// Where the machine's clock could not be read at the start, what was suspended before it can be
-// is not counted.
+// If the clocks cannot be read at first, suspension counts from the first reading.
 func TestSuspensionCountsFromFirstReading(t *testing.T) {
 	m := &fakeClocks{r: clockReading{monotonic: time.Hour, boot: 9 * time.Hour}, err: errors.New("not yet")}
 	s := newSuspension(m.read, func(error) {})
 	m.err = nil
 	s.check()
 	if total := time.Duration(s.total.Load()); total != 0 {
-		t.Errorf("%v are counted", total)
+		t.Errorf("at the first reading: got %v, want 0", total)
 	}
 	m.suspend(time.Minute)
 	s.check()
 	if total := time.Duration(s.total.Load()); total != time.Minute {
-		t.Errorf("%v are counted, want a minute", total)
+		t.Errorf("after a suspension: got %v, want 1m", total)
 	}
 }
 
-// A timer fires when its time is over, also where that passed in suspension; it fires once,
-// and not after it was stopped.
+// Guards against timers that fire late after a suspension, twice, or after Stop.
 func TestTimersCountSuspension(t *testing.T) {
 	m, s := newFakeMachine(t)
 	fired := make(chan string, 4)
-	s.afterFunc(time.Hour, func() { fired <- "over" })
-	s.afterFunc(9*time.Hour, func() { fired <- "not yet" })
+	s.afterFunc(time.Hour, func() { fired <- "due" })
+	s.afterFunc(9*time.Hour, func() { fired <- "not due" })
 	stopped := s.afterFunc(time.Hour, func() { fired <- "stopped" })
 	if !(systemTimer{s, stopped}).Stop() {
-		t.Error("a timer that has not fired could not be stopped")
+		t.Error("Stop of a pending timer: got false, want true")
 	}
 	m.suspend(2 * time.Hour)
 	s.check()
-	if got := <-fired; got != "over" {
-		t.Errorf("%s fired", got)
+	if got := <-fired; got != "due" {
+		t.Errorf("timer %q fired, want the due one", got)
 	}
 	s.check()
 	if len(fired) > 0 || len(s.timers) != 1 {
-		t.Errorf("%d more fired, %d are left", len(fired), len(s.timers))
+		t.Errorf("%d more timers fired, want 0; %d pending, want 1", len(fired), len(s.timers))
 	}
 }
 
-// A context ends at its time of the clock, as one whose deadline has passed; one that is
-// canceled says so.
+// The context reports DeadlineExceeded at the clock's time, and Canceled if canceled before.
 func TestWithDeadlineFollowsClock(t *testing.T) {
 	c := NewFake()
 	ctx, cancel := WithDeadline(context.Background(), c, c.Now().Add(time.Second))
 	defer cancel()
 	c.Advance(999 * time.Millisecond)
 	if ctx.Err() != nil {
-		t.Error("ended too early")
+		t.Error("context ended before its deadline")
 	}
 	c.Advance(time.Millisecond)
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		t.Errorf("ended with %v", ctx.Err())
+		t.Errorf("after the deadline: got %v, want %v", ctx.Err(), context.DeadlineExceeded)
 	}
-	other, leave := WithDeadline(context.Background(), c, c.Now().Add(time.Second))
-	leave()
+	other, cancelOther := WithDeadline(context.Background(), c, c.Now().Add(time.Second))
+	cancelOther()
 	c.Advance(time.Hour)
 	if !errors.Is(other.Err(), context.Canceled) {
-		t.Errorf("canceled with %v", other.Err())
+		t.Errorf("after cancel: got %v, want %v", other.Err(), context.Canceled)
 	}
 }
 
-// The machine's clock can be read, and a look at the time costs 93 ns where time.Now costs
-// 63; a read of the machine's clock, on suspicion only, 369.
+// BenchmarkNow compares System.Now with time.Now and with a read of the kernel's clocks.
 func BenchmarkNow(b *testing.B) {
 	b.Run("runtime", func(b *testing.B) {
 		for b.Loop() {
