--- a/modules/peernet/auth.go
+++ b/modules/peernet/auth.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package peernet carries protobuf messages between routers over yamux, with
-// mutual authentication. It knows nothing of what the messages mean.
+// Package peernet transports protobuf messages between routers over yamux with mutual
+// authentication. A Link sends to one peer; a Server receives from all. It also opens and
+// accepts plain connections for relayed requests. It does not interpret the messages.
 package peernet
 
 import (
@@ -25,19 +26,19 @@
 
 const (
 	protocolVersion = 1
-	// relayVersion is the version in the hello of a connection that carries requests of
-	// callers. It is the only one sent there: a thousand of these are opened in a second
-	// where a flood begins. Whoever repeats one can send what any caller can.
+	// relayVersion is the version in the hello of a connection for relayed requests. Only the
+	// client sends a hello there, which saves a round trip when many connections open at
+	// once. A replay allows no more than any caller may do.
 	relayVersion     = 2
 	nonceSize        = 16
 	handshakeTimeout = 3 * time.Second
 	maxHello         = 4096
 )
 
-// ErrRefused is the general kind of failed handshakes.
+// ErrRefused is wrapped by all handshake errors.
 var ErrRefused = errors.New("peer refused")
 
-// ErrHandshake tells why a peer was refused.
+// ErrHandshake reports why a handshake failed.
 type ErrHandshake struct{ Reason string }
 
 // Error implements error.
@@ -52,21 +53,21 @@
 	return errors.As(err, &e)
 }
 
-// Auth holds how this process proves itself and checks others.
+// Auth holds the credentials of this process for mutual authentication with peers.
 type Auth struct {
 	id        string
 	sharedKey []byte
 	tls       *tls.Config
 }
 
-// NewSharedKey returns an Auth by a key that all routers know. It does not
-// encrypt, so settings allow it on loopback only.
+// NewSharedKey returns an Auth that uses a key shared by all routers. It does not
+// encrypt the connection.
 func NewSharedKey(id, key string) *Auth {
 	return &Auth{id: id, sharedKey: []byte(key)}
 }
 
-// NewTLS returns an Auth by certificates. The common name of each certificate
-// is the router's ID.
+// NewTLS returns an Auth that uses TLS certificates, whose common name must be the
+// router's ID.
 func NewTLS(id, certFile, keyFile, caFile string) (*Auth, error) {
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
@@ -74,11 +75,11 @@
 	}
 	pem, err := os.ReadFile(caFile)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("certificate authority: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("authority: no certificate in %s", caFile)
+		return nil, fmt.Errorf("certificate authority: no certificate in %s", caFile)
 	}
 	return &Auth{id: id, tls: &tls.Config{
 		Certificates: []tls.Certificate{cert},
@@ -86,13 +87,13 @@
 		ClientCAs:    pool,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		MinVersion:   tls.VersionTLS13,
-		// Peers are dialled by IP number; their name is checked against the
-		// router's ID in verifyChain and the hello.
+		// Peers are dialed by IP address, so there is no host name to verify.
+		// verifyChain checks the chain, checkCertName the router's ID.
 		InsecureSkipVerify: true,
 	}}, nil
 }
 
-// wrap puts TLS around a connection where certificates are in use.
+// wrap performs the TLS handshake if certificates are configured.
 func (a *Auth) wrap(conn net.Conn, client bool) (net.Conn, error) {
 	if a.tls == nil {
 		return conn, nil
@@ -113,7 +114,7 @@
 	return tc, nil
 }
 
-// verifyChain checks that the peer's certificate was signed by the authority.
+// verifyChain checks that the authority signed the peer's certificate.
 func (a *Auth) verifyChain(tc *tls.Conn) error {
 	certs := tc.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
@@ -138,7 +139,7 @@
 	return h, err
 }
 
-// clientHandshake exchanges hellos with the peer that was dialled and returns its ID.
+// clientHandshake performs the client's handshake and returns the peer's ID.
 func (a *Auth) clientHandshake(conn net.Conn) (string, error) {
 	_ = conn.SetDeadline(netopt.DeadlineIn(handshakeTimeout))
 	defer conn.SetDeadline(time.Time{})
@@ -157,9 +158,9 @@
 	return theirs.Id, a.check(conn, r, true, mine, theirs)
 }
 
-// serverHandshake exchanges hellos with a peer that has dialled. It returns the peer's ID and
-// whether the connection carries requests.
-func (a *Auth) serverHandshake(conn net.Conn) (id string, carries bool, err error) {
+// serverHandshake performs the server's handshake. It returns the peer's ID and whether the
+// connection is for relayed requests.
+func (a *Auth) serverHandshake(conn net.Conn) (id string, relayed bool, err error) {
 	_ = conn.SetDeadline(netopt.DeadlineIn(handshakeTimeout))
 	defer conn.SetDeadline(time.Time{})
 	r := newByteReader(conn)
@@ -182,7 +183,7 @@
 
 func (a *Auth) check(conn net.Conn, r *byteReader, client bool, mine, theirs *wire.Hello) error {
 	if theirs.Protocol != protocolVersion {
-		return ErrHandshake{fmt.Sprintf("protocol %d, not %d", theirs.Protocol, protocolVersion)}
+		return ErrHandshake{fmt.Sprintf("protocol version is %d, want %d", theirs.Protocol, protocolVersion)}
 	}
 	if a.tls != nil {
 		return checkCertName(conn, theirs.Id)
@@ -190,7 +191,7 @@
 	return a.proveKey(conn, r, client, mine, theirs)
 }
 
-// sendRelayHello sends the hello of a connection that carries requests.
+// sendRelayHello sends the only hello of a connection for relayed requests.
 func (a *Auth) sendRelayHello(conn net.Conn) error {
 	h, err := a.hello(relayVersion)
 	if err != nil {
@@ -225,13 +226,13 @@
 		return ErrHandshake{"no certificate"}
 	}
 	if name := tc.ConnectionState().PeerCertificates[0].Subject.CommonName; name != id {
-		return ErrHandshake{fmt.Sprintf("certificate of %q, hello of %q", name, id)}
+		return ErrHandshake{fmt.Sprintf("certificate is for %q, hello from %q", name, id)}
 	}
 	return nil
 }
 
-// proveKey exchanges MACs. The side is part of the MAC, so that none can be
-// sent back to its author.
+// proveKey exchanges and verifies MACs. Each MAC includes the side, which prevents
+// reflection to its author.
 func (a *Auth) proveKey(conn net.Conn, r *byteReader, client bool, mine, theirs *wire.Hello) error {
 	proof := &wire.Hello{Protocol: protocolVersion, Id: a.id, Mac: a.mac(client, mine, theirs)}
 	if err := writeMessage(conn, proof); err != nil {
--- a/modules/peernet/carry.go
+++ b/modules/peernet/carry.go
@@ -9,11 +9,10 @@
 	"time"
 )
 
-// A connection that carries requests of callers is none of yamux: a stream of a session
-// would cost a gateway that passes a thousand requests a second on more than it has, since
-// each piece of an answer is one more goroutine's work and one more copy.
+// Relayed requests use plain connections instead of yamux streams, which would add a
+// goroutine switch and a copy to each piece of an answer.
 
-// RelayOptions say whom to connect to.
+// RelayOptions configures DialRelay.
 type RelayOptions struct {
 	Auth        *Auth
 	Meter       *Meter
@@ -21,8 +20,8 @@
 	DialTimeout time.Duration
 }
 
-// DialRelay connects to a peer that takes requests of callers over. It proves who this
-// process is and waits for nothing.
+// DialRelay opens a connection on which to relay callers' requests to a peer. It
+// authenticates this process and does not wait for a reply.
 func DialRelay(ctx context.Context, o RelayOptions) (net.Conn, error) {
 	conn, err := dialConn(ctx, o.Auth, o.Meter, o.Address, o.DialTimeout)
 	if err != nil {
--- a/modules/peernet/codec.go
+++ b/modules/peernet/codec.go
@@ -10,25 +10,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxMessage is the size of the largest message, in bytes.
+// MaxMessage is the maximum size of a received message, in bytes.
 const MaxMessage = 8 << 20
 
-// writeMessage sends a message and its length in one write.
+// writeMessage writes a length-delimited message in one write.
 func writeMessage(w io.Writer, m proto.Message) error {
 	_, err := protodelim.MarshalTo(singleWriter{w}, m)
 	return err
 }
 
-// singleWriter marks a writer whose writes must not be split; protodelim makes one
-// write per message already.
+// singleWriter marks the need for one write per message, which protodelim provides.
 type singleWriter struct{ io.Writer }
 
 func readMessage(r protodelim.Reader, m proto.Message) error {
 	return protodelim.UnmarshalOptions{MaxSize: MaxMessage}.UnmarshalFrom(r, m)
 }
 
-// byteReader reads single bytes without reading ahead, so that what follows a
-// handshake stays in the connection.
+// byteReader reads without buffering, so that the bytes after a handshake stay in the
+// connection.
 type byteReader struct {
 	io.Reader
 	one [1]byte
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -19,7 +19,7 @@
 	"madderway/modules/wire"
 )
 
-// The first byte of a stream says what it carries.
+// The first byte of a stream is its type.
 const (
 	streamFrames = 'F'
 	streamCall   = 'C'
@@ -30,7 +30,7 @@
 	maxRedialBackoff = 2 * time.Second
 )
 
-// Link sends to one peer. It dials when there is something to send.
+// Link sends frames and calls to one peer. It dials on demand and redials with backoff.
 type Link struct {
 	t           *tomb.Tomb
 	auth        *Auth
@@ -50,20 +50,20 @@
 	lastErr error
 }
 
-// LinkOptions are the parts of a Link.
+// LinkOptions configures a Link.
 type LinkOptions struct {
 	Auth        *Auth
 	Meter       *Meter
-	PeerID      string // PeerID is who must answer, empty for anybody.
+	PeerID      string // required ID of the peer, empty for any
 	Address     string
 	DialTimeout time.Duration
 	QueueSize   int
-	// IdleTimeout is how long a connection that carries nothing stays open, 0 for ever. A
-	// router of a large fleet has something to say to many others now and then.
+	// IdleTimeout closes a connection after this time without a frame; 0 means never. In a
+	// large fleet, a router rarely sends to most of the others.
 	IdleTimeout time.Duration
 }
 
-// NewLink starts the goroutine that sends to a peer; it ends with the tomb.
+// NewLink returns a link whose sending goroutine ends with the tomb.
 func NewLink(t *tomb.Tomb, o LinkOptions) *Link {
 	l := &Link{
 		t: t, auth: o.Auth, meter: o.Meter, peerID: o.PeerID, address: o.Address, dialTimeout: o.DialTimeout, idleTimeout: o.IdleTimeout,
@@ -73,16 +73,16 @@
 	return l
 }
 
-// now returns the time with that in suspension counted.
+// now returns the time including suspension of the machine.
 func now() time.Time { return clock.System{}.Now() }
 
-// Send queues a frame; it is dropped where the ring is full.
+// Send queues a frame. It reports false if the queue is full and the frame is dropped.
 func (l *Link) Send(f *wire.Frame) bool { return l.frames.TryPut(f) }
 
-// State returns the state of the link's ring.
+// State returns the state of the link's queue.
 func (l *Link) State() ring.State { return l.frames.State() }
 
-// SetAddress changes where the peer is dialled next.
+// SetAddress changes the address for the next dial; an empty one is ignored.
 func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Block cuts the link or mends it; tests use it to partition routers.
+// Block blocks or unblocks the link; tests use it to partition routers.
 func (l *Link) Block(blocked bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 
 func (l *Link) run() error {
 	var stream *yamux.Stream
-	var used time.Time // used is when the connection last carried a frame.
+	var used time.Time // time of the last frame on the connection
 	var unused <-chan time.Time
 	for {
 		select {
@@ -134,7 +134,7 @@
 }
 
 // writeFrame writes a frame and returns the stream for the next one. A frame that
-// cannot be written is lost: all of it is state that will be sent again.
+// cannot be written is lost; frames hold only state that is sent again.
 func (l *Link) writeFrame(stream *yamux.Stream, f *wire.Frame) *yamux.Stream {
 	if l.reconnect.newConnection.Load() {
 		stream = nil
@@ -188,7 +188,7 @@
 		return l.session, nil
 	}
 	if l.blocked {
-		return nil, ErrHandshake{"the link is cut"}
+		return nil, ErrHandshake{"link is blocked"}
 	}
 	if now().Before(l.retryAt) {
 		return nil, l.lastErr
@@ -215,7 +215,7 @@
 	return clientSession(conn)
 }
 
-// dialPeer connects to a peer and checks who it is; an empty ID is for anybody.
+// dialPeer connects to a peer and checks its ID; an empty id accepts any.
 func dialPeer(ctx context.Context, auth *Auth, meter *Meter, id, address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := dialConn(ctx, auth, meter, address, timeout)
 	if err != nil {
@@ -223,7 +223,7 @@
 	}
 	peer, err := auth.clientHandshake(conn)
 	if err == nil && id != "" && peer != id {
-		err = ErrHandshake{"dialled " + id + ", met " + peer}
+		err = ErrHandshake{"dialed peer " + id + ", got " + peer}
 	}
 	if err != nil {
 		_ = conn.Close()
@@ -256,7 +256,7 @@
 
 func (l *Link) close() { l.closeSession() }
 
-// Call sends a request on a stream of its own and waits for the reply.
+// Call sends a request on a new stream and waits for the reply, for callTimeout at most.
 func (l *Link) Call(ctx context.Context, call *wire.Call) (*wire.Reply, error) {
 	stream, err := l.open(streamCall)
 	if err != nil {
--- a/modules/peernet/meter.go
+++ b/modules/peernet/meter.go
@@ -8,17 +8,17 @@
 	"sync/atomic"
 )
 
-// PacketOverhead is what IP and TCP headers add to a packet, in bytes.
+// PacketOverhead is the size of a packet's IP and TCP headers, in bytes.
 const PacketOverhead = 52
 
-// Meter counts the traffic between routers at the socket.
+// Meter counts the traffic between routers at the sockets.
 type Meter struct {
-	Sent     atomic.Uint64 // Sent counts bytes.
-	Received atomic.Uint64 // Received counts bytes.
-	Writes   atomic.Uint64 // Writes counts writes; each is about one packet.
+	Sent     atomic.Uint64 // bytes
+	Received atomic.Uint64 // bytes
+	Writes   atomic.Uint64 // write calls, each about one packet
 }
 
-// Bytes returns the bytes sent with the headers of their packets.
+// Bytes returns the bytes sent, including an estimate of the packet headers.
 func (m *Meter) Bytes() uint64 {
 	return m.Sent.Load() + PacketOverhead*m.Writes.Load()
 }
--- a/modules/peernet/peernet_test.go
+++ b/modules/peernet/peernet_test.go
@@ -33,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-// recorder hands over what it gets.
+// recorder is a Handler that sends the received frames to a channel.
 type recorder struct{ frames chan string }
 
 func (r *recorder) HandleFrame(peer string, f *wire.Frame) {
@@ -84,21 +84,20 @@
 		t.Fatalf("%v, %v", reply, err)
 	}
 	if meter.Sent.Load() == 0 || meter.Bytes() <= meter.Sent.Load() {
-		t.Fatal("the traffic is not counted")
+		t.Fatal("meter did not count the traffic")
 	}
 	link.Block(true)
 	if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
-		t.Fatal("a cut link carried a call")
+		t.Fatal("call on a blocked link succeeded")
 	}
 	link.Block(false)
 	link.Send(frame("c"))
 	if got := <-r.frames; got != "client/c" {
-		t.Fatalf("after mending: %s", got)
+		t.Fatalf("after unblocking: got %s, want client/c", got)
 	}
 }
 
-// A connection that carries nothing is closed after a while, and the next frame opens
-// another one.
+// An idle connection is closed, and the next frame opens another.
 func TestLinkClosesIdleConnection(t *testing.T) {
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := NewLink(tb, LinkOptions{
@@ -108,7 +107,7 @@
 	for _, name := range []string{"a", "b"} {
 		link.Send(frame(name))
 		if got := <-r.frames; got != "client/"+name {
-			t.Fatalf("got %s", got)
+			t.Fatalf("got %s, want client/%s", got, name)
 		}
 		for s.connections() > 0 {
 			runtime.Gosched()
@@ -120,15 +119,15 @@
 	_, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := linkTo(tb, s, NewSharedKey("client", "another key here"), &Meter{})
 	if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
-		t.Fatal("a call went through without the key")
+		t.Fatal("call with a wrong key succeeded")
 	}
 	wrongName := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "somebody", Address: s.listener.Addr().String(), DialTimeout: time.Second, QueueSize: 1})
 	if _, err := wrongName.Call(context.Background(), &wire.Call{}); !IsErrHandshake(err) {
-		t.Fatalf("dialled one router and met another: %v", err)
+		t.Fatalf("peer with another ID: got %v, want an ErrHandshake", err)
 	}
 }
 
-// authority writes certificates for tests.
+// authority issues certificates for tests.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -181,7 +180,7 @@
 
 func (a *authority) path(name string) string { return filepath.Join(a.dir, name) }
 
-// auth returns the Auth of a router with a certificate in a name.
+// auth returns the Auth of router id with a certificate for name.
 func (a *authority) auth(id, name, ca string) *Auth {
 	a.t.Helper()
 	a.make(name, a.cert, a.key)
@@ -198,16 +197,16 @@
 	_, s, tb := serve(t, ca.auth("server", "server", root))
 	call := &wire.Call{Body: &wire.Call_ChunkFetch{ChunkFetch: &wire.ChunkFetch{Hash: "h"}}}
 	if _, err := linkTo(tb, s, ca.auth("client", "client", root), &Meter{}).Call(context.Background(), call); err != nil {
-		t.Fatalf("a router with a certificate: %v", err)
+		t.Fatalf("valid certificate: %v", err)
 	}
 	if _, err := linkTo(tb, s, ca.auth("mallory", "client", root), &Meter{}).Call(context.Background(), call); err == nil {
-		t.Fatal("a hello in another name than the certificate's was taken")
+		t.Fatal("server accepted a hello with another ID than the certificate's")
 	}
 	other := newAuthority(t)
 	if _, err := linkTo(tb, s, other.auth("client", "client", root), &Meter{}).Call(context.Background(), call); err == nil {
-		t.Fatal("a certificate of another authority was taken")
+		t.Fatal("server accepted a certificate of another authority")
 	}
 	if _, err := linkTo(tb, s, NewSharedKey("client", "the shared key"), &Meter{}).Call(context.Background(), call); err == nil {
-		t.Fatal("a peer without TLS was taken")
+		t.Fatal("server accepted a peer without TLS")
 	}
 }
--- a/modules/peernet/renew.go
+++ b/modules/peernet/renew.go
@@ -9,22 +9,20 @@
 	"sync/atomic"
 )
 
-// A link waits longer and longer between attempts to reach a peer that does not
-// answer, and an open connection to a machine without power looks sound for some
-// seconds. What is heard from the peer itself ends both at once. The signals are
-// set by other goroutines while the link's own one may hang in an attempt.
-
-// reconnectState holds what the link has been told since its last attempt.
+// reconnectState holds the signals to a link that its peer has restarted or is alive again. They
+// cut short the redial backoff, and the use of a connection to a machine that lost power,
+// which looks sound for some seconds. Other goroutines set them while the link's own may be
+// blocked in a dial.
 type reconnectState struct {
-	newConnection atomic.Bool // session tells that the open connection is to a former life.
-	resetBackoff  atomic.Bool // backoff tells that the peer can be reached again.
-	failing       atomic.Bool // failing tells that the last attempt failed.
+	newConnection atomic.Bool // the peer has restarted; drop the open connection
+	resetBackoff  atomic.Bool // the peer is reachable again; dial at once
+	failing       atomic.Bool // the last dial failed
 
 	mu     sync.Mutex
-	cancel context.CancelFunc // cancel ends the attempt that is under way, nil where none is.
+	cancel context.CancelFunc // cancels the current dial, nil if none
 }
 
-// beginAttempt returns the context of an attempt, and what to call at its end.
+// beginAttempt returns the context of a dial, and a function to call at its end.
 func (r *reconnectState) beginAttempt() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.mu.Lock()
@@ -46,16 +44,16 @@
 	}
 }
 
-// Reconnect tells that the peer has begun a new life: the next frame takes a new
-// connection. It does not wait.
+// Reconnect makes the next frame use a new connection, since the peer has restarted. It
+// cancels a dial in progress and does not block.
 func (l *Link) Reconnect() {
 	l.reconnect.newConnection.Store(true)
 	l.reconnect.resetBackoff.Store(true)
 	l.reconnect.stopAttempt()
 }
 
-// ResetBackoff tells that the peer has been heard from: where attempts to reach it
-// failed, the next frame tries at once. It does not wait.
+// ResetBackoff makes the next frame dial at once if the last dial failed. Call it when
+// the peer has been heard from. It does not block.
 func (l *Link) ResetBackoff() {
 	if l.reconnect.failing.Load() {
 		l.reconnect.resetBackoff.Store(true)
--- a/modules/peernet/renew_test.go
+++ b/modules/peernet/renew_test.go
@@ -14,8 +14,8 @@
 	"madderway/modules/wire"
 )
 
-// silentListener takes connections and says nothing, as a machine that lost power
-// after it had accepted.
+// silentListener accepts connections and sends nothing, like a machine that lost power
+// after accepting.
 func silentListener(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,36 +36,34 @@
 	return l.Addr().String(), accepted
 }
 
-// A peer that was away for long is reached at once when it has been heard from,
-// not when the pause between two attempts is over.
+// Guards against waiting out the backoff for a peer that is known to be back.
 func TestResetBackoffRedialsAtOnce(t *testing.T) {
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := linkTo(tb, s, NewSharedKey("client", "the shared key"), &Meter{})
 	address := link.address
-	link.address = "127.0.0.1:1" // nobody listens there
+	link.address = "127.0.0.1:1" // a closed port
 	for range 4 {
 		link.mu.Lock()
 		link.retryAt = time.Time{}
 		link.mu.Unlock()
 		if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
-			t.Fatal("reached nobody")
+			t.Fatal("call to a closed port succeeded")
 		}
 	}
 	link.mu.Lock()
 	link.address, link.retryAt = address, time.Now().Add(time.Hour)
 	link.mu.Unlock()
 	if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
-		t.Fatal("the pause was not kept")
+		t.Fatal("call during the backoff succeeded")
 	}
 	link.ResetBackoff()
 	link.Send(frame("a"))
 	if got := <-r.frames; got != "client/a" {
-		t.Errorf("got %s", got)
+		t.Errorf("got %s, want client/a", got)
 	}
 }
 
-// After the peer has begun a new life, frames take a new connection, though the old
-// one looks sound.
+// Guards against frames on an old connection after the peer has restarted.
 func TestReconnectUsesNewConnection(t *testing.T) {
 	old, before, tb := serve(t, NewSharedKey("server", "the shared key"))
 	fresh, after, _ := serve(t, NewSharedKey("server", "the shared key"))
@@ -75,17 +73,16 @@
 	link.SetAddress(after.listener.Addr().String())
 	link.Send(frame("b"))
 	if got := <-old.frames; got != "client/b" {
-		t.Fatalf("got %s on the old connection", got)
+		t.Fatalf("old connection: got %s, want client/b", got)
 	}
 	link.Reconnect()
 	link.Send(frame("c"))
 	if got := <-fresh.frames; got != "client/c" {
-		t.Errorf("got %s on the new connection", got)
+		t.Errorf("new connection: got %s, want client/c", got)
 	}
 }
 
-// A link that hears nothing while it is told of a new life does not make the
-// caller wait.
+// Guards against blocking the caller while the link is in a dial.
 func TestReconnectDoesNotBlock(t *testing.T) {
 	address, accepted := silentListener(t)
 	tb := &tomb.Tomb{}
--- a/modules/peernet/server.go
+++ b/modules/peernet/server.go
@@ -22,46 +22,46 @@
 	callTimeout    = 30 * time.Second
 )
 
-// Handler takes what peers send.
+// Handler handles the messages of peers.
 type Handler interface {
-	// HandleFrame takes a frame. It may block, which slows that peer down.
+	// HandleFrame handles a frame. It may block, which applies backpressure to the peer.
 	HandleFrame(peer string, f *wire.Frame)
-	// HandleCall answers a call.
+	// HandleCall handles a call and returns the reply.
 	HandleCall(peer string, c *wire.Call) *wire.Reply
 }
 
-// RelayHandler takes connections on which a peer carries requests of its callers.
+// RelayHandler handles connections on which peers relay requests of their callers.
 type RelayHandler interface {
-	// HandleRelay serves a connection until it is closed.
+	// HandleRelay serves a connection and returns when it is closed.
 	HandleRelay(peer string, c net.Conn)
 }
 
-// Server accepts connections of peers.
+// Server accepts and serves connections of peers.
 type Server struct {
 	t        *tomb.Tomb
 	log      log.Logger
 	auth     *Auth
 	meter    *Meter
 	handler  Handler
-	relay    RelayHandler // carrier is nil where none are taken.
+	relay    RelayHandler // nil to close such connections
 	listener net.Listener
 	slots    chan struct{}
 
 	mu           sync.Mutex
 	conns        map[net.Conn]string // value: peer ID, "" before the handshake
 	blocked      map[string]bool
-	refusedCount uint64 // Refused counts failed handshakes; read it under State.
+	refusedCount uint64 // failed handshakes
 }
 
-// NewServer starts to accept on the listener; it ends with the tomb.
+// NewServer starts a server on the listener; it ends with the tomb.
 func NewServer(t *tomb.Tomb, logger log.Logger, auth *Auth, meter *Meter, l net.Listener, h Handler) *Server {
 	return NewRelayServer(t, logger, auth, meter, l, h, nil)
 }
 
-// NewRelayServer is NewServer that also takes what peers carry.
-func NewRelayServer(t *tomb.Tomb, logger log.Logger, auth *Auth, meter *Meter, l net.Listener, h Handler, c RelayHandler) *Server {
+// NewRelayServer is NewServer with a handler for relayed requests.
+func NewRelayServer(t *tomb.Tomb, logger log.Logger, auth *Auth, meter *Meter, l net.Listener, h Handler, relay RelayHandler) *Server {
 	s := &Server{
-		t: t, log: logger, auth: auth, meter: meter, handler: h, relay: c, listener: l,
+		t: t, log: logger, auth: auth, meter: meter, handler: h, relay: relay, listener: l,
 		slots: make(chan struct{}, maxConnections), conns: map[net.Conn]string{}, blocked: map[string]bool{},
 	}
 	t.Go(s.accept)
@@ -69,22 +69,21 @@
 	return s
 }
 
-// RefusedCount returns how many handshakes failed.
+// RefusedCount returns the number of failed handshakes.
 func (s *Server) RefusedCount() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refusedCount
 }
 
-// connections returns how many connections are open.
 func (s *Server) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Block refuses and cuts the connections of a peer, or admits them again;
-// tests use it to partition routers.
+// Block closes and rejects the connections of a peer, or accepts them again; tests
+// use it to partition routers.
 func (s *Server) Block(peer string, blocked bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +151,7 @@
 	s.mu.Lock()
 	s.refusedCount++
 	s.mu.Unlock()
-	s.log.Warn("Refused a peer.", "from", conn.RemoteAddr(), "reason", err)
+	s.log.Warn("Peer handshake failed.", "remote_addr", conn.RemoteAddr(), "error", err)
 }
 
 func (s *Server) serve(raw net.Conn) {
@@ -161,13 +160,13 @@
 		s.refuse(raw, err)
 		return
 	}
-	peer, carries, err := s.auth.serverHandshake(conn)
+	peer, relayed, err := s.auth.serverHandshake(conn)
 	if err != nil {
 		s.refuse(raw, err)
 		return
 	}
 	s.track(raw, peer)
-	if carries {
+	if relayed {
 		if s.relay != nil {
 			s.relay.HandleRelay(peer, conn)
 		}
@@ -203,7 +202,7 @@
 			_ = writeMessage(stream, s.handler.HandleCall(peer, call))
 		}
 	default:
-		s.log.Warn("Dropped a stream of unknown kind.", "peer", peer, "kind", kind)
+		s.log.Warn("Dropped stream of unknown type.", "peer", peer, "type", kind)
 	}
 }
 
--- a/modules/peernet/session.go
+++ b/modules/peernet/session.go
@@ -15,23 +15,22 @@
 )
 
 const (
-	// writeTimeout is how long a peer may not read before its connection is given up;
-	// its heartbeats have been missed for twice as long by then.
+	// writeTimeout bounds a blocked write before the connection is closed.
 	writeTimeout = 5 * time.Second
-	// rttInterval is how often yamux measures a round trip after its first one. It
-	// wants the figure for windows that grow; frames here need no more than the first.
+	// rttInterval is the interval of yamux's round-trip measurements, which it uses to grow
+	// windows. Frames are small, so the first measurement suffices.
 	rttInterval = time.Hour
-	// closeTimeout is how long a peer may take to confirm that it has read the last frame
-	// of a connection that is no longer used.
+	// closeTimeout bounds the wait for the peer to read the last frames of an idle
+	// connection.
 	closeTimeout = time.Second
 )
 
-// pastDeadline is a deadline that is over.
+// pastDeadline is a deadline that cancels pending reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
 func yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
-	cfg.EnableKeepAlive = false // the fleet's own heartbeats tell who lives
+	cfg.EnableKeepAlive = false // heartbeats detect dead peers
 	cfg.MeasureRTTInterval = rttInterval
 	cfg.LogOutput = io.Discard
 	cfg.ConnectionWriteTimeout = writeTimeout
@@ -46,22 +45,21 @@
 	return yamux.Server(&asyncCloseConn{Conn: conn}, yamuxConfig(), nil)
 }
 
-// asyncCloseConn is a connection whose Close never waits: yamux closes it before it tells
-// anybody that the session has ended.
+// asyncCloseConn is a connection whose Close never blocks. yamux closes the connection
+// before it signals the end of the session.
 type asyncCloseConn struct {
 	net.Conn
 	once sync.Once
 }
 
-// Close implements net.Conn. Its error tells nothing that anybody could act on.
+// Close implements net.Conn. It closes in the background and returns no error.
 func (c *asyncCloseConn) Close() error {
 	c.once.Do(func() { go func() { _ = c.Conn.Close() }() })
 	return nil
 }
 
-// closeAfterRead ends the stream on which frames were sent once the peer has read them
-// all: yamux's writes return before anything is sent, and the end of a session drops
-// what waits.
+// closeAfterRead closes a stream of frames and waits until the peer has read them all.
+// yamux buffers writes and drops the buffer at the end of the session.
 func closeAfterRead(stream *yamux.Stream) {
 	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.DeadlineIn(closeTimeout)) != nil {
 		return
@@ -69,10 +67,9 @@
 	_, _ = io.Copy(io.Discard, stream)
 }
 
-// serveSession passes the streams of a session on until it ends, and then ends all
-// reads that still wait. The library ends them once the connection is closed and its
-// own goroutines are done; a reader must not depend on that. With another library, whose
-// readers looked again and again until then, a process with one core read for ever.
+// serveSession serves the streams of a session until it ends, and then aborts all pending
+// reads. yamux does so only after the connection is closed and its goroutines have ended,
+// which may take long.
 func serveSession(session *yamux.Session, spawn func(func()), serve func(net.Conn)) {
 	open := streamSet{streams: map[*yamux.Stream]bool{}}
 	for {
--- a/modules/peernet/session_test.go
+++ b/modules/peernet/session_test.go
@@ -18,8 +18,8 @@
 	"madderway/modules/wire"
 )
 
-// blockingConn is a connection whose reads, or whose close, are held up until the test lets
-// them go: what a close needs to become done may take long.
+// blockingConn is a connection whose failed reads, or whose Close, block until the test
+// closes release.
 type blockingConn struct {
 	net.Conn
 	holdRead, holdClose bool
@@ -42,7 +42,7 @@
 	return err
 }
 
-// sessions returns two ends of a session; the server's connection is held up.
+// sessions returns both ends of a session; the server's connection blocks.
 func sessions(t *testing.T, held *blockingConn) (client, server *yamux.Session) {
 	t.Helper()
 	near, far := net.Pipe()
@@ -58,8 +58,7 @@
 	return client, server
 }
 
-// A read of a peer's stream ends with its session, whatever holds up the library: the
-// close of the connection, its receive loop, a stream that is opened just then.
+// Guards against reads that hang after the session has ended, even if yamux blocks.
 func TestReadsEndWithSession(t *testing.T) {
 	type end func(client, server *yamux.Session)
 	endings := map[string]end{
@@ -69,7 +68,7 @@
 	for _, held := range []blockingConn{{}, {holdRead: true}, {holdClose: true}, {holdRead: true, holdClose: true}} {
 		for name, ending := range endings {
 			if name == "closed there" && held.holdRead {
-				continue // nothing tells this side of the end before the read is let go
+				continue // this side learns of the end only when the read returns
 			}
 			t.Run(fmt.Sprintf("%s, read held %v, close held %v", name, held.holdRead, held.holdClose), func(t *testing.T) {
 				held := held
@@ -100,7 +99,7 @@
 					select {
 					case <-ended:
 					case <-time.After(10 * time.Second):
-						t.Error("a read goes on after its session has ended")
+						t.Error("read did not end with its session")
 					}
 				}
 				close(held.release)
@@ -110,13 +109,13 @@
 	}
 }
 
-// discarder takes all frames.
+// discarder is a Handler that ignores all frames.
 type discarder struct{}
 
 func (discarder) HandleFrame(string, *wire.Frame)           {}
 func (discarder) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{Ok: true} }
 
-// Sessions that are cut at random while they carry frames leave no goroutine behind.
+// Guards against goroutine leaks when sessions are closed at random.
 func TestCutSessionsLeakNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -145,7 +144,7 @@
 	_ = tb.Wait()
 	for end := time.Now().Add(10 * time.Second); runtime.NumGoroutine() > before; {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("got %d goroutines, %d before", runtime.NumGoroutine(), before)
 		}
 		runtime.Gosched()
 	}
