--- a/modules/setting/answer.go
+++ b/modules/setting/answer.go
@@ -7,11 +7,12 @@
 
 const minResumeKey = 16
 
-// Answer says how answers outlive a connection.
+// Answer configures the recording of answers, which lets a caller resume after its
+// connection broke.
 type Answer struct {
-	ResumeKey string   `toml:"resume_key"` // signs resume tokens; the same at all routers
-	Kept      Duration `toml:"kept"`       // how long an answer is kept in the object store
-	MaxBytes  int64    `toml:"max_bytes"`  // the largest answer that is kept
+	ResumeKey string   `toml:"resume_key"` // signs resume tokens; must be the same on all routers
+	Kept      Duration `toml:"kept"`       // retention of answers in the object store
+	MaxBytes  int64    `toml:"max_bytes"`  // larger answers are not recorded
 }
 
 func defaultAnswer() Answer {
--- a/modules/setting/caller.go
+++ b/modules/setting/caller.go
@@ -5,14 +5,14 @@
 
 import "time"
 
-// Caller holds the listener for callers and its limits.
+// Caller configures the listener for callers and its limits.
 type Caller struct {
 	Listen         string   `toml:"listen"`
 	MaxHeaderBytes int      `toml:"max_header_bytes"`
 	MaxBodyBytes   int64    `toml:"max_body_bytes"`
 	ReadTimeout    Duration `toml:"read_timeout"`  // for header and body
-	IdleTimeout    Duration `toml:"idle_timeout"`  // between two requests of a connection
-	DrainTimeout   Duration `toml:"drain_timeout"` // how long a planned stop waits for what is in flight
+	IdleTimeout    Duration `toml:"idle_timeout"`  // between requests on a connection
+	DrainTimeout   Duration `toml:"drain_timeout"` // maximum wait for in-flight requests on shutdown
 }
 
 func defaultCaller() Caller {
--- a/modules/setting/control.go
+++ b/modules/setting/control.go
@@ -14,18 +14,18 @@
 	DispatchNaive = "naive"
 )
 
-// Control holds what routers spend on acting together.
+// Control configures the coordination between routers.
 type Control struct {
-	Dispatch      string   `toml:"dispatch"`       // fleet, or naive for comparison
-	TallyInterval Duration `toml:"tally_interval"` // least age of the service counters
-	TallyBudget   float64  `toml:"tally_budget"`   // bytes a second for service counters
+	Dispatch      string   `toml:"dispatch"`       // DispatchFleet, or DispatchNaive as a baseline without coordination
+	TallyInterval Duration `toml:"tally_interval"` // minimum interval between exchanges of the service counters
+	TallyBudget   float64  `toml:"tally_budget"`   // bytes per second for the service counters
 	Heartbeat     Duration `toml:"heartbeat"`
 	SuspectAfter  Duration `toml:"suspect_after"`
 	DeadAfter     Duration `toml:"dead_after"`
-	ReserveShare  float64  `toml:"reserve_share"` // share of slots kept from long work while short work arrives
-	RetryRatio    float64  `toml:"retry_ratio"`   // retries for each first attempt
-	RetryBurst    float64  `toml:"retry_burst"`   // retries at once
-	TraceSize     int      `toml:"trace_size"`    // requests that explain remembers
+	ReserveShare  float64  `toml:"reserve_share"` // fraction of slots reserved for short requests while some arrive
+	RetryRatio    float64  `toml:"retry_ratio"`   // retries per first attempt
+	RetryBurst    float64  `toml:"retry_burst"`   // burst of the retry budget
+	TraceSize     int      `toml:"trace_size"`    // requests kept for the explain command
 }
 
 func defaultControl() Control {
--- a/modules/setting/gateway.go
+++ b/modules/setting/gateway.go
@@ -12,32 +12,32 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Gateway holds the settings of a gateway process: a router that serves in
-// front of targets which the platform's store lists. Its file has this one
-// section; an unknown key is passed over, since the platform may add fields.
+// Gateway configures a gateway process: a router in front of the targets that the
+// platform's store lists. The platform writes the file, which has only this section.
+// Unknown keys are ignored, since the platform may add some.
 type Gateway struct {
 	ID          string   `toml:"id"`
 	DataHall    string   `toml:"data_hall"`
 	Region      string   `toml:"region"`
-	Callers     string   `toml:"callers"`   // address for callers
-	Readiness   string   `toml:"readiness"` // address where the balancer asks
-	Peers       string   `toml:"peers"`     // address for other gateways
-	Seeds       []string `toml:"seeds"`     // addresses of some other gateways, perhaps stale
-	PeerKey     string   `toml:"peer_key"`  // shared by all gateways of the private network
-	Metrics     string   `toml:"metrics"`   // address for metrics and dumps, empty for none
-	Store       string   `toml:"store"`     // address of the platform's store
-	StoreCall   Duration `toml:"store_call"`
-	Grace       Duration `toml:"grace"`        // from the order to stop until the process is killed
-	FirstStart  bool     `toml:"first_start"`  // the whole fleet starts for the first time; nobody is registered yet
-	Linger      Duration `toml:"linger"`       // how long a stopping gateway still takes requests
-	RetryWindow Duration `toml:"retry_window"` // span of the fleet's retry budget
-	RetryRatio  float64  `toml:"retry_ratio"`  // repeats for each first send
-	RetryExtra  float64  `toml:"retry_extra"`  // repeats beyond, of the whole fleet
-	FairWindow  Duration `toml:"fair_window"`  // span over which client accounts are compared
+	Callers     string   `toml:"callers"`      // listen address for callers
+	Readiness   string   `toml:"readiness"`    // listen address for the load balancer's health checks
+	Peers       string   `toml:"peers"`        // listen address for other gateways
+	Seeds       []string `toml:"seeds"`        // addresses of some other gateways, possibly stale
+	PeerKey     string   `toml:"peer_key"`     // shared key of all gateways
+	Metrics     string   `toml:"metrics"`      // listen address for metrics and state dumps, empty to disable
+	Store       string   `toml:"store"`        // address of the platform's store
+	StoreCall   Duration `toml:"store_call"`   // timeout of a call to the store
+	Grace       Duration `toml:"grace"`        // from SIGTERM until the platform kills the process
+	FirstStart  bool     `toml:"first_start"`  // first start of the whole fleet; no gateway is registered yet
+	Linger      Duration `toml:"linger"`       // time for which a stopping gateway still accepts requests
+	RetryWindow Duration `toml:"retry_window"` // time window of the fleet's retry budget
+	RetryRatio  float64  `toml:"retry_ratio"`  // retries per first attempt
+	RetryExtra  float64  `toml:"retry_extra"`  // retries of the whole fleet per window beyond the ratio
+	FairWindow  Duration `toml:"fair_window"`  // time window of fair sharing between client accounts
 	MemoryMB    int64    `toml:"memory_mb"`
 	Descriptors int      `toml:"descriptors"`
-	Processor   float64  `toml:"processor"` // share of a core that the machine has
-	LinkMbps    float64  `toml:"link_mbps"` // what the machine's link carries each way, 0 where that is not known
+	Processor   float64  `toml:"processor"` // CPU cores of the machine
+	LinkMbps    float64  `toml:"link_mbps"` // network bandwidth in each direction, 0 if unknown
 	Verbosity   int      `toml:"verbosity"`
 }
 
@@ -45,7 +45,7 @@
 	Gateway Gateway `toml:"gateway"`
 }
 
-// DefaultGateway returns the settings where the file is silent.
+// DefaultGateway returns the defaults of a gateway's settings.
 func DefaultGateway() Gateway {
 	return Gateway{
 		StoreCall: Duration{time.Second},
@@ -54,7 +54,8 @@
 	}
 }
 
-// IsGatewayFile tells whether a settings file has the section of a gateway.
+// IsGatewayFile reports whether a settings file has a gateway section. It reports false if the
+// file cannot be read.
 func IsGatewayFile(path string) bool {
 	var sections map[string]any
 	if _, err := toml.DecodeFile(path, &sections); err != nil {
--- a/modules/setting/gateway_test.go
+++ b/modules/setting/gateway_test.go
@@ -30,11 +30,11 @@
 		t.Fatal(err)
 	}
 	if g.Grace.Duration != 8*time.Second || g.RetryExtra != 58 || g.RetryRatio != 0.2 || len(g.Seeds) != 2 {
-		t.Errorf("%+v", g)
+		t.Errorf("ParseGateway: got %+v", g)
 	}
 }
 
-// A wrong value is named with its key, in one line.
+// Guards against errors that do not name the invalid key, or span lines.
 func TestParseGatewayErrorNamesKey(t *testing.T) {
 	for key, replace := range map[string][2]string{
 		"gateway.id":          {`id = "front-1"`, `id = ""`},
@@ -47,7 +47,7 @@
 	} {
 		_, err := ParseGateway(strings.Replace(gatewaySample, replace[0], replace[1], 1))
 		if err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("error for invalid %s: got %v", key, err)
 		}
 	}
 }
@@ -58,13 +58,13 @@
 		t.Fatal(err)
 	}
 	if !IsGatewayFile(path) || IsGatewayFile("../../madderway.example.toml") || IsGatewayFile(path+".none") {
-		t.Error("a gateway's file is not told from others")
+		t.Error("IsGatewayFile: want true for a gateway's file only")
 	}
 	if g, err := LoadGateway(path); err != nil || g.ID != "front-1" {
-		t.Errorf("%+v, %v", g, err)
+		t.Errorf("LoadGateway: got %+v, %v", g, err)
 	}
 	if _, err := LoadGateway(path + ".none"); !IsErrSetting(err) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: got %v, want an ErrSetting", err)
 	}
 }
 
@@ -73,7 +73,7 @@
 	f.Add("[gateway]\nseeds = [\"\"]\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if g, err := ParseGateway(text); err == nil && (g.ID == "" || g.Grace.Duration <= 0) {
-			t.Errorf("%+v was taken", g)
+			t.Errorf("ParseGateway accepted invalid settings: %+v", g)
 		}
 	})
 }
--- a/modules/setting/log.go
+++ b/modules/setting/log.go
@@ -3,7 +3,7 @@
 
 package setting
 
-// Log says how much is written.
+// Log configures the log.
 type Log struct {
 	Verbosity int `toml:"verbosity"` // 0 to 4
 }
--- a/modules/setting/operator.go
+++ b/modules/setting/operator.go
@@ -5,10 +5,10 @@
 
 import "encoding/hex"
 
-// Operator holds the listener for operators.
+// Operator configures the listener for operators.
 type Operator struct {
 	Listen      string   `toml:"listen"`
-	TokenSHA256 []string `toml:"token_sha256"` // hex; any of them is accepted
+	TokenSHA256 []string `toml:"token_sha256"` // hex digests of the accepted tokens
 }
 
 func (o Operator) check() error {
--- a/modules/setting/peer.go
+++ b/modules/setting/peer.go
@@ -7,17 +7,17 @@
 
 const minSharedKey = 16
 
-// Peer holds the listener for other routers and the means of mutual
-// authentication: certificates, or on loopback a shared key.
+// Peer configures the listener for other routers and the mutual authentication by
+// certificates, or by a shared key on loopback.
 type Peer struct {
 	Listen      string   `toml:"listen"`
-	Advertise   string   `toml:"advertise"` // what other routers dial; listen by default
+	Advertise   string   `toml:"advertise"` // address that other routers dial; default Listen
 	SharedKey   string   `toml:"shared_key"`
 	TLSCert     string   `toml:"tls_cert"`
 	TLSKey      string   `toml:"tls_key"`
 	TLSCA       string   `toml:"tls_ca"`
 	DialTimeout Duration `toml:"dial_timeout"`
-	Ring        int      `toml:"ring"` // frames that may wait for one peer
+	Ring        int      `toml:"ring"` // frames queued per peer
 }
 
 func defaultPeer() Peer {
@@ -61,10 +61,10 @@
 		return nil
 	}
 	if len(p.SharedKey) < minSharedKey {
-		return ErrSetting{"peer.shared_key", "without certificates a key of at least 16 characters is needed"}
+		return ErrSetting{"peer.shared_key", "needs at least 16 characters if no certificate is set"}
 	}
 	if !isLoopback(p.Listen) || !isLoopback(p.Address()) {
-		return ErrSetting{"peer.shared_key", "is refused in the open; off loopback set peer.tls_cert, tls_key and tls_ca"}
+		return ErrSetting{"peer.shared_key", "is allowed on loopback only; set peer.tls_cert, peer.tls_key and peer.tls_ca"}
 	}
 	return nil
 }
--- a/modules/setting/platform.go
+++ b/modules/setting/platform.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Platform says where the platform's services are.
+// Platform configures the access to the platform's services.
 type Platform struct {
 	TableURL  string   `toml:"table_url"`
 	ObjectURL string   `toml:"object_url"`
 	VMListURL string   `toml:"vm_list_url"`
-	Timeout   Duration `toml:"timeout"`    // for one call
-	PollHead  Duration `toml:"poll_head"`  // between reads of the configuration's head row
-	PollVMs   Duration `toml:"poll_vms"`   // between reads of the VM list
-	PollLoad  Duration `toml:"poll_load"`  // between load reports of an owned target
-	Isolation Duration `toml:"isolation"`  // without store and peers for so long, nothing is admitted
-	ClaimKept Duration `toml:"claim_kept"` // how long the row of an idempotency key is kept
+	Timeout   Duration `toml:"timeout"`    // of one call
+	PollHead  Duration `toml:"poll_head"`  // interval between reads of the configuration's head row
+	PollVMs   Duration `toml:"poll_vms"`   // interval between reads of the VM list
+	PollLoad  Duration `toml:"poll_load"`  // interval between load reports of an owned target
+	Isolation Duration `toml:"isolation"`  // stop admission after this time without store and peers
+	ClaimKept Duration `toml:"claim_kept"` // retention of an idempotency key's row
 }
 
 func defaultPlatform() Platform {
--- a/modules/setting/router.go
+++ b/modules/setting/router.go
@@ -10,7 +10,7 @@
 
 var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,31}$`)
 
-// Router says who and where this process is.
+// Router identifies this process and its location.
 type Router struct {
 	ID       string `toml:"id"`
 	DataHall string `toml:"data_hall"`
@@ -19,7 +19,7 @@
 
 func (r Router) check() error {
 	if !idPattern.MatchString(r.ID) {
-		return ErrSetting{"router.id", fmt.Sprintf("%q is not made of 1 to 32 lower-case letters, digits and dashes", r.ID)}
+		return ErrSetting{"router.id", fmt.Sprintf("%q must be 1 to 32 lower-case letters, digits and dashes, and not start with a dash", r.ID)}
 	}
 	if r.DataHall == "" {
 		return ErrSetting{"router.data_hall", "is missing"}
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package setting reads and checks the settings file of a router. Each section
-// has a file of its own; madderway.example.toml holds and explains all
-// defaults.
+// Package setting reads and validates the TOML settings file of a router or gateway.
+// Each section has a Go file of its own. madderway.example.toml documents all keys of
+// a router and their defaults.
 package setting
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// ErrBad is the general kind of all errors of this package.
-var ErrBad = errors.New("bad setting")
+// ErrBad is wrapped by all errors of this package.
+var ErrBad = errors.New("invalid setting")
 
-// ErrSetting names the key that is wrong.
+// ErrSetting reports the invalid key and the reason.
 type ErrSetting struct{ Key, Reason string }
 
 // Error implements error.
@@ -36,7 +36,7 @@
 	return errors.As(err, &e)
 }
 
-// Settings are all settings of a router.
+// Settings holds the settings of a router, a field per section of the file.
 type Settings struct {
 	Router   Router   `toml:"router"`
 	Caller   Caller   `toml:"caller"`
@@ -48,7 +48,7 @@
 	Log      Log      `toml:"log"`
 }
 
-// Default returns the settings where the file is silent.
+// Default returns the defaults of a router's settings.
 func Default() *Settings {
 	return &Settings{
 		Caller:   defaultCaller(),
@@ -59,7 +59,7 @@
 	}
 }
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return Parse(string(text))
 }
 
-// Parse reads and checks the text of a file.
+// Parse parses and validates the text of a settings file. It rejects unknown keys.
 func Parse(text string) (*Settings, error) {
 	s := Default()
 	md, err := toml.Decode(text, s)
@@ -98,7 +98,7 @@
 	return ErrSetting{"file", err.Error()}
 }
 
-// Check returns the first setting that is wrong.
+// Check returns an ErrSetting for the first invalid setting.
 func (s *Settings) Check() error {
 	checks := []func() error{
 		s.Router.check, s.Caller.check, s.Operator.check, s.Peer.check,
@@ -114,7 +114,7 @@
 
 func checkAddress(key, address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return ErrSetting{key, fmt.Sprintf("%q is not an IP number and port", address)}
+		return ErrSetting{key, fmt.Sprintf("%q is not an IP address and port", address)}
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// Duration is a time span written like "250ms".
+// Duration is a time.Duration in TOML, written like "250ms".
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// The commented lines of the example hold the defaults.
+// Guards against defaults that differ from the commented lines of the example.
 func TestExampleShowsDefaults(t *testing.T) {
 	text := example(t)
 	want, err := Parse(text)
@@ -45,7 +45,7 @@
 	// Slices keep Settings from being compared directly.
 	want.Operator.TokenSHA256, got.Operator.TokenSHA256 = nil, nil
 	if got.Caller != want.Caller || got.Peer != want.Peer || got.Platform != want.Platform || got.Control != want.Control || got.Answer != want.Answer || got.Log != want.Log {
-		t.Fatalf("the example shows\n%+v\nthe defaults are\n%+v", got, want)
+		t.Fatalf("defaults in the example: got\n%+v\nwant\n%+v", got, want)
 	}
 }
 
@@ -69,7 +69,7 @@
 		}
 		_, err := Parse(text)
 		if !IsErrSetting(err) || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", c.key, err)
+			t.Errorf("error for invalid %s: got %v", c.key, err)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse(text)
 		if err == nil && s.Check() != nil {
-			t.Error("accepted settings that do not check")
+			t.Error("Parse accepted settings that Check rejects")
 		}
 	})
 }
