--- a/modules/clock/system.go
+++ b/modules/clock/system.go
@@ -49,27 +49,27 @@
 	fire  func()
 }
 
-func newSuspension(read func() (clockReading, error), report func(error)) *suspendTracker {
+func newSuspendTracker(read func() (clockReading, error), report func(error)) *suspendTracker {
 	s := &suspendTracker{read: read, report: report, epoch: time.Now(), timers: map[*timer]struct{}{}}
 	s.check()
 	return s
 }
 
 // systemTracker tracks the suspension of this machine for System.
-var systemTracker = newSuspension(readClocks, func(err error) {
-	if report := onError.Load(); report != nil {
+var systemTracker = newSuspendTracker(readClocks, func(err error) {
+	if report := onReadError.Load(); report != nil {
 		(*report)(err)
 	}
 })
 
 var errUnreadable = errors.New("cannot read the clocks that show suspended time")
 
-var onError atomic.Pointer[func(error)]
+var onReadError atomic.Pointer[func(error)]
 
 // OnReadError sets a function to call, once, if the kernel's clocks cannot be read. Suspended time
 // is not counted then.
 func OnReadError(report func(error)) {
-	onError.Store(&report)
+	onReadError.Store(&report)
 	if systemTracker.failed.Load() {
 		systemTracker.report(errUnreadable)
 	}
--- a/modules/clock/system_test.go
+++ b/modules/clock/system_test.go
@@ -21,7 +21,7 @@
 func newFakeMachine(t *testing.T) (*fakeClocks, *suspendTracker) {
 	t.Helper()
 	m := &fakeClocks{r: clockReading{monotonic: time.Hour, boot: 2 * time.Hour}}
-	return m, newSuspension(m.read, func(error) {})
+	return m, newSuspendTracker(m.read, func(error) {})
 }
 
 // suspend advances CLOCK_BOOTTIME only, as a suspension does.
@@ -67,7 +67,7 @@
 // If the clocks cannot be read at first, suspension counts from the first reading.
 func TestSuspensionCountsFromFirstReading(t *testing.T) {
 	m := &fakeClocks{r: clockReading{monotonic: time.Hour, boot: 9 * time.Hour}, err: errors.New("not yet")}
-	s := newSuspension(m.read, func(error) {})
+	s := newSuspendTracker(m.read, func(error) {})
 	m.err = nil
 	s.check()
 	if total := time.Duration(s.total.Load()); total != 0 {
