--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -206,7 +206,7 @@
 }
 
 func (l *Link) dial() (*yamux.Session, error) {
-	ctx, end := l.reconnect.beginAttempt()
+	ctx, end := l.reconnect.beginDial()
 	defer end()
 	conn, err := dialPeer(ctx, l.auth, l.meter, l.peerID, l.address, l.dialTimeout)
 	if err != nil {
--- a/modules/peernet/renew.go
+++ b/modules/peernet/renew.go
@@ -22,8 +22,8 @@
 	cancel context.CancelFunc // cancels the current dial, nil if none
 }
 
-// beginAttempt returns the context of a dial, and a function to call at its end.
-func (r *reconnectState) beginAttempt() (context.Context, func()) {
+// beginDial returns the context of a dial, and a function to call at its end.
+func (r *reconnectState) beginDial() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.mu.Lock()
 	r.cancel = cancel
@@ -36,7 +36,7 @@
 	}
 }
 
-func (r *reconnectState) stopAttempt() {
+func (r *reconnectState) cancelDial() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cancel != nil {
@@ -49,7 +49,7 @@
 func (l *Link) Reconnect() {
 	l.reconnect.newConnection.Store(true)
 	l.reconnect.resetBackoff.Store(true)
-	l.reconnect.stopAttempt()
+	l.reconnect.cancelDial()
 }
 
 // ResetBackoff makes the next frame dial at once if the last dial failed. Call it when
