--- a/modules/log/async.go
+++ b/modules/log/async.go
@@ -73,9 +73,9 @@
 	return len(line), nil
 }
 
-// overBudget reports whether this second's budget for the kind of line is used up, and if so
+// dropIfOverBudget reports whether this second's budget for the kind of line is used up, and if so
 // counts the line as dropped.
-func (w *AsyncWriter) overBudget(kind lineKind) bool {
+func (w *AsyncWriter) dropIfOverBudget(kind lineKind) bool {
 	lines, bytes := int64(w.budget.Lines), int64(w.budget.Bytes)
 	if kind == requestLine {
 		lines, bytes = int64(requestShare*float64(lines)), int64(requestShare*float64(bytes))
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -32,7 +32,7 @@
 // Loggers call it before they format the line, which is most of its cost.
 func overBudget(kind lineKind) bool {
 	w := asyncOutput.Load()
-	return w != nil && w.overBudget(kind)
+	return w != nil && w.dropIfOverBudget(kind)
 }
 
 // Info writes an informational line.
