--- a/modules/clock/system.go
+++ b/modules/clock/system.go
@@ -76,14 +76,14 @@
 }
 
 func readClocks() (clockReading, error) {
-	var steady, boot unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	var monotonic, boot unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return clockReading{}, err
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return clockReading{}, err
 	}
-	return clockReading{time.Duration(steady.Nano()), time.Duration(boot.Nano())}, nil
+	return clockReading{time.Duration(monotonic.Nano()), time.Duration(boot.Nano())}, nil
 }
 
 func (s *suspendTracker) fail(err error) {
--- a/modules/log/async.go
+++ b/modules/log/async.go
@@ -101,16 +101,16 @@
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
 func (w *AsyncWriter) run() error {
-	tell := w.clock.After(dropReportInterval)
+	reportDue := w.clock.After(dropReportInterval)
 	for {
 		select {
 		case <-w.t.Dying():
 			return nil
 		case line := <-w.ring.Out():
 			_, _ = w.out.Write(line)
-		case <-tell:
+		case <-reportDue:
 			w.reportDropped()
-			tell = w.clock.After(dropReportInterval)
+			reportDue = w.clock.After(dropReportInterval)
 		case done := <-w.flush:
 			w.drain()
 			close(done)
--- a/modules/netopt/peek.go
+++ b/modules/netopt/peek.go
@@ -22,8 +22,8 @@
 
 // Peek reports whether a connection has data to read, without consuming it or blocking.
 func Peek(c net.Conn) PeekResult {
-	if counted, ok := c.(interface{ NetConn() net.Conn }); ok {
-		c = counted.NetConn()
+	if wrapper, ok := c.(interface{ NetConn() net.Conn }); ok {
+		c = wrapper.NetConn()
 	}
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -33,20 +33,20 @@
 	if err != nil {
 		return PeekClosed
 	}
-	pending := PeekClosed
+	result := PeekClosed
 	var one [1]byte
 	// Unlike raw.Read, Control does not wait for a concurrent read.
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			pending = PeekEmpty
+			result = PeekEmpty
 		case err == nil && n > 0:
-			pending = PeekData
+			result = PeekData
 		}
 	})
 	if err != nil {
 		return PeekClosed // closed locally
 	}
-	return pending
+	return result
 }
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -19,7 +19,7 @@
 	"madderway/modules/wire"
 )
 
-// The first byte of a stream is its type.
+// The first byte of a stream is its kind.
 const (
 	streamFrames = 'F'
 	streamCall   = 'C'
--- a/modules/peernet/server.go
+++ b/modules/peernet/server.go
@@ -202,7 +202,7 @@
 			_ = writeMessage(stream, s.handler.HandleCall(peer, call))
 		}
 	default:
-		s.log.Warn("Dropped stream of unknown type.", "peer", peer, "type", kind)
+		s.log.Warn("Dropped stream of unknown kind.", "peer", peer, "kind", kind)
 	}
 }
 
