--- a/models/routing/configuration.go
+++ b/models/routing/configuration.go
@@ -3,7 +3,7 @@
 
 // Package routing defines the routing data of a gateway: the routes, services and
 // client accounts of the current configuration, and the list of targets. It holds
-// data and lookups only; callers must not change either once it is shared.
+// data and lookups only.
 package routing
 
 import "time"
@@ -59,9 +59,9 @@
 	HealthPath     string  `json:"health_path"`
 	MaxConnections int     `json:"max_connections"` // per target, over all gateways
 	Engine         *Engine `json:"engine,omitempty"`
-	// ColdStart is the warm-up time of a target after its start.
+	// ColdStart is the time after its start for which a target counts as cold.
 	ColdStart time.Duration `json:"cold_start,omitempty"`
-	// ColdRate limits the requests per second to a target in warm-up; 0 is unlimited.
+	// ColdRate limits the requests per second to a cold target; 0 is unlimited.
 	ColdRate float64 `json:"cold_rate,omitempty"`
 }
 
--- a/models/routing/target.go
+++ b/models/routing/target.go
@@ -24,8 +24,8 @@
 	DataHall string `json:"data_hall"`
 	Slots    int    `json:"slots"`
 	Leaving  bool   `json:"leaving"`
-	// ColdFor is the remaining warm-up time at the time of the read. It is sent between
-	// processes; each process converts it to ColdUntil on its own clock.
+	// ColdFor is the remaining time as a cold target when the entry was read. It is sent
+	// between processes; each process converts it to ColdUntil on its own clock.
 	ColdFor   time.Duration `json:"cold_for,omitempty"`
 	ColdUntil time.Time     `json:"-"`
 	// Evacuated is set while the operator evacuates the target's data hall.
@@ -52,7 +52,7 @@
 // AcceptsWork reports whether the target may get new requests.
 func (t *Target) AcceptsWork() bool { return !t.Leaving && !t.Evacuated }
 
-// Cold reports whether the target is still in warm-up and limited to its service's
+// Cold reports whether the target has started recently, which limits it to its service's
 // ColdRate.
 func (t *Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
--- a/modules/ident/ident.go
+++ b/modules/ident/ident.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package ident generates random identifiers. They are unique without coordination, but
-// do not serve as secrets.
+// Package ident generates random identifiers that are unique without coordination.
 package ident
 
 import (
--- a/modules/setting/gateway.go
+++ b/modules/setting/gateway.go
@@ -36,7 +36,7 @@
 	FairWindow  Duration `toml:"fair_window"`  // time window of fair sharing between client accounts
 	MemoryMB    int64    `toml:"memory_mb"`
 	Descriptors int      `toml:"descriptors"`
-	Processor   float64  `toml:"processor"` // CPU cores of the machine
+	Processor   float64  `toml:"processor"` // CPU cores of the machine, may be a fraction
 	LinkMbps    float64  `toml:"link_mbps"` // network bandwidth in each direction, 0 if unknown
 	Verbosity   int      `toml:"verbosity"`
 }
