--- a/models/result/code_test.go
+++ b/models/result/code_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// The table in the docs and the table in the code are the same.
-func TestDocsHoldTheTable(t *testing.T) {
+// Guards against a code that is added or changed without its documentation.
+func TestDocsMatchCodeTable(t *testing.T) {
 	text, err := os.ReadFile("../../docs/result-codes.md")
 	if err != nil {
 		t.Fatal(err)
@@ -32,13 +32,13 @@
 	}
 }
 
-func TestErrResult(t *testing.T) {
+func TestErrResultKeepsCodeAndCause(t *testing.T) {
 	cause := errors.New("cause")
 	err := fmt.Errorf("outer: %w", Wrap(QueueFull, cause))
-	if !IsErrResult(err) || !errors.Is(err, cause) || Of(err).Code != QueueFull || Of(err).Execution() != RanNo {
-		t.Errorf("%v", err)
+	if !IsErrResult(err) || !errors.Is(err, cause) || Convert(err).Code != QueueFull || Convert(err).Execution() != RanNo {
+		t.Errorf("wrapped ErrResult lost its code or cause: %v", err)
 	}
-	if Of(cause).Code != Internal {
-		t.Errorf("%v", Of(cause))
+	if Convert(cause).Code != Internal {
+		t.Errorf("plain error: got %v, want Internal", Convert(cause))
 	}
 }
--- a/modules/httphead/httphead.go
+++ b/modules/httphead/httphead.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package httphead looks at the head of an HTTP/1.1 request in the bytes as they came,
-// without the cost of an HTTP server's parse. It knows plain heads only, those that can be
-// understood in one way; all others are for the server.
+// Package httphead parses the head of an HTTP/1.1 request at less cost than
+// net/http. It accepts plain heads only, those with a single interpretation; leave
+// the others to net/http.
 package httphead
 
 import (
@@ -11,8 +11,8 @@
 	"strconv"
 )
 
-// maxNames is how many fields Get looks for at once.
-const maxNames = 8
+// maxGetNames is the maximum number of names in a call of Get.
+const maxGetNames = 8
 
 var (
 	lineEnd = []byte("\r\n")
@@ -20,29 +20,29 @@
 	version = []byte(" HTTP/1.1")
 )
 
-// Head is a plain head. Its bytes are those that were parsed.
+// Head is a parsed head. Its slices share memory with the parsed bytes.
 type Head struct {
-	Path   []byte // Path is the target of the request without its query.
-	Host   []byte
-	Length int   // Length is that of the head, the blank line included.
-	Body   int64 // Body is the length of the body.
-	lines  []byte
+	Path          []byte // request target without the query, never percent-encoded
+	Host          []byte
+	Length        int   // bytes of the head, including the blank line
+	ContentLength int64 // 0 without the field
+	fields        []byte
 }
 
-// Parse reads the head at the beginning of b. It reports false where the head is not whole
-// or not plain.
+// Parse parses the head at the start of b. It reports false if the head is incomplete or
+// not plain.
 func Parse(b []byte) (Head, bool) {
 	end := bytes.Index(b, headEnd)
 	first := bytes.Index(b, lineEnd)
 	if end < 0 || first == end {
 		return Head{}, false
 	}
-	h := Head{Length: end + len(headEnd), lines: b[first+len(lineEnd) : end+len(lineEnd)]}
-	return h, h.parseFirst(b[:first]) && h.parseLines()
+	h := Head{Length: end + len(headEnd), fields: b[first+len(lineEnd) : end+len(lineEnd)]}
+	return h, h.parseRequestLine(b[:first]) && h.parseFields()
 }
 
-// parseFirst reads the method and the target.
-func (h *Head) parseFirst(line []byte) bool {
+// parseRequestLine parses the method, target and version.
+func (h *Head) parseRequestLine(line []byte) bool {
 	rest, ok := bytes.CutSuffix(line, version)
 	if !ok {
 		return false
@@ -65,40 +65,41 @@
 	return true
 }
 
-// parseLines checks all fields, and reads those that say where the request ends.
-func (h *Head) parseLines() bool {
+// parseFields validates the header fields and reads Host and those that determine the
+// body's length.
+func (h *Head) parseFields() bool {
 	hosts, lengths := 0, 0
-	for rest := h.lines; len(rest) > 0; {
+	for rest := h.fields; len(rest) > 0; {
 		line, after, _ := bytes.Cut(rest, lineEnd)
 		rest = after
-		name, value, ok := field(line)
+		name, value, ok := splitField(line)
 		if !ok {
 			return false
 		}
 		switch {
-		case is(name, "Host"):
+		case equalFold(name, "Host"):
 			hosts++
 			h.Host = value
-		case is(name, "Content-Length"):
+		case equalFold(name, "Content-Length"):
 			lengths++
 			n, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil {
 				return false
 			}
-			h.Body = int64(n)
-		case is(name, "Connection"):
-			if !is(value, "keep-alive") {
+			h.ContentLength = int64(n)
+		case equalFold(name, "Connection"):
+			if !equalFold(value, "keep-alive") {
 				return false
 			}
-		case is(name, "Transfer-Encoding"), is(name, "Expect"), is(name, "Upgrade"), is(name, "Trailer"), is(name, "Te"):
+		case equalFold(name, "Transfer-Encoding"), equalFold(name, "Expect"), equalFold(name, "Upgrade"), equalFold(name, "Trailer"), equalFold(name, "Te"):
 			return false
 		}
 	}
 	return hosts == 1 && lengths <= 1
 }
 
-// field divides a line into the name and the value of a field.
-func field(line []byte) (name, value []byte, ok bool) {
+// splitField splits a header line into name and value, and validates both.
+func splitField(line []byte) (name, value []byte, ok bool) {
 	name, value, ok = bytes.Cut(line, []byte(":"))
 	if !ok || len(name) == 0 {
 		return nil, nil, false
@@ -117,21 +118,21 @@
 	return name, bytes.Trim(value, " \t"), true
 }
 
-// is compares without regard to case; name is the canonical form.
-func is(b []byte, name string) bool {
+// equalFold compares a header's name or value without regard to case.
+func equalFold(b []byte, name string) bool {
 	return len(b) == len(name) && bytes.EqualFold(b, []byte(name))
 }
 
-// Get returns the values of some fields, empty where one is not there. It reports false
-// where one of them is there more than once.
+// Get sets values to those of the named fields, empty if absent. It reports false if one
+// of them occurs more than once. There may be at most maxGetNames names.
 func (h *Head) Get(values []string, names ...string) bool {
-	var found [maxNames]bool
-	for rest := h.lines; len(rest) > 0; {
+	var found [maxGetNames]bool
+	for rest := h.fields; len(rest) > 0; {
 		line, after, _ := bytes.Cut(rest, lineEnd)
 		rest = after
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		for i, wanted := range names {
-			if !is(name, wanted) {
+			if !equalFold(name, wanted) {
 				continue
 			}
 			if found[i] {
--- a/modules/log/async.go
+++ b/modules/log/async.go
@@ -15,38 +15,35 @@
 	"madderway/modules/ring"
 )
 
-// Budget bounds what is written to the log.
+// Budget limits the log's output and its buffer.
 type Budget struct {
-	Lines int // a second, and at once
-	Bytes int // a second, and at once
-	Ring  int // lines that may wait for the output
+	Lines     int // per second, also the burst
+	Bytes     int // per second, also the burst
+	QueueSize int // lines buffered for the output
 }
 
-// DefaultBudget keeps a log readable and its cost small.
-func DefaultBudget() Budget { return Budget{Lines: 200, Bytes: 64 << 10, Ring: 1024} }
+// DefaultBudget returns the budget of a router process.
+func DefaultBudget() Budget { return Budget{Lines: 200, Bytes: 64 << 10, QueueSize: 1024} }
 
-// requestShare is the part of the budget that lines about single requests may take, so
-// that a flood of requests does not leave out what tells of the flood.
+// requestShare is the fraction of the budget open to lines about single requests, so
+// that a flood of requests cannot crowd out the warnings about it.
 const requestShare = 0.75
 
-// lineKind is what a line is about.
 type lineKind int
 
 const (
-	general lineKind = iota
-	aboutRequest
+	generalLine lineKind = iota
+	requestLine
 )
 
-// flushEvery is how often lines that were left out are told, and flushTime how
-// long the end of the program waits for the output.
 const (
-	flushEvery = time.Second
-	flushTime  = 200 * time.Millisecond
+	dropReportInterval = time.Second
+	closeTimeout       = 200 * time.Millisecond // for a flush to a stuck output
 )
 
-// AsyncWriter passes lines on to an output that may be slow or stuck: its Write
-// never waits. Lines over the budget, or that find the ring full, are left out
-// and counted; a line says how many.
+// AsyncWriter writes lines to an output that may be slow or stuck. Write never
+// blocks: lines over the budget or beyond the full queue are dropped, and a line in
+// the log reports their number.
 type AsyncWriter struct {
 	t      tomb.Tomb
 	out    io.Writer
@@ -55,65 +52,65 @@
 	ring   *ring.Ring[[]byte]
 	flush  chan chan struct{}
 
-	second  atomic.Int64 // second is the one that the counts below belong to.
-	lines   atomic.Int64
-	bytes   atomic.Int64
-	leftOut atomic.Uint64
+	budgetSecond atomic.Int64 // Unix second that lines and bytes count for
+	lines        atomic.Int64
+	bytes        atomic.Int64
+	dropped      atomic.Uint64
 }
 
-// NewAsync starts a writer to out.
+// NewAsync returns a started writer to out; Close stops it.
 func NewAsync(out io.Writer, c clock.Clock, b Budget) *AsyncWriter {
-	w := &AsyncWriter{out: out, clock: c, budget: b, ring: ring.New[[]byte]("log", b.Ring), flush: make(chan chan struct{})}
+	w := &AsyncWriter{out: out, clock: c, budget: b, ring: ring.New[[]byte]("log", b.QueueSize), flush: make(chan chan struct{})}
 	w.t.Go(w.run)
 	return w
 }
 
-// Write implements io.Writer. It takes one line and never fails.
+// Write implements io.Writer for one line. It never fails.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
-	if !w.within(len(line)) || !w.ring.TryPut(append([]byte(nil), line...)) {
-		w.leftOut.Add(1)
+	if !w.takeBudget(len(line)) || !w.ring.TryPut(append([]byte(nil), line...)) {
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// spent tells whether the budget that a kind of line has in this second is spent; the
-// line that asks is counted as left out then.
-func (w *AsyncWriter) spent(kind lineKind) bool {
+// dropIfOverBudget reports whether this second's budget for the kind of line is used up, and if so
+// counts the line as dropped.
+func (w *AsyncWriter) dropIfOverBudget(kind lineKind) bool {
 	lines, bytes := int64(w.budget.Lines), int64(w.budget.Bytes)
-	if kind == aboutRequest {
+	if kind == requestLine {
 		lines, bytes = int64(requestShare*float64(lines)), int64(requestShare*float64(bytes))
 	}
-	if w.second.Load() != w.clock.Now().Unix() || w.lines.Load() < lines && w.bytes.Load() < bytes {
+	if w.budgetSecond.Load() != w.clock.Now().Unix() || w.lines.Load() < lines && w.bytes.Load() < bytes {
 		return false
 	}
-	w.leftOut.Add(1)
+	w.dropped.Add(1)
 	return true
 }
 
-// within takes a line from the budget of this second.
-func (w *AsyncWriter) within(size int) bool {
+// takeBudget charges a line to this second's budget and reports whether it fits.
+func (w *AsyncWriter) takeBudget(size int) bool {
 	now := w.clock.Now().Unix()
-	if w.second.Swap(now) != now {
+	if w.budgetSecond.Swap(now) != now {
 		w.lines.Store(0)
 		w.bytes.Store(0)
 	}
 	return w.lines.Add(1) <= int64(w.budget.Lines) && w.bytes.Add(int64(size)) <= int64(w.budget.Bytes)
 }
 
-// LeftOut returns how many lines were left out and not told yet.
-func (w *AsyncWriter) LeftOut() uint64 { return w.leftOut.Load() }
+// Dropped returns the number of dropped lines that were not reported yet.
+func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
 func (w *AsyncWriter) run() error {
-	tell := w.clock.After(flushEvery)
+	reportDue := w.clock.After(dropReportInterval)
 	for {
 		select {
 		case <-w.t.Dying():
 			return nil
 		case line := <-w.ring.Out():
 			_, _ = w.out.Write(line)
-		case <-tell:
-			w.tellLeftOut()
-			tell = w.clock.After(flushEvery)
+		case <-reportDue:
+			w.reportDropped()
+			reportDue = w.clock.After(dropReportInterval)
 		case done := <-w.flush:
 			w.drain()
 			close(done)
@@ -121,9 +118,9 @@
 	}
 }
 
-func (w *AsyncWriter) tellLeftOut() {
-	if n := w.leftOut.Swap(0); n > 0 {
-		fmt.Fprintf(w.out, "[log] Lines left out. lines=%d\n", n)
+func (w *AsyncWriter) reportDropped() {
+	if n := w.dropped.Swap(0); n > 0 {
+		fmt.Fprintf(w.out, "[log] Log lines dropped. lines=%d\n", n)
 	}
 }
 
@@ -133,22 +130,22 @@
 		case line := <-w.ring.Out():
 			_, _ = w.out.Write(line)
 		default:
-			w.tellLeftOut()
+			w.reportDropped()
 			return
 		}
 	}
 }
 
-// Close writes what waits, unless the output is stuck, and stops the writer.
+// Close stops the writer after writing the queued lines, for closeTimeout at most.
 func (w *AsyncWriter) Close() {
 	done := make(chan struct{})
 	select {
 	case w.flush <- done:
 		select {
 		case <-done:
-		case <-time.After(flushTime):
+		case <-time.After(closeTimeout):
 		}
-	case <-time.After(flushTime):
+	case <-time.After(closeTimeout):
 	}
 	w.t.Kill(nil)
 }
--- a/modules/log/async_test.go
+++ b/modules/log/async_test.go
@@ -12,56 +12,56 @@
 	"madderway/modules/clock"
 )
 
-// gate is an output that takes nothing until it is opened.
-type gate struct {
+// blockingWriter is an output whose writes block until open is closed.
+type blockingWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingWriter) Write(p []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(p)
 }
 
-func (g *gate) String() string {
+func (g *blockingWriter) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
 }
 
-func TestStuckOutputNeverBlocks(t *testing.T) {
-	out := &gate{open: make(chan struct{})}
-	w := NewAsync(out, clock.NewFake(), Budget{Lines: 1000, Bytes: 1 << 20, Ring: 8})
-	for range 100 { // would never end if a line waited for the output
+func TestAsyncWriterNeverBlocksOnStuckOutput(t *testing.T) {
+	out := &blockingWriter{open: make(chan struct{})}
+	w := NewAsync(out, clock.NewFake(), Budget{Lines: 1000, Bytes: 1 << 20, QueueSize: 8})
+	for range 100 { // more than the queue holds
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
-			t.Fatalf("%d, %v", n, err)
+			t.Fatalf("Write: got %d, %v; want 5, nil", n, err)
 		}
 	}
-	if n := w.LeftOut(); n < 90 {
-		t.Errorf("%d lines left out of 100 with room for eight", n)
+	if n := w.Dropped(); n < 90 {
+		t.Errorf("%d of 100 lines dropped with a queue of 8, want at least 90", n)
 	}
 	close(out.open)
 	w.Close()
-	if text := out.String(); !strings.Contains(text, "Lines left out. lines=9") || strings.Count(text, "line\n") < 8 {
+	if text := out.String(); !strings.Contains(text, "Log lines dropped. lines=9") || strings.Count(text, "line\n") < 8 {
 		t.Errorf("the output holds %q", text)
 	}
 }
 
-func TestBudgetOfASecond(t *testing.T) {
-	out := &gate{open: make(chan struct{})}
+func TestAsyncWriterDropsLinesOverBudget(t *testing.T) {
+	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
 	c := clock.NewFake()
-	w := NewAsync(out, c, Budget{Lines: 3, Bytes: 100, Ring: 100})
+	w := NewAsync(out, c, Budget{Lines: 3, Bytes: 100, QueueSize: 100})
 	for range 5 {
 		_, _ = w.Write([]byte("short\n"))
 	}
-	if n := w.LeftOut(); n != 2 {
-		t.Errorf("%d lines left out of five, three are allowed", n)
+	if n := w.Dropped(); n != 2 {
+		t.Errorf("%d of 5 lines dropped with a budget of 3, want 2", n)
 	}
-	c.Advance(2 * flushEvery)
+	c.Advance(2 * dropReportInterval)
 	_, _ = w.Write([]byte(strings.Repeat("x", 101)))
 	_, _ = w.Write([]byte("after\n"))
 	w.Close()
@@ -71,11 +71,11 @@
 	}
 }
 
-// A flood of lines about single requests leaves room for the lines that tell of it.
-func TestFloodOfRequestsLeavesRoomForOtherLines(t *testing.T) {
-	out := &gate{open: make(chan struct{})}
+// Guards against a flood of request lines that hides the warnings about it.
+func TestRequestLinesLeaveBudgetForOthers(t *testing.T) {
+	out := &blockingWriter{open: make(chan struct{})}
 	close(out.open)
-	w := NewAsync(out, clock.NewFake(), Budget{Lines: 100, Bytes: 1 << 20, Ring: 200})
+	w := NewAsync(out, clock.NewFake(), Budget{Lines: 100, Bytes: 1 << 20, QueueSize: 200})
 	Setup(w, 0)
 	defer Setup(io.Discard, 0)
 	l := New("test")
@@ -89,9 +89,9 @@
 	w.Close()
 	text := out.String()
 	if n := strings.Count(text, "View."); n != 20 || !strings.Contains(text, "Overloaded.") {
-		t.Errorf("%d of 20 lines came beside a flood, a warning %v", n, strings.Contains(text, "Overloaded."))
+		t.Errorf("%d of 20 general lines written during a flood, warning written: %v", n, strings.Contains(text, "Overloaded."))
 	}
 	if n := strings.Count(text, "Flood."); n < 50 || n > 75 {
-		t.Errorf("%d lines of the flood, 75 are its part", n)
+		t.Errorf("%d request lines written, want 50 to 75", n)
 	}
 }
--- a/modules/log/limit.go
+++ b/modules/log/limit.go
@@ -8,33 +8,36 @@
 	"time"
 )
 
-// Limit bounds lines of one kind that others decide the number of, such as what a peer sends
-// and cannot be read: they would take the whole log's budget. Counters hold all.
-type Limit struct {
-	every  time.Duration
-	atOnce int
+// RateLimiter limits log lines of one kind that a peer can trigger, such as those about
+// malformed messages, so that they cannot use up the budget of the whole log.
+type RateLimiter struct {
+	interval time.Duration
+	burst    int
 
-	mu     sync.Mutex
-	since  time.Time
-	told   int
-	hidden int
+	mu          sync.Mutex
+	windowStart time.Time
+	written     int
+	suppressed  int
 }
 
-// NewLimit returns a limit of so many lines in a time.
-func NewLimit(every time.Duration, atOnce int) *Limit { return &Limit{every: every, atOnce: atOnce} }
+// NewRateLimiter returns a limiter that allows burst lines per interval.
+func NewRateLimiter(interval time.Duration, burst int) *RateLimiter {
+	return &RateLimiter{interval: interval, burst: burst}
+}
 
-// Allow reports whether a line is written, and how many were not since the last one.
-func (l *Limit) Allow(now time.Time) (allowed bool, hidden int) {
+// Allow reports whether a line may be written now, and how many were suppressed since
+// the last allowed one.
+func (l *RateLimiter) Allow(now time.Time) (allowed bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.since) >= l.every {
-		l.since, l.told = now, 0
+	if now.Sub(l.windowStart) >= l.interval {
+		l.windowStart, l.written = now, 0
 	}
-	if l.told >= l.atOnce {
-		l.hidden++
+	if l.written >= l.burst {
+		l.suppressed++
 		return false, 0
 	}
-	l.told++
-	hidden, l.hidden = l.hidden, 0
-	return true, hidden
+	l.written++
+	suppressed, l.suppressed = l.suppressed, 0
+	return true, suppressed
 }
--- a/modules/netopt/peek.go
+++ b/modules/netopt/peek.go
@@ -9,44 +9,44 @@
 	"syscall"
 )
 
-// Pending is what can be read of a connection now.
-type Pending int
+// PeekResult is the readable state of a connection.
+type PeekResult int
 
-// What can be pending.
+// The values of PeekResult.
 const (
-	Unknown Pending = iota // it is no TCP connection
-	Nothing
-	Bytes
-	End // the other side has closed it, or it was reset
+	PeekUnknown PeekResult = iota // not a TCP connection
+	PeekEmpty
+	PeekData
+	PeekClosed // closed by the peer, reset, or closed locally
 )
 
-// Peek tells what can be read of a connection, and leaves it there. It does not wait.
-func Peek(c net.Conn) Pending {
-	if counted, ok := c.(interface{ NetConn() net.Conn }); ok {
-		c = counted.NetConn()
+// Peek reports whether a connection has data to read, without consuming it or blocking.
+func Peek(c net.Conn) PeekResult {
+	if wrapper, ok := c.(interface{ NetConn() net.Conn }); ok {
+		c = wrapper.NetConn()
 	}
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
-		return Unknown
+		return PeekUnknown
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return End
+		return PeekClosed
 	}
-	pending := End
+	result := PeekClosed
 	var one [1]byte
-	// Control does not wait for a read that is under way, as Read would.
+	// Unlike raw.Read, Control does not wait for a concurrent read.
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			pending = Nothing
+			result = PeekEmpty
 		case err == nil && n > 0:
-			pending = Bytes
+			result = PeekData
 		}
 	})
 	if err != nil {
-		return End // it is closed here
+		return PeekClosed // closed locally
 	}
-	return pending
+	return result
 }
--- a/modules/peernet/carry.go
+++ b/modules/peernet/carry.go
@@ -9,26 +9,25 @@
 	"time"
 )
 
-// A connection that carries requests of callers is none of yamux: a stream of a session
-// would cost a gateway that passes a thousand requests a second on more than it has, since
-// each piece of an answer is one more goroutine's work and one more copy.
+// Relayed requests use plain connections instead of yamux streams, which would add a
+// goroutine switch and a copy to each piece of an answer.
 
-// CarryOptions say whom to connect to.
-type CarryOptions struct {
+// RelayOptions configures DialRelay.
+type RelayOptions struct {
 	Auth        *Auth
 	Meter       *Meter
 	Address     string
 	DialTimeout time.Duration
 }
 
-// DialCarrying connects to a peer that takes requests of callers over. It proves who this
-// process is and waits for nothing.
-func DialCarrying(ctx context.Context, o CarryOptions) (net.Conn, error) {
-	conn, err := dialWrapped(ctx, o.Auth, o.Meter, o.Address, o.DialTimeout)
+// DialRelay opens a connection on which to relay callers' requests to a peer. It
+// authenticates this process and does not wait for a reply.
+func DialRelay(ctx context.Context, o RelayOptions) (net.Conn, error) {
+	conn, err := dialConn(ctx, o.Auth, o.Meter, o.Address, o.DialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if err := o.Auth.sayCarrying(conn); err != nil {
+	if err := o.Auth.sendRelayHello(conn); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -19,27 +19,27 @@
 	"madderway/modules/wire"
 )
 
-// The first byte of a stream says what it carries.
+// The first byte of a stream is its kind.
 const (
 	streamFrames = 'F'
 	streamCall   = 'C'
 )
 
 const (
-	redialFirst = 100 * time.Millisecond
-	redialMax   = 2 * time.Second
+	minRedialBackoff = 100 * time.Millisecond
+	maxRedialBackoff = 2 * time.Second
 )
 
-// Link sends to one peer. It dials when there is something to send.
+// Link sends frames and calls to one peer. It dials on demand and redials with backoff.
 type Link struct {
-	t       *tomb.Tomb
-	auth    *Auth
-	meter   *Meter
-	id      string
-	timeout time.Duration
-	idle    time.Duration
-	frames  *ring.Ring[*wire.Frame]
-	renewal renewal
+	t           *tomb.Tomb
+	auth        *Auth
+	meter       *Meter
+	peerID      string
+	dialTimeout time.Duration
+	idleTimeout time.Duration
+	frames      *ring.Ring[*wire.Frame]
+	reconnect   reconnectState
 
 	mu      sync.Mutex
 	address string
@@ -50,48 +50,48 @@
 	lastErr error
 }
 
-// LinkOptions are the parts of a Link.
+// LinkOptions configures a Link.
 type LinkOptions struct {
 	Auth        *Auth
 	Meter       *Meter
-	PeerID      string // PeerID is who must answer, empty for anybody.
+	PeerID      string // required ID of the peer, empty for any
 	Address     string
 	DialTimeout time.Duration
-	Ring        int
-	// Idle is how long a connection that carries nothing stays open, 0 for ever. A
-	// router of a large fleet has something to say to many others now and then.
-	Idle time.Duration
+	QueueSize   int
+	// IdleTimeout closes a connection after this time without a frame; 0 means never. In a
+	// large fleet, a router rarely sends to most of the others.
+	IdleTimeout time.Duration
 }
 
-// NewLink starts the goroutine that sends to a peer; it ends with the tomb.
+// NewLink returns a link whose sending goroutine ends with the tomb.
 func NewLink(t *tomb.Tomb, o LinkOptions) *Link {
 	l := &Link{
-		t: t, auth: o.Auth, meter: o.Meter, id: o.PeerID, address: o.Address, timeout: o.DialTimeout, idle: o.Idle,
-		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.Ring), backoff: redialFirst,
+		t: t, auth: o.Auth, meter: o.Meter, peerID: o.PeerID, address: o.Address, dialTimeout: o.DialTimeout, idleTimeout: o.IdleTimeout,
+		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.QueueSize), backoff: minRedialBackoff,
 	}
 	t.Go(l.run)
 	return l
 }
 
-// now returns the time with that in suspension counted.
+// now returns the time including suspension of the machine.
 func now() time.Time { return clock.System{}.Now() }
 
-// Send queues a frame; it is dropped where the ring is full.
+// Send queues a frame. It reports false if the queue is full and the frame is dropped.
 func (l *Link) Send(f *wire.Frame) bool { return l.frames.TryPut(f) }
 
-// State returns the state of the link's ring.
+// State returns the state of the link's queue.
 func (l *Link) State() ring.State { return l.frames.State() }
 
-// SetAddress changes where the peer is dialled next.
+// SetAddress changes the address for the next dial; an empty one is ignored.
 func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address != "" && address != l.address {
-		l.address, l.retryAt, l.backoff = address, time.Time{}, redialFirst
+		l.address, l.retryAt, l.backoff = address, time.Time{}, minRedialBackoff
 	}
 }
 
-// Block cuts the link or mends it; tests use it to partition routers.
+// Block blocks or unblocks the link; tests use it to partition routers.
 func (l *Link) Block(blocked bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 
 func (l *Link) run() error {
 	var stream *yamux.Stream
-	var used time.Time // used is when the connection last carried a frame.
+	var used time.Time // time of the last frame on the connection
 	var unused <-chan time.Time
 	for {
 		select {
@@ -113,30 +113,30 @@
 			l.close()
 			return nil
 		case f := <-l.frames.Out():
-			stream = l.deliver(stream, f)
+			stream = l.writeFrame(stream, f)
 			used = now()
-			if unused == nil && l.idle > 0 {
-				unused = time.After(l.idle)
+			if unused == nil && l.idleTimeout > 0 {
+				unused = time.After(l.idleTimeout)
 			}
 		case <-unused:
 			unused = nil
-			if left := l.idle - now().Sub(used); left > 0 {
+			if left := l.idleTimeout - now().Sub(used); left > 0 {
 				unused = time.After(left)
 				continue
 			}
 			if stream != nil {
-				closeAfterLast(stream)
+				closeAfterRead(stream)
 			}
-			l.drop()
+			l.closeSession()
 			stream = nil
 		}
 	}
 }
 
-// deliver writes a frame and returns the stream for the next one. A frame that
-// cannot be written is lost: all of it is state that will be sent again.
-func (l *Link) deliver(stream *yamux.Stream, f *wire.Frame) *yamux.Stream {
-	if l.renewal.session.Load() {
+// writeFrame writes a frame and returns the stream for the next one. A frame that
+// cannot be written is lost; frames hold only state that is sent again.
+func (l *Link) writeFrame(stream *yamux.Stream, f *wire.Frame) *yamux.Stream {
+	if l.reconnect.newConnection.Load() {
 		stream = nil
 	}
 	for range 2 {
@@ -149,7 +149,7 @@
 		if err := writeMessage(stream, f); err == nil {
 			return stream
 		}
-		l.drop()
+		l.closeSession()
 		stream = nil
 	}
 	return nil
@@ -164,11 +164,11 @@
 	defer cancel()
 	stream, err := session.OpenStream(ctx)
 	if err != nil {
-		l.drop()
+		l.closeSession()
 		return nil, err
 	}
 	if _, err := stream.Write([]byte{kind}); err != nil {
-		l.drop()
+		l.closeSession()
 		return nil, err
 	}
 	return stream, nil
@@ -177,53 +177,53 @@
 func (l *Link) connect() (*yamux.Session, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.renewal.session.Swap(false) && l.session != nil {
+	if l.reconnect.newConnection.Swap(false) && l.session != nil {
 		_ = l.session.Close()
 		l.session = nil
 	}
-	if l.renewal.backoff.Swap(false) {
-		l.retryAt, l.backoff = time.Time{}, redialFirst
+	if l.reconnect.resetBackoff.Swap(false) {
+		l.retryAt, l.backoff = time.Time{}, minRedialBackoff
 	}
 	if l.session != nil && !l.session.IsClosed() {
 		return l.session, nil
 	}
 	if l.blocked {
-		return nil, ErrHandshake{"the link is cut"}
+		return nil, ErrHandshake{"link is blocked"}
 	}
 	if now().Before(l.retryAt) {
 		return nil, l.lastErr
 	}
 	session, err := l.dial()
-	l.renewal.failing.Store(err != nil)
+	l.reconnect.failing.Store(err != nil)
 	if err != nil {
 		l.lastErr = err
 		l.retryAt = now().Add(l.backoff)
-		l.backoff = min(2*l.backoff, redialMax)
+		l.backoff = min(2*l.backoff, maxRedialBackoff)
 		return nil, err
 	}
-	l.session, l.backoff, l.retryAt = session, redialFirst, time.Time{}
+	l.session, l.backoff, l.retryAt = session, minRedialBackoff, time.Time{}
 	return session, nil
 }
 
 func (l *Link) dial() (*yamux.Session, error) {
-	ctx, end := l.renewal.begin()
+	ctx, end := l.reconnect.beginDial()
 	defer end()
-	conn, err := dialPeer(ctx, l.auth, l.meter, l.id, l.address, l.timeout)
+	conn, err := dialPeer(ctx, l.auth, l.meter, l.peerID, l.address, l.dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	return clientSession(conn)
 }
 
-// dialPeer connects to a peer and checks who it is; an empty ID is for anybody.
+// dialPeer connects to a peer and checks its ID; an empty id accepts any.
 func dialPeer(ctx context.Context, auth *Auth, meter *Meter, id, address string, timeout time.Duration) (net.Conn, error) {
-	conn, err := dialWrapped(ctx, auth, meter, address, timeout)
+	conn, err := dialConn(ctx, auth, meter, address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	peer, err := auth.dial(conn)
+	peer, err := auth.clientHandshake(conn)
 	if err == nil && id != "" && peer != id {
-		err = ErrHandshake{"dialled " + id + ", met " + peer}
+		err = ErrHandshake{"dialed peer " + id + ", got " + peer}
 	}
 	if err != nil {
 		_ = conn.Close()
@@ -232,7 +232,7 @@
 	return conn, nil
 }
 
-func dialWrapped(ctx context.Context, auth *Auth, meter *Meter, address string, timeout time.Duration) (net.Conn, error) {
+func dialConn(ctx context.Context, auth *Auth, meter *Meter, address string, timeout time.Duration) (net.Conn, error) {
 	raw, err := netopt.Dialer(timeout).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -245,7 +245,7 @@
 	return conn, nil
 }
 
-func (l *Link) drop() {
+func (l *Link) closeSession() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session != nil {
@@ -254,9 +254,9 @@
 	}
 }
 
-func (l *Link) close() { l.drop() }
+func (l *Link) close() { l.closeSession() }
 
-// Call sends a request on a stream of its own and waits for the reply.
+// Call sends a request on a new stream and waits for the reply, for callTimeout at most.
 func (l *Link) Call(ctx context.Context, call *wire.Call) (*wire.Reply, error) {
 	stream, err := l.open(streamCall)
 	if err != nil {
@@ -268,7 +268,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = stream.SetDeadline(deadline)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(past) })
+	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(pastDeadline) })
 	defer stop()
 	if err := writeMessage(stream, call); err != nil {
 		return nil, err
--- a/modules/peernet/renew.go
+++ b/modules/peernet/renew.go
@@ -9,23 +9,21 @@
 	"sync/atomic"
 )
 
-// A link waits longer and longer between attempts to reach a peer that does not
-// answer, and an open connection to a machine without power looks sound for some
-// seconds. What is heard from the peer itself ends both at once. The signals are
-// set by other goroutines while the link's own one may hang in an attempt.
-
-// renewal holds what the link has been told since its last attempt.
-type renewal struct {
-	session atomic.Bool // session tells that the open connection is to a former life.
-	backoff atomic.Bool // backoff tells that the peer can be reached again.
-	failing atomic.Bool // failing tells that the last attempt failed.
+// reconnectState holds the signals to a link that its peer has restarted or is alive again. They
+// cut short the redial backoff, and the use of a connection to a machine that lost power,
+// which looks sound for some seconds. Other goroutines set them while the link's own may be
+// blocked in a dial.
+type reconnectState struct {
+	newConnection atomic.Bool // the peer has restarted; drop the open connection
+	resetBackoff  atomic.Bool // the peer is reachable again; dial at once
+	failing       atomic.Bool // the last dial failed
 
 	mu     sync.Mutex
-	cancel context.CancelFunc // cancel ends the attempt that is under way, nil where none is.
+	cancel context.CancelFunc // cancels the current dial, nil if none
 }
 
-// begin returns the context of an attempt, and what to call at its end.
-func (r *renewal) begin() (context.Context, func()) {
+// beginDial returns the context of a dial, and a function to call at its end.
+func (r *reconnectState) beginDial() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.mu.Lock()
 	r.cancel = cancel
@@ -38,7 +36,7 @@
 	}
 }
 
-func (r *renewal) stopAttempt() {
+func (r *reconnectState) cancelDial() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cancel != nil {
@@ -46,18 +44,18 @@
 	}
 }
 
-// Renew tells that the peer has begun a new life: the next frame takes a new
-// connection. It does not wait.
-func (l *Link) Renew() {
-	l.renewal.session.Store(true)
-	l.renewal.backoff.Store(true)
-	l.renewal.stopAttempt()
+// Reconnect makes the next frame use a new connection, since the peer has restarted. It
+// cancels a dial in progress and does not block.
+func (l *Link) Reconnect() {
+	l.reconnect.newConnection.Store(true)
+	l.reconnect.resetBackoff.Store(true)
+	l.reconnect.cancelDial()
 }
 
-// Reachable tells that the peer has been heard from: where attempts to reach it
-// failed, the next frame tries at once. It does not wait.
-func (l *Link) Reachable() {
-	if l.renewal.failing.Load() {
-		l.renewal.backoff.Store(true)
+// ResetBackoff makes the next frame dial at once if the last dial failed. Call it when
+// the peer has been heard from. It does not block.
+func (l *Link) ResetBackoff() {
+	if l.reconnect.failing.Load() {
+		l.reconnect.resetBackoff.Store(true)
 	}
 }
--- a/modules/peernet/renew_test.go
+++ b/modules/peernet/renew_test.go
@@ -14,8 +14,8 @@
 	"madderway/modules/wire"
 )
 
-// silentListener takes connections and says nothing, as a machine that lost power
-// after it had accepted.
+// silentListener accepts connections and sends nothing, like a machine that lost power
+// after accepting.
 func silentListener(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,37 +36,35 @@
 	return l.Addr().String(), accepted
 }
 
-// A peer that was away for long is reached at once when it has been heard from,
-// not when the pause between two attempts is over.
-func TestHeardPeerIsReachedAtOnce(t *testing.T) {
+// Guards against waiting out the backoff for a peer that is known to be back.
+func TestResetBackoffRedialsAtOnce(t *testing.T) {
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := linkTo(tb, s, NewSharedKey("client", "the shared key"), &Meter{})
 	address := link.address
-	link.address = "127.0.0.1:1" // nobody listens there
+	link.address = "127.0.0.1:1" // a closed port
 	for range 4 {
 		link.mu.Lock()
 		link.retryAt = time.Time{}
 		link.mu.Unlock()
 		if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
-			t.Fatal("reached nobody")
+			t.Fatal("call to a closed port succeeded")
 		}
 	}
 	link.mu.Lock()
 	link.address, link.retryAt = address, time.Now().Add(time.Hour)
 	link.mu.Unlock()
 	if _, err := link.Call(context.Background(), &wire.Call{}); err == nil {
-		t.Fatal("the pause was not kept")
+		t.Fatal("call during the backoff succeeded")
 	}
-	link.Reachable()
+	link.ResetBackoff()
 	link.Send(frame("a"))
 	if got := <-r.frames; got != "client/a" {
-		t.Errorf("got %s", got)
+		t.Errorf("got %s, want client/a", got)
 	}
 }
 
-// After the peer has begun a new life, frames take a new connection, though the old
-// one looks sound.
-func TestNewLifeTakesANewConnection(t *testing.T) {
+// Guards against frames on an old connection after the peer has restarted.
+func TestReconnectUsesNewConnection(t *testing.T) {
 	old, before, tb := serve(t, NewSharedKey("server", "the shared key"))
 	fresh, after, _ := serve(t, NewSharedKey("server", "the shared key"))
 	link := linkTo(tb, before, NewSharedKey("client", "the shared key"), &Meter{})
@@ -75,27 +73,26 @@
 	link.SetAddress(after.listener.Addr().String())
 	link.Send(frame("b"))
 	if got := <-old.frames; got != "client/b" {
-		t.Fatalf("got %s on the old connection", got)
+		t.Fatalf("old connection: got %s, want client/b", got)
 	}
-	link.Renew()
+	link.Reconnect()
 	link.Send(frame("c"))
 	if got := <-fresh.frames; got != "client/c" {
-		t.Errorf("got %s on the new connection", got)
+		t.Errorf("new connection: got %s, want client/c", got)
 	}
 }
 
-// A link that hears nothing while it is told of a new life does not make the
-// caller wait.
-func TestRenewDoesNotWait(t *testing.T) {
+// Guards against blocking the caller while the link is in a dial.
+func TestReconnectDoesNotBlock(t *testing.T) {
 	address, accepted := silentListener(t)
 	tb := &tomb.Tomb{}
-	link := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: address, DialTimeout: time.Second, Ring: 4})
+	link := NewLink(tb, LinkOptions{Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: address, DialTimeout: time.Second, QueueSize: 4})
 	link.Send(frame("a"))
 	conn := <-accepted // the link now waits for the peer's hello
 	done := make(chan struct{})
 	go func() {
-		link.Renew()
-		link.Reachable()
+		link.Reconnect()
+		link.ResetBackoff()
 		close(done)
 	}()
 	<-done
--- a/modules/peernet/session.go
+++ b/modules/peernet/session.go
@@ -15,70 +15,67 @@
 )
 
 const (
-	// writeTimeout is how long a peer may not read before its connection is given up;
-	// its heartbeats have been missed for twice as long by then.
+	// writeTimeout bounds a blocked write before the connection is closed.
 	writeTimeout = 5 * time.Second
-	// measureRTTEvery is how often yamux measures a round trip after its first one. It
-	// wants the figure for windows that grow; frames here need no more than the first.
-	measureRTTEvery = time.Hour
-	// closeTime is how long a peer may take to confirm that it has read the last frame
-	// of a connection that is no longer used.
-	closeTime = time.Second
+	// rttInterval is the interval of yamux's round-trip measurements, which it uses to grow
+	// windows. Frames are small, so the first measurement suffices.
+	rttInterval = time.Hour
+	// closeTimeout bounds the wait for the peer to read the last frames of an idle
+	// connection.
+	closeTimeout = time.Second
 )
 
-// past is a deadline that is over.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that cancels pending reads and writes.
+var pastDeadline = time.Unix(1, 0)
 
 func yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
-	cfg.EnableKeepAlive = false // the fleet's own heartbeats tell who lives
-	cfg.MeasureRTTInterval = measureRTTEvery
+	cfg.EnableKeepAlive = false // heartbeats detect dead peers
+	cfg.MeasureRTTInterval = rttInterval
 	cfg.LogOutput = io.Discard
 	cfg.ConnectionWriteTimeout = writeTimeout
 	return cfg
 }
 
 func clientSession(conn net.Conn) (*yamux.Session, error) {
-	return yamux.Client(&promptConn{Conn: conn}, yamuxConfig(), nil)
+	return yamux.Client(&asyncCloseConn{Conn: conn}, yamuxConfig(), nil)
 }
 
 func serverSession(conn net.Conn) (*yamux.Session, error) {
-	return yamux.Server(&promptConn{Conn: conn}, yamuxConfig(), nil)
+	return yamux.Server(&asyncCloseConn{Conn: conn}, yamuxConfig(), nil)
 }
 
-// promptConn is a connection whose Close never waits: yamux closes it before it tells
-// anybody that the session has ended.
-type promptConn struct {
+// asyncCloseConn is a connection whose Close never blocks. yamux closes the connection
+// before it signals the end of the session.
+type asyncCloseConn struct {
 	net.Conn
 	once sync.Once
 }
 
-// Close implements net.Conn. Its error tells nothing that anybody could act on.
-func (c *promptConn) Close() error {
+// Close implements net.Conn. It closes in the background and returns no error.
+func (c *asyncCloseConn) Close() error {
 	c.once.Do(func() { go func() { _ = c.Conn.Close() }() })
 	return nil
 }
 
-// closeAfterLast ends the stream on which frames were sent once the peer has read them
-// all: yamux's writes return before anything is sent, and the end of a session drops
-// what waits.
-func closeAfterLast(stream *yamux.Stream) {
-	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.In(closeTime)) != nil {
+// closeAfterRead closes a stream of frames and waits until the peer has read them all.
+// yamux buffers writes and drops the buffer at the end of the session.
+func closeAfterRead(stream *yamux.Stream) {
+	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.DeadlineIn(closeTimeout)) != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, stream)
 }
 
-// serveSession passes the streams of a session on until it ends, and then ends all
-// reads that still wait. The library ends them once the connection is closed and its
-// own goroutines are done; a reader must not depend on that. With another library, whose
-// readers looked again and again until then, a process with one core read for ever.
+// serveSession serves the streams of a session until it ends, and then aborts all pending
+// reads. yamux does so only after the connection is closed and its goroutines have ended,
+// which may take long.
 func serveSession(session *yamux.Session, spawn func(func()), serve func(net.Conn)) {
 	open := streamSet{streams: map[*yamux.Stream]bool{}}
 	for {
 		stream, err := session.AcceptStream()
 		if err != nil {
-			open.endReads()
+			open.abortReads()
 			return
 		}
 		open.add(stream)
@@ -108,10 +105,10 @@
 	delete(s.streams, stream)
 }
 
-func (s *streamSet) endReads() {
+func (s *streamSet) abortReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for stream := range s.streams {
-		_ = stream.SetReadDeadline(past)
+		_ = stream.SetReadDeadline(pastDeadline)
 	}
 }
--- a/modules/peernet/session_test.go
+++ b/modules/peernet/session_test.go
@@ -18,15 +18,15 @@
 	"madderway/modules/wire"
 )
 
-// heldConn is a connection whose reads, or whose close, are held up until the test lets
-// them go: what a close needs to become done may take long.
-type heldConn struct {
+// blockingConn is a connection whose failed reads, or whose Close, block until the test
+// closes release.
+type blockingConn struct {
 	net.Conn
 	holdRead, holdClose bool
 	release             chan struct{}
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *blockingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil && c.holdRead {
 		<-c.release
@@ -34,7 +34,7 @@
 	return n, err
 }
 
-func (c *heldConn) Close() error {
+func (c *blockingConn) Close() error {
 	err := c.Conn.Close()
 	if c.holdClose {
 		<-c.release
@@ -42,8 +42,8 @@
 	return err
 }
 
-// sessions returns two ends of a session; the server's connection is held up.
-func sessions(t *testing.T, held *heldConn) (client, server *yamux.Session) {
+// sessions returns both ends of a session; the server's connection blocks.
+func sessions(t *testing.T, held *blockingConn) (client, server *yamux.Session) {
 	t.Helper()
 	near, far := net.Pipe()
 	held.Conn, held.release = far, make(chan struct{})
@@ -58,18 +58,17 @@
 	return client, server
 }
 
-// A read of a peer's stream ends with its session, whatever holds up the library: the
-// close of the connection, its receive loop, a stream that is opened just then.
-func TestReadsEndWithTheSession(t *testing.T) {
+// Guards against reads that hang after the session has ended, even if yamux blocks.
+func TestReadsEndWithSession(t *testing.T) {
 	type end func(client, server *yamux.Session)
 	endings := map[string]end{
 		"closed here":  func(_, server *yamux.Session) { go server.Close() },
 		"closed there": func(client, _ *yamux.Session) { _ = client.Close() },
 	}
-	for _, held := range []heldConn{{}, {holdRead: true}, {holdClose: true}, {holdRead: true, holdClose: true}} {
+	for _, held := range []blockingConn{{}, {holdRead: true}, {holdClose: true}, {holdRead: true, holdClose: true}} {
 		for name, ending := range endings {
 			if name == "closed there" && held.holdRead {
-				continue // nothing tells this side of the end before the read is let go
+				continue // this side learns of the end only when the read returns
 			}
 			t.Run(fmt.Sprintf("%s, read held %v, close held %v", name, held.holdRead, held.holdClose), func(t *testing.T) {
 				held := held
@@ -100,7 +99,7 @@
 					select {
 					case <-ended:
 					case <-time.After(10 * time.Second):
-						t.Error("a read goes on after its session has ended")
+						t.Error("read did not end with its session")
 					}
 				}
 				close(held.release)
@@ -110,14 +109,14 @@
 	}
 }
 
-// discarder takes all frames.
+// discarder is a Handler that ignores all frames.
 type discarder struct{}
 
 func (discarder) HandleFrame(string, *wire.Frame)           {}
 func (discarder) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{Ok: true} }
 
-// Sessions that are cut at random while they carry frames leave no goroutine behind.
-func TestCutSessionsLeaveNothingBehind(t *testing.T) {
+// Guards against goroutine leaks when sessions are closed at random.
+func TestCutSessionsLeakNoGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,7 +136,7 @@
 		if rng.IntN(6) == 0 {
 			s.Block(fmt.Sprint("client-", i), true)
 			s.Block(fmt.Sprint("client-", i), false)
-			links[i].Renew()
+			links[i].Reconnect()
 		}
 		runtime.Gosched()
 	}
@@ -145,7 +144,7 @@
 	_ = tb.Wait()
 	for end := time.Now().Add(10 * time.Second); runtime.NumGoroutine() > before; {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("got %d goroutines, %d before", runtime.NumGoroutine(), before)
 		}
 		runtime.Gosched()
 	}
--- a/modules/setting/gateway_test.go
+++ b/modules/setting/gateway_test.go
@@ -24,18 +24,18 @@
 a_field_of_tomorrow = 1
 `
 
-func TestGatewaySettings(t *testing.T) {
+func TestParseGateway(t *testing.T) {
 	g, err := ParseGateway(gatewaySample)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if g.Grace.Duration != 8*time.Second || g.RetryExtra != 58 || g.RetryRatio != 0.2 || len(g.Seeds) != 2 {
-		t.Errorf("%+v", g)
+		t.Errorf("ParseGateway: got %+v", g)
 	}
 }
 
-// A wrong value is named with its key, in one line.
-func TestWrongGatewaySettingsAreNamed(t *testing.T) {
+// Guards against errors that do not name the invalid key, or span lines.
+func TestParseGatewayErrorNamesKey(t *testing.T) {
 	for key, replace := range map[string][2]string{
 		"gateway.id":          {`id = "front-1"`, `id = ""`},
 		"gateway.callers":     {`callers = "127.0.0.1:1"`, `callers = "localhost:1"`},
@@ -47,24 +47,24 @@
 	} {
 		_, err := ParseGateway(strings.Replace(gatewaySample, replace[0], replace[1], 1))
 		if err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("error for invalid %s: got %v", key, err)
 		}
 	}
 }
 
-func TestGatewayFileIsTold(t *testing.T) {
+func TestIsGatewayFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(path, []byte(gatewaySample), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if !IsGateway(path) || IsGateway("../../madderway.example.toml") || IsGateway(path+".none") {
-		t.Error("a gateway's file is not told from others")
+	if !IsGatewayFile(path) || IsGatewayFile("../../madderway.example.toml") || IsGatewayFile(path+".none") {
+		t.Error("IsGatewayFile: want true for a gateway's file only")
 	}
 	if g, err := LoadGateway(path); err != nil || g.ID != "front-1" {
-		t.Errorf("%+v, %v", g, err)
+		t.Errorf("LoadGateway: got %+v, %v", g, err)
 	}
 	if _, err := LoadGateway(path + ".none"); !IsErrSetting(err) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: got %v, want an ErrSetting", err)
 	}
 }
 
@@ -73,7 +73,7 @@
 	f.Add("[gateway]\nseeds = [\"\"]\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if g, err := ParseGateway(text); err == nil && (g.ID == "" || g.Grace.Duration <= 0) {
-			t.Errorf("%+v was taken", g)
+			t.Errorf("ParseGateway accepted invalid settings: %+v", g)
 		}
 	})
 }
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -113,7 +113,7 @@
 		case attempt.Deliver:
 			return j.deliver(answer)
 		case attempt.Refuse:
-			return result.New(result.TargetRefused, "%s", j.reason).After(soonAfter)
+			return result.New(result.TargetRefused, "%s", j.reason).WithRetryAfter(soonAfter)
 		case attempt.Unclear:
 			return result.New(result.OutcomeUnknown, "%s", j.reason)
 		case attempt.TimedOut:
@@ -122,7 +122,7 @@
 			return ErrAborted
 		}
 	}
-	return j.notPlaced(result.New(result.NoTarget, "no target after %d rounds", maxRounds).After(soonAfter))
+	return j.notPlaced(result.New(result.NoTarget, "no target after %d rounds", maxRounds).WithRetryAfter(soonAfter))
 }
 
 // placeOrWait finds a target. One for a stream that another target has begun is
@@ -163,7 +163,7 @@
 		return result.New(result.OutcomeUnknown, "%s; then %v", j.reason, err)
 	}
 	if j.ctx.Err() != nil {
-		return result.New(result.QueueTimeout, "the time is over").After(soonAfter)
+		return result.New(result.QueueTimeout, "the time is over").WithRetryAfter(soonAfter)
 	}
 	return err
 }
@@ -184,7 +184,7 @@
 		ID: j.r.Call.ID, Method: j.r.Method, URI: j.r.URI, Host: j.r.Host, Header: j.r.Header, Body: j.r.Body,
 		MayRepeat: j.r.Route.MayRepeat(), Deadline: j.r.Deadline, Check: j.checkAtSend,
 		Outgoing: upstream.Outgoing{
-			Remaining: j.r.Deadline.Sub(j.s.opts.Clock.Now()), TargetID: t.Worker(), Account: j.r.account(), LastEvent: j.lastEvent,
+			Remaining: j.r.Deadline.Sub(j.s.opts.Clock.Now()), TargetID: t.WorkerName(), Account: j.r.account(), LastEvent: j.lastEvent,
 			CopyFrom: j.s.sourceAddress(j.source),
 		},
 	}
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -44,8 +44,8 @@
 	return carrier
 }
 
-// HandleCarried implements peernet.Carrier.
-func (s *Server) HandleCarried(peer string, conn net.Conn) {
+// HandleRelay implements peernet.Carrier.
+func (s *Server) HandleRelay(peer string, conn net.Conn) {
 	ctx, cancel := context.WithCancel(context.WithValue(context.Background(), carrierKey{}, peer))
 	defer cancel()
 	f := &farEnd{s: s, ctx: ctx, conn: conn, requests: map[uint32]*served{}}
@@ -168,7 +168,7 @@
 func (f *farEnd) write(b []byte) error {
 	f.writing.Lock()
 	defer f.writing.Unlock()
-	err := f.conn.SetWriteDeadline(netopt.In(frameTime))
+	err := f.conn.SetWriteDeadline(netopt.DeadlineIn(frameTime))
 	if err == nil {
 		_, err = f.conn.Write(b)
 	}
