--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -13,50 +13,50 @@
 const (
 	minRetryAfter = 400 * time.Millisecond
 	maxRetryAfter = 4 * time.Second
-	// waitOnShare is the part of the objective up to which a request of an
+	// extendedWaitShare is the part of the objective up to which a request of an
 	// account that has had no more than waitOnLevel of another's service waits.
-	waitOnShare = 0.5
+	extendedWaitShare = 0.5
 	// starvedShare is the share of an account's requests that may be refused
 	// before its work goes to any target.
-	starvedShare = 0.35
-	waitOnLevel  = 0.5
-	// elsewhereLevel is the share of another account's service below which work goes to
+	starvedShare     = 0.35
+	underservedRatio = 0.5
+	// elsewhereRatio is the share of another account's service below which work goes to
 	// other cells. It is more than the half at which the platform compares accounts:
 	// what is moved is served a second later at best.
-	elsewhereLevel = 0.65
-	// mostAhead bounds how far an account that waits is ahead of another one, in time of
+	elsewhereRatio = 0.65
+	// maxLead bounds how far an account that waits is ahead of another one, in time of
 	// the capacity of all targets: one that had used idle targets waited for seconds
 	// once others came, and got less than half of what they got. Half a second is what
 	// one decision of fairness can be late by, the pause between tallies.
-	mostAhead = 500 * time.Millisecond
-	// bestEvery is how often it is looked who has had the most in all cells.
-	bestEvery = 100 * time.Millisecond
-	// waitOnStep is how long a request waits on before that is thought over.
-	waitOnStep  = 40 * time.Millisecond
-	forgetEvery = 10 * time.Second
+	maxLead = 500 * time.Millisecond
+	// maxLevelInterval is how often it is looked who has had the most in all cells.
+	maxLevelInterval = 100 * time.Millisecond
+	// waitExtension is how long a request waits on before that is thought over.
+	waitExtension = 40 * time.Millisecond
+	evictInterval = 10 * time.Second
 )
 
 // waiter is a request that waits for a target.
 type waiter struct {
-	key     requestKey
-	ask     Ask
-	arrived time.Time
-	stands  time.Time // stands is its arrival for the order within its account, later the longer it is.
-	until   time.Time // until is when it is refused, unless it may wait on.
-	best    *target   // best is the target that it was last found to wait for.
-	scores  []uint64  // scores are the targets' hashes for it, as of layout number scored.
-	scored  uint64
+	key           requestKey
+	ask           Ask
+	arrived       time.Time
+	orderAt       time.Time // stands is its arrival for the order within its account, later the longer it is.
+	waitUntil     time.Time // until is when it is refused, unless it may wait on.
+	best          *target   // best is the target that it was last found to wait for.
+	scores        []uint64  // scores are the targets' hashes for it, as of layout number scored.
+	scoresVersion uint64
 }
 
 // defaultFairWindow is the span over which accounts are compared where the
 // settings name none.
 const defaultFairWindow = 4 * time.Second
 
-// halfOf returns the time in which the service that an account has had fades to a
+// halfLifeOf returns the time in which the service that an account has had fades to a
 // half: half of the span, so that what it got a whole span ago counts for a
 // quarter. With the whole span an account that had used idle engines paid for that
 // for seconds after others came, and got less than half of what they got.
-func halfOf(window time.Duration) time.Duration { return window / 2 }
+func halfLifeOf(window time.Duration) time.Duration { return window / 2 }
 
 // sizeAging is how much later than it came a request stands in its account's
 // queue, in times that a target needs to read its prompt: short work goes first,
@@ -68,16 +68,16 @@
 // of late, in all cells of the service; between waiting accounts the one with
 // the lowest level goes first.
 type account struct {
-	name    string
-	half    time.Duration // half is the time in which level, placed and refused fade to a half.
-	level   float64
-	placed  float64 // placed and refused count requests of late; they fade alike.
-	refused float64
-	at      time.Time // at is when these were last faded.
-	served  float64   // served is all it was given in this cell.
-	told    float64   // told is served as the other cells know it.
-	queue   []*waiter // by rank, then by where they stand
-	tried   int       // tried is how many of the queue have found no target in this decision.
+	name      string
+	halfLife  time.Duration // half is the time in which level, placed and refused fade to a half.
+	level     float64
+	placed    float64 // placed and refused count requests of late; they fade alike.
+	refused   float64
+	decayedAt time.Time // at is when these were last faded.
+	served    float64   // served is all it was given in this cell.
+	reported  float64   // told is served as the other cells know it.
+	queue     []*waiter // by rank, then by where they stand
+	tried     int       // tried is how many of the queue have found no target in this decision.
 }
 
 // before tells whether the account goes before another one.
@@ -91,7 +91,7 @@
 func (c *Cell) account(name string) *account {
 	a := c.accounts[name]
 	if a == nil {
-		a = &account{name: name, half: halfOf(c.fairWindow)}
+		a = &account{name: name, halfLife: halfLifeOf(c.fairWindow)}
 		c.accounts[name] = a
 	}
 	return a
@@ -99,19 +99,19 @@
 
 // charge adds service at a time.
 func (a *account) charge(now time.Time, service float64) {
-	a.fade(now)
+	a.decay(now)
 	a.level += service
 }
 
-func (a *account) fade(now time.Time) {
-	if !now.After(a.at) {
+func (a *account) decay(now time.Time) {
+	if !now.After(a.decayedAt) {
 		return
 	}
-	f := math.Exp2(-float64(now.Sub(a.at)) / float64(a.half))
+	f := math.Exp2(-float64(now.Sub(a.decayedAt)) / float64(a.halfLife))
 	a.level *= f
 	a.placed *= f
 	a.refused *= f
-	a.at = now
+	a.decayedAt = now
 }
 
 // before tells whether a request goes before another one of its account.
@@ -119,7 +119,7 @@
 	if w.ask.Rank != other.ask.Rank {
 		return w.ask.Rank < other.ask.Rank
 	}
-	return w.stands.Before(other.stands)
+	return w.orderAt.Before(other.orderAt)
 }
 
 // push adds a request.
@@ -139,27 +139,27 @@
 	}
 }
 
-// order returns the accounts with waiting requests, the lowest level first.
-// Ranks order the requests of one account only: no account can take another's
+// orderAccounts returns the accounts with waiting requests, the lowest level first.
+// Ranks orderAccounts the requests of one account only: no account can take another's
 // share by calling its work urgent.
-func (c *Cell) order(now time.Time) []*account {
+func (c *Cell) orderAccounts(now time.Time) []*account {
 	waiting := c.queued[:0]
 	for _, a := range c.accounts {
 		if len(a.queue) > 0 {
-			a.fade(now)
+			a.decay(now)
 			a.tried = 0
 			waiting = append(waiting, a)
 		}
 	}
-	c.boundLeads(waiting)
+	c.capLeads(waiting)
 	sort.Slice(waiting, func(i, j int) bool { return waiting[i].before(waiting[j]) })
 	c.queued = waiting
 	return waiting
 }
 
-// boundLeads forgets what accounts that wait are ahead of the least served one beyond
+// capLeads forgets what accounts that wait are ahead of the least served one beyond
 // mostAhead of the service's capacity: they got it while others did not want it.
-func (c *Cell) boundLeads(waiting []*account) {
+func (c *Cell) capLeads(waiting []*account) {
 	capacity := c.speed * float64(len(c.targets)*(c.siblings+1))
 	if capacity <= 0 || len(waiting) == 0 {
 		return
@@ -169,34 +169,34 @@
 		least = min(least, a.level)
 	}
 	for _, a := range waiting {
-		a.level = min(a.level, least+capacity*mostAhead.Seconds())
+		a.level = min(a.level, least+capacity*maxLead.Seconds())
 	}
 }
 
-// mayWaitOn tells whether a request waits on beyond its time. One of an account
+// extendWait tells whether a request waits on beyond its time. One of an account
 // that has had far less than another that waits is next in line, and would only
 // come back to the same line. Any other one, but for those of the account that
 // has had the most, waits on where what goes before it will be read soon enough.
-func (c *Cell) mayWaitOn(now time.Time, w *waiter, a *account) bool {
-	if w.ask.Objective <= 0 || now.Sub(w.arrived) >= time.Duration(waitOnShare*float64(w.ask.Objective)) {
+func (c *Cell) extendWait(now time.Time, w *waiter, a *account) bool {
+	if w.ask.Objective <= 0 || now.Sub(w.arrived) >= time.Duration(extendedWaitShare*float64(w.ask.Objective)) {
 		return false
 	}
 	if c.siblings > 0 && c.starved(now, a) {
 		return false // another cell may have what this one has not
 	}
-	if a.underserved(c.most) {
+	if a.underserved(c.maxWaitingLevel) {
 		return true
 	}
-	if a.level >= c.most && len(c.queued) > 1 || !c.soon(now, w, a) {
+	if a.level >= c.maxWaitingLevel && len(c.queued) > 1 || !c.inTimeBehindQueue(now, w, a) {
 		return false
 	}
-	w.until = now.Add(waitOnStep)
+	w.waitUntil = now.Add(waitExtension)
 	return true
 }
 
-// soon tells whether a request will be in time at the target that it waits for,
+// inTimeBehindQueue tells whether a request will be in time at the target that it waits for,
 // behind all that goes before it there.
-func (c *Cell) soon(now time.Time, w *waiter, a *account) bool {
+func (c *Cell) inTimeBehindQueue(now time.Time, w *waiter, a *account) bool {
 	i := slices.IndexFunc(c.views, func(v view) bool { return v.target == w.best })
 	if i < 0 || !c.views[i].usable {
 		return false
@@ -217,7 +217,7 @@
 // underserved tells whether the account has had far less than another account
 // that waits, most being the highest level of those.
 func (a *account) underserved(most float64) bool {
-	return most > a.level && most*waitOnLevel >= a.level
+	return most > a.level && most*underservedRatio >= a.level
 }
 
 // starved tells whether the account has had far less than another one, and is refused
@@ -228,23 +228,23 @@
 		return false
 	}
 	if c.siblings == 0 {
-		return a.underserved(c.most)
+		return a.underserved(c.maxWaitingLevel)
 	}
-	best := c.bestLevel(now)
-	return best > a.level && best*elsewhereLevel >= a.level
+	best := c.highestLevel(now)
+	return best > a.level && best*elsewhereRatio >= a.level
 }
 
-// bestLevel returns the highest level of all accounts, in all cells.
-func (c *Cell) bestLevel(now time.Time) float64 {
-	if now.Sub(c.bestAt) < bestEvery {
-		return max(c.best, c.most)
+// highestLevel returns the highest level of all accounts, in all cells.
+func (c *Cell) highestLevel(now time.Time) float64 {
+	if now.Sub(c.maxLevelAt) < maxLevelInterval {
+		return max(c.maxLevel, c.maxWaitingLevel)
 	}
-	c.best, c.bestAt = 0, now
+	c.maxLevel, c.maxLevelAt = 0, now
 	for _, a := range c.accounts {
-		a.fade(now)
-		c.best = max(c.best, a.level)
+		a.decay(now)
+		c.maxLevel = max(c.maxLevel, a.level)
 	}
-	return c.best
+	return c.maxLevel
 }
 
 // retryAfter tells a refused caller when its account's queue will have moved
@@ -260,15 +260,15 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// forget drops accounts that have neither requests nor a level to speak of.
-func (c *Cell) forget(now time.Time) {
-	if now.Sub(c.swept) < forgetEvery {
+// evictIdleAccounts drops accounts that have neither requests nor a level to speak of.
+func (c *Cell) evictIdleAccounts(now time.Time) {
+	if now.Sub(c.evictedAt) < evictInterval {
 		return
 	}
-	c.swept = now
+	c.evictedAt = now
 	for name, a := range c.accounts {
-		a.fade(now)
-		if len(a.queue) == 0 && a.level < 1 && a.served == a.told {
+		a.decay(now)
+		if len(a.queue) == 0 && a.level < 1 && a.served == a.reported {
 			delete(c.accounts, name)
 		}
 	}
--- a/core/cell/account_test.go
+++ b/core/cell/account_test.go
@@ -88,12 +88,12 @@
 		c := New()
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 10_000, FairWindow: window, Targets: []TargetInfo{{ID: "t", Slots: 1, CacheTokens: 1000}}})
 		c.account("a").charge(epoch, 1000)
-		half := halfOf(window)
+		half := halfLifeOf(window)
 		if window == 0 {
-			half = halfOf(defaultFairWindow)
+			half = halfLifeOf(defaultFairWindow)
 		}
 		a := c.account("a")
-		a.fade(epoch.Add(half))
+		a.decay(epoch.Add(half))
 		if a.level < 499 || a.level > 501 {
 			t.Errorf("window %v: level %.0f after %v, want 500", window, a.level, half)
 		}
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -45,32 +45,32 @@
 
 // Cell is the scheduler of a few targets.
 type Cell struct {
-	targets    map[string]*target
-	sorted     []*target
-	gone       map[string]*target // gone holds targets that are no longer listed but still run something.
-	accounts   map[string]*account
-	waiting    map[requestKey]*waiter
-	runs       map[requestKey]*run
-	foreign    map[string]*foreign
-	swept      time.Time
-	speed      float64
-	prior      *batch.Prior // prior is how fast the engines here read, as far as any has shown.
-	siblings   int
-	transfer   *routing.Transfer
-	fairWindow time.Duration
-	coldRate   float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
-	coldShare  float64           // coldShare is the part of them that is placed here.
-	inHall     map[string]keeper // inHall is what keepers returns, kept for its memory.
-	counts     Counts
-	layout     uint64  // layout counts the changes of the list of targets.
-	most       float64 // most is the highest level of an account that waits.
-	best       float64 // best is the highest level of any account, as of bestAt.
-	bestAt     time.Time
-	views      []view     // views are the targets as one decision sees them, in the order of sorted.
-	unheard    []*waiter  // unheard are waiters that arrived since the last decision.
-	queued     []*account // queued is what order returns, kept for its memory.
-	scratch    []option
-	out        []Action
+	targets         map[string]*target
+	sorted          []*target
+	gone            map[string]*target // gone holds targets that are no longer listed but still run something.
+	accounts        map[string]*account
+	waiting         map[requestKey]*waiter
+	runs            map[requestKey]*run
+	foreign         map[string]*foreign
+	evictedAt       time.Time
+	speed           float64
+	prior           *batch.Prior // prior is how fast the engines here read, as far as any has shown.
+	siblings        int
+	transfer        *routing.Transfer
+	fairWindow      time.Duration
+	coldRate        float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
+	coldShare       float64           // coldShare is the part of them that is placed here.
+	inHall          map[string]keeper // inHall is what keepers returns, kept for its memory.
+	counts          Counts
+	layout          uint64  // layout counts the changes of the list of targets.
+	maxWaitingLevel float64 // most is the highest level of an account that waits.
+	maxLevel        float64 // best is the highest level of any account, as of bestAt.
+	maxLevelAt      time.Time
+	views           []view     // views are the targets as one decision sees them, in the order of sorted.
+	unheard         []*waiter  // unheard are waiters that arrived since the last decision.
+	queued          []*account // queued is what order returns, kept for its memory.
+	scratch         []option
+	out             []Action
 }
 
 // New returns a cell without targets.
@@ -119,7 +119,7 @@
 			t.engine.Learn(e.At, e.Parts)
 		}
 	case Tick:
-		c.forget(now)
+		c.evictIdleAccounts(now)
 	}
 }
 
@@ -146,9 +146,9 @@
 	}
 	c.counts.Asked++
 	c.counts.AskedTokens += uint64(e.Ask.Prompt.Tokens)
-	w := &waiter{key: key, ask: e.Ask, arrived: now, stands: now, until: now.Add(e.Ask.Hold)}
+	w := &waiter{key: key, ask: e.Ask, arrived: now, orderAt: now, waitUntil: now.Add(e.Ask.Hold)}
 	if c.speed > 0 {
-		w.stands = now.Add(seconds(sizeAging * float64(e.Ask.Prompt.Tokens) / c.speed))
+		w.orderAt = now.Add(seconds(sizeAging * float64(e.Ask.Prompt.Tokens) / c.speed))
 	}
 	c.waiting[key] = w
 	c.account(e.Ask.Account).push(w)
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -67,8 +67,8 @@
 	for _, w := range c.unheard {
 		c.prefer(w, c.options(now, w))
 	}
-	accounts := c.order(now)
-	c.most = accounts[len(accounts)-1].level
+	accounts := c.orderAccounts(now)
+	c.maxWaitingLevel = accounts[len(accounts)-1].level
 	all := slices.Clone(accounts)
 	for open && len(accounts) > 0 {
 		a := accounts[0]
@@ -133,7 +133,7 @@
 func (c *Cell) lateOf(now time.Time, a *account) []*waiter {
 	var late []*waiter
 	for _, w := range a.queue {
-		if c.hopeless(w) || !now.Before(w.until) && !c.mayWaitOn(now, w, a) {
+		if c.hopeless(w) || !now.Before(w.waitUntil) && !c.extendWait(now, w, a) {
 			late = append(late, w)
 		}
 	}
--- a/core/cell/state.go
+++ b/core/cell/state.go
@@ -52,7 +52,7 @@
 		})
 	}
 	for _, a := range c.accounts {
-		a.fade(now)
+		a.decay(now)
 		s.Accounts = append(s.Accounts, AccountState{Name: a.name, Level: a.level, Waiting: len(a.queue)})
 	}
 	sort.Slice(s.Accounts, func(i, j int) bool { return s.Accounts[i].Name < s.Accounts[j].Name })
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -77,8 +77,8 @@
 func (c *Cell) Tally() []TallyRow {
 	var rows []TallyRow
 	for _, a := range c.accounts {
-		if more := a.served - a.told; more > 0 {
-			a.told = a.served
+		if more := a.served - a.reported; more > 0 {
+			a.reported = a.served
 			rows = append(rows, TallyRow{Account: a.name, Service: more})
 		}
 	}
