--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -143,7 +143,7 @@
 // Ranks orderAccounts the requests of one account only: no account can take another's
 // share by calling its work urgent.
 func (c *Cell) orderAccounts(now time.Time) []*account {
-	waiting := c.queued[:0]
+	waiting := c.waitingAccounts[:0]
 	for _, a := range c.accounts {
 		if len(a.queue) > 0 {
 			a.decay(now)
@@ -153,7 +153,7 @@
 	}
 	c.capLeads(waiting)
 	sort.Slice(waiting, func(i, j int) bool { return waiting[i].before(waiting[j]) })
-	c.queued = waiting
+	c.waitingAccounts = waiting
 	return waiting
 }
 
@@ -187,7 +187,7 @@
 	if a.underserved(c.maxWaitingLevel) {
 		return true
 	}
-	if a.level >= c.maxWaitingLevel && len(c.queued) > 1 || !c.inTimeBehindQueue(now, w, a) {
+	if a.level >= c.maxWaitingLevel && len(c.waitingAccounts) > 1 || !c.inTimeBehindQueue(now, w, a) {
 		return false
 	}
 	w.waitUntil = now.Add(waitExtension)
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -29,11 +29,11 @@
 }
 
 type target struct {
-	info     TargetInfo
-	engine   *batch.Engine
-	counted  time.Duration // counted is how much of its reading is in the cell's counts.
-	linkFree time.Time     // linkFree is when the transfers that it takes part in are over.
-	cold     cold.Pacer    // cold paces what it gets while it is cold.
+	info           TargetInfo
+	engine         *batch.Engine
+	countedReading time.Duration // counted is how much of its reading is in the cell's counts.
+	linkFreeAt     time.Time     // linkFree is when the transfers that it takes part in are over.
+	cold           cold.Pacer    // cold paces what it gets while it is cold.
 }
 
 type run struct {
@@ -47,11 +47,11 @@
 type Cell struct {
 	targets         map[string]*target
 	sorted          []*target
-	gone            map[string]*target // gone holds targets that are no longer listed but still run something.
+	draining        map[string]*target // gone holds targets that are no longer listed but still run something.
 	accounts        map[string]*account
 	waiting         map[requestKey]*waiter
 	runs            map[requestKey]*run
-	foreign         map[string]*foreign
+	remoteTallies   map[string]*remoteTally
 	evictedAt       time.Time
 	speed           float64
 	prior           *batch.Prior // prior is how fast the engines here read, as far as any has shown.
@@ -60,15 +60,15 @@
 	fairWindow      time.Duration
 	coldRate        float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
 	coldShare       float64           // coldShare is the part of them that is placed here.
-	inHall          map[string]keeper // inHall is what keepers returns, kept for its memory.
+	holdersByHall   map[string]keeper // inHall is what keepers returns, kept for its memory.
 	counts          Counts
-	layout          uint64  // layout counts the changes of the list of targets.
+	layoutVersion   uint64  // layout counts the changes of the list of targets.
 	maxWaitingLevel float64 // most is the highest level of an account that waits.
 	maxLevel        float64 // best is the highest level of any account, as of bestAt.
 	maxLevelAt      time.Time
 	views           []view     // views are the targets as one decision sees them, in the order of sorted.
-	unheard         []*waiter  // unheard are waiters that arrived since the last decision.
-	queued          []*account // queued is what order returns, kept for its memory.
+	newWaiters      []*waiter  // unheard are waiters that arrived since the last decision.
+	waitingAccounts []*account // queued is what order returns, kept for its memory.
 	scratch         []option
 	out             []Action
 }
@@ -76,8 +76,8 @@
 // New returns a cell without targets.
 func New() *Cell {
 	return &Cell{
-		targets: map[string]*target{}, gone: map[string]*target{}, accounts: map[string]*account{},
-		waiting: map[requestKey]*waiter{}, runs: map[requestKey]*run{}, foreign: map[string]*foreign{}, inHall: map[string]keeper{}, fairWindow: defaultFairWindow,
+		targets: map[string]*target{}, draining: map[string]*target{}, accounts: map[string]*account{},
+		waiting: map[requestKey]*waiter{}, runs: map[requestKey]*run{}, remoteTallies: map[string]*remoteTally{}, holdersByHall: map[string]keeper{}, fairWindow: defaultFairWindow,
 	}
 }
 
@@ -92,7 +92,7 @@
 func (c *Cell) Take(now time.Time, ev Event) {
 	switch e := ev.(type) {
 	case AskSeen:
-		c.ask(now, e)
+		c.enqueue(now, e)
 	case WithdrawSeen:
 		c.withdraw(now, requestKey{e.Entry, e.ID})
 	case BeganSeen:
@@ -102,18 +102,18 @@
 	case EndedSeen:
 		c.end(now, requestKey{e.Entry, e.ID}, e.Outcome)
 	case InventorySeen:
-		c.inventory(now, e)
+		c.reconcile(now, e)
 	case EntryGone:
-		c.entryGone(now, e.Entry)
+		c.releaseEntry(now, e.Entry)
 	case TargetsSeen:
 		c.countReading(now)
 		c.setTargets(e)
 	case ColdShareSeen:
 		c.coldShare = e.Share
 	case TallySeen:
-		c.takeTally(now, e)
+		c.applyTally(now, e)
 	case GivenSeen:
-		c.takeGiven(now, e.Rows)
+		c.chargeRows(now, e.Rows)
 	case KeptSeen:
 		if t := c.targets[e.Target]; t != nil {
 			t.engine.Learn(e.At, e.Parts)
@@ -128,18 +128,18 @@
 func (c *Cell) Decide(now time.Time) []Action {
 	c.out = nil
 	c.dispatch(now)
-	for _, w := range c.unheard {
+	for _, w := range c.newWaiters {
 		if c.waiting[w.key] == w {
 			c.emit(Wait{w.key.entry, w.key.id})
 		}
 	}
-	c.unheard = c.unheard[:0]
+	c.newWaiters = c.newWaiters[:0]
 	return c.out
 }
 
 func (c *Cell) emit(a Action) { c.out = append(c.out, a) }
 
-func (c *Cell) ask(now time.Time, e AskSeen) {
+func (c *Cell) enqueue(now time.Time, e AskSeen) {
 	key := requestKey{e.Entry, e.Ask.ID}
 	if c.waiting[key] != nil || c.runs[key] != nil {
 		return
@@ -152,18 +152,18 @@
 	}
 	c.waiting[key] = w
 	c.account(e.Ask.Account).push(w)
-	c.unheard = append(c.unheard, w)
+	c.newWaiters = append(c.newWaiters, w)
 }
 
 func (c *Cell) withdraw(now time.Time, key requestKey) {
 	if w := c.waiting[key]; w != nil {
-		c.drop(w)
+		c.dequeue(w)
 		return
 	}
 	c.end(now, key, batch.OutcomeCanceled)
 }
 
-func (c *Cell) drop(w *waiter) {
+func (c *Cell) dequeue(w *waiter) {
 	delete(c.waiting, w.key)
 	a := c.account(w.ask.Account)
 	a.remove(w)
@@ -176,14 +176,14 @@
 	}
 	delete(c.runs, key)
 	r.target.engine.End(now, r.model, o)
-	if gone := c.gone[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
+	if gone := c.draining[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
 		c.countTarget(now, gone)
-		delete(c.gone, r.target.info.ID)
+		delete(c.draining, r.target.info.ID)
 	}
 }
 
-// inventory makes the runs of an entry gateway those that it tells.
-func (c *Cell) inventory(now time.Time, e InventorySeen) {
+// reconcile makes the runs of an entry gateway those that it tells.
+func (c *Cell) reconcile(now time.Time, e InventorySeen) {
 	told := map[RequestID]bool{}
 	for i := range e.Held {
 		h := &e.Held[i]
@@ -193,7 +193,7 @@
 			continue
 		}
 		if w := c.waiting[key]; w != nil {
-			c.drop(w)
+			c.dequeue(w)
 		}
 		t := c.targets[h.Target]
 		if t == nil {
@@ -209,10 +209,10 @@
 	}
 }
 
-func (c *Cell) entryGone(now time.Time, entry string) {
+func (c *Cell) releaseEntry(now time.Time, entry string) {
 	for key, w := range c.waiting {
 		if key.entry == entry {
-			c.drop(w)
+			c.dequeue(w)
 		}
 	}
 	for key := range c.runs {
@@ -247,7 +247,7 @@
 		}
 		delete(c.targets, id)
 		if !t.engine.Empty() {
-			c.gone[id] = t
+			c.draining[id] = t
 		}
 	}
 	c.sorted = c.sorted[:0]
@@ -255,13 +255,13 @@
 		c.sorted = append(c.sorted, t)
 	}
 	sort.Slice(c.sorted, func(i, j int) bool { return c.sorted[i].info.ID < c.sorted[j].info.ID })
-	c.layout++
+	c.layoutVersion++
 }
 
 func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
 	p, t, x := w.ask.Prompt, c.views[o.at].target, o.transfer
 	anew := sharedOf(p, o.missing-x.tokens)
-	if anew > 0 && why == ReasonCheapest && !c.kept(p) {
+	if anew > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
 		why = ReasonUnseen
 	}
 	c.counts.Placed++
@@ -282,8 +282,8 @@
 	c.emit(placed)
 }
 
-// kept tells whether some engine of the cell keeps all the shared parts.
-func (c *Cell) kept(p *routing.Prompt) bool {
+// cachedInCell tells whether some engine of the cell keeps all the shared parts.
+func (c *Cell) cachedInCell(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
 		if sharedOf(p, t.engine.Missing(p)) == 0 {
 			return true
@@ -296,7 +296,7 @@
 	r := &run{key: key, account: account, target: t}
 	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.takes)
 	x.take(now, t)
-	if c.cold(now, t) {
+	if c.isCold(now, t) {
 		t.cold.Take(now, c.coldShare*c.coldRate)
 	}
 	c.runs[key] = r
@@ -306,15 +306,15 @@
 	a.served += service
 }
 
-// cold tells whether a target gets no more than a cold one bears.
-func (c *Cell) cold(now time.Time, t *target) bool {
+// isCold tells whether a target gets no more than a isCold one bears.
+func (c *Cell) isCold(now time.Time, t *target) bool {
 	return c.coldRate > 0 && now.Before(t.info.ColdUntil)
 }
 
 // coldWait returns how long it takes until a target may get a request, for its being
 // cold: until it bears the next one, or is warm.
 func (c *Cell) coldWait(now time.Time, t *target) time.Duration {
-	if !c.cold(now, t) {
+	if !c.isCold(now, t) {
 		return 0
 	}
 	return t.cold.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -156,10 +156,10 @@
 // scores returns the hash of each target for the request, in the order of the
 // views.
 func (c *Cell) scores(w *waiter) []uint64 {
-	if w.scoresVersion == c.layout {
+	if w.scoresVersion == c.layoutVersion {
 		return w.scores
 	}
-	w.scoresVersion, w.scores = c.layout, w.scores[:0]
+	w.scoresVersion, w.scores = c.layoutVersion, w.scores[:0]
 	affinity := w.ask.Prompt.Affinity()
 	for _, t := range c.sorted {
 		w.scores = append(w.scores, place.Score(t.info.ID, affinity))
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -13,28 +13,28 @@
 // well. Between gateways tallies are sums, so that a lost, repeated or late one does no
 // harm.
 
-// maxForeign bounds how many other gateways are remembered.
-const maxForeign = 1024
+// maxRemoteTallies bounds how many other gateways are remembered.
+const maxRemoteTallies = 1024
 
-// foreign is what another gateway has told so far.
-type foreign struct {
+// remoteTally is what another gateway has told so far.
+type remoteTally struct {
 	incarnation uint64
 	sums        map[string]float64
 	at          time.Time
 }
 
-// takeTally charges accounts for what they were given elsewhere since the last
+// applyTally charges accounts for what they were given elsewhere since the last
 // tally. The first one of a gateway's life only says where its sums begin. Of an account
 // that is not in it the next one says what was told before: a cell that has just begun
 // must not be charged for all that the account ever got.
-func (c *Cell) takeTally(now time.Time, e TallySeen) {
-	f := c.foreign[e.Source]
+func (c *Cell) applyTally(now time.Time, e TallySeen) {
+	f := c.remoteTallies[e.Source]
 	if f == nil || f.incarnation != e.Incarnation {
-		if len(c.foreign) >= maxForeign {
-			c.dropOldestForeign()
+		if len(c.remoteTallies) >= maxRemoteTallies {
+			c.evictOldestTally()
 		}
-		f = &foreign{incarnation: e.Incarnation, sums: map[string]float64{}}
-		c.foreign[e.Source] = f
+		f = &remoteTally{incarnation: e.Incarnation, sums: map[string]float64{}}
+		c.remoteTallies[e.Source] = f
 		for _, row := range e.Rows {
 			f.sums[row.Account] = row.Service
 		}
@@ -56,21 +56,21 @@
 	}
 }
 
-// takeGiven charges accounts for what another cell of this gateway has given them.
-func (c *Cell) takeGiven(now time.Time, rows []TallyRow) {
+// chargeRows charges accounts for what another cell of this gateway has given them.
+func (c *Cell) chargeRows(now time.Time, rows []TallyRow) {
 	for _, row := range rows {
 		c.account(row.Account).charge(now, row.Service)
 	}
 }
 
-func (c *Cell) dropOldestForeign() {
+func (c *Cell) evictOldestTally() {
 	oldest := ""
-	for source, f := range c.foreign {
-		if oldest == "" || f.at.Before(c.foreign[oldest].at) {
+	for source, f := range c.remoteTallies {
+		if oldest == "" || f.at.Before(c.remoteTallies[oldest].at) {
 			oldest = source
 		}
 	}
-	delete(c.foreign, oldest)
+	delete(c.remoteTallies, oldest)
 }
 
 // Tally returns what each account was given since the last call.
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -66,13 +66,13 @@
 	for _, t := range c.sorted {
 		c.countTarget(now, t)
 	}
-	for _, t := range c.gone {
+	for _, t := range c.draining {
 		c.countTarget(now, t)
 	}
 }
 
 func (c *Cell) countTarget(now time.Time, t *target) {
 	reading := t.engine.ReadingTime(now)
-	c.counts.Reading += reading - t.counted
-	t.counted = reading
+	c.counts.Reading += reading - t.countedReading
+	t.countedReading = reading
 }
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -37,7 +37,7 @@
 }
 
 func (k *keeper) offer(t *target, ready int) {
-	if ready > k.ready || ready == k.ready && k.target != nil && t.linkFree.Before(k.target.linkFree) {
+	if ready > k.ready || ready == k.ready && k.target != nil && t.linkFreeAt.Before(k.target.linkFreeAt) {
 		k.target, k.ready = t, ready
 	}
 }
@@ -46,7 +46,7 @@
 // hall; nobody where engines do not copy. Engines that leave or give no sign are no
 // sources.
 func (c *Cell) keepers(p *routing.Prompt) (best keeper, inHall map[string]keeper) {
-	inHall = c.inHall
+	inHall = c.holdersByHall
 	clear(inHall)
 	if c.transfer == nil {
 		return best, inHall
@@ -96,7 +96,7 @@
 	if k.target.info.DataHall != v.target.info.DataHall {
 		x.link *= farFactor
 	}
-	x.takes = max(k.target.linkFree.Sub(now), v.target.linkFree.Sub(now), 0) + x.link
+	x.takes = max(k.target.linkFreeAt.Sub(now), v.target.linkFreeAt.Sub(now), 0) + x.link
 	if x.takes > seconds(transferShare*float64(tokens)/v.speed) {
 		return transfer{}
 	}
@@ -112,5 +112,5 @@
 		return
 	}
 	end := now.Add(x.takes)
-	x.source.linkFree, to.linkFree = end, end
+	x.source.linkFreeAt, to.linkFreeAt = end, end
 }
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -121,15 +121,15 @@
 func TestTransfersTakeTurnsOnALink(t *testing.T) {
 	c := transferCell(fastLinks)
 	keeper := c.targets["keeper"]
-	keeper.linkFree = epoch.Add(5 * time.Second)
+	keeper.linkFreeAt = epoch.Add(5 * time.Second)
 	if p, ok := askTransfer(c, time.Second, 2); ok && p.Source != "" {
 		t.Errorf("%+v: copied over a link that is taken for four seconds", p)
 	}
 	c.Step(epoch.Add(1100*time.Millisecond), WithdrawSeen{"e", 2})
-	keeper.linkFree = epoch
+	keeper.linkFreeAt = epoch
 	p, ok := askTransfer(c, 2*time.Second, 3)
-	if !ok || p.Source != "keeper" || !keeper.linkFree.After(epoch.Add(2*time.Second)) {
-		t.Errorf("%+v %v, link free %v", p, ok, keeper.linkFree.Sub(epoch))
+	if !ok || p.Source != "keeper" || !keeper.linkFreeAt.After(epoch.Add(2*time.Second)) {
+		t.Errorf("%+v %v, link free %v", p, ok, keeper.linkFreeAt.Sub(epoch))
 	}
 }
 
