--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -58,9 +58,9 @@
 	siblings        int
 	transfer        *routing.Transfer
 	fairWindow      time.Duration
-	coldRate        float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
-	coldShare       float64           // coldShare is the part of them that is placed here.
-	holdersByHall   map[string]keeper // inHall is what keepers returns, kept for its memory.
+	coldRate        float64                // coldRate is how many requests a second a cold target bears, 0 for any number.
+	coldShare       float64                // coldShare is the part of them that is placed here.
+	holdersByHall   map[string]cacheHolder // inHall is what keepers returns, kept for its memory.
 	counts          Counts
 	layoutVersion   uint64  // layout counts the changes of the list of targets.
 	maxWaitingLevel float64 // most is the highest level of an account that waits.
@@ -77,7 +77,7 @@
 func New() *Cell {
 	return &Cell{
 		targets: map[string]*target{}, draining: map[string]*target{}, accounts: map[string]*account{},
-		waiting: map[requestKey]*waiter{}, runs: map[requestKey]*run{}, remoteTallies: map[string]*remoteTally{}, holdersByHall: map[string]keeper{}, fairWindow: defaultFairWindow,
+		waiting: map[requestKey]*waiter{}, runs: map[requestKey]*run{}, remoteTallies: map[string]*remoteTally{}, holdersByHall: map[string]cacheHolder{}, fairWindow: defaultFairWindow,
 	}
 }
 
@@ -260,7 +260,7 @@
 
 func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
 	p, t, x := w.ask.Prompt, c.views[o.at].target, o.transfer
-	anew := sharedOf(p, o.missing-x.tokens)
+	anew := sharedTokens(p, o.missing-x.tokens)
 	if anew > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
 		why = ReasonUnseen
 	}
@@ -285,7 +285,7 @@
 // cachedInCell tells whether some engine of the cell keeps all the shared parts.
 func (c *Cell) cachedInCell(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
-		if sharedOf(p, t.engine.Missing(p)) == 0 {
+		if sharedTokens(p, t.engine.Missing(p)) == 0 {
 			return true
 		}
 	}
@@ -294,8 +294,8 @@
 
 func (c *Cell) start(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
 	r := &run{key: key, account: account, target: t}
-	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.takes)
-	x.take(now, t)
+	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.delay)
+	x.reserveLinks(now, t)
 	if c.isCold(now, t) {
 		t.cold.Take(now, c.coldShare*c.coldRate)
 	}
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -22,9 +22,9 @@
 	transferWeight = 4.0
 	// errorPenalty is the wait that a share of failed runs of 1 stands for.
 	errorPenalty = 2 * time.Second
-	// crowdPenalty is the wait that a full batch stands for: its tokens come
+	// fullBatchPenalty is the wait that a full batch stands for: its tokens come
 	// slower.
-	crowdPenalty = 60 * time.Millisecond
+	fullBatchPenalty = 60 * time.Millisecond
 	// spillShare is the part of its wait after which a request takes any target
 	// where it is in time, though its beginning has to be read there anew. The
 	// target must be all but idle: a busy one would lose to the reading what the
@@ -38,7 +38,7 @@
 // The home of a prompt's beginning is the target with the highest hash. Where
 // the scheduler has not seen who keeps a beginning, the home probably does:
 // earlier schedulers began there too.
-const homeBelief = 0.25
+const homeCacheProbability = 0.25
 
 // option is a target that could take a request.
 type option struct {
@@ -47,7 +47,7 @@
 	transfer               // transfer is what it would copy of these.
 	wait     time.Duration // wait is the time to the first event.
 	cost     time.Duration // cost is the wait, and what the choice takes from others.
-	tie      uint64
+	tieBreak uint64
 }
 
 // choose returns the target for a request, and false where it is better to wait. The
@@ -55,11 +55,11 @@
 // time takes any target where it is still in time.
 func (c *Cell) choose(now time.Time, w *waiter) (option, Reason, bool) {
 	options := c.options(now, w)
-	best, ok := c.prefer(w, options)
+	best, ok := c.pickCheapest(w, options)
 	if !ok {
 		return option{}, ReasonCheapest, false
 	}
-	if c.views[best.at].open(backlogLimit) {
+	if c.views[best.at].accepts(backlogLimit) {
 		return best, ReasonCheapest, true
 	}
 	if now.Sub(w.arrived) < time.Duration(spillShare*float64(w.ask.Hold)) {
@@ -74,7 +74,7 @@
 	}
 	open := options[:0]
 	for _, o := range options {
-		if c.views[o.at].open(c.spillLimit(w, o, limit)) && w.inTime(now, o.wait) {
+		if c.views[o.at].accepts(c.spillLimit(w, o, limit)) && w.inTime(now, o.wait) {
 			open = append(open, o)
 		}
 	}
@@ -88,14 +88,14 @@
 // request spills to it: little where shared parts are read again, more where they
 // are copied, the more the less a copy takes.
 func (c *Cell) spillLimit(w *waiter, o option, reread time.Duration) time.Duration {
-	if sharedOf(w.ask.Prompt, o.missing-o.tokens) > 0 {
+	if sharedTokens(w.ask.Prompt, o.missing-o.tokens) > 0 {
 		return reread
 	}
 	return max(reread, backlogLimit-o.transfer.cost())
 }
 
-// prefer returns the cheapest option, and notes that the request waits for it.
-func (c *Cell) prefer(w *waiter, options []option) (option, bool) {
+// pickCheapest returns the cheapest option, and notes that the request waits for it.
+func (c *Cell) pickCheapest(w *waiter, options []option) (option, bool) {
 	if len(options) == 0 {
 		w.best = nil
 		return option{}, false
@@ -109,7 +109,7 @@
 	if x != y {
 		return cmp.Compare(x, y)
 	}
-	return cmp.Compare(b.tie, a.tie)
+	return cmp.Compare(b.tieBreak, a.tieBreak)
 }
 
 // inTime tells whether a first event that comes after a wait meets the
@@ -129,7 +129,7 @@
 	scores := c.scores(w)
 	out := c.scratch[:0]
 	home := -1
-	best, inHall := c.keepers(p)
+	best, inHall := c.findHolders(p)
 	for i := range c.views {
 		v := &c.views[i]
 		if !v.usable || slices.Contains(w.ask.Deny, v.target.info.ID) {
@@ -140,15 +140,15 @@
 			continue
 		}
 		o := v.option(p, missing, c.transferTo(now, v, p, missing, best, inHall))
-		o.at, o.tie = i, scores[i]
+		o.at, o.tieBreak = i, scores[i]
 		out = append(out, o)
-		if home < 0 || o.tie > out[home].tie {
+		if home < 0 || o.tieBreak > out[home].tieBreak {
 			home = len(out) - 1
 		}
 	}
 	c.scratch = out
 	if home >= 0 {
-		c.believe(&out[home], p)
+		c.discountHome(&out[home], p)
 	}
 	return out
 }
@@ -169,20 +169,20 @@
 
 func (v *view) option(p *routing.Prompt, missing int, x transfer) option {
 	read := missing - x.tokens
-	wait := max(v.base, x.takes) + seconds(float64(read)/v.speed)
-	reread := seconds((rereadWeight - 1) * float64(sharedOf(p, read)) / v.speed)
+	wait := max(v.base, x.delay) + seconds(float64(read)/v.speed)
+	reread := seconds((rereadWeight - 1) * float64(sharedTokens(p, read)) / v.speed)
 	return option{missing: missing, transfer: x, wait: wait, cost: wait + v.penalty + reread + x.cost()}
 }
 
-// believe makes the home cheaper by what it probably keeps.
-func (c *Cell) believe(o *option, p *routing.Prompt) {
-	shared := float64(sharedOf(p, o.missing-o.tokens))
-	o.cost -= seconds(homeBelief * rereadWeight * shared / c.views[o.at].speed)
+// discountHome makes the home cheaper by what it probably keeps.
+func (c *Cell) discountHome(o *option, p *routing.Prompt) {
+	shared := float64(sharedTokens(p, o.missing-o.tokens))
+	o.cost -= seconds(homeCacheProbability * rereadWeight * shared / c.views[o.at].speed)
 }
 
-// sharedOf returns how many of the missing tokens belong to parts that other
+// sharedTokens returns how many of the missing tokens belong to parts that other
 // requests share.
-func sharedOf(p *routing.Prompt, missing int) int {
+func sharedTokens(p *routing.Prompt, missing int) int {
 	return max(missing-p.Own(), 0)
 }
 
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// hopelessRetry is when a request may come back that no target of the cell takes: a new target
+// unservableRetryAfter is when a request may come back that no target of the cell takes: a new target
 // is listed within a second or two of its start.
-const hopelessRetry = time.Second
+const unservableRetryAfter = time.Second
 
 // view is a target as one decision sees it. It is made once for all requests
 // that wait, and anew where something was placed.
@@ -28,9 +28,9 @@
 	speed   float64 // tokens of prompts read in a second
 }
 
-// open tells whether the target takes a request while less than the limit of its
+// accepts tells whether the target takes a request while less than the limit of its
 // reading is given away.
-func (v *view) open(limit time.Duration) bool { return v.usable && !v.full && v.booked < limit }
+func (v *view) accepts(limit time.Duration) bool { return v.usable && !v.full && v.booked < limit }
 
 func (c *Cell) makeView(now time.Time, t *target) view {
 	e := t.engine
@@ -40,17 +40,17 @@
 	return view{
 		target: t, usable: source && !t.info.Evacuated, source: source, full: slot > 0 || cold > 0, booked: e.Booked(now), speed: e.Speed(),
 		base:    max(e.Backlog(now)+slot, cold),
-		penalty: time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(crowd*float64(crowdPenalty)),
+		penalty: time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(crowd*float64(fullBatchPenalty)),
 	}
 }
 
-// look makes the views of all targets and tells whether one takes requests.
-func (c *Cell) look(now time.Time) bool {
+// refreshViews makes the views of all targets and tells whether one takes requests.
+func (c *Cell) refreshViews(now time.Time) bool {
 	c.views = c.views[:0]
 	open := false
 	for _, t := range c.sorted {
 		v := c.makeView(now, t)
-		open = open || v.open(backlogLimit)
+		open = open || v.accepts(backlogLimit)
 		c.views = append(c.views, v)
 	}
 	return open
@@ -63,37 +63,37 @@
 	if len(c.waiting) == 0 {
 		return
 	}
-	open := c.look(now)
+	open := c.refreshViews(now)
 	for _, w := range c.newWaiters {
-		c.prefer(w, c.options(now, w))
+		c.pickCheapest(w, c.options(now, w))
 	}
 	accounts := c.orderAccounts(now)
 	c.maxWaitingLevel = accounts[len(accounts)-1].level
 	all := slices.Clone(accounts)
 	for open && len(accounts) > 0 {
 		a := accounts[0]
-		if !c.tryAccount(now, a) {
+		if !c.placeNext(now, a) {
 			accounts = accounts[1:]
 			continue
 		}
-		open = c.anyOpen()
-		sink(accounts)
+		open = c.anyAccepts()
+		reinsertFirst(accounts)
 	}
 	c.refuseLate(now, all)
 }
 
-// sink moves the first account, which has just been given something, to its
+// reinsertFirst moves the first account, which has just been given something, to its
 // place among the others.
-func sink(accounts []*account) {
+func reinsertFirst(accounts []*account) {
 	first := accounts[0]
 	at := sort.Search(len(accounts)-1, func(i int) bool { return !accounts[i+1].before(first) })
 	copy(accounts, accounts[1:at+1])
 	accounts[at] = first
 }
 
-func (c *Cell) anyOpen() bool {
+func (c *Cell) anyAccepts() bool {
 	for i := range c.views {
-		if c.views[i].open(backlogLimit) {
+		if c.views[i].accepts(backlogLimit) {
 			return true
 		}
 	}
@@ -107,16 +107,16 @@
 		least = min(least, a.level)
 	}
 	for _, a := range accounts {
-		for _, w := range c.lateOf(now, a) {
-			hopeless := c.hopeless(w)
+		for _, w := range c.overdue(now, a) {
+			hopeless := c.unservable(w)
 			elsewhere := c.siblings > 0 && (hopeless || c.starved(now, a))
 			after := c.retryAfter(a.level-least, len(accounts))
 			if hopeless {
-				after = max(after, hopelessRetry)
+				after = max(after, unservableRetryAfter)
 			}
 			c.dequeue(w)
 			c.counts.Refused++
-			if c.anyOpen() {
+			if c.anyAccepts() {
 				c.counts.RefusedWithRoom++
 			}
 			a.refused++
@@ -129,20 +129,20 @@
 	}
 }
 
-// lateOf returns the requests of an account that have waited for too long.
-func (c *Cell) lateOf(now time.Time, a *account) []*waiter {
+// overdue returns the requests of an account that have waited for too long.
+func (c *Cell) overdue(now time.Time, a *account) []*waiter {
 	var late []*waiter
 	for _, w := range a.queue {
-		if c.hopeless(w) || !now.Before(w.waitUntil) && !c.extendWait(now, w, a) {
+		if c.unservable(w) || !now.Before(w.waitUntil) && !c.extendWait(now, w, a) {
 			late = append(late, w)
 		}
 	}
 	return late
 }
 
-// hopeless tells whether no target of the cell will take a request, however long it waits:
+// unservable tells whether no target of the cell will take a request, however long it waits:
 // all leave, lie in evacuated data halls, or want nothing from its gateway.
-func (c *Cell) hopeless(w *waiter) bool {
+func (c *Cell) unservable(w *waiter) bool {
 	for i := range c.views {
 		t := &c.views[i].target.info
 		if !t.Leaving && !t.Evacuated && !slices.Contains(w.ask.Deny, t.ID) {
@@ -164,8 +164,8 @@
 	return least
 }
 
-// tryAccount places the next request of the account that finds a target.
-func (c *Cell) tryAccount(now time.Time, a *account) bool {
+// placeNext places the next request of the account that finds a target.
+func (c *Cell) placeNext(now time.Time, a *account) bool {
 	for i := a.tried; i < len(a.queue) && i < scanLimit; i++ {
 		w := a.queue[i]
 		c.counts.Tried++
--- a/core/cell/hopeless_test.go
+++ b/core/cell/hopeless_test.go
@@ -48,7 +48,7 @@
 			if refusal == nil {
 				return
 			}
-			if refusal.RetryAfter < hopelessRetry || refusal.Elsewhere != (c.targets.Siblings > 0) {
+			if refusal.RetryAfter < unservableRetryAfter || refusal.Elsewhere != (c.targets.Siblings > 0) {
 				t.Errorf("%+v", *refusal)
 			}
 		})
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -12,10 +12,10 @@
 	"madderway/models/routing"
 )
 
-// maxTargets is how many targets a cell has at most on average. One scheduler
+// targetsPerCell is how many targets a cell has at most on average. One scheduler
 // sees all of a cell; at twelve targets of 64 slots that is some hundred
 // requests a second, about one percent of a core.
-const maxTargets = 12
+const targetsPerCell = 12
 
 // Key names a cell of a service.
 type Key string
@@ -42,17 +42,17 @@
 // preference.
 func (g *Group) Schedulers() []string {
 	if g.schedulers == nil {
-		g.schedulers = place.TopByStrength(g.layout.nodes, string(g.Key), candidates)
+		g.schedulers = place.TopByStrength(g.layout.nodes, string(g.Key), schedulersPerCell)
 	}
 	return g.schedulers
 }
 
-// candidates is how many gateways are named for each cell.
-const candidates = 3
+// schedulersPerCell is how many gateways are named for each cell.
+const schedulersPerCell = 3
 
 // NewLayout divides the targets of the services that have engines into cells.
 func NewLayout(x *routing.Index, targets *routing.TargetSet, nodes []place.Node) *Layout {
-	return newLayout(x, targets, nodes, maxTargets)
+	return newLayout(x, targets, nodes, targetsPerCell)
 }
 
 // newLayout makes cells of at most so many targets on average.
@@ -66,7 +66,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		l.divide(s.Name, targets.Of(s.Name), most)
+		l.assignTargets(s.Name, targets.Of(s.Name), most)
 	}
 	return l
 }
@@ -86,7 +86,7 @@
 	return out
 }
 
-func (l *Layout) divide(service string, targets []*routing.Target, most int) {
+func (l *Layout) assignTargets(service string, targets []*routing.Target, most int) {
 	groups := make([]*Group, cellCount(len(targets), most))
 	for i := range groups {
 		key := Key(fmt.Sprintf("%s/%d", service, i))
--- a/core/cell/layout_test.go
+++ b/core/cell/layout_test.go
@@ -37,14 +37,14 @@
 		for _, g := range l.Groups() {
 			total += len(g.Targets)
 			largest = max(largest, len(g.Targets))
-			if len(g.Schedulers()) != candidates {
+			if len(g.Schedulers()) != schedulersPerCell {
 				t.Errorf("%s has schedulers %v", g.Key, g.Schedulers())
 			}
 		}
 		if total != n {
 			t.Errorf("%d of %d targets are in a cell", total, n)
 		}
-		if largest > 2*maxTargets {
+		if largest > 2*targetsPerCell {
 			t.Errorf("with %d targets a cell has %d", n, largest)
 		}
 	}
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -14,8 +14,8 @@
 	// the two engines and the allocation of memory. Engines do not state it; it is
 	// of the order of a few round trips in a data hall.
 	transferSetup = 3 * time.Millisecond
-	// farFactor is how much longer a transfer between data halls takes.
-	farFactor = 2
+	// crossHallFactor is how much longer a transfer between data halls takes.
+	crossHallFactor = 2
 	// transferShare is the part of the time for reading that a transfer may take:
 	// where it takes more, little is gained for what it takes from the links.
 	transferShare = 0.5
@@ -23,29 +23,29 @@
 
 // transfer is a copy of the beginning of a prompt from one engine to another.
 type transfer struct {
-	source *target       // source is nil where nothing is copied.
-	tokens int           // tokens that are copied
-	link   time.Duration // link is how long it takes both engines' links.
-	takes  time.Duration // takes is the time until it is there, behind other transfers.
+	source   *target       // source is nil where nothing is copied.
+	tokens   int           // tokens that are copied
+	linkTime time.Duration // link is how long it takes both engines' links.
+	delay    time.Duration // takes is the time until it is there, behind other transfers.
 }
 
-// keeper is the engine of a data hall, or of all, that has most of a prompt in
+// cacheHolder is the engine of a data hall, or of all, that has most of a prompt in
 // memory.
-type keeper struct {
+type cacheHolder struct {
 	target *target
-	ready  int
+	tokens int
 }
 
-func (k *keeper) offer(t *target, ready int) {
-	if ready > k.ready || ready == k.ready && k.target != nil && t.linkFreeAt.Before(k.target.linkFreeAt) {
-		k.target, k.ready = t, ready
+func (k *cacheHolder) consider(t *target, ready int) {
+	if ready > k.tokens || ready == k.tokens && k.target != nil && t.linkFreeAt.Before(k.target.linkFreeAt) {
+		k.target, k.tokens = t, ready
 	}
 }
 
-// keepers returns who keeps most of the prompt, of all engines and in each data
+// findHolders returns who keeps most of the prompt, of all engines and in each data
 // hall; nobody where engines do not copy. Engines that leave or give no sign are no
 // sources.
-func (c *Cell) keepers(p *routing.Prompt) (best keeper, inHall map[string]keeper) {
+func (c *Cell) findHolders(p *routing.Prompt) (best cacheHolder, inHall map[string]cacheHolder) {
 	inHall = c.holdersByHall
 	clear(inHall)
 	if c.transfer == nil {
@@ -60,9 +60,9 @@
 		if ready == 0 {
 			continue
 		}
-		best.offer(v.target, ready)
+		best.consider(v.target, ready)
 		k := inHall[v.target.info.DataHall]
-		k.offer(v.target, ready)
+		k.consider(v.target, ready)
 		inHall[v.target.info.DataHall] = k
 	}
 	return best, inHall
@@ -70,9 +70,9 @@
 
 // transferTo returns the transfer that saves an engine the most time, or none
 // where reading is about as fast.
-func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best keeper, inHall map[string]keeper) transfer {
+func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best cacheHolder, inHall map[string]cacheHolder) transfer {
 	near := inHall[v.target.info.DataHall]
-	a, b := c.plan(now, v, p, missing, best), c.plan(now, v, p, missing, near)
+	a, b := c.planTransfer(now, v, p, missing, best), c.planTransfer(now, v, p, missing, near)
 	if b.source != nil && (a.source == nil || v.afterTransfer(missing, b) <= v.afterTransfer(missing, a)) {
 		return b
 	}
@@ -81,36 +81,36 @@
 
 // afterTransfer returns the time until a prompt is read after a transfer.
 func (v *view) afterTransfer(missing int, x transfer) time.Duration {
-	return x.takes + seconds(float64(missing-x.tokens)/v.speed)
+	return x.delay + seconds(float64(missing-x.tokens)/v.speed)
 }
 
-func (c *Cell) plan(now time.Time, v *view, p *routing.Prompt, missing int, k keeper) transfer {
+func (c *Cell) planTransfer(now time.Time, v *view, p *routing.Prompt, missing int, k cacheHolder) transfer {
 	if c.transfer == nil || k.target == nil || k.target == v.target {
 		return transfer{}
 	}
-	tokens := k.ready - (p.Tokens - missing)
+	tokens := k.tokens - (p.Tokens - missing)
 	if tokens <= 0 {
 		return transfer{}
 	}
-	x := transfer{source: k.target, tokens: tokens, link: c.transfer.Time(tokens) + transferSetup}
+	x := transfer{source: k.target, tokens: tokens, linkTime: c.transfer.Time(tokens) + transferSetup}
 	if k.target.info.DataHall != v.target.info.DataHall {
-		x.link *= farFactor
+		x.linkTime *= crossHallFactor
 	}
-	x.takes = max(k.target.linkFreeAt.Sub(now), v.target.linkFreeAt.Sub(now), 0) + x.link
-	if x.takes > seconds(transferShare*float64(tokens)/v.speed) {
+	x.delay = max(k.target.linkFreeAt.Sub(now), v.target.linkFreeAt.Sub(now), 0) + x.linkTime
+	if x.delay > seconds(transferShare*float64(tokens)/v.speed) {
 		return transfer{}
 	}
 	return x
 }
 
 // cost returns what a transfer counts for in the choice of a target.
-func (x transfer) cost() time.Duration { return time.Duration(transferWeight * float64(x.link)) }
+func (x transfer) cost() time.Duration { return time.Duration(transferWeight * float64(x.linkTime)) }
 
-// take reserves both engines' links for a transfer that begins now.
-func (x transfer) take(now time.Time, to *target) {
+// reserveLinks reserves both engines' links for a transfer that begins now.
+func (x transfer) reserveLinks(now time.Time, to *target) {
 	if x.source == nil {
 		return
 	}
-	end := now.Add(x.takes)
+	end := now.Add(x.delay)
 	x.source.linkFreeAt, to.linkFreeAt = end, end
 }
