--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -83,13 +83,13 @@
 
 // Step takes one event and returns what is to be done.
 func (c *Cell) Step(now time.Time, ev Event) []Action {
-	c.Take(now, ev)
+	c.Apply(now, ev)
 	return c.Decide(now)
 }
 
-// Take notes one event. What follows from it is decided by the next Decide, so
+// Apply notes one event. What follows from it is decided by the next Decide, so
 // that events that come together cost one decision.
-func (c *Cell) Take(now time.Time, ev Event) {
+func (c *Cell) Apply(now time.Time, ev Event) {
 	switch e := ev.(type) {
 	case AskSeen:
 		c.enqueue(now, e)
@@ -112,9 +112,9 @@
 		c.coldShare = e.Share
 	case TallySeen:
 		c.applyTally(now, e)
-	case GivenSeen:
+	case SiblingTallySeen:
 		c.chargeRows(now, e.Rows)
-	case KeptSeen:
+	case CachedPartsSeen:
 		if t := c.targets[e.Target]; t != nil {
 			t.engine.Learn(e.At, e.Parts)
 		}
@@ -272,7 +272,7 @@
 	c.start(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
-		Account: w.ask.Account, Subject: p.Affinity(), Anew: anew, Copied: x.tokens, Why: why,
+		Account: w.ask.Account, Affinity: p.Affinity(), RereadTokens: anew, CopiedTokens: x.tokens, Reason: why,
 	}
 	if x.source != nil {
 		placed.Source = x.source.info.ID
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -115,13 +115,15 @@
 	return n
 }
 
-// Of returns the cell of a service that serves requests with this affinity: the
+// GroupFor returns the cell of a service that serves requests with this affinity: the
 // highest weighted hash, the weight being the number of targets.
-func (l *Layout) Of(service string, affinity uint64) *Group { return l.Other(service, affinity, "") }
+func (l *Layout) GroupFor(service string, affinity uint64) *Group {
+	return l.AlternativeTo(service, affinity, "")
+}
 
-// Other returns the cell that would serve requests with this affinity if there
+// AlternativeTo returns the cell that would serve requests with this affinity if there
 // were not another one, or nil.
-func (l *Layout) Other(service string, affinity uint64, than Key) *Group {
+func (l *Layout) AlternativeTo(service string, affinity uint64, than Key) *Group {
 	var best *Group
 	bestScore := math.Inf(-1)
 	for _, g := range l.cells[service] {
@@ -143,9 +145,9 @@
 	return slices.ContainsFunc(g.Targets, (*routing.Target).TakesWork)
 }
 
-// Members returns those of some targets that belong to the cell: a scheduler has no use for the
+// FilterTargets returns those of some targets that belong to the cell: a scheduler has no use for the
 // others, and an ask grows by some 25 bytes with each.
-func (g *Group) Members(ids []string) []string {
+func (g *Group) FilterTargets(ids []string) []string {
 	if g == nil || len(ids) == 0 {
 		return ids
 	}
@@ -164,8 +166,8 @@
 // Groups returns all cells.
 func (l *Layout) Groups() map[Key]*Group { return l.byKey }
 
-// Cells returns all cells of a service.
-func (l *Layout) Cells(service string) []*Group { return l.cells[service] }
+// GroupsOf returns all cells of a service.
+func (l *Layout) GroupsOf(service string) []*Group { return l.cells[service] }
 
 // Siblings returns the other cells of a cell's service.
 func (l *Layout) Siblings(g *Group) []*Group {
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -73,8 +73,8 @@
 	delete(c.remoteTallies, oldest)
 }
 
-// Tally returns what each account was given since the last call.
-func (c *Cell) Tally() []TallyRow {
+// DrainTally returns what each account was given since the last call.
+func (c *Cell) DrainTally() []TallyRow {
 	var rows []TallyRow
 	for _, a := range c.accounts {
 		if more := a.served - a.reported; more > 0 {
--- a/core/cell/tally_test.go
+++ b/core/cell/tally_test.go
@@ -48,9 +48,9 @@
 				}
 			}
 			if tell && at%(500*time.Millisecond) == 0 {
-				first, second := cells[0].Tally(), cells[1].Tally()
-				cells[0].Step(now, GivenSeen{Rows: second})
-				cells[1].Step(now, GivenSeen{Rows: first})
+				first, second := cells[0].DrainTally(), cells[1].DrainTally()
+				cells[0].Step(now, SiblingTallySeen{Rows: second})
+				cells[1].Step(now, SiblingTallySeen{Rows: first})
 			}
 		}
 		t.Logf("tallies %v: %v", tell, got)
@@ -105,11 +105,11 @@
 func TestTallyTellsChangesOnly(t *testing.T) {
 	c := New()
 	c.account("a").served, c.account("b").served = 5, 7
-	if rows := c.Tally(); len(rows) != 2 || rows[1] != (TallyRow{Account: "b", Service: 7}) {
+	if rows := c.DrainTally(); len(rows) != 2 || rows[1] != (TallyRow{Account: "b", Service: 7}) {
 		t.Errorf("%+v", rows)
 	}
 	c.account("a").served = 6
-	if rows := c.Tally(); len(rows) != 1 || rows[0] != (TallyRow{Account: "a", Service: 1}) {
+	if rows := c.DrainTally(); len(rows) != 1 || rows[0] != (TallyRow{Account: "a", Service: 1}) {
 		t.Errorf("%+v", rows)
 	}
 }
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -25,8 +25,8 @@
 	Copies, Copied uint64
 }
 
-// AnewAll returns the tokens of shared parts that were read again, for any reason.
-func (c Counts) AnewAll() uint64 {
+// RereadTokens returns the tokens of shared parts that were read again, for any reason.
+func (c Counts) RereadTokens() uint64 {
 	sum := uint64(0)
 	for _, tokens := range c.Anew {
 		sum += tokens
@@ -37,7 +37,7 @@
 // Load is what the targets of a cell do at a time.
 type Load struct {
 	Targets int           // Targets are those that take requests, full ones included.
-	Streams int           // Streams are the requests that run.
+	Running int           // Streams are the requests that run.
 	Booked  time.Duration // Booked is how much of the targets' reading is given away, on average.
 }
 
@@ -45,7 +45,7 @@
 func (c *Cell) Load(now time.Time) Load {
 	var l Load
 	for _, t := range c.sorted {
-		l.Streams += t.engine.Running()
+		l.Running += t.engine.Running()
 		if t.info.Leaving || t.info.Evacuated || !t.engine.Usable(now) {
 			continue
 		}
--- a/core/cell/totals_test.go
+++ b/core/cell/totals_test.go
@@ -24,7 +24,7 @@
 		t.Errorf("reading for %v, want 400ms for 16,000 tokens", read)
 	}
 	now := epoch.Add(time.Second)
-	if l := c.Load(now); l.Targets != 2 || l.Streams != 2 {
+	if l := c.Load(now); l.Targets != 2 || l.Running != 2 {
 		t.Errorf("%+v", l)
 	}
 	c.Step(now, EndedSeen{"e", 1, batch.OutcomeDone})
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -23,7 +23,7 @@
 		{ID: "keeper", Slots: 1, CacheTokens: 500_000, DataHall: "a"},
 		{ID: "near", Slots: 1, CacheTokens: 500_000, DataHall: "a"},
 	}})
-	c.Step(epoch, KeptSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
+	c.Step(epoch, CachedPartsSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
 	c.Step(epoch, InventorySeen{"e", []Held{{ID: 1, Target: "keeper", Prompt: transferPrompt(1000), Begun: true}}})
 	return c
 }
@@ -47,7 +47,7 @@
 func TestBeginningIsCopiedWhereItsKeeperIsBusy(t *testing.T) {
 	c := transferCell(fastLinks)
 	p, ok := askTransfer(c, time.Second, 2)
-	if !ok || p.Target != "near" || p.Source != "keeper" || p.Copied != 8_000 || p.Anew != 0 {
+	if !ok || p.Target != "near" || p.Source != "keeper" || p.CopiedTokens != 8_000 || p.RereadTokens != 0 {
 		t.Fatalf("%+v %v, want near to copy 8000 tokens from the keeper", p, ok)
 	}
 	if n := c.counts; n.Copies != 1 || n.Copied != 8_000 {
@@ -163,7 +163,7 @@
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Transfer: links, Targets: []TargetInfo{
 			{ID: "keeper", Slots: 8, CacheTokens: 500_000}, {ID: "other", Slots: 8, CacheTokens: 500_000},
 		}})
-		c.Step(epoch, KeptSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
+		c.Step(epoch, CachedPartsSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
 		keeper, other := c.targets["keeper"].engine, c.targets["other"].engine
 		keeper.Start(epoch, &routing.Prompt{Tokens: 6_000}, 1) // 150 ms, more than may be given away
 		for range 6 {
--- a/services/mesh/second.go
+++ b/services/mesh/second.go
@@ -47,6 +47,6 @@
 	l.log.Info("Second of a cell.", "cell", key, "span", span.Round(time.Millisecond), "asked", b.Asked-a.Asked, "placed", b.Placed-a.Placed,
 		"refused", b.Refused-a.Refused, "with_room", b.RefusedWithRoom-a.RefusedWithRoom, "waiting", s.cell.Waiting(),
 		"asked_tokens", b.AskedTokens-a.AskedTokens, "placed_tokens", b.PlacedTokens-a.PlacedTokens, "read", b.Read-a.Read,
-		"anew", b.AnewAll()-a.AnewAll(), "copies", b.Copies-a.Copies, "copied", b.Copied-a.Copied,
-		"targets", load.Targets, "streams", load.Streams, "reading_share", float64(int(share*1000))/1000, "booked", load.Booked.Round(time.Millisecond))
+		"anew", b.RereadTokens()-a.RereadTokens(), "copies", b.Copies-a.Copies, "copied", b.Copied-a.Copied,
+		"targets", load.Targets, "streams", load.Running, "reading_share", float64(int(share*1000))/1000, "booked", load.Booked.Round(time.Millisecond))
 }
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -157,7 +157,7 @@
 }
 
 func (l *Loop) schedule(now time.Time, key cell.Key, s *scheduled, ev cell.Event) {
-	s.cell.Take(now, ev)
+	s.cell.Apply(now, ev)
 	l.undecided[key] = s
 }
 
@@ -178,9 +178,9 @@
 	self := l.opts.Self.ID
 	switch a := a.(type) {
 	case cell.Place:
-		if a.Anew > 0 {
+		if a.RereadTokens > 0 {
 			l.log.Request("Shared part read again.", "cell", key, "entry", a.Entry, "number", a.ID, "account", a.Account,
-				"subject", a.Subject, "target", a.Target, "tokens", a.Anew, "why", a.Why, "waited", a.Waited)
+				"subject", a.Affinity, "target", a.Target, "tokens", a.RereadTokens, "why", a.Reason, "waited", a.Waited)
 		}
 		if a.Entry == self {
 			l.enter(now, entry.PlacementSeen{From: self, Cell: key, ID: a.ID, Target: a.Target, Source: a.Source})
--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -68,7 +68,7 @@
 		if g == nil {
 			continue
 		}
-		rows := s.cell.Tally()
+		rows := s.cell.DrainTally()
 		if len(rows) == 0 {
 			continue
 		}
@@ -78,7 +78,7 @@
 		l.given[g.Service].add(rows)
 		for _, other := range l.layout.Siblings(g) {
 			if sibling := l.cells[other.Key]; sibling != nil {
-				l.schedule(now, other.Key, sibling, cell.GivenSeen{Rows: rows})
+				l.schedule(now, other.Key, sibling, cell.SiblingTallySeen{Rows: rows})
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 // spread sends a tally once to each other gateway that schedules a cell of the service.
 func (l *Loop) spread(now time.Time, service string, t *wire.EngineTally) {
 	told := map[string]bool{l.opts.Self.ID: true}
-	for _, g := range l.layout.Cells(service) {
+	for _, g := range l.layout.GroupsOf(service) {
 		if len(g.Schedulers()) == 0 || told[g.Schedulers()[0]] {
 			continue
 		}
@@ -109,7 +109,7 @@
 	for _, row := range t.Rows {
 		ev.Rows = append(ev.Rows, cell.TallyRow{Account: row.Account, Service: row.Service, Before: row.Before})
 	}
-	for _, g := range l.layout.Cells(t.Service) {
+	for _, g := range l.layout.GroupsOf(t.Service) {
 		if s := l.cells[g.Key]; s != nil {
 			l.schedule(now, g.Key, s, ev)
 		}
