--- a/core/cell/account_test.go
+++ b/core/cell/account_test.go
@@ -54,7 +54,7 @@
 
 // In an account short work goes before long work, but a long request that came
 // early enough goes before a short one.
-func TestShortWorkFirstAged(t *testing.T) {
+func TestShortRequestsGoFirstWithAging(t *testing.T) {
 	got := queueOrder(t, []AskSeen{plainAsk(2, "a", 8000), plainAsk(3, "a", 50), plainAsk(4, "a", 3000)})
 	if len(got) != 3 || got[0] != 3 || got[1] != 4 || got[2] != 2 {
 		t.Errorf("order %v, want the shortest first", got)
@@ -72,7 +72,7 @@
 }
 
 // Ranks come before sizes.
-func TestRankGoesBeforeSize(t *testing.T) {
+func TestRankPrecedesSize(t *testing.T) {
 	urgent := plainAsk(2, "a", 8000)
 	urgent.Ask.Rank = 0
 	other := plainAsk(3, "a", 50)
@@ -83,7 +83,7 @@
 }
 
 // The settings say over which span accounts are compared.
-func TestFairWindowIsSet(t *testing.T) {
+func TestFairWindowSetsHalfLife(t *testing.T) {
 	for _, window := range []time.Duration{0, time.Second} {
 		c := New()
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 10_000, FairWindow: window, Targets: []TargetInfo{{ID: "t", Slots: 1, CacheTokens: 1000}}})
@@ -102,7 +102,7 @@
 
 // Engines that all fail a part of their requests serve on: a request that could
 // be in time at a free engine is not refused because of what others suffered.
-func TestFailuresAreNoReasonToRefuse(t *testing.T) {
+func TestErrorPenaltyDoesNotCauseRefusal(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{
 		{ID: "keeper", Slots: 8, CacheTokens: 500_000}, {ID: "free", Slots: 8, CacheTokens: 500_000},
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -12,8 +12,8 @@
 	"madderway/models/routing"
 )
 
-// even returns accounts that ask for long shared prompts at a total rate.
-func even(accounts int, perSecond float64, from, until time.Duration) []*simAccount {
+// evenAccounts returns accounts that ask for long shared prompts at a total rate.
+func evenAccounts(accounts int, perSecond float64, from, until time.Duration) []*simAccount {
 	var out []*simAccount
 	for i := range accounts {
 		out = append(out, &simAccount{
@@ -26,9 +26,9 @@
 
 // Long beginnings are read once and kept: a request waits for the target that
 // keeps its beginning as long as it is still in time there.
-func TestSharedPartsAreSeldomReadAgain(t *testing.T) {
+func TestSharedPartsAreRarelyReread(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
-	s.run(40*time.Second, even(16, 45, 0, 0))
+	s.run(40*time.Second, evenAccounts(16, 45, 0, 0))
 	r := s.total()
 	distinct := 55 * 13_000
 	t.Logf("%+v, shared parts read %.1f times", r, float64(r.sharedRead)/float64(distinct))
@@ -43,9 +43,9 @@
 }
 
 // An account that asks for ten times its share costs the others nothing.
-func TestFloodCostsOthersNothing(t *testing.T) {
+func TestFloodDoesNotDelayOtherAccounts(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
-	accounts := even(16, 50, 0, 0)
+	accounts := evenAccounts(16, 50, 0, 0)
 	accounts = append(accounts, &simAccount{name: "flood", perSecond: 150, subjects: 20, shared: 13_000, own: 3_700, base: 1000})
 	s.run(30*time.Second, accounts)
 	worst := 1.0
@@ -66,7 +66,7 @@
 // Under overload the backlogged accounts get equal service.
 func TestOverloadIsSharedEvenly(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
-	s.run(30*time.Second, even(8, 240, 0, 0))
+	s.run(30*time.Second, evenAccounts(8, 240, 0, 0))
 	low, high := 0.0, 0.0
 	for _, r := range s.results {
 		if low == 0 || r.service < low {
@@ -95,7 +95,7 @@
 // What a request is told is final: placed or refused, exactly once.
 func TestEachAskIsDecidedOnce(t *testing.T) {
 	s := newSim(3, 45_000, 570_000)
-	s.run(20*time.Second, even(4, 60, 0, 15*time.Second))
+	s.run(20*time.Second, evenAccounts(4, 60, 0, 15*time.Second))
 	r := s.total()
 	if r.placed+r.refused != r.asked || s.cell.Waiting() != 0 {
 		t.Errorf("%d asked, %d placed, %d refused, %d waiting", r.asked, r.placed, r.refused, s.cell.Waiting())
@@ -103,7 +103,7 @@
 }
 
 // A target that cannot be reached is left alone, and the others take its work.
-func TestUnreachableTargetIsLeftAlone(t *testing.T) {
+func TestUnreachableTargetIsAvoided(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	tried := 0
 	s.onPlace = func(_ RequestID, target string) bool {
@@ -112,14 +112,14 @@
 		}
 		return target != "t03"
 	}
-	s.run(20*time.Second, even(16, 40, 0, 0))
+	s.run(20*time.Second, evenAccounts(16, 40, 0, 0))
 	if tried > 20 {
 		t.Errorf("%d requests were sent to a target that nobody can reach", tried)
 	}
 }
 
 // A target that takes requests and gives no sign is left alone after a few.
-func TestDarkTargetIsLeftAlone(t *testing.T) {
+func TestUnresponsiveTargetIsAvoided(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.engines["t03"].down = true
 	lost := 0
@@ -129,13 +129,13 @@
 		}
 		return true
 	}
-	s.run(10*time.Second, even(16, 40, 0, 0))
+	s.run(10*time.Second, evenAccounts(16, 40, 0, 0))
 	if lost > 12 {
 		t.Errorf("%d requests were sent to a target that gives no sign", lost)
 	}
 }
 
-func TestLeavingTargetGetsNothing(t *testing.T) {
+func TestLeavingTargetGetsNoRequests(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 1000, Targets: []TargetInfo{{ID: "t", Slots: 4, CacheTokens: 10_000, Leaving: true}}})
 	p := &routing.Prompt{Tokens: 10, MaxOutput: 1, Parts: []routing.PromptPart{{ID: 1, Tokens: 10}}}
@@ -148,7 +148,7 @@
 
 // A new scheduler that is told what runs does not place over it, and what an
 // entry gateway no longer tells is taken off.
-func TestInventoryRebuildsTheLoad(t *testing.T) {
+func TestInventoryReplacesRuns(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 1000, Targets: []TargetInfo{{ID: "t", Slots: 2, CacheTokens: 10_000}}})
 	p := &routing.Prompt{Tokens: 10, MaxOutput: 1, Parts: []routing.PromptPart{{ID: 1, Tokens: 10}}}
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestOutcomesReachTheRightRun(t *testing.T) {
+func TestRequestIDsAreScopedToEntry(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 1000, Targets: []TargetInfo{{ID: "t", Slots: 8, CacheTokens: 10_000}}})
 	p := &routing.Prompt{Tokens: 10, MaxOutput: 1, Parts: []routing.PromptPart{{ID: 1, Tokens: 10}}}
@@ -191,7 +191,7 @@
 
 // What already runs has been read: a scheduler that takes over must not wait
 // until it would have been read again.
-func TestTakingOverPlacesAtOnce(t *testing.T) {
+func TestTakeoverPlacesImmediately(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "t", Slots: 64, CacheTokens: 570_000}}})
 	inventory := InventorySeen{Entry: "e"}
@@ -213,7 +213,7 @@
 
 // An account whose subjects are all kept by one busy target gets its share from
 // the others, though a flood keeps them busy too.
-func TestFewSubjectsAreNoReasonToGetLess(t *testing.T) {
+func TestAccountWithFewPrefixesGetsItsShare(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.run(30*time.Second, []*simAccount{
 		{name: "flood", perSecond: 250, subjects: 60, shared: 8_000, own: 4_000, base: 1000},
@@ -228,7 +228,7 @@
 
 // A home whose slots are all taken is waited for, as one that is busy reading:
 // where slots are scarce, work that goes astray reads everything anew.
-func TestFullHomeIsWaitedFor(t *testing.T) {
+func TestRequestWaitsForFullHome(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "home", Slots: 1, CacheTokens: 500_000}, {ID: "other", Slots: 1, CacheTokens: 500_000}}})
 	prompt := func(own uint64) *routing.Prompt {
--- a/core/cell/cold_test.go
+++ b/core/cell/cold_test.go
@@ -12,20 +12,20 @@
 	"madderway/models/routing"
 )
 
-// short returns an ask of a small prompt that nobody shares.
-func short(id RequestID) Ask {
+// shortAsk returns an ask of a small prompt that nobody shares.
+func shortAsk(id RequestID) Ask {
 	p := &routing.Prompt{Tokens: 50, MaxOutput: 5, Parts: []routing.PromptPart{{ID: uint64(id) + 1000, Tokens: 50}}}
 	return Ask{ID: id, Account: fmt.Sprint("a", id%3), Prompt: p, Hold: 200 * time.Millisecond, Objective: time.Second}
 }
 
-// flood asks for a while, a request each two milliseconds, each of which ends at once
+// floodCell asks for a while, a request each two milliseconds, each of which ends at once
 // where it is placed, and returns when each target got one.
-func flood(c *Cell, from time.Time, length time.Duration) map[string][]time.Time {
+func floodCell(c *Cell, from time.Time, length time.Duration) map[string][]time.Time {
 	got := map[string][]time.Time{}
 	id := RequestID(from.UnixNano())
 	for now := from; now.Before(from.Add(length)); now = now.Add(2 * time.Millisecond) {
 		id++
-		for _, a := range c.Step(now, AskSeen{Entry: "g", Ask: short(id)}) {
+		for _, a := range c.Step(now, AskSeen{Entry: "g", Ask: shortAsk(id)}) {
 			p, ok := a.(Place)
 			if !ok {
 				continue
@@ -40,14 +40,14 @@
 
 // A cold engine gets what it bears, whatever is asked, and its part of all once it is
 // warm.
-func TestColdEngineGetsWhatItBears(t *testing.T) {
+func TestColdTargetIsRateLimited(t *testing.T) {
 	const bears = 6.0
 	c := New()
 	ev := TargetsSeen{TokensPerSecond: 40_000, ColdRate: bears, ColdShare: 0.9, Targets: []TargetInfo{
 		{ID: "cold", Slots: 8, CacheTokens: 500_000, ColdUntil: epoch.Add(3 * time.Second)}, {ID: "warm", Slots: 8, CacheTokens: 500_000},
 	}}
 	c.Step(epoch, ev)
-	got := flood(c, epoch, 3*time.Second)
+	got := floodCell(c, epoch, 3*time.Second)
 	for i, first := range got["cold"] {
 		n := 0
 		for _, at := range got["cold"][i:] {
@@ -62,20 +62,20 @@
 	if n := len(got["cold"]); n < 12 {
 		t.Errorf("the cold engine got %d requests in three seconds", n)
 	}
-	if n := len(flood(c, epoch.Add(3*time.Second), time.Second)["cold"]); n < 50 {
+	if n := len(floodCell(c, epoch.Add(3*time.Second), time.Second)["cold"]); n < 50 {
 		t.Errorf("the engine got %d of 500 requests in the second after its cold period", n)
 	}
 	// A scheduler that is none of the cell's sends nothing to a cold engine.
 	ev.ColdShare, ev.Targets[0].ColdUntil = 0, epoch.Add(20*time.Second)
 	c.Step(epoch.Add(5*time.Second), ev)
-	if n := len(flood(c, epoch.Add(5*time.Second), time.Second)["cold"]); n != 0 {
+	if n := len(floodCell(c, epoch.Add(5*time.Second), time.Second)["cold"]); n != 0 {
 		t.Errorf("a last resort sent %d", n)
 	}
 }
 
 // An engine of an evacuated hall gets nothing, not by waiting either; what it keeps is
 // copied from it, and what runs there goes on.
-func TestEvacuatedEngineOnlyGivesCopies(t *testing.T) {
+func TestEvacuatedTargetOnlyServesCopies(t *testing.T) {
 	c := New()
 	ev := TargetsSeen{TokensPerSecond: 40_000, Transfer: fastLinks, Targets: []TargetInfo{
 		{ID: "here", Slots: 8, CacheTokens: 500_000}, {ID: "there", Slots: 8, CacheTokens: 500_000, DataHall: "h2"},
@@ -101,13 +101,13 @@
 	}
 	ev.Targets[0].Evacuated = true
 	c.Step(now, ev)
-	if got := flood(c, now, time.Second); len(got) != 0 {
+	if got := floodCell(c, now, time.Second); len(got) != 0 {
 		t.Errorf("placed %v with all evacuated", got)
 	}
 }
 
 // A cell all of whose targets are evacuated is asked for nothing: another one is.
-func TestEvacuatedCellIsPassedOver(t *testing.T) {
+func TestEvacuatedCellIsSkipped(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8}}}})
 	var set routing.TargetSet
 	for i := range 40 {
--- a/core/cell/dispatch_test.go
+++ b/core/cell/dispatch_test.go
@@ -11,9 +11,9 @@
 	"madderway/models/routing"
 )
 
-// crowd returns a cell of busy targets before which requests of many accounts
+// busyCell returns a cell of busy targets before which requests of many accounts
 // wait, and the number of the next request.
-func crowd(t *testing.T, waiting int) (*Cell, RequestID) {
+func busyCell(t *testing.T, waiting int) (*Cell, RequestID) {
 	t.Helper()
 	c := New()
 	ev := TargetsSeen{TokensPerSecond: 40_000}
@@ -26,20 +26,20 @@
 		if next++; next > RequestID(10*waiting) {
 			t.Fatalf("only %d of %d asks wait", c.Waiting(), next)
 		}
-		c.Step(epoch, crowdAsk(next))
+		c.Step(epoch, longAsk(next))
 	}
 	return c, next
 }
 
-func crowdAsk(id RequestID) AskSeen {
+func longAsk(id RequestID) AskSeen {
 	p := &routing.Prompt{Tokens: 8_000, MaxOutput: 50, Parts: []routing.PromptPart{{ID: uint64(id % 40), Tokens: 6_000}, {ID: 1000 + uint64(id), Tokens: 2_000}}}
 	return AskSeen{"e", Ask{ID: id, Account: string(rune('a' + id%20)), Prompt: p, Hold: 20 * time.Second, Objective: time.Minute}}
 }
 
 // However many requests wait, a step looks for a target at most once for each:
 // what it places takes room away and makes none.
-func TestStepLooksOnceForEachRequest(t *testing.T) {
-	c, next := crowd(t, 300)
+func TestDecisionTriesEachRequestOnce(t *testing.T) {
+	c, next := busyCell(t, 300)
 	for i := range 20 {
 		now := epoch.Add(time.Duration(i+1) * 400 * time.Millisecond)
 		for key, r := range c.runs {
@@ -65,12 +65,12 @@
 }
 
 // While no target takes anything, nothing is looked for.
-func TestBusyTargetsCostNothing(t *testing.T) {
-	c, next := crowd(t, 150)
+func TestNoTriesWhileAllTargetsAreBusy(t *testing.T) {
+	c, next := busyCell(t, 150)
 	before := c.counts.Tried
 	for range 50 {
 		next++
-		c.Step(epoch, crowdAsk(next))
+		c.Step(epoch, longAsk(next))
 	}
 	if tried := c.counts.Tried - before; tried != 0 {
 		t.Errorf("%d looks for targets that are all busy", tried)
@@ -79,11 +79,11 @@
 
 // A request whose time to wait is over is placed where a target has just become
 // free, not refused.
-func TestFreeTargetIsUsedBeforeRefusing(t *testing.T) {
+func TestOverdueRequestUsesFreedTarget(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "t", Slots: 1, CacheTokens: 500_000}}})
-	c.Step(epoch, crowdAsk(1))
-	ask := crowdAsk(2)
+	c.Step(epoch, longAsk(1))
+	ask := longAsk(2)
 	ask.Ask.Hold, ask.Ask.Objective = 100*time.Millisecond, 180*time.Millisecond
 	c.Step(epoch, ask)
 	now := epoch.Add(110 * time.Millisecond)
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -37,13 +37,13 @@
 // largeAccounts is how many accounts share each kind evenly.
 const largeAccounts = 8
 
-// playLarge plays some of the fleet's engines with their part of the subjects and
+// simulateFleet plays some of the fleet's engines with their part of the subjects and
 // returns what became of the requests.
-func playLarge(engines int, subjects map[string][]uint64, load float64, length time.Duration) simResult {
+func simulateFleet(engines int, subjects map[string][]uint64, load float64, length time.Duration) simResult {
 	s := newSim(engines, largeSpeed, largeMemory)
 	s.links = &routing.Transfer{TokenBytes: 163_840, BytesPerSecond: 550e9 / 8}
 	s.objective, s.slots, s.stream = time.Second, 12, 700*time.Millisecond
-	s.layout()
+	s.sendTargets()
 	var accounts []*simAccount
 	for _, k := range largeKinds {
 		of := subjects[k.name]
@@ -61,11 +61,11 @@
 	return s.total()
 }
 
-// largeCells divides engines and subjects as the layout does. A cell's subjects are
+// divideFleet divides engines and subjects as the layout does. A cell's subjects are
 // numbered on from its first one, so that they can be drawn evenly.
-func largeCells(most int) []largeCell {
-	x, set := world(largeEngines)
-	l := newLayout(x, set, nodes(20), most)
+func divideFleet(most int) []largeCell {
+	x, set := testService(largeEngines)
+	l := newLayout(x, set, testNodes(20), most)
 	byKey, cells := map[Key]int{}, []largeCell{}
 	for key, g := range l.Groups() {
 		byKey[key] = len(cells)
@@ -98,8 +98,8 @@
 				var t simResult
 				for range b.N {
 					t = simResult{}
-					for _, c := range largeCells(most) {
-						r := playLarge(c.engines, c.subjects, load, 8*time.Second)
+					for _, c := range divideFleet(most) {
+						r := simulateFleet(c.engines, c.subjects, load, 8*time.Second)
 						t.asked += r.asked
 						t.placed += r.placed
 						t.late += r.late
--- a/core/cell/hopeless_test.go
+++ b/core/cell/hopeless_test.go
@@ -12,7 +12,7 @@
 
 // A request that no target of the cell takes, however long it waits, is refused at once, for
 // another cell where there is one; one whose targets are only busy waits on.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
 	ask := func(id RequestID, deny ...string) AskSeen {
 		return AskSeen{"e", Ask{ID: id, Account: "a", Prompt: &routing.Prompt{Tokens: 1000, MaxOutput: 10}, Hold: time.Second, Objective: 10 * time.Second, Deny: deny}}
 	}
@@ -57,7 +57,7 @@
 
 // What waits for a target that then leaves is refused at that moment, where it was the last.
 func TestWaitingRequestIsRefusedWhenTheLastTargetLeaves(t *testing.T) {
-	cell, _ := crowd(t, 30)
+	cell, _ := busyCell(t, 30)
 	var ev TargetsSeen
 	for _, id := range []string{"a", "b", "c", "d"} {
 		ev.Targets = append(ev.Targets, TargetInfo{ID: id, Slots: 8, CacheTokens: 500_000, Leaving: true})
--- a/core/cell/kept_test.go
+++ b/core/cell/kept_test.go
@@ -13,7 +13,7 @@
 
 // A scheduler that takes a cell over sends a prompt to the engine that says it
 // keeps its beginning, not to where it would have begun itself.
-func TestLearnedKeeperIsPreferred(t *testing.T) {
+func TestReportedCacheHolderIsPreferred(t *testing.T) {
 	p := &routing.Prompt{Tokens: 13_500, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 7, Tokens: 13_000}, {ID: 8, Tokens: 500}}}
 	keeper, home := "a", "b"
 	if place.Score("a", p.Affinity()) > place.Score("b", p.Affinity()) {
@@ -39,7 +39,7 @@
 }
 
 // A request waits on behind a short queue and is refused behind a long one.
-func TestWaitsOnOnlyBehindAShortQueue(t *testing.T) {
+func TestWaitIsExtendedOnlyBehindShortQueue(t *testing.T) {
 	outcome := func(queued int) (refused int) {
 		c := New()
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "a", Slots: 64, CacheTokens: 900_000}}})
--- a/core/cell/layout_test.go
+++ b/core/cell/layout_test.go
@@ -12,7 +12,7 @@
 	"madderway/models/routing"
 )
 
-func world(targets int) (*routing.Index, *routing.TargetSet) {
+func testService(targets int) (*routing.Index, *routing.TargetSet) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, CacheTokens: 500_000}}, {Name: "plain"}}})
 	set := &routing.TargetSet{}
 	for i := range targets {
@@ -21,7 +21,7 @@
 	return x, set.Build()
 }
 
-func nodes(n int) []place.Node {
+func testNodes(n int) []place.Node {
 	var out []place.Node
 	for i := range n {
 		out = append(out, place.Node{ID: fmt.Sprintf("g%03d", i)})
@@ -31,8 +31,8 @@
 
 func TestCellsStaySmall(t *testing.T) {
 	for _, n := range []int{1, 9, 12, 13, 90, 140, 600} {
-		x, set := world(n)
-		l := NewLayout(x, set, nodes(9))
+		x, set := testService(n)
+		l := NewLayout(x, set, testNodes(9))
 		total, largest := 0, 0
 		for _, g := range l.Groups() {
 			total += len(g.Targets)
@@ -51,9 +51,9 @@
 }
 
 // Requests land on cells in proportion to their targets.
-func TestAffinitiesFollowTheTargets(t *testing.T) {
-	x, set := world(140)
-	l := NewLayout(x, set, nodes(59))
+func TestAffinitiesAreProportionalToTargets(t *testing.T) {
+	x, set := testService(140)
+	l := NewLayout(x, set, testNodes(59))
 	hits := map[Key]int{}
 	const keys = 100_000
 	for i := range keys {
@@ -68,9 +68,9 @@
 }
 
 // One gateway less moves only the cells that it scheduled.
-func TestSchedulersMoveLittle(t *testing.T) {
-	x, set := world(600)
-	all := nodes(320)
+func TestRemovedNodeMovesOnlyItsCells(t *testing.T) {
+	x, set := testService(600)
+	all := testNodes(320)
 	before, after := NewLayout(x, set, all), NewLayout(x, set, append(append([]place.Node{}, all[:7]...), all[8:]...))
 	for key, g := range before.Groups() {
 		if g.Schedulers()[0] != all[7].ID && after.Group(key).Schedulers()[0] != g.Schedulers()[0] {
@@ -79,9 +79,9 @@
 	}
 }
 
-func TestNoCellWithoutEngines(t *testing.T) {
-	x, set := world(3)
-	l := NewLayout(x, set, nodes(3))
+func TestServiceWithoutEngineHasNoCells(t *testing.T) {
+	x, set := testService(3)
+	l := NewLayout(x, set, testNodes(3))
 	if l.GroupFor("plain", 1) != nil || l.GroupFor("unknown", 1) != nil {
 		t.Error("a service without engines has a cell")
 	}
@@ -93,17 +93,17 @@
 
 // Gateways of a large fleet come and go often; a change of them divides no targets, and
 // draws the schedulers of a cell only when that is asked.
-func TestMembersChangeWithoutDividing(t *testing.T) {
-	x, set := world(320)
-	few, many := NewLayout(x, set, nodes(20)), NewLayout(x, set, nodes(1000))
+func TestWithNodesKeepsTargetAssignment(t *testing.T) {
+	x, set := testService(320)
+	few, many := NewLayout(x, set, testNodes(20)), NewLayout(x, set, testNodes(1000))
 	allocations := func(l *Layout, n []place.Node) float64 {
 		return testing.AllocsPerRun(20, func() { l = l.WithNodes(n) })
 	}
-	if a, b := allocations(few, nodes(20)), allocations(many, nodes(1000)); a != b || b > 200 {
+	if a, b := allocations(few, testNodes(20)), allocations(many, testNodes(1000)); a != b || b > 200 {
 		t.Errorf("%.0f allocations with 20 gateways, %.0f with 1,000", a, b)
 	}
-	moved := few.WithNodes(nodes(50))
-	fresh := NewLayout(x, set, nodes(50))
+	moved := few.WithNodes(testNodes(50))
+	fresh := NewLayout(x, set, testNodes(50))
 	for key, g := range fresh.Groups() {
 		other := moved.Group(key)
 		if len(other.Targets) != len(g.Targets) || !slices.Equal(other.Schedulers(), g.Schedulers()) {
@@ -112,11 +112,11 @@
 	}
 }
 
-func BenchmarkMembersChange(b *testing.B) {
-	x, set := world(320)
+func BenchmarkWithNodes(b *testing.B) {
+	x, set := testService(320)
 	for _, n := range []int{20, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			l, fleet := NewLayout(x, set, nodes(n)), nodes(n)
+			l, fleet := NewLayout(x, set, testNodes(n)), testNodes(n)
 			for b.Loop() {
 				l = l.WithNodes(fleet)
 			}
--- a/core/cell/reborn_test.go
+++ b/core/cell/reborn_test.go
@@ -14,7 +14,7 @@
 // An engine that has started again under its name holds and knows nothing of before: not what
 // it kept, copies of it, what is under way, its queue, its speed, its failures or its being
 // cold. What still runs on the older life is told of without any effect on the new one.
-func TestAnotherLifeIsAnotherEngine(t *testing.T) {
+func TestRestartedTargetStartsWithoutState(t *testing.T) {
 	now := epoch
 	life := func(born int64) string { return routing.TargetID("w", born) }
 	seen := func(ids ...string) TargetsSeen {
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -18,14 +18,14 @@
 // simEngine reads prompts in order at a fixed speed, keeps the parts used last
 // and gives the first event a fixed time after reading.
 type simEngine struct {
-	id      string
-	speed   float64
-	clearAt time.Time
-	kept    map[uint64]int // part, tokens
-	order   []uint64       // unused longest first
-	used    int
-	size    int
-	down    bool // a down engine gives no sign
+	id     string
+	speed  float64
+	idleAt time.Time
+	kept   map[uint64]int // part, tokens
+	order  []uint64       // unused longest first
+	used   int
+	size   int
+	down   bool // a down engine gives no sign
 }
 
 // read puts a prompt to the engine and returns the tokens that it reads anew.
@@ -41,10 +41,10 @@
 		}
 		e.touch(part)
 	}
-	if e.clearAt.Before(now) {
-		e.clearAt = now
+	if e.idleAt.Before(now) {
+		e.idleAt = now
 	}
-	e.clearAt = e.clearAt.Add(time.Duration(float64(missing) / e.speed * float64(time.Second)))
+	e.idleAt = e.idleAt.Add(time.Duration(float64(missing) / e.speed * float64(time.Second)))
 	return missing, sharedMissing
 }
 
@@ -142,7 +142,7 @@
 	at      time.Time
 }
 
-const simFirst = 50 * time.Millisecond
+const simFirstEventDelay = 50 * time.Millisecond
 
 func newSim(engines int, speed float64, memory int) *sim {
 	s := &sim{
@@ -153,12 +153,12 @@
 		id := fmt.Sprintf("t%02d", i)
 		s.engines[id] = &simEngine{id: id, speed: speed, kept: map[uint64]int{}, size: memory}
 	}
-	s.layout()
+	s.sendTargets()
 	return s
 }
 
-// layout tells the cell its targets and how they copy prompts.
-func (s *sim) layout() {
+// sendTargets tells the cell its targets and how they copy prompts.
+func (s *sim) sendTargets() {
 	ev := TargetsSeen{Transfer: s.links}
 	for id, e := range s.engines {
 		ev.TokensPerSecond = e.speed
@@ -205,7 +205,7 @@
 	if e.down {
 		return
 	}
-	first := e.clearAt.Add(simFirst)
+	first := e.idleAt.Add(simFirstEventDelay)
 	if first.Sub(ask.at) > s.objective {
 		r.late++
 	}
--- a/core/cell/tally_test.go
+++ b/core/cell/tally_test.go
@@ -13,7 +13,7 @@
 // Two cells of one engine each. The flood asks in both, the other account in
 // one of them only: over the whole service it is owed half, so it gets all that
 // its cell can give.
-func TestFairnessHoldsOverCells(t *testing.T) {
+func TestFairnessAcrossCells(t *testing.T) {
 	for _, tell := range []bool{false, true} {
 		cells := []*Cell{New(), New()}
 		for _, c := range cells {
@@ -64,7 +64,7 @@
 func accountOf(c *Cell, id RequestID) string { return c.runs[requestKey{"e", id}].account }
 
 // A repeated, lost or late tally, or that of a new life, charges nothing twice.
-func TestTalliesAreSums(t *testing.T) {
+func TestRepeatedTalliesAreChargedOnce(t *testing.T) {
 	c := New()
 	level := func() float64 { return c.account("a").level }
 	tell := func(incarnation uint64, service float64) {
@@ -88,7 +88,7 @@
 }
 
 // An account that a gateway had not told of is charged for what is new only.
-func TestNewAccountOfATallyIsNotChargedForAll(t *testing.T) {
+func TestNewAccountInTallyIsChargedForIncrease(t *testing.T) {
 	c := New()
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "a", Service: 10}}})
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "b", Service: 5000, Before: 4900}}})
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestTallyTellsChangesOnly(t *testing.T) {
+func TestDrainTallyReturnsOnlyChanges(t *testing.T) {
 	c := New()
 	c.account("a").served, c.account("b").served = 5, 7
 	if rows := c.DrainTally(); len(rows) != 2 || rows[1] != (TallyRow{Account: "b", Service: 7}) {
@@ -117,7 +117,7 @@
 // An account that gets far less than another one gets in other cells is sent to another
 // cell, though all that wait here get as little: at 32 cells an account got 14.6 million
 // tokens in six seconds in which another one, whose prompts are kept elsewhere, got 31.2.
-func TestLessThanElsewhereIsSentElsewhere(t *testing.T) {
+func TestStarvedAccountIsSentToOtherCells(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{Siblings: 1, TokensPerSecond: 10_000, Targets: []TargetInfo{{ID: "t", Slots: 1000, CacheTokens: 10_000_000}}})
 	id, rival, refused, elsewhere := RequestID(0), 0.0, 0, 0
@@ -154,7 +154,7 @@
 
 // What an account got while nobody else wanted it is forgotten soon once others do, also
 // where the capacity is less by then.
-func TestUseOfIdleTargetsIsForgottenSoon(t *testing.T) {
+func TestLeadFromIdleTargetsIsCapped(t *testing.T) {
 	c := New()
 	ev := TargetsSeen{TokensPerSecond: 10_000}
 	for _, id := range []string{"a", "b", "c", "d"} {
--- a/core/cell/totals_test.go
+++ b/core/cell/totals_test.go
@@ -11,12 +11,12 @@
 )
 
 // What targets have read stays counted when a target goes.
-func TestReadingOutlastsATarget(t *testing.T) {
+func TestReadingTimeSurvivesTargetRemoval(t *testing.T) {
 	c := New()
 	targets := []TargetInfo{{ID: "a", Slots: 1, CacheTokens: 500_000}, {ID: "b", Slots: 1, CacheTokens: 500_000}}
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: targets})
 	for id := RequestID(1); id <= 2; id++ {
-		c.Step(epoch, crowdAsk(id))
+		c.Step(epoch, longAsk(id))
 		c.Step(epoch.Add(200*time.Millisecond), BeganSeen{"e", id})
 	}
 	read := c.Counts(epoch.Add(200 * time.Millisecond)).Reading
@@ -44,7 +44,7 @@
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "a", Slots: 64, CacheTokens: 500_000}}})
 	for i := range 10 {
-		c.Step(epoch.Add(time.Duration(i)*200*time.Millisecond), crowdAsk(RequestID(i)))
+		c.Step(epoch.Add(time.Duration(i)*200*time.Millisecond), longAsk(RequestID(i)))
 	}
 	if got := c.Counts(epoch.Add(2 * time.Second)).Reading; got < 1900*time.Millisecond || got > 2*time.Second {
 		t.Errorf("reading for %v of 2s", got)
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -44,7 +44,7 @@
 
 // A prompt whose keeper is busy goes to another engine, which copies what the
 // keeper has; the nearer of two.
-func TestBeginningIsCopiedWhereItsKeeperIsBusy(t *testing.T) {
+func TestPrefixIsCopiedFromBusyHolder(t *testing.T) {
 	c := transferCell(fastLinks)
 	p, ok := askTransfer(c, time.Second, 2)
 	if !ok || p.Target != "near" || p.Source != "keeper" || p.CopiedTokens != 8_000 || p.RereadTokens != 0 {
@@ -57,7 +57,7 @@
 
 // Engines that do not copy, and links on which copying takes about as long as
 // reading, leave all as it was: no source is named.
-func TestNothingIsCopiedWithoutGain(t *testing.T) {
+func TestNoCopyWithoutGain(t *testing.T) {
 	slow := &routing.Transfer{TokenBytes: 25_000, BytesPerSecond: 1e9} // as fast as reading
 	for name, links := range map[string]*routing.Transfer{"none": nil, "slow": slow} {
 		c := transferCell(links)
@@ -72,7 +72,7 @@
 
 // An engine that leaves, one that gives no sign and one that only begins to read
 // are no sources.
-func TestUnfitSourcesAreNotUsed(t *testing.T) {
+func TestUnavailableTargetIsNoSource(t *testing.T) {
 	cases := map[string]func(c *Cell){
 		"leaving": func(c *Cell) {
 			var targets []TargetInfo
@@ -118,7 +118,7 @@
 
 // Transfers go one after another on a link: with the links of all keepers taken
 // for long, an engine reads.
-func TestTransfersTakeTurnsOnALink(t *testing.T) {
+func TestTransfersQueueOnLink(t *testing.T) {
 	c := transferCell(fastLinks)
 	keeper := c.targets["keeper"]
 	keeper.linkFreeAt = epoch.Add(5 * time.Second)
@@ -135,11 +135,11 @@
 
 // Each engine reads or copies a beginning that all ask for; over fast links it is
 // read seldom in the whole cell.
-func TestHotBeginningIsSeldomRead(t *testing.T) {
+func TestHotPrefixIsRarelyRead(t *testing.T) {
 	read := func(links *routing.Transfer) int {
 		s := newSim(9, 45_000, 570_000)
 		s.links = links
-		s.layout()
+		s.sendTargets()
 		s.run(20*time.Second, []*simAccount{{name: "one", perSecond: 60, subjects: 6, shared: 13_000, own: 3_700, base: 1}})
 		r := s.total()
 		if r.refused > r.asked/20 {
@@ -157,7 +157,7 @@
 
 // A request spills to an engine with something to read where its beginning is
 // copied there cheaply, not where the copy is dear or it is read again.
-func TestSpillingFollowsThePriceOfACopy(t *testing.T) {
+func TestSpillDependsOnCopyCost(t *testing.T) {
 	spills := func(links *routing.Transfer) bool {
 		c := New()
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Transfer: links, Targets: []TargetInfo{
