--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		if t := s.pickTarget(now, p, e); t != nil {
-			s.give(now, p, account, e, t, free-1, reserved)
+			s.issueGrant(now, p, account, e, t, free-1, reserved)
 			return true
 		}
 	}
@@ -96,16 +96,16 @@
 	return best
 }
 
-func (s *Scheduler) give(now time.Time, p *pool, account string, e *entryDemand, t *target, free int, reserved bool) {
+func (s *Scheduler) issueGrant(now time.Time, p *pool, account string, e *entryDemand, t *target, free int, reserved bool) {
 	s.nextID++
-	g := &grant{to: e.from, account: account, pool: p, target: t, at: now, seenAt: now}
+	g := &grant{to: e.from, account: account, pool: p, target: t, issuedAt: now, confirmedAt: now}
 	s.grants[s.nextID] = g
 	t.inflight++
 	if e.prefix != "" {
 		t.prefixes.Note(now, e.prefix)
 	}
-	p.lastStart = math.Max(p.lastStart, p.begun(account))
-	s.takeDemand(p, account, e)
+	p.lastStart = math.Max(p.lastStart, p.settledLevel(account))
+	s.reduceDemand(p, account, e)
 	s.charge(now, g, e.cost)
 	p.requeue(now, account, s.weight(account))
 	s.Granted++
@@ -116,7 +116,7 @@
 	}})
 }
 
-func (s *Scheduler) takeDemand(p *pool, account string, e *entryDemand) {
+func (s *Scheduler) reduceDemand(p *pool, account string, e *entryDemand) {
 	e.count--
 	if e.interactive > 0 {
 		e.interactive--
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -16,23 +16,23 @@
 const epsilon = 1e-6
 
 type target struct {
-	spec     TargetSpec
-	limiter  *limit.Limiter
-	prefixes *place.PrefixMap
-	inflight int
-	running  int // running is the load report's word, used only after a takeover.
-	openAt   time.Time
-	trustAt  time.Time // trustAt is when the own count of inflight is complete.
-	down     bool
-	leaving  bool
+	spec            TargetSpec
+	limiter         *limit.Limiter
+	prefixes        *place.PrefixMap
+	inflight        int
+	running         int // running is the load report's word, used only after a takeover.
+	openFrom        time.Time
+	countCompleteAt time.Time // trustAt is when the own count of inflight is complete.
+	down            bool
+	leaving         bool
 }
 
 func (t *target) free(now time.Time) int {
-	if t.down || t.leaving || t.spec.Leaving || now.Before(t.openAt) {
+	if t.down || t.leaving || t.spec.Leaving || now.Before(t.openFrom) {
 		return 0
 	}
 	busy := t.inflight
-	if now.Before(t.trustAt) {
+	if now.Before(t.countCompleteAt) {
 		busy = max(busy, t.running)
 	}
 	return t.limiter.Limit() - busy
@@ -62,48 +62,48 @@
 }
 
 type peerState struct {
-	sent    uint64 // sent is the change counter that the peer has been told.
-	waiting bool
-	floor   float64
-	heardAt time.Time
-	greeted bool
+	sentRevision uint64 // sent is the change counter that the peer has been told.
+	waiting      bool
+	floor        float64
+	lastTallyAt  time.Time
+	contacted    bool
 }
 
 type pool struct {
-	spec            PoolSpec
-	ledger          *fair.Ledger
-	queue           *fair.Queue
-	demands         map[string]*accountDemand
-	targets         []*target
-	peers           map[fair.Reporter]*peerState
-	since           map[string]time.Time // since is when an account began to wait here.
-	inflight        map[string]float64   // inflight is what is charged for requests that run, in virtual units.
-	local           floorState
-	lastStart       float64
-	lastInteractive time.Time
-	tallyAt         time.Time
-	tallySeq        uint64
-	wasWaiting      bool
-	quiet           bool // quiet tells that nothing waits here or at a peer.
-	lastRows        int  // lastRows is how many rows the last tally had.
-}
-
-// floorState is what a scheduler knows of the virtual time from what waits at
+	spec             PoolSpec
+	ledger           *fair.Ledger
+	queue            *fair.Queue
+	demands          map[string]*accountDemand
+	targets          []*target
+	peers            map[fair.Reporter]*peerState
+	waitingSince     map[string]time.Time // since is when an account began to wait here.
+	inflight         map[string]float64   // inflight is what is charged for requests that run, in virtual units.
+	localFloor       virtualFloor
+	lastStart        float64
+	lastInteractive  time.Time
+	tallyAt          time.Time
+	tallySeq         uint64
+	lastTallyWaiting bool
+	idle             bool // quiet tells that nothing waits here or at a peer.
+	lastRowCount     int  // lastRows is how many rows the last tally had.
+}
+
+// virtualFloor is what a scheduler knows of the virtual time from what waits at
 // itself.
-type floorState struct {
+type virtualFloor struct {
 	floor   float64
 	waiting bool
 }
 
 func newPool(spec PoolSpec, salt string) *pool {
 	return &pool{
-		spec:     spec,
-		ledger:   fair.NewLedger(spec.MaxDebt),
-		queue:    fair.NewQueue(salt),
-		demands:  map[string]*accountDemand{},
-		since:    map[string]time.Time{},
-		inflight: map[string]float64{},
-		peers:    map[fair.Reporter]*peerState{},
+		spec:         spec,
+		ledger:       fair.NewLedger(spec.MaxDebt),
+		queue:        fair.NewQueue(salt),
+		demands:      map[string]*accountDemand{},
+		waitingSince: map[string]time.Time{},
+		inflight:     map[string]float64{},
+		peers:        map[fair.Reporter]*peerState{},
 	}
 }
 
@@ -153,13 +153,13 @@
 	ad := p.demands[account]
 	if ad == nil || len(ad.entries) == 0 {
 		delete(p.demands, account)
-		delete(p.since, account)
+		delete(p.waitingSince, account)
 		p.queue.Remove(account)
 		return
 	}
 	if !p.queue.Has(account) {
 		p.ledger.Admit(now, account)
-		p.since[account] = now
+		p.waitingSince[account] = now
 	}
 	key, gain := p.ledger.Key(account)
 	if p.spec.HeadStart > 0 && ad.interactive() > 0 {
@@ -176,32 +176,34 @@
 	return n
 }
 
-// begun is an account's key without what is charged here for requests that
+// settledLevel is an account's key without what is charged here for requests that
 // still run: the service that it certainly had.
-func (p *pool) begun(account string) float64 { return p.ledger.Level(account) - p.inflight[account] }
+func (p *pool) settledLevel(account string) float64 {
+	return p.ledger.Level(account) - p.inflight[account]
+}
 
-// noteInflight adds to what is charged for an account's running requests.
-func (p *pool) noteInflight(account string, delta float64) {
+// addInflight adds to what is charged for an account's running requests.
+func (p *pool) addInflight(account string, delta float64) {
 	p.inflight[account] += delta
 	if p.inflight[account] < epsilon {
 		delete(p.inflight, account)
 	}
 }
 
-// updateLocal finds the least service that waits here, or the start tag of the
+// updateLocalFloor finds the least service that waits here, or the start tag of the
 // last grant where nothing does. Charges for running requests do not count: an
 // estimate that is too high would lift all others for good. Nor do accounts
 // that wait for a moment only: there is nearly always one somewhere, and it
 // would hold the floor down, which gives credit for idle time to all others.
-func (p *pool) updateLocal(now time.Time) {
-	p.local = floorState{floor: p.lastStart}
+func (p *pool) updateLocalFloor(now time.Time) {
+	p.localFloor = virtualFloor{floor: p.lastStart}
 	p.queue.Ascend(func(account string, _ float64) bool {
-		if now.Sub(p.since[account]) < persistentAfter {
+		if now.Sub(p.waitingSince[account]) < minFloorWait {
 			return true
 		}
-		v := p.begun(account)
-		if !p.local.waiting || v < p.local.floor {
-			p.local = floorState{v, true}
+		v := p.settledLevel(account)
+		if !p.localFloor.waiting || v < p.localFloor.floor {
+			p.localFloor = virtualFloor{v, true}
 		}
 		return true
 	})
@@ -210,9 +212,9 @@
 // raiseFloor computes the fleet's virtual time from what waits here and what
 // the peers said. Where nothing waits anywhere, the highest start tag counts.
 func (p *pool) raiseFloor(now time.Time, freshness time.Duration) {
-	floor, waiting := p.local.floor, p.local.waiting
+	floor, waiting := p.localFloor.floor, p.localFloor.waiting
 	for _, peer := range p.peers {
-		if peer.heardAt.IsZero() || now.Sub(peer.heardAt) > freshness {
+		if peer.lastTallyAt.IsZero() || now.Sub(peer.lastTallyAt) > freshness {
 			continue
 		}
 		switch {
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -14,19 +14,19 @@
 
 // Times of the grant protocol.
 const (
-	UnconfirmedLimit  = 20 * time.Second       // after it a grant that no inventory names is released
-	InventoryGrace    = 3 * time.Second        // a younger grant may be missing from an inventory
-	TakeoverWait      = 300 * time.Millisecond // a new owner waits for adoptions
-	TakeoverTrust     = 3 * time.Second        // so long a new owner heeds the target's own count
-	reserveWindow     = 2 * time.Second        // so long after interactive work slots stay reserved
-	fullTallyEvery    = 32                     // every so many tallies all rows are sent
-	prefixMaxAge      = 5 * time.Minute        // an older cache hint is not heeded
-	prefixMaxSize     = 512                    // cache hints kept for one target
-	tallyFreshness    = 3                      // intervals after which a peer's floor is not heeded
-	settleAge         = 12                     // tenths of an interval after which a lift is fixed
-	persistentAfter   = 500 * time.Millisecond // an account that waits for less does not hold the floor
-	defaultTally      = time.Second
-	incarnationWindow = 24 // bits of grant IDs left to the counter
+	UnconfirmedLimit        = 20 * time.Second       // after it a grant that no inventory names is released
+	InventoryGrace          = 3 * time.Second        // a younger grant may be missing from an inventory
+	TakeoverWait            = 300 * time.Millisecond // a new owner waits for adoptions
+	TakeoverTrust           = 3 * time.Second        // so long a new owner heeds the target's own count
+	reserveWindow           = 2 * time.Second        // so long after interactive work slots stay reserved
+	fullTallyEvery          = 32                     // every so many tallies all rows are sent
+	prefixMaxAge            = 5 * time.Minute        // an older cache hint is not heeded
+	prefixMaxSize           = 512                    // cache hints kept for one target
+	tallyFreshnessIntervals = 3                      // intervals after which a peer's floor is not heeded
+	settleAgeTenths         = 12                     // tenths of an interval after which a lift is fixed
+	minFloorWait            = 500 * time.Millisecond // an account that waits for less does not hold the floor
+	defaultTallyInterval    = time.Second
+	grantCounterBits        = 24 // bits of grant IDs left to the counter
 )
 
 // Options of a Scheduler.
@@ -38,25 +38,25 @@
 
 // What a tally costs on the wire: its packet and headers, and each row.
 const (
-	tallyBytes    = 100
-	tallyRowBytes = 35
+	tallyOverheadBytes = 100
+	tallyRowBytes      = 35
 )
 
-// maxTally is the longest interval of tallies while accounts wait; while none
-// does it is quietTally times as long.
+// maxTallyInterval is the longest interval of tallies while accounts wait; while none
+// does it is idleTallyFactor times as long.
 const (
-	maxTally   = 2500 * time.Millisecond
-	quietTally = 4
+	maxTallyInterval = 2500 * time.Millisecond
+	idleTallyFactor  = 4
 )
 
 type grant struct {
-	to      string
-	account string
-	pool    *pool
-	target  *target
-	charged float64
-	at      time.Time
-	seenAt  time.Time
+	to          string
+	account     string
+	pool        *pool
+	target      *target
+	charged     float64
+	issuedAt    time.Time
+	confirmedAt time.Time
 }
 
 // Scheduler hands out the slots of the targets it owns.
@@ -76,7 +76,7 @@
 // New returns a scheduler that owns nothing.
 func New(opts Options) *Scheduler {
 	if opts.TallyInterval == 0 {
-		opts.TallyInterval = defaultTally
+		opts.TallyInterval = defaultTallyInterval
 	}
 	return &Scheduler{
 		opts:    opts,
@@ -86,7 +86,7 @@
 		weights: map[string]float64{},
 		halls:   map[string]string{},
 		// The incarnation keeps the IDs of two lives of one router apart.
-		nextID: message.GrantID(opts.Self.Incarnation%(1<<incarnationWindow)) << incarnationWindow,
+		nextID: message.GrantID(opts.Self.Incarnation%(1<<grantCounterBits)) << grantCounterBits,
 	}
 }
 
@@ -194,7 +194,7 @@
 	// new owner, so the grants are forgotten without settling them.
 	for id, g := range s.grants {
 		if s.targets[g.target.spec.Name] != g.target {
-			g.pool.noteInflight(g.account, -g.charged/s.weight(g.account))
+			g.pool.addInflight(g.account, -g.charged/s.weight(g.account))
 			delete(s.grants, id)
 		}
 	}
@@ -208,9 +208,9 @@
 			FirstTokenGoal: spec.FirstTokenGoal,
 			TokenGapGoal:   spec.TokenGapGoal,
 		}),
-		prefixes: place.NewPrefixMap(prefixMaxAge, prefixMaxSize),
-		openAt:   now.Add(TakeoverWait),
-		trustAt:  now.Add(TakeoverTrust),
+		prefixes:        place.NewPrefixMap(prefixMaxAge, prefixMaxSize),
+		openFrom:        now.Add(TakeoverWait),
+		countCompleteAt: now.Add(TakeoverTrust),
 	}
 }
 
@@ -232,7 +232,7 @@
 	g.charged = cost
 	w := s.weight(g.account)
 	g.pool.ledger.Charge(g.account, delta/w)
-	g.pool.noteInflight(g.account, delta/w)
+	g.pool.addInflight(g.account, delta/w)
 	if g.pool.queue.Has(g.account) {
 		g.pool.requeue(now, g.account, w)
 	}
@@ -240,7 +240,7 @@
 
 func (s *Scheduler) release(id message.GrantID, g *grant) {
 	delete(s.grants, id)
-	g.pool.noteInflight(g.account, -g.charged/s.weight(g.account))
+	g.pool.addInflight(g.account, -g.charged/s.weight(g.account))
 	g.target.inflight--
 }
 
@@ -249,7 +249,7 @@
 	if g == nil || g.to != from {
 		return
 	}
-	g.seenAt = now
+	g.confirmedAt = now
 	switch r.Kind {
 	case message.ReportProgress:
 		if r.Cost > g.charged {
@@ -275,7 +275,7 @@
 	for _, id := range inv.Held {
 		held[id] = true
 		if g := s.grants[id]; g != nil && g.to == from {
-			g.seenAt = now
+			g.confirmedAt = now
 		}
 	}
 	for _, a := range inv.Adopt {
@@ -283,7 +283,7 @@
 		s.adopt(now, from, a)
 	}
 	for id, g := range s.grants {
-		if g.to == from && !held[id] && now.Sub(g.at) > InventoryGrace {
+		if g.to == from && !held[id] && now.Sub(g.issuedAt) > InventoryGrace {
 			s.expire(now, id, g)
 		}
 	}
@@ -296,8 +296,8 @@
 	}
 	t.inflight++
 	p := s.pools[t.spec.Pool]
-	s.grants[a.Grant] = &grant{to: from, account: a.Account, pool: p, target: t, charged: a.Charged, at: now, seenAt: now}
-	p.noteInflight(a.Account, a.Charged/s.weight(a.Account))
+	s.grants[a.Grant] = &grant{to: from, account: a.Account, pool: p, target: t, charged: a.Charged, issuedAt: now, confirmedAt: now}
+	p.addInflight(a.Account, a.Charged/s.weight(a.Account))
 }
 
 func (s *Scheduler) expire(now time.Time, id message.GrantID, g *grant) {
@@ -343,7 +343,7 @@
 
 func (s *Scheduler) tick(now time.Time) {
 	for id, g := range s.grants {
-		if now.Sub(g.seenAt) > 2*UnconfirmedLimit || g.seenAt.Equal(g.at) && now.Sub(g.at) > UnconfirmedLimit {
+		if now.Sub(g.confirmedAt) > 2*UnconfirmedLimit || g.confirmedAt.Equal(g.issuedAt) && now.Sub(g.issuedAt) > UnconfirmedLimit {
 			s.expire(now, id, g)
 		}
 	}
@@ -353,8 +353,8 @@
 	}
 }
 
-// rekey brings the order of the queue up to date when a round begins.
-func (s *Scheduler) rekey(now time.Time, p *pool) {
+// reorderQueue brings the order of the queue up to date when a round begins.
+func (s *Scheduler) reorderQueue(now time.Time, p *pool) {
 	waiting := make([]string, 0, len(p.demands))
 	for account := range p.demands {
 		waiting = append(waiting, account)
--- a/core/sched/tally.go
+++ b/core/sched/tally.go
@@ -11,8 +11,8 @@
 	"madderway/core/place"
 )
 
-// greeters is how many peers tell a scheduler that just started all they know.
-const greeters = 2
+// bootstrapPeers is how many peers tell a scheduler that just started all they know.
+const bootstrapPeers = 2
 
 // TallyInterval returns the time between two tallies to a peer: at least the
 // least interval, and so long that tallies with so many rows to all peers stay
@@ -22,76 +22,76 @@
 	if budget <= 0 {
 		return least
 	}
-	seconds := float64(peers*(tallyBytes+rows*tallyRowBytes)) / budget
-	return max(least, min(time.Duration(seconds*float64(time.Second)), maxTally))
+	seconds := float64(peers*(tallyOverheadBytes+rows*tallyRowBytes)) / budget
+	return max(least, min(time.Duration(seconds*float64(time.Second)), maxTallyInterval))
 }
 
 // tallyInterval is longer while nothing waits: the counters then decide
 // nothing.
 func (s *Scheduler) tallyInterval(p *pool) time.Duration {
-	interval := TallyInterval(len(p.peers), p.lastRows, s.opts.TallyInterval, s.opts.TallyBudget)
-	if s.opts.TallyBudget > 0 && p.quiet {
-		return quietTally * interval
+	interval := TallyInterval(len(p.peers), p.lastRowCount, s.opts.TallyInterval, s.opts.TallyBudget)
+	if s.opts.TallyBudget > 0 && p.idle {
+		return idleTallyFactor * interval
 	}
 	return interval
 }
 
 func (s *Scheduler) sendTallies(now time.Time, p *pool) {
 	interval := s.tallyInterval(p)
-	p.updateLocal(now)
-	p.raiseFloor(now, tallyFreshness*interval)
-	p.ledger.Settle(now, settleAge*interval/10, func(account string) float64 { return p.inflight[account] })
-	started := p.local.waiting && p.quiet
-	p.quiet = !p.local.waiting && !p.peersWait(now, tallyFreshness*interval)
+	p.updateLocalFloor(now)
+	p.raiseFloor(now, tallyFreshnessIntervals*interval)
+	p.ledger.Settle(now, settleAgeTenths*interval/10, func(account string) float64 { return p.inflight[account] })
+	started := p.localFloor.waiting && p.idle
+	p.idle = !p.localFloor.waiting && !p.peersWait(now, tallyFreshnessIntervals*interval)
 	if now.Before(p.tallyAt) && !started {
 		return
 	}
 	p.tallyAt = now.Add(s.tallyInterval(p))
 	p.tallySeq++
-	floor, waiting := p.local.floor, p.local.waiting
+	floor, waiting := p.localFloor.floor, p.localFloor.waiting
 	full := p.tallySeq%fullTallyEvery == 0
 	for r, peer := range p.peers {
-		after := peer.sent
+		after := peer.sentRevision
 		if full {
 			after = 0
 		}
 		rows, sent := p.ledger.Changed(after)
-		p.lastRows = len(rows)
-		if len(rows) == 0 && !waiting && !p.wasWaiting && peer.greeted {
+		p.lastRowCount = len(rows)
+		if len(rows) == 0 && !waiting && !p.lastTallyWaiting && peer.contacted {
 			continue
 		}
 		t := message.Tally{Pool: p.spec.Name, Seq: p.tallySeq, Waiting: waiting, Floor: floor, Rows: rows}
-		if !peer.greeted && s.greets(p, r) {
+		if !peer.contacted && s.bootstraps(p, r) {
 			t.Foreign = p.ledger.Foreign()
 		}
-		peer.greeted, peer.sent = true, sent
+		peer.contacted, peer.sentRevision = true, sent
 		s.out = append(s.out, TallyOut{To: r.ID, Tally: t})
 	}
-	p.wasWaiting = waiting
+	p.lastTallyWaiting = waiting
 	p.ledger.NextRound()
-	s.rekey(now, p)
+	s.reorderQueue(now, p)
 }
 
 // peersWait tells whether accounts wait at another scheduler.
 func (p *pool) peersWait(now time.Time, freshness time.Duration) bool {
 	for _, peer := range p.peers {
-		if peer.waiting && now.Sub(peer.heardAt) <= freshness {
+		if peer.waiting && now.Sub(peer.lastTallyAt) <= freshness {
 			return true
 		}
 	}
 	return false
 }
 
-// greets tells whether this scheduler is one of the few that give a newcomer
+// bootstraps tells whether this scheduler is one of the few that give a newcomer
 // the rows of the others.
-func (s *Scheduler) greets(p *pool, newcomer fair.Reporter) bool {
+func (s *Scheduler) bootstraps(p *pool, newcomer fair.Reporter) bool {
 	nodes := []place.Node{{ID: s.opts.Self.ID}}
 	for r := range p.peers {
 		if r != newcomer {
 			nodes = append(nodes, place.Node{ID: r.ID})
 		}
 	}
-	for _, id := range place.Top(nodes, newcomer.ID, greeters) {
+	for _, id := range place.Top(nodes, newcomer.ID, bootstrapPeers) {
 		if id == s.opts.Self.ID {
 			return true
 		}
@@ -105,7 +105,7 @@
 		return
 	}
 	if peer := p.peers[from]; peer != nil {
-		peer.waiting, peer.floor, peer.heardAt = t.Waiting, t.Floor, now
+		peer.waiting, peer.floor, peer.lastTallyAt = t.Waiting, t.Floor, now
 	}
 	p.ledger.Heard(from, t.Seq)
 	for _, row := range t.Rows {
@@ -121,7 +121,7 @@
 			s.requeueWaiting(now, p, f.Row.Account)
 		}
 	}
-	p.raiseFloor(now, tallyFreshness*s.tallyInterval(p))
+	p.raiseFloor(now, tallyFreshnessIntervals*s.tallyInterval(p))
 }
 
 func (s *Scheduler) requeueWaiting(now time.Time, p *pool, account string) {
