--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -257,7 +257,7 @@
 }
 
 // An account is not starved by one whose requests are 1,000 times as large.
-func TestNoStarvation(t *testing.T) {
+func TestSmallRequestsAreNotStarved(t *testing.T) {
 	small := &simAccount{name: "small", cost: constant(1), estimate: 1, weight: 1}
 	huge := &simAccount{name: "huge", cost: constant(1000), estimate: 1000, weight: 1}
 	s := newSim(t, 3, time.Second, small, huge)
@@ -278,7 +278,7 @@
 	}
 }
 
-func TestLostAndDoubledTallies(t *testing.T) {
+func TestLostAndDuplicateTallies(t *testing.T) {
 	s := newSim(t, 4, time.Second, accountsOf(5)...)
 	s.lossy = true
 	s.run(6000)
@@ -321,7 +321,7 @@
 
 // A scheduler that starts with no memory is told the others' counters, those
 // of its own former life included.
-func TestRestartWithNoMemory(t *testing.T) {
+func TestRestartedSchedulerRecoversCounters(t *testing.T) {
 	s := newSim(t, 3, time.Second, accountsOf(4)...)
 	s.run(2000)
 	before := s.scheds[0].pools["chat"].ledger.Virtual("a0")
@@ -346,8 +346,8 @@
 
 // Many light accounts that wait for a moment held the floor down, and an
 // account that began to wait then had credit for all the time before.
-func TestMomentaryWaitersDoNotHoldTheFloor(t *testing.T) {
-	sc, now := configuredOne(1)
+func TestBriefWaitersDoNotHoldFloor(t *testing.T) {
+	sc, now := singleTarget(1)
 	sc.Step(now, LoadSeen{Target: "t0"}) // no slot is free
 	peer := reporterOf(1, 1)
 	sc.Step(now, TallySeen{From: peer, Tally: message.Tally{Pool: "chat", Seq: 1, Rows: []fair.Row{{Account: "heavy", Service: 1000}}}})
@@ -364,7 +364,7 @@
 	}
 }
 
-func configuredOne(slots int) (*Scheduler, time.Time) {
+func singleTarget(slots int) (*Scheduler, time.Time) {
 	sc := New(Options{Self: reporterOf(0, 1)})
 	sc.Step(epoch, Configured{
 		Pools:   []PoolSpec{{Name: "chat"}},
@@ -383,8 +383,8 @@
 	return out
 }
 
-func TestNeverOverTheLimit(t *testing.T) {
-	sc, now := configuredOne(3)
+func TestGrantsNeverExceedSlots(t *testing.T) {
+	sc, now := singleTarget(3)
 	got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 10, Cost: 1}}))
 	if len(got) != 3 {
 		t.Fatalf("%d grants for 3 slots", len(got))
@@ -396,7 +396,7 @@
 }
 
 func TestNewOwnerWaitsForAdoptions(t *testing.T) {
-	sc, open := configuredOne(2)
+	sc, open := singleTarget(2)
 	demand := DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 5, Cost: 1}}
 	if got := grantsOf(sc.Step(epoch, demand)); len(got) != 0 {
 		t.Fatalf("%d grants before the adoptions came", len(got))
@@ -408,7 +408,7 @@
 }
 
 func TestLostGrantsAreReleased(t *testing.T) {
-	sc, now := configuredOne(1)
+	sc, now := singleTarget(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
 	if got := grantsOf(sc.Step(now.Add(UnconfirmedLimit+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
@@ -416,8 +416,8 @@
 	}
 }
 
-func TestDeadEntryFreesItsSlots(t *testing.T) {
-	sc, now := configuredOne(1)
+func TestGoneEntryReleasesSlots(t *testing.T) {
+	sc, now := singleTarget(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 9, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
 	if got := grantsOf(sc.Step(now, EntryGone{"gone"})); len(got) != 1 || got[0].Account != "b" {
@@ -425,9 +425,9 @@
 	}
 }
 
-func TestLeavingOrDownTargetGetsNothing(t *testing.T) {
+func TestLeavingOrDownTargetGetsNoGrants(t *testing.T) {
 	for _, l := range []LoadSeen{{Target: "t0", Healthy: true, Leaving: true}, {Target: "t0"}} {
-		sc, now := configuredOne(2)
+		sc, now := singleTarget(2)
 		sc.Step(now, l)
 		if got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})); len(got) != 0 {
 			t.Fatalf("%+v: granted", l)
@@ -435,7 +435,7 @@
 	}
 }
 
-func TestPrefixHintDecidesTheTarget(t *testing.T) {
+func TestPrefixHintSelectsTarget(t *testing.T) {
 	sc := New(Options{Self: reporterOf(0, 1)})
 	sc.Step(epoch, Configured{
 		Pools:   []PoolSpec{{Name: "chat"}},
