--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -14,10 +14,10 @@
 
 // Times of the grant protocol.
 const (
-	UnconfirmedLimit        = 20 * time.Second       // after it a grant that no inventory names is released
+	UnconfirmedGrantTimeout = 20 * time.Second       // after it a grant that no inventory names is released
 	InventoryGrace          = 3 * time.Second        // a younger grant may be missing from an inventory
 	TakeoverWait            = 300 * time.Millisecond // a new owner waits for adoptions
-	TakeoverTrust           = 3 * time.Second        // so long a new owner heeds the target's own count
+	TakeoverCountPeriod     = 3 * time.Second        // so long a new owner heeds the target's own count
 	reserveWindow           = 2 * time.Second        // so long after interactive work slots stay reserved
 	fullTallyEvery          = 32                     // every so many tallies all rows are sent
 	prefixMaxAge            = 5 * time.Minute        // an older cache hint is not heeded
@@ -210,7 +210,7 @@
 		}),
 		prefixes:        place.NewPrefixMap(prefixMaxAge, prefixMaxSize),
 		openFrom:        now.Add(TakeoverWait),
-		countCompleteAt: now.Add(TakeoverTrust),
+		countCompleteAt: now.Add(TakeoverCountPeriod),
 	}
 }
 
@@ -343,7 +343,7 @@
 
 func (s *Scheduler) tick(now time.Time) {
 	for id, g := range s.grants {
-		if now.Sub(g.confirmedAt) > 2*UnconfirmedLimit || g.confirmedAt.Equal(g.issuedAt) && now.Sub(g.issuedAt) > UnconfirmedLimit {
+		if now.Sub(g.confirmedAt) > 2*UnconfirmedGrantTimeout || g.confirmedAt.Equal(g.issuedAt) && now.Sub(g.issuedAt) > UnconfirmedGrantTimeout {
 			s.expire(now, id, g)
 		}
 	}
