--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -13,27 +13,23 @@
 const (
 	minRetryAfter = 400 * time.Millisecond
 	maxRetryAfter = 4 * time.Second
-	// extendedWaitShare is the part of the objective up to which a request of an
-	// account that has had no more than waitOnLevel of another's service waits.
+	// An underserved account's request may wait for up to this part of its objective.
 	extendedWaitShare = 0.5
-	// starvedShare is the share of an account's requests that may be refused
-	// before its work goes to any target.
-	starvedShare     = 0.35
+	// An account that is refused a larger share of its requests may use any target.
+	starvedShare = 0.35
+	// An account is underserved up to this share of another account's service.
 	underservedRatio = 0.5
-	// elsewhereRatio is the share of another account's service below which work goes to
-	// other cells. It is more than the half at which the platform compares accounts:
-	// what is moved is served a second later at best.
+	// With other cells, an account is underserved already up to this share: moved work is
+	// served late.
 	elsewhereRatio = 0.65
-	// maxLead bounds how far an account that waits is ahead of another one, in time of
-	// the capacity of all targets: one that had used idle targets waited for seconds
-	// once others came, and got less than half of what they got. Half a second is what
-	// one decision of fairness can be late by, the pause between tallies.
+	// Bounds how far a waiting account is ahead of another, as time of the capacity of all
+	// targets. Without it, an account that used idle targets would wait for seconds once
+	// others come.
 	maxLead = 500 * time.Millisecond
-	// maxLevelInterval is how often it is looked who has had the most in all cells.
+	// Refresh interval of Cell.maxLevel.
 	maxLevelInterval = 100 * time.Millisecond
-	// waitExtension is how long a request waits on before that is thought over.
-	waitExtension = 40 * time.Millisecond
-	evictInterval = 10 * time.Second
+	waitExtension    = 40 * time.Millisecond // extension of a request's wait before it is checked again
+	evictInterval    = 10 * time.Second
 )
 
 // waiter is a request that waits for a target.
@@ -41,46 +37,39 @@
 	key           requestKey
 	ask           Ask
 	arrived       time.Time
-	orderAt       time.Time // stands is its arrival for the order within its account, later the longer it is.
-	waitUntil     time.Time // until is when it is refused, unless it may wait on.
-	best          *target   // best is the target that it was last found to wait for.
-	scores        []uint64  // scores are the targets' hashes for it, as of layout number scored.
+	orderAt       time.Time // position within the account and rank: the arrival, later for longer prompts
+	waitUntil     time.Time // then refused, unless extendWait moves it
+	best          *target   // preferred target in the last decision
+	scores        []uint64  // rendezvous hash of each target, valid for scoresVersion
 	scoresVersion uint64
 }
 
-// defaultFairWindow is the span over which accounts are compared where the
-// settings name none.
+// Span over which accounts are compared if the settings name none.
 const defaultFairWindow = 4 * time.Second
 
-// halfLifeOf returns the time in which the service that an account has had fades to a
-// half: half of the span, so that what it got a whole span ago counts for a
-// quarter. With the whole span an account that had used idle engines paid for that
-// for seconds after others came, and got less than half of what they got.
+// halfLifeOf returns the half-life of accounts' service for a fairness window. With half
+// the window, service from a whole window ago counts for a quarter.
 func halfLifeOf(window time.Duration) time.Duration { return window / 2 }
 
-// sizeAging is how much later than it came a request stands in its account's
-// queue, in times that a target needs to read its prompt: short work goes first,
-// and long work is passed by what comes in that time only. With 1 the worth of days
-// was the same, with 0 it fell by 0.02 on a deployment with many short replies.
+// Within an account short prompts go first. A request is ordered as if it had arrived this
+// many times its own read time later, so that long prompts do not starve.
 const sizeAging = 2
 
-// account is one client account's queue. Level is the service that it has had
-// of late, in all cells of the service; between waiting accounts the one with
-// the lowest level goes first.
+// account is the queue of one client account. Waiting accounts are served in ascending
+// order of level.
 type account struct {
 	name      string
-	halfLife  time.Duration // half is the time in which level, placed and refused fade to a half.
-	level     float64
-	placed    float64 // placed and refused count requests of late; they fade alike.
-	refused   float64
-	decayedAt time.Time // at is when these were last faded.
-	served    float64   // served is all it was given in this cell.
-	reported  float64   // told is served as the other cells know it.
-	queue     []*waiter // by rank, then by where they stand
-	tried     int       // tried is how many of the queue have found no target in this decision.
+	halfLife  time.Duration // of level, placed and refused
+	level     float64       // decayed service in all cells of the service, in tokens
+	placed    float64       // decayed number of requests
+	refused   float64       // decayed number of requests
+	decayedAt time.Time
+	served    float64   // total service given in this cell
+	reported  float64   // part of served that other cells were told of
+	queue     []*waiter // by rank, then by orderAt
+	tried     int       // queue entries without a target in the current decision
 }
 
-// before tells whether the account goes before another one.
 func (a *account) before(b *account) bool {
 	if a.level != b.level {
 		return a.level < b.level
@@ -97,7 +86,6 @@
 	return a
 }
 
-// charge adds service at a time.
 func (a *account) charge(now time.Time, service float64) {
 	a.decay(now)
 	a.level += service
@@ -114,7 +102,6 @@
 	a.decayedAt = now
 }
 
-// before tells whether a request goes before another one of its account.
 func (w *waiter) before(other *waiter) bool {
 	if w.ask.Rank != other.ask.Rank {
 		return w.ask.Rank < other.ask.Rank
@@ -122,7 +109,6 @@
 	return w.orderAt.Before(other.orderAt)
 }
 
-// push adds a request.
 func (a *account) push(w *waiter) {
 	at := sort.Search(len(a.queue), func(i int) bool { return w.before(a.queue[i]) })
 	a.queue = append(a.queue, nil)
@@ -139,9 +125,9 @@
 	}
 }
 
-// orderAccounts returns the accounts with waiting requests, the lowest level first.
-// Ranks orderAccounts the requests of one account only: no account can take another's
-// share by calling its work urgent.
+// orderAccounts returns the accounts with waiting requests, the lowest level first. Ranks
+// only order requests within an account: marking work as urgent does not take another
+// account's share.
 func (c *Cell) orderAccounts(now time.Time) []*account {
 	waiting := c.waitingAccounts[:0]
 	for _, a := range c.accounts {
@@ -157,8 +143,8 @@
 	return waiting
 }
 
-// capLeads forgets what accounts that wait are ahead of the least served one beyond
-// mostAhead of the service's capacity: they got it while others did not want it.
+// capLeads reduces the levels of waiting accounts to at most maxLead above the least
+// served one: service given while nobody else waited must not delay an account for long.
 func (c *Cell) capLeads(waiting []*account) {
 	capacity := c.speed * float64(len(c.targets)*(c.siblings+1))
 	if capacity <= 0 || len(waiting) == 0 {
@@ -173,16 +159,16 @@
 	}
 }
 
-// extendWait tells whether a request waits on beyond its time. One of an account
-// that has had far less than another that waits is next in line, and would only
-// come back to the same line. Any other one, but for those of the account that
-// has had the most, waits on where what goes before it will be read soon enough.
+// extendWait reports whether a request waits beyond its hold time. An underserved account
+// is next in line, so a refusal would only bring the request back to the same place. Other
+// accounts, except the most served one, wait on if their target will read the request in
+// time.
 func (c *Cell) extendWait(now time.Time, w *waiter, a *account) bool {
 	if w.ask.Objective <= 0 || now.Sub(w.arrived) >= time.Duration(extendedWaitShare*float64(w.ask.Objective)) {
 		return false
 	}
 	if c.siblings > 0 && c.starved(now, a) {
-		return false // another cell may have what this one has not
+		return false // the client should try another cell
 	}
 	if a.underserved(c.maxWaitingLevel) {
 		return true
@@ -194,8 +180,8 @@
 	return true
 }
 
-// inTimeBehindQueue tells whether a request will be in time at the target that it waits for,
-// behind all that goes before it there.
+// inTimeBehindQueue reports whether a request meets its objective at its preferred target
+// after everything that is queued before it there.
 func (c *Cell) inTimeBehindQueue(now time.Time, w *waiter, a *account) bool {
 	i := slices.IndexFunc(c.views, func(v view) bool { return v.target == w.best })
 	if i < 0 || !c.views[i].usable {
@@ -214,15 +200,15 @@
 	return w.inTime(now, v.base+seconds(float64(ahead)/v.speed))
 }
 
-// underserved tells whether the account has had far less than another account
-// that waits, most being the highest level of those.
+// underserved reports whether the account has had far less service than the most served
+// waiting account.
 func (a *account) underserved(most float64) bool {
 	return most > a.level && most*underservedRatio >= a.level
 }
 
-// starved tells whether the account has had far less than another one, and is refused
-// so often that it gets less than it may claim. Where there are other cells, the other
-// account need not wait here: it may get all that it asks there.
+// starved reports whether the account has had far less service than another one and is
+// often refused. With other cells, the comparison includes accounts that do not wait here:
+// they may get their service there.
 func (c *Cell) starved(now time.Time, a *account) bool {
 	if a.refused <= starvedShare*(a.refused+a.placed) || a.refused <= 1 {
 		return false
@@ -234,7 +220,7 @@
 	return best > a.level && best*elsewhereRatio >= a.level
 }
 
-// highestLevel returns the highest level of all accounts, in all cells.
+// highestLevel returns the highest level of all accounts; cached for maxLevelInterval.
 func (c *Cell) highestLevel(now time.Time) float64 {
 	if now.Sub(c.maxLevelAt) < maxLevelInterval {
 		return max(c.maxLevel, c.maxWaitingLevel)
@@ -247,9 +233,8 @@
 	return c.maxLevel
 }
 
-// retryAfter tells a refused caller when its account's queue will have moved
-// on: the time in which the engines read what the account is ahead by, beside so
-// many accounts that wait.
+// retryAfter returns when a refused client should retry: the time in which the account's
+// share of the capacity makes up for its lead in service.
 func (c *Cell) retryAfter(ahead float64, waiting int) time.Duration {
 	capacity := c.speed * float64(max(len(c.targets), 1))
 	if capacity <= 0 {
@@ -260,7 +245,7 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// evictIdleAccounts drops accounts that have neither requests nor a level to speak of.
+// evictIdleAccounts drops accounts without requests, level or unreported service.
 func (c *Cell) evictIdleAccounts(now time.Time) {
 	if now.Sub(c.evictedAt) < evictInterval {
 		return
--- a/core/cell/account_test.go
+++ b/core/cell/account_test.go
@@ -11,7 +11,7 @@
 	"madderway/models/routing"
 )
 
-// placed returns where a request was sent, if it was.
+// placed returns the placement of a request, if there is one.
 func placed(actions []Action, id RequestID) (Place, bool) {
 	for _, a := range actions {
 		if p, ok := a.(Place); ok && p.ID == id {
@@ -26,8 +26,8 @@
 	return AskSeen{"e", Ask{ID: id, Account: account, Prompt: p, Hold: 10 * time.Second, Objective: time.Minute}}
 }
 
-// queueOrder returns the order in which an engine with one slot takes requests
-// that came in the given order, a millisecond apart.
+// queueOrder returns the order in which a target with one slot gets requests that arrive a
+// millisecond apart.
 func queueOrder(t *testing.T, asks []AskSeen) []RequestID {
 	t.Helper()
 	c := New()
@@ -52,14 +52,13 @@
 	return order
 }
 
-// In an account short work goes before long work, but a long request that came
-// early enough goes before a short one.
+// Guards against starvation of long requests by short ones of the same account.
 func TestShortRequestsGoFirstWithAging(t *testing.T) {
 	got := queueOrder(t, []AskSeen{plainAsk(2, "a", 8000), plainAsk(3, "a", 50), plainAsk(4, "a", 3000)})
 	if len(got) != 3 || got[0] != 3 || got[1] != 4 || got[2] != 2 {
 		t.Errorf("order %v, want the shortest first", got)
 	}
-	// A long request is passed only by what comes in sizeAging times its reading.
+	// Only requests within sizeAging times its read time go before a long request.
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 10_000, Targets: []TargetInfo{{ID: "t", Slots: 1, CacheTokens: 1_000_000}}})
 	c.Step(epoch, plainAsk(1, "a", 10))
@@ -67,11 +66,10 @@
 	late := epoch.Add(sizeAging*500*time.Millisecond + 100*time.Millisecond)
 	c.Step(late, plainAsk(3, "a", 50))
 	if _, ok := placed(c.Step(late, EndedSeen{"e", 1, batch.OutcomeDone}), 2); !ok {
-		t.Error("a long request was passed by one that came after its time")
+		t.Error("a short request that arrived after the aging time was placed before the long one")
 	}
 }
 
-// Ranks come before sizes.
 func TestRankPrecedesSize(t *testing.T) {
 	urgent := plainAsk(2, "a", 8000)
 	urgent.Ask.Rank = 0
@@ -82,7 +80,6 @@
 	}
 }
 
-// The settings say over which span accounts are compared.
 func TestFairWindowSetsHalfLife(t *testing.T) {
 	for _, window := range []time.Duration{0, time.Second} {
 		c := New()
@@ -100,8 +97,8 @@
 	}
 }
 
-// Engines that all fail a part of their requests serve on: a request that could
-// be in time at a free engine is not refused because of what others suffered.
+// Guards against refusing a request that would be in time because all targets have
+// failures.
 func TestErrorPenaltyDoesNotCauseRefusal(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{
@@ -117,10 +114,10 @@
 	p := &routing.Prompt{Tokens: 2_500, MaxOutput: 1, Parts: []routing.PromptPart{{ID: 7, Tokens: 2_400}, {ID: 8, Tokens: 100}}}
 	ask := AskSeen{"e", Ask{ID: 1, Account: "x", Prompt: p, Hold: 20 * time.Millisecond, Objective: 300 * time.Millisecond}}
 	if _, ok := placed(c.Step(epoch, ask), 1); ok {
-		t.Fatal("placed at once: this request was to wait for its keeper")
+		t.Fatal("placed at once, want it to wait for the target with the cached part")
 	}
 	actions := c.Step(epoch.Add(8*time.Millisecond), Tick{})
 	if p, ok := placed(actions, 1); !ok || p.Target != "free" {
-		t.Errorf("%+v, want a place at the engine that has nothing to read", actions)
+		t.Errorf("actions %+v, want a placement at the idle target", actions)
 	}
 }
--- a/core/cell/bench_test.go
+++ b/core/cell/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkOverload plays two seconds of a cell that is asked for four times
-// what its engines read, by thirty accounts of which one floods.
+// BenchmarkOverload simulates two seconds at four times the capacity with thirty accounts
+// and a flood.
 func BenchmarkOverload(b *testing.B) {
 	const length = 2 * time.Second
 	steps := 0
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -12,14 +12,13 @@
 	"madderway/models/routing"
 )
 
-// Weights of the scheduling decision.
 const (
-	// backlogLimit bounds what is sent to an engine ahead of its reading: enough
-	// to keep it busy, little enough that who goes first is decided here.
+	// Reading time that may be queued at a target: enough to keep it busy, little enough
+	// that the order is decided here.
 	backlogLimit = 120 * time.Millisecond
-	// outputWeight is the service of a token made, in tokens read.
+	// Service of one output token, in input tokens.
 	outputWeight = 2
-	// scanLimit is how many waiting requests of an account are tried in one go.
+	// Number of an account's waiting requests that are tried in one decision.
 	scanLimit = 16
 )
 
@@ -31,9 +30,9 @@
 type target struct {
 	info           TargetInfo
 	engine         *batch.Engine
-	countedReading time.Duration // counted is how much of its reading is in the cell's counts.
-	linkFreeAt     time.Time     // linkFree is when the transfers that it takes part in are over.
-	cold           cold.Pacer    // cold paces what it gets while it is cold.
+	countedReading time.Duration // part of the engine's reading time that is in Cell.counts
+	linkFreeAt     time.Time     // end of the transfers from or to the target
+	cold           cold.Pacer    // rate limit while the target is cold
 }
 
 type run struct {
@@ -43,33 +42,33 @@
 	model   *batch.Run
 }
 
-// Cell is the scheduler of a few targets.
+// Cell schedules the requests of one cell. It is not safe for concurrent use.
 type Cell struct {
 	targets         map[string]*target
 	sorted          []*target
-	draining        map[string]*target // gone holds targets that are no longer listed but still run something.
+	draining        map[string]*target // unlisted targets that still run requests
 	accounts        map[string]*account
 	waiting         map[requestKey]*waiter
 	runs            map[requestKey]*run
 	remoteTallies   map[string]*remoteTally
 	evictedAt       time.Time
-	speed           float64
-	prior           *batch.Prior // prior is how fast the engines here read, as far as any has shown.
-	siblings        int
+	speed           float64      // configured tokens per second of one target
+	prior           *batch.Prior // read speed assumed for new targets
+	siblings        int          // number of the service's other cells
 	transfer        *routing.Transfer
 	fairWindow      time.Duration
-	coldRate        float64                // coldRate is how many requests a second a cold target bears, 0 for any number.
-	coldShare       float64                // coldShare is the part of them that is placed here.
-	holdersByHall   map[string]cacheHolder // inHall is what keepers returns, kept for its memory.
+	coldRate        float64                // requests per second that a cold target can serve, 0 for no limit
+	coldShare       float64                // part of coldRate that this scheduler may use
+	holdersByHall   map[string]cacheHolder // reused by findHolders
 	counts          Counts
-	layoutVersion   uint64  // layout counts the changes of the list of targets.
-	maxWaitingLevel float64 // most is the highest level of an account that waits.
-	maxLevel        float64 // best is the highest level of any account, as of bestAt.
+	layoutVersion   uint64  // incremented when the list of targets changes
+	maxWaitingLevel float64 // highest level of the waiting accounts
+	maxLevel        float64 // highest level of all accounts at maxLevelAt
 	maxLevelAt      time.Time
-	views           []view     // views are the targets as one decision sees them, in the order of sorted.
-	newWaiters      []*waiter  // unheard are waiters that arrived since the last decision.
-	waitingAccounts []*account // queued is what order returns, kept for its memory.
-	scratch         []option
+	views           []view     // targets in the order of sorted, as seen by the current decision
+	newWaiters      []*waiter  // arrived since the last decision
+	waitingAccounts []*account // result of the last orderAccounts
+	scratch         []option   // reused by options
 	out             []Action
 }
 
@@ -81,14 +80,14 @@
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step applies an event and decides.
 func (c *Cell) Step(now time.Time, ev Event) []Action {
 	c.Apply(now, ev)
 	return c.Decide(now)
 }
 
-// Apply notes one event. What follows from it is decided by the next Decide, so
-// that events that come together cost one decision.
+// Apply applies an event without deciding. Callers with several events apply all of them
+// and call Decide once.
 func (c *Cell) Apply(now time.Time, ev Event) {
 	switch e := ev.(type) {
 	case AskSeen:
@@ -123,8 +122,8 @@
 	}
 }
 
-// Decide refuses what is too late, places what may be placed and tells those
-// that have arrived and wait.
+// Decide refuses requests that are overdue, places others and acknowledges new ones that
+// wait.
 func (c *Cell) Decide(now time.Time) []Action {
 	c.out = nil
 	c.dispatch(now)
@@ -182,12 +181,12 @@
 	}
 }
 
-// reconcile makes the runs of an entry gateway those that it tells.
+// reconcile replaces the runs of an entry gateway by those in its inventory.
 func (c *Cell) reconcile(now time.Time, e InventorySeen) {
-	told := map[RequestID]bool{}
+	inventory := map[RequestID]bool{}
 	for i := range e.Held {
 		h := &e.Held[i]
-		told[h.ID] = true
+		inventory[h.ID] = true
 		key := requestKey{e.Entry, h.ID}
 		if c.runs[key] != nil {
 			continue
@@ -203,7 +202,7 @@
 		c.runs[key] = &run{key: key, account: h.Account, target: t, model: model}
 	}
 	for key := range c.runs {
-		if key.entry == e.Entry && !told[key.id] {
+		if key.entry == e.Entry && !inventory[key.id] {
 			c.end(now, key, batch.OutcomeCanceled)
 		}
 	}
@@ -260,19 +259,19 @@
 
 func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
 	p, t, x := w.ask.Prompt, c.views[o.at].target, o.transfer
-	anew := sharedTokens(p, o.missing-x.tokens)
-	if anew > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
+	reread := sharedTokens(p, o.missing-x.tokens)
+	if reread > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
 		why = ReasonUnseen
 	}
 	c.counts.Placed++
 	c.counts.PlacedTokens += uint64(p.Tokens)
 	c.counts.Read += uint64(max(o.missing-x.tokens, 0))
-	c.counts.Anew[why] += uint64(anew)
+	c.counts.Anew[why] += uint64(reread)
 	c.account(w.ask.Account).placed++
 	c.start(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
-		Account: w.ask.Account, Affinity: p.Affinity(), RereadTokens: anew, CopiedTokens: x.tokens, Reason: why,
+		Account: w.ask.Account, Affinity: p.Affinity(), RereadTokens: reread, CopiedTokens: x.tokens, Reason: why,
 	}
 	if x.source != nil {
 		placed.Source = x.source.info.ID
@@ -282,7 +281,8 @@
 	c.emit(placed)
 }
 
-// cachedInCell tells whether some engine of the cell keeps all the shared parts.
+// cachedInCell reports whether a target of the cell has all shared parts of the prompt in
+// its cache.
 func (c *Cell) cachedInCell(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
 		if sharedTokens(p, t.engine.Missing(p)) == 0 {
@@ -306,13 +306,13 @@
 	a.served += service
 }
 
-// isCold tells whether a target gets no more than a isCold one bears.
+// isCold reports whether the rate limit for cold targets applies.
 func (c *Cell) isCold(now time.Time, t *target) bool {
 	return c.coldRate > 0 && now.Before(t.info.ColdUntil)
 }
 
-// coldWait returns how long it takes until a target may get a request, for its being
-// cold: until it bears the next one, or is warm.
+// coldWait returns the time until the cold target may get a request, 0 if it may now or is
+// warm.
 func (c *Cell) coldWait(now time.Time, t *target) time.Duration {
 	if !c.isCold(now, t) {
 		return 0
@@ -320,8 +320,8 @@
 	return t.cold.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (c *Cell) Waiting() int { return len(c.waiting) }
 
-// Idle tells whether nothing waits and nothing runs.
+// Idle reports whether no request waits or runs.
 func (c *Cell) Idle() bool { return len(c.waiting) == 0 && len(c.runs) == 0 }
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -24,25 +24,23 @@
 	return out
 }
 
-// Long beginnings are read once and kept: a request waits for the target that
-// keeps its beginning as long as it is still in time there.
+// Guards against placements that leave the target with the cached part too early.
 func TestSharedPartsAreRarelyReread(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.run(40*time.Second, evenAccounts(16, 45, 0, 0))
 	r := s.total()
 	distinct := 55 * 13_000
-	t.Logf("%+v, shared parts read %.1f times", r, float64(r.sharedRead)/float64(distinct))
+	t.Logf("total %+v, shared parts read %.1f times", r, float64(r.sharedRead)/float64(distinct))
 	if r.sharedRead > 3*distinct {
 		t.Errorf("shared parts were read %.1f times over, want at most 3", float64(r.sharedRead)/float64(distinct))
 	}
 	for name, a := range s.results {
 		if a.lastRefused > 10*time.Second || a.late > a.asked/50 {
-			t.Errorf("%s was refused at %v, at half load with all beginnings read: %+v", name, a.lastRefused, *a)
+			t.Errorf("%s was last refused at %v or often late, at half load with all shared parts cached: %+v", name, a.lastRefused, *a)
 		}
 	}
 }
 
-// An account that asks for ten times its share costs the others nothing.
 func TestFloodDoesNotDelayOtherAccounts(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	accounts := evenAccounts(16, 50, 0, 0)
@@ -59,11 +57,10 @@
 		t.Errorf("an account beside the flood was served in time for %.2f of its requests, want 0.75", worst)
 	}
 	if f := s.results["flood"]; f.placed == 0 || f.refused == 0 {
-		t.Errorf("the flood was not both served and bounded: %+v", *f)
+		t.Errorf("flood: got %+v, want both placements and refusals", *f)
 	}
 }
 
-// Under overload the backlogged accounts get equal service.
 func TestOverloadIsSharedEvenly(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.run(30*time.Second, evenAccounts(8, 240, 0, 0))
@@ -83,26 +80,24 @@
 	}
 }
 
-// Nobody is refused while targets have nothing to do.
 func TestNoRefusalWithIdleTargets(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.run(20*time.Second, []*simAccount{{name: "one", perSecond: 40, subjects: 1, shared: 13_000, own: 3_700, base: 1}})
 	if r := s.total(); r.refused > r.asked/50 {
-		t.Errorf("%d of %d requests about one subject were refused at a third of the load", r.refused, r.asked)
+		t.Errorf("%d of %d requests with one shared part were refused at a third of the capacity", r.refused, r.asked)
 	}
 }
 
-// What a request is told is final: placed or refused, exactly once.
+// Guards against requests that get no decision or several.
 func TestEachAskIsDecidedOnce(t *testing.T) {
 	s := newSim(3, 45_000, 570_000)
 	s.run(20*time.Second, evenAccounts(4, 60, 0, 15*time.Second))
 	r := s.total()
 	if r.placed+r.refused != r.asked || s.cell.Waiting() != 0 {
-		t.Errorf("%d asked, %d placed, %d refused, %d waiting", r.asked, r.placed, r.refused, s.cell.Waiting())
+		t.Errorf("%d asked, %d placed, %d refused, %d waiting; want each placed or refused", r.asked, r.placed, r.refused, s.cell.Waiting())
 	}
 }
 
-// A target that cannot be reached is left alone, and the others take its work.
 func TestUnreachableTargetIsAvoided(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	tried := 0
@@ -114,11 +109,11 @@
 	}
 	s.run(20*time.Second, evenAccounts(16, 40, 0, 0))
 	if tried > 20 {
-		t.Errorf("%d requests were sent to a target that nobody can reach", tried)
+		t.Errorf("%d requests were placed at an unreachable target, want at most 20", tried)
 	}
 }
 
-// A target that takes requests and gives no sign is left alone after a few.
+// The target accepts requests and sends no events.
 func TestUnresponsiveTargetIsAvoided(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.engines["t03"].down = true
@@ -131,7 +126,7 @@
 	}
 	s.run(10*time.Second, evenAccounts(16, 40, 0, 0))
 	if lost > 12 {
-		t.Errorf("%d requests were sent to a target that gives no sign", lost)
+		t.Errorf("%d requests were placed at an unresponsive target, want at most 12", lost)
 	}
 }
 
@@ -146,8 +141,8 @@
 	}
 }
 
-// A new scheduler that is told what runs does not place over it, and what an
-// entry gateway no longer tells is taken off.
+// Guards against placements over running requests after a takeover, and against runs that
+// an entry gateway no longer holds.
 func TestInventoryReplacesRuns(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 1000, Targets: []TargetInfo{{ID: "t", Slots: 2, CacheTokens: 10_000}}})
@@ -163,13 +158,13 @@
 		return n
 	}
 	if n := placed(c.Step(epoch, AskSeen{"e", Ask{ID: 3, Prompt: p, Hold: time.Second}})); n != 0 {
-		t.Fatal("placed onto a target whose slots are taken")
+		t.Fatal("placed at a target without a free slot")
 	}
 	if n := placed(c.Step(epoch, InventorySeen{"e", []Held{{ID: 1, Target: "t", Prompt: p, Begun: true}}})); n != 1 {
-		t.Errorf("%d placed after a slot was told to be free, want 1", n)
+		t.Errorf("%d placed after the inventory freed a slot, want 1", n)
 	}
 	if n := placed(c.Step(epoch, EntryGone{"e"})); n != 0 || !c.Idle() {
-		t.Error("what a gone entry gateway ran is still held")
+		t.Error("runs of an ended entry gateway are still held")
 	}
 }
 
@@ -181,7 +176,7 @@
 	c.Step(epoch, AskSeen{"f", Ask{ID: 1, Prompt: p, Hold: time.Second}})
 	c.Step(epoch, EndedSeen{"e", 1, batch.OutcomeDone})
 	if c.Idle() {
-		t.Fatal("the end of one gateway's request ended another's with the same number")
+		t.Fatal("the end of one gateway's request ended another gateway's request with the same ID")
 	}
 	c.Step(epoch, WithdrawSeen{"f", 1})
 	if !c.Idle() {
@@ -189,8 +184,7 @@
 	}
 }
 
-// What already runs has been read: a scheduler that takes over must not wait
-// until it would have been read again.
+// Guards against counting adopted runs as still to be read.
 func TestTakeoverPlacesImmediately(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "t", Slots: 64, CacheTokens: 570_000}}})
@@ -207,12 +201,12 @@
 		t.Fatalf("%d actions, want one", len(actions))
 	}
 	if _, ok := actions[0].(Place); !ok {
-		t.Errorf("the new scheduler answers %#v, want a place", actions[0])
+		t.Errorf("got %#v from the new scheduler, want a placement", actions[0])
 	}
 }
 
-// An account whose subjects are all kept by one busy target gets its share from
-// the others, though a flood keeps them busy too.
+// Guards against unfairness to an account whose shared parts are all cached by one busy
+// target.
 func TestAccountWithFewPrefixesGetsItsShare(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.run(30*time.Second, []*simAccount{
@@ -222,12 +216,12 @@
 	flood, narrow := s.results["flood"], s.results["narrow"]
 	t.Logf("flood %+v, narrow %+v", *flood, *narrow)
 	if narrow.placed < narrow.asked*6/10 && narrow.service < 0.7*flood.service {
-		t.Errorf("the account with two subjects got %d of %d, the flood %d of %d", narrow.placed, narrow.asked, flood.placed, flood.asked)
+		t.Errorf("the account with two shared parts got %d of %d placed, the flood %d of %d", narrow.placed, narrow.asked, flood.placed, flood.asked)
 	}
 }
 
-// A home whose slots are all taken is waited for, as one that is busy reading:
-// where slots are scarce, work that goes astray reads everything anew.
+// Guards against rereading shared parts elsewhere while the home will soon have a free
+// slot.
 func TestRequestWaitsForFullHome(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "home", Slots: 1, CacheTokens: 500_000}, {ID: "other", Slots: 1, CacheTokens: 500_000}}})
@@ -240,13 +234,13 @@
 	first := ask(1, 0)[0].(Place)
 	c.Step(epoch.Add(400*time.Millisecond), BeganSeen{"e", 1})
 	if _, ok := ask(2, time.Second)[0].(Wait); !ok {
-		t.Fatal("placed elsewhere though its home will soon have a slot")
+		t.Fatal("placed at another target, want it to wait for a slot at its home")
 	}
 	actions := c.Step(epoch.Add(1020*time.Millisecond), EndedSeen{"e", 1, batch.OutcomeDone})
 	if len(actions) != 1 {
-		t.Fatalf("%d actions after a slot was free, want a place", len(actions))
+		t.Fatalf("%d actions after a slot became free, want one placement", len(actions))
 	}
 	if p, ok := actions[0].(Place); !ok || p.Target != first.Target {
-		t.Errorf("%#v after a slot of %s was free", actions[0], first.Target)
+		t.Errorf("got %#v, want a placement at %s", actions[0], first.Target)
 	}
 }
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -12,47 +12,43 @@
 	"madderway/models/routing"
 )
 
-// Weights of the choice of a target.
 const (
-	// rereadWeight makes reading a shared part anew dearer than its time alone:
-	// it also pushes out what others will need.
+	// Weight of the time to read a shared part again: it also evicts parts that others
+	// need.
 	rereadWeight = 3.0
-	// transferWeight makes a transfer dearer than its time alone, as rereadWeight
-	// does: it takes two engines' links, and memory that others' prompts are kept in.
+	// Weight of the link time of a transfer: it uses two targets' links and cache memory.
 	transferWeight = 4.0
-	// errorPenalty is the wait that a share of failed runs of 1 stands for.
+	// Penalty in the choice for a target where all recent runs failed.
 	errorPenalty = 2 * time.Second
-	// fullBatchPenalty is the wait that a full batch stands for: its tokens come
-	// slower.
+	// Penalty in the choice for a target with a full batch: its tokens come slower.
 	fullBatchPenalty = 60 * time.Millisecond
-	// spillShare is the part of its wait after which a request takes any target
-	// where it is in time, though its beginning has to be read there anew. The
-	// target must be all but idle: a busy one would lose to the reading what the
-	// others on it gain, and all would read everything.
+	// After this part of its hold time a request takes any target with less than
+	// spillBacklog booked where it is in time, even if its shared parts are read again
+	// there. At a busy target the repeated reading would cost others more than the request
+	// gains.
 	spillShare   = 0.35
 	spillBacklog = 25 * time.Millisecond
-	// inTimeShare leaves room for what the model of an engine does not see.
+	// Part of the objective that an estimated wait may use up.
 	inTimeShare = 0.85
 )
 
-// The home of a prompt's beginning is the target with the highest hash. Where
-// the scheduler has not seen who keeps a beginning, the home probably does:
-// earlier schedulers began there too.
+// The home of a prompt's prefix is the target with the highest hash. If no target is
+// known to have the prefix, an earlier scheduler probably sent it there.
 const homeCacheProbability = 0.25
 
 // option is a target that could take a request.
 type option struct {
-	at       int           // at is the target's place among the views.
-	missing  int           // missing are the tokens that it does not keep.
-	transfer               // transfer is what it would copy of these.
-	wait     time.Duration // wait is the time to the first event.
-	cost     time.Duration // cost is the wait, and what the choice takes from others.
-	tieBreak uint64
+	at       int           // index in Cell.views
+	missing  int           // prompt tokens that are not in the target's cache
+	transfer               // copy of some of the missing tokens
+	wait     time.Duration // estimated time to the first event
+	cost     time.Duration // wait plus the weighted cost to other requests
+	tieBreak uint64        // hash of target and prompt; the highest wins
 }
 
-// choose returns the target for a request, and false where it is better to wait. The
-// cheapest one is taken once its backlog is short; a request that has waited for some
-// time takes any target where it is still in time.
+// choose returns the target for a request, or false if it should wait. It takes the
+// cheapest target if its backlog is short. A request that has waited for spillShare of its
+// hold time takes any target where it is in time.
 func (c *Cell) choose(now time.Time, w *waiter) (option, Reason, bool) {
 	options := c.options(now, w)
 	best, ok := c.pickCheapest(w, options)
@@ -65,9 +61,8 @@
 	if now.Sub(w.arrived) < time.Duration(spillShare*float64(w.ask.Hold)) {
 		return option{}, ReasonCheapest, false
 	}
-	// Work of an account that is refused much while another gets much goes before
-	// that of the other, wherever that is: what it costs to read is the price of
-	// fairness.
+	// Starved accounts may spill to busier targets: fairness is worth the repeated
+	// reading.
 	limit, why := spillBacklog, ReasonSpilled
 	if c.starved(now, c.account(w.ask.Account)) {
 		limit, why = backlogLimit, ReasonStarved
@@ -84,9 +79,8 @@
 	return slices.MinFunc(open, func(a, b option) int { return compare(a, b, a.wait, b.wait) }), why, true
 }
 
-// spillLimit returns how much of a target's reading may be given away where a
-// request spills to it: little where shared parts are read again, more where they
-// are copied, the more the less a copy takes.
+// spillLimit returns how much reading may be booked at a target that a request spills to:
+// reread if shared parts are read again there, more if they are copied cheaply.
 func (c *Cell) spillLimit(w *waiter, o option, reread time.Duration) time.Duration {
 	if sharedTokens(w.ask.Prompt, o.missing-o.tokens) > 0 {
 		return reread
@@ -94,7 +88,8 @@
 	return max(reread, backlogLimit-o.transfer.cost())
 }
 
-// pickCheapest returns the cheapest option, and notes that the request waits for it.
+// pickCheapest returns the cheapest option and records it as the request's preferred
+// target.
 func (c *Cell) pickCheapest(w *waiter, options []option) (option, bool) {
 	if len(options) == 0 {
 		w.best = nil
@@ -112,8 +107,8 @@
 	return cmp.Compare(b.tieBreak, a.tieBreak)
 }
 
-// inTime tells whether a first event that comes after a wait meets the
-// request's objective.
+// inTime reports whether the request meets its objective if its first event comes after
+// the wait.
 func (w *waiter) inTime(now time.Time, wait time.Duration) bool {
 	if w.ask.Objective <= 0 {
 		return true
@@ -153,8 +148,7 @@
 	return out
 }
 
-// scores returns the hash of each target for the request, in the order of the
-// views.
+// scores returns the hash of each target for the request, in the order of the views.
 func (c *Cell) scores(w *waiter) []uint64 {
 	if w.scoresVersion == c.layoutVersion {
 		return w.scores
@@ -174,14 +168,13 @@
 	return option{missing: missing, transfer: x, wait: wait, cost: wait + v.penalty + reread + x.cost()}
 }
 
-// discountHome makes the home cheaper by what it probably keeps.
+// discountHome reduces the home's cost by the reading that its cache probably saves.
 func (c *Cell) discountHome(o *option, p *routing.Prompt) {
 	shared := float64(sharedTokens(p, o.missing-o.tokens))
 	o.cost -= seconds(homeCacheProbability * rereadWeight * shared / c.views[o.at].speed)
 }
 
-// sharedTokens returns how many of the missing tokens belong to parts that other
-// requests share.
+// sharedTokens returns the number of missing tokens in parts that other requests share.
 func sharedTokens(p *routing.Prompt, missing int) int {
 	return max(missing-p.Own(), 0)
 }
--- a/core/cell/cold_test.go
+++ b/core/cell/cold_test.go
@@ -12,14 +12,14 @@
 	"madderway/models/routing"
 )
 
-// shortAsk returns an ask of a small prompt that nobody shares.
+// shortAsk returns a request with a small prompt and no shared part.
 func shortAsk(id RequestID) Ask {
 	p := &routing.Prompt{Tokens: 50, MaxOutput: 5, Parts: []routing.PromptPart{{ID: uint64(id) + 1000, Tokens: 50}}}
 	return Ask{ID: id, Account: fmt.Sprint("a", id%3), Prompt: p, Hold: 200 * time.Millisecond, Objective: time.Second}
 }
 
-// floodCell asks for a while, a request each two milliseconds, each of which ends at once
-// where it is placed, and returns when each target got one.
+// floodCell sends a request every two milliseconds, ends each one as soon as it is placed
+// and returns the times of the placements at each target.
 func floodCell(c *Cell, from time.Time, length time.Duration) map[string][]time.Time {
 	got := map[string][]time.Time{}
 	id := RequestID(from.UnixNano())
@@ -38,8 +38,8 @@
 	return got
 }
 
-// A cold engine gets what it bears, whatever is asked, and its part of all once it is
-// warm.
+// Guards against overloading a cold target, and against a limit that outlasts the cold
+// period.
 func TestColdTargetIsRateLimited(t *testing.T) {
 	const bears = 6.0
 	c := New()
@@ -56,25 +56,25 @@
 			}
 		}
 		if float64(n) > bears+1 {
-			t.Fatalf("%d requests within a second", n)
+			t.Fatalf("%d requests within a second at the cold target, want at most 7", n)
 		}
 	}
 	if n := len(got["cold"]); n < 12 {
-		t.Errorf("the cold engine got %d requests in three seconds", n)
+		t.Errorf("the cold target got %d requests in three seconds, want at least 12", n)
 	}
 	if n := len(floodCell(c, epoch.Add(3*time.Second), time.Second)["cold"]); n < 50 {
-		t.Errorf("the engine got %d of 500 requests in the second after its cold period", n)
+		t.Errorf("the target got %d of 500 requests in the second after its cold period, want at least 50", n)
 	}
-	// A scheduler that is none of the cell's sends nothing to a cold engine.
+	// A scheduler without a share sends nothing to a cold target.
 	ev.ColdShare, ev.Targets[0].ColdUntil = 0, epoch.Add(20*time.Second)
 	c.Step(epoch.Add(5*time.Second), ev)
 	if n := len(floodCell(c, epoch.Add(5*time.Second), time.Second)["cold"]); n != 0 {
-		t.Errorf("a last resort sent %d", n)
+		t.Errorf("a scheduler without a share placed %d requests at a cold target", n)
 	}
 }
 
-// An engine of an evacuated hall gets nothing, not by waiting either; what it keeps is
-// copied from it, and what runs there goes on.
+// Guards against placements at evacuated targets, and against losing their caches and
+// runs.
 func TestEvacuatedTargetOnlyServesCopies(t *testing.T) {
 	c := New()
 	ev := TargetsSeen{TokensPerSecond: 40_000, Transfer: fastLinks, Targets: []TargetInfo{
@@ -85,7 +85,7 @@
 	subject := &routing.Prompt{Tokens: 9000, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 1, Tokens: 8500}, {ID: 2, Tokens: 500}}}
 	p, ok := placed(c.Step(epoch, AskSeen{Entry: "g", Ask: Ask{ID: 1, Account: "a", Prompt: subject, Hold: time.Second, Objective: 2 * time.Second}}), 1)
 	if !ok || p.Target != "there" {
-		t.Fatalf("%+v", p)
+		t.Fatalf("placed %+v, want target there", p)
 	}
 	now := epoch.Add(300 * time.Millisecond)
 	c.Step(now, BeganSeen{Entry: "g", ID: 1})
@@ -94,19 +94,19 @@
 	next := &routing.Prompt{Tokens: 9000, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 1, Tokens: 8500}, {ID: 3, Tokens: 500}}}
 	p, ok = placed(c.Step(now, AskSeen{Entry: "g", Ask: Ask{ID: 2, Account: "a", Prompt: next, Hold: time.Second, Objective: 2 * time.Second}}), 2)
 	if !ok || p.Target != "here" || p.Source != "there" {
-		t.Errorf("placed %+v", p)
+		t.Errorf("placed %+v, want target here with a copy from there", p)
 	}
 	if c.runs[requestKey{"g", 1}] == nil {
-		t.Error("what ran there was given up")
+		t.Error("the run at the evacuated target was dropped")
 	}
 	ev.Targets[0].Evacuated = true
 	c.Step(now, ev)
 	if got := floodCell(c, now, time.Second); len(got) != 0 {
-		t.Errorf("placed %v with all evacuated", got)
+		t.Errorf("placed %v with all targets evacuated", got)
 	}
 }
 
-// A cell all of whose targets are evacuated is asked for nothing: another one is.
+// Guards against routing requests to a cell with evacuated targets only.
 func TestEvacuatedCellIsSkipped(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8}}}})
 	var set routing.TargetSet
@@ -119,12 +119,12 @@
 		target.Evacuated = true
 	}
 	if g := l.GroupFor("s", 77); g == nil || g.Key == first.Key {
-		t.Errorf("asks %v of a cell without targets", g)
+		t.Errorf("got cell %v, want another one than the evacuated cell", g)
 	}
 	for i := range set.Targets {
 		set.Targets[i].Evacuated = true
 	}
 	if g := l.GroupFor("s", 77); g != nil {
-		t.Errorf("asks cell %s though all halls are evacuated", g.Key)
+		t.Errorf("got cell %s with all targets evacuated, want none", g.Key)
 	}
 }
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -9,27 +9,26 @@
 	"time"
 )
 
-// unservableRetryAfter is when a request may come back that no target of the cell takes: a new target
-// is listed within a second or two of its start.
+// Least retry time for a request that no target of the cell may serve: new targets are
+// listed within about a second of their start.
 const unservableRetryAfter = time.Second
 
-// view is a target as one decision sees it. It is made once for all requests
-// that wait, and anew where something was placed.
+// view is the state of a target in one decision. It is shared by all waiting requests and
+// refreshed after a placement.
 type view struct {
 	target *target
 	usable bool
-	source bool          // source tells that what the target keeps may be copied from it.
-	full   bool          // full tells that it takes nothing now: all slots are taken, or it is cold and has just got something.
-	booked time.Duration // booked is how long the target's reading is given away.
-	base   time.Duration // base is the wait before a request that goes there is read.
-	// penalty is what failures and a crowd there count for in the choice. It is no
-	// wait: a request is not late for it.
+	source bool          // cached parts may be copied from the target
+	full   bool          // no free slot, or cold and at its rate limit
+	booked time.Duration // reading time committed to placed requests
+	base   time.Duration // time until a request placed now would be read
+	// Cost of failures and load in the choice. Not part of the expected wait.
 	penalty time.Duration
-	speed   float64 // tokens of prompts read in a second
+	speed   float64 // prompt tokens per second
 }
 
-// accepts tells whether the target takes a request while less than the limit of its
-// reading is given away.
+// accepts reports whether the target can take a request with less than the limit of its
+// reading time booked.
 func (v *view) accepts(limit time.Duration) bool { return v.usable && !v.full && v.booked < limit }
 
 func (c *Cell) makeView(now time.Time, t *target) view {
@@ -44,7 +43,7 @@
 	}
 }
 
-// refreshViews makes the views of all targets and tells whether one takes requests.
+// refreshViews rebuilds the views and reports whether a target accepts requests.
 func (c *Cell) refreshViews(now time.Time) bool {
 	c.views = c.views[:0]
 	open := false
@@ -56,9 +55,8 @@
 	return open
 }
 
-// dispatch places what may be placed, the account with the least service first, and
-// refuses what has waited too long and has found no place now either. A request is
-// tried once: what is placed takes room away and makes none.
+// dispatch places waiting requests, the least served account first, and then refuses
+// overdue ones. Each request is tried once: placements only use up capacity.
 func (c *Cell) dispatch(now time.Time) {
 	if len(c.waiting) == 0 {
 		return
@@ -82,8 +80,7 @@
 	c.refuseLate(now, all)
 }
 
-// reinsertFirst moves the first account, which has just been given something, to its
-// place among the others.
+// reinsertFirst moves the first account to its place after its level has risen.
 func reinsertFirst(accounts []*account) {
 	first := accounts[0]
 	at := sort.Search(len(accounts)-1, func(i int) bool { return !accounts[i+1].before(first) })
@@ -100,7 +97,6 @@
 	return false
 }
 
-// refuseLate refuses the requests of these accounts that have waited too long.
 func (c *Cell) refuseLate(now time.Time, accounts []*account) {
 	least := accounts[0].level
 	for _, a := range accounts {
@@ -129,7 +125,7 @@
 	}
 }
 
-// overdue returns the requests of an account that have waited for too long.
+// overdue returns the account's requests that must be refused now.
 func (c *Cell) overdue(now time.Time, a *account) []*waiter {
 	var late []*waiter
 	for _, w := range a.queue {
@@ -140,8 +136,8 @@
 	return late
 }
 
-// unservable tells whether no target of the cell will take a request, however long it waits:
-// all leave, lie in evacuated data halls, or want nothing from its gateway.
+// unservable reports whether every target of the cell is leaving, evacuated or denied to
+// the request.
 func (c *Cell) unservable(w *waiter) bool {
 	for i := range c.views {
 		t := &c.views[i].target.info
@@ -152,8 +148,8 @@
 	return len(c.views) > 0
 }
 
-// leastBooked returns how long the reading of the least busy target is given
-// away, or -1 where no target is usable.
+// leastBooked returns the least booked reading time of the usable targets, or -1 if there
+// are none.
 func (c *Cell) leastBooked() time.Duration {
 	least := time.Duration(-1)
 	for i := range c.views {
@@ -164,7 +160,7 @@
 	return least
 }
 
-// placeNext places the next request of the account that finds a target.
+// placeNext places the account's first request that finds a target.
 func (c *Cell) placeNext(now time.Time, a *account) bool {
 	for i := a.tried; i < len(a.queue) && i < scanLimit; i++ {
 		w := a.queue[i]
--- a/core/cell/dispatch_test.go
+++ b/core/cell/dispatch_test.go
@@ -11,8 +11,8 @@
 	"madderway/models/routing"
 )
 
-// busyCell returns a cell of busy targets before which requests of many accounts
-// wait, and the number of the next request.
+// busyCell returns a cell of busy targets with waiting requests of many accounts, and the
+// last request ID.
 func busyCell(t *testing.T, waiting int) (*Cell, RequestID) {
 	t.Helper()
 	c := New()
@@ -36,15 +36,14 @@
 	return AskSeen{"e", Ask{ID: id, Account: string(rune('a' + id%20)), Prompt: p, Hold: 20 * time.Second, Objective: time.Minute}}
 }
 
-// However many requests wait, a step looks for a target at most once for each:
-// what it places takes room away and makes none.
+// Guards against decisions whose cost grows faster than the number of waiting requests.
 func TestDecisionTriesEachRequestOnce(t *testing.T) {
 	c, next := busyCell(t, 300)
 	for i := range 20 {
 		now := epoch.Add(time.Duration(i+1) * 400 * time.Millisecond)
 		for key, r := range c.runs {
 			if r.target.info.ID != "a" {
-				continue // the others stay busy, and what waits for them is passed by
+				continue // the other targets stay busy
 			}
 			if !r.model.Begun() {
 				c.Apply(now, BeganSeen{key.entry, key.id})
@@ -56,15 +55,14 @@
 		waiting, before, placed := c.Waiting(), c.counts.Tried, c.counts.Placed
 		c.Decide(now)
 		if tried := c.counts.Tried - before; tried > uint64(waiting) {
-			t.Fatalf("step %d looked %d times for targets with %d waiting, placed %d", i, tried, waiting, c.counts.Placed-placed)
+			t.Fatalf("step %d: %d tries with %d waiting, placed %d", i, tried, waiting, c.counts.Placed-placed)
 		}
 	}
 	if c.counts.Placed < 20 {
-		t.Errorf("only %d of %d were placed", c.counts.Placed, next)
+		t.Errorf("only %d of %d requests were placed, want at least 20", c.counts.Placed, next)
 	}
 }
 
-// While no target takes anything, nothing is looked for.
 func TestNoTriesWhileAllTargetsAreBusy(t *testing.T) {
 	c, next := busyCell(t, 150)
 	before := c.counts.Tried
@@ -73,12 +71,11 @@
 		c.Step(epoch, longAsk(next))
 	}
 	if tried := c.counts.Tried - before; tried != 0 {
-		t.Errorf("%d looks for targets that are all busy", tried)
+		t.Errorf("%d tries while all targets are busy, want none", tried)
 	}
 }
 
-// A request whose time to wait is over is placed where a target has just become
-// free, not refused.
+// Guards against refusing an overdue request in the decision that could place it.
 func TestOverdueRequestUsesFreedTarget(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "t", Slots: 1, CacheTokens: 500_000}}})
@@ -90,9 +87,9 @@
 	c.Apply(now, BeganSeen{"e", 1})
 	actions := c.Step(now, EndedSeen{"e", 1, batch.OutcomeDone})
 	if _, ok := placed(actions, 2); !ok || len(actions) != 1 {
-		t.Errorf("%+v, want a place at the target that is free", actions)
+		t.Errorf("actions %+v, want only a placement at the free target", actions)
 	}
 	if n := c.counts; n.Refused != 0 || n.RefusedWithRoom != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts %+v, want no refusals", n)
 	}
 }
--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -1,11 +1,14 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package cell is the scheduler of a cell: a few engines of one service that
-// are scheduled together, by one gateway at a time. It sees all that runs and
-// waits there, keeps prompts where their beginning is already read, shares the
-// engines fairly between accounts and tells at once what cannot be served in
-// time. A Cell is a pure state machine: Step(now, event) returns actions.
+// Package cell schedules the requests of a cell, a few targets of one service. It
+// prefers targets with the prompt's prefix in their cache, shares capacity fairly
+// between accounts and refuses requests that cannot be served in time.
+//
+// One gateway schedules a cell at a time. A Cell is a pure state machine: Step(now,
+// event) returns actions. Reading a prompt means the prefill: the target computes the
+// tokens that are not in its cache. Reading time committed to placed requests is called
+// booked.
 package cell
 
 import (
@@ -15,128 +18,124 @@
 	"madderway/models/routing"
 )
 
-// RequestID names a request inside one life of its entry gateway.
+// RequestID identifies a request within one incarnation of its entry gateway.
 type RequestID uint64
 
-// Ask is a request that wants an engine.
+// Ask is a request that needs a target.
 type Ask struct {
 	ID      RequestID
 	Account string
 	Rank    int
 	Prompt  *routing.Prompt
-	Hold    time.Duration // Hold is how long it may wait before it is refused.
-	// Objective is how long the first event may take from now on, 0 for any time.
+	Hold    time.Duration // longest wait before it is refused
+	// Longest time from now to the first event, 0 for no limit.
 	Objective time.Duration
-	Deny      []string // Deny names targets that may not serve it.
+	Deny      []string // targets that may not serve it
 }
 
-// Held is a request that runs at a target, as its entry gateway tells it to a
-// scheduler that did not place it.
+// Held is a running request in an entry gateway's inventory.
 type Held struct {
 	ID      RequestID
 	Account string
 	Target  string
 	Prompt  *routing.Prompt
-	Begun   bool
+	Begun   bool // its first event has come
 }
 
-// TargetInfo is a target of the cell.
+// TargetInfo describes a target of the cell.
 type TargetInfo struct {
 	ID          string
 	Slots       int
 	CacheTokens int
 	DataHall    string
 	Leaving     bool
-	// Evacuated tells that nothing may be sent to the target; what it keeps may still
-	// be copied from it.
+	// The target gets no requests, but its cached parts may be copied.
 	Evacuated bool
-	ColdUntil time.Time // ColdUntil is when it bears more than a cold target does.
+	ColdUntil time.Time // until then the target gets at most TargetsSeen.ColdRate
 }
 
-// Event is something that a Cell reacts to.
+// Event is an input of a Cell.
 type Event interface{ isEvent() }
 
-// AskSeen is an ask of an entry gateway.
+// AskSeen reports a request of an entry gateway.
 type AskSeen struct {
 	Entry string
 	Ask   Ask
 }
 
-// WithdrawSeen takes an ask back.
+// WithdrawSeen cancels a request.
 type WithdrawSeen struct {
 	Entry string
 	ID    RequestID
 }
 
-// BeganSeen tells that the first event of an answer came.
+// BeganSeen reports the first event of a response.
 type BeganSeen struct {
 	Entry string
 	ID    RequestID
 }
 
-// EndedSeen tells that a request is no longer at its target.
+// EndedSeen reports that a request is no longer at its target.
 type EndedSeen struct {
 	Entry   string
 	ID      RequestID
 	Outcome batch.Outcome
 }
 
-// InventorySeen tells all that an entry gateway runs in this cell.
+// InventorySeen lists all requests that an entry gateway runs in this cell.
 type InventorySeen struct {
 	Entry string
 	Held  []Held
 }
 
-// EntryGone tells that an entry gateway has ended; what it ran is closed.
+// EntryGone reports that an entry gateway has ended and its requests are closed.
 type EntryGone struct{ Entry string }
 
-// TargetsSeen replaces the targets.
+// TargetsSeen replaces the list of targets and the settings of the cell.
 type TargetsSeen struct {
 	Targets         []TargetInfo
-	TokensPerSecond float64 // of one target, a first guess
-	Siblings        int     // other cells of the service
-	// FairWindow is the span over which accounts are compared, 0 for the default.
+	TokensPerSecond float64 // initial estimate for one target
+	Siblings        int     // number of the service's other cells
+	// Span over which accounts are compared, 0 for the default.
 	FairWindow time.Duration
-	// Transfer tells how the targets copy prompts from each other, nil where they
-	// do not.
+	// Links over which targets copy cached prompts, nil if they do not copy.
 	Transfer *routing.Transfer
-	// ColdRate is how many requests a second a cold target bears, 0 for any number,
-	// ColdShare the part of them that this scheduler may place there.
+	// Requests per second that a cold target can serve, 0 for no limit, and the part of
+	// them that this scheduler may place.
 	ColdRate  float64
 	ColdShare float64
 }
 
-// ColdShareSeen changes the part of what a cold target bears that this scheduler may
-// place there.
+// ColdShareSeen changes the part of TargetsSeen.ColdRate that this scheduler may place.
 type ColdShareSeen struct{ Share float64 }
 
-// TallySeen tells what each account has been given in the cells of the service that
-// another gateway schedules, as sums since its start.
+// TallySeen reports the service of each account in the cells of the service that another
+// gateway schedules, as totals since that gateway's start.
 type TallySeen struct {
-	Source      string // Source is the gateway.
-	Incarnation uint64 // Incarnation is the gateway's life.
+	Source      string // gateway ID
+	Incarnation uint64
 	Rows        []TallyRow
 }
 
-// SiblingTallySeen tells what each account has just been given in another cell of the service
-// that this gateway schedules.
+// SiblingTallySeen reports the service that accounts newly got in another cell of the
+// service scheduled by this gateway.
 type SiblingTallySeen struct{ Rows []TallyRow }
 
-// TallyRow is the service of one account.
+// TallyRow is the service of one account, in tokens.
 type TallyRow struct {
 	Account string
 	Service float64
-	Before  float64 // Before is the sum as it was told last, where Service is a sum.
+	Before  float64 // total in the previous report, if Service is a total
 }
 
-// CachedPartsSeen tells which parts of prompts a target says it keeps.
+// CachedPartsSeen reports the prompt parts in a target's cache.
 type CachedPartsSeen struct {
 	Target string
-	At     time.Time // At is when it was asked.
+	At     time.Time // time of the query
 	Parts  []routing.PromptPart
 }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (AskSeen) isEvent()          {}
@@ -152,58 +151,58 @@
 func (CachedPartsSeen) isEvent()  {}
 func (Tick) isEvent()             {}
 
-// Action is something that the owner of a Cell must do.
+// Action is a task for the owner of a Cell.
 type Action interface{ isAction() }
 
-// Place tells an entry gateway to send a request to a target.
+// Place makes an entry gateway send a request to a target.
 type Place struct {
 	Entry  string
 	ID     RequestID
 	Target string
-	Source string // Source is the target from which the beginning of the prompt is copied, or empty.
+	Source string // target from which the prompt's prefix is copied, or empty
 	Waited time.Duration
-	// What follows explains the decision.
+	// The remaining fields explain the decision.
 	Account      string
-	Affinity     uint64 // Subject is the deepest shared part of the prompt.
-	RereadTokens int    // Anew is how many tokens of shared parts the engine reads again.
-	CopiedTokens int    // Copied is how many tokens it copies from the source.
+	Affinity     uint64 // ID of the deepest shared part of the prompt
+	RereadTokens int    // tokens of shared parts that the target reads again
+	CopiedTokens int    // tokens copied from Source
 	Reason       Reason
 }
 
-// Reason is why a request went to the engine that it went to.
+// Reason explains the choice of a target.
 type Reason uint8
 
-// The reasons.
+// Reasons for the choice of a target.
 const (
-	ReasonCheapest Reason = iota // the least wait, what is kept counted in
-	ReasonUnseen                 // the same, but no engine of the cell keeps the shared parts
-	ReasonSpilled                // the engines that keep them were busy for too long
-	ReasonStarved                // the same, and the account was owed far more than others
-	reasons        = 4
+	ReasonCheapest Reason = iota // lowest cost, cached parts included
+	ReasonUnseen                 // lowest cost, but no target has the shared parts in its cache
+	ReasonSpilled                // the targets with the shared parts were too busy
+	ReasonStarved                // as ReasonSpilled, for an account that was starved
+	reasons        = 4           // number of reasons
 )
 
 var reasonNames = [reasons]string{"cheapest", "unseen", "spilled", "starved"}
 
-// String returns the reason as logs and metrics show it.
+// String returns the reason as used in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Wait tells an entry gateway that its request waits.
+// Wait acknowledges a request that waits.
 type Wait struct {
 	Entry string
 	ID    RequestID
 }
 
-// Refuse tells an entry gateway that a request cannot be served in time.
+// Refuse reports that a request cannot be served in time.
 type Refuse struct {
 	Entry      string
 	ID         RequestID
 	RetryAfter time.Duration
-	Elsewhere  bool // Elsewhere tells that another cell should be asked: the account is owed more than it gets here.
+	Elsewhere  bool // the request should be tried in another cell of the service
 	Account    string
 	Waited     time.Duration
-	Ahead      float64       // Ahead is the service that the account has had beyond the least served one that waits.
-	Booked     time.Duration // Booked is how long the least busy target's reading was given away.
-	Waiting    int           // Waiting is how many other requests wait.
+	Ahead      float64       // service beyond that of the least served waiting account
+	Booked     time.Duration // reading time booked at the least busy target, -1 if none is usable
+	Waiting    int           // number of other waiting requests
 }
 
 func (Place) isAction()  {}
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -11,15 +11,14 @@
 	"madderway/models/routing"
 )
 
-// A large fleet of engines: as many, as fast and with as much memory as those of the
-// largest deployment known, and the work that is asked of them, in requests a second.
+// A large fleet and its load in requests per second.
 const (
 	largeEngines = 320
-	largeSpeed   = 51_100 // tokens a second
-	largeMemory  = 472_528
+	largeSpeed   = 51_100  // tokens per second
+	largeMemory  = 472_528 // tokens
 )
 
-// largeKind is a kind of requests: all tokens of one subject are shared.
+// largeKind is a kind of requests with its own shared parts.
 type largeKind struct {
 	name      string
 	perSecond float64
@@ -34,11 +33,10 @@
 	{"tag", 703, 1107, 350, 1110},
 }
 
-// largeAccounts is how many accounts share each kind evenly.
+// Number of accounts that share the load of a kind evenly.
 const largeAccounts = 8
 
-// simulateFleet plays some of the fleet's engines with their part of the subjects and
-// returns what became of the requests.
+// simulateFleet runs a cell of the fleet with its subset of the shared parts.
 func simulateFleet(engines int, subjects map[string][]uint64, load float64, length time.Duration) simResult {
 	s := newSim(engines, largeSpeed, largeMemory)
 	s.links = &routing.Transfer{TokenBytes: 163_840, BytesPerSecond: 550e9 / 8}
@@ -61,8 +59,8 @@
 	return s.total()
 }
 
-// divideFleet divides engines and subjects as the layout does. A cell's subjects are
-// numbered on from its first one, so that they can be drawn evenly.
+// divideFleet assigns targets and shared parts to cells as the layout does. The shared
+// parts of a cell get consecutive numbers, so that they can be drawn evenly.
 func divideFleet(most int) []largeCell {
 	x, set := testService(largeEngines)
 	l := newLayout(x, set, testNodes(20), most)
@@ -88,9 +86,8 @@
 	subjects map[string][]uint64
 }
 
-// BenchmarkCells plays the large fleet divided into cells of at most so many engines on
-// average, and as one cell that sees all: the difference is what cells cost. Cells do
-// not help each other here, as gateways let starved accounts do.
+// BenchmarkCells compares the fleet divided into cells of several sizes with one large
+// cell. Requests are not moved between cells here.
 func BenchmarkCells(b *testing.B) {
 	for _, load := range []float64{1} {
 		for _, most := range []int{12, 24, 48, largeEngines} {
--- a/core/cell/hopeless_test.go
+++ b/core/cell/hopeless_test.go
@@ -10,8 +10,7 @@
 	"madderway/models/routing"
 )
 
-// A request that no target of the cell takes, however long it waits, is refused at once, for
-// another cell where there is one; one whose targets are only busy waits on.
+// Guards against letting a request wait that no target of the cell may serve.
 func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
 	ask := func(id RequestID, deny ...string) AskSeen {
 		return AskSeen{"e", Ask{ID: id, Account: "a", Prompt: &routing.Prompt{Tokens: 1000, MaxOutput: 10}, Hold: time.Second, Objective: 10 * time.Second, Deny: deny}}
@@ -43,19 +42,18 @@
 				}
 			}
 			if (refusal != nil) != c.refused {
-				t.Fatalf("refused: %+v, want %v", refusal, c.refused)
+				t.Fatalf("refusal %+v, want refused %v", refusal, c.refused)
 			}
 			if refusal == nil {
 				return
 			}
 			if refusal.RetryAfter < unservableRetryAfter || refusal.Elsewhere != (c.targets.Siblings > 0) {
-				t.Errorf("%+v", *refusal)
+				t.Errorf("got %+v, want Elsewhere only with other cells and no shorter RetryAfter", *refusal)
 			}
 		})
 	}
 }
 
-// What waits for a target that then leaves is refused at that moment, where it was the last.
 func TestWaitingRequestIsRefusedWhenTheLastTargetLeaves(t *testing.T) {
 	cell, _ := busyCell(t, 30)
 	var ev TargetsSeen
@@ -64,6 +62,6 @@
 	}
 	cell.Step(epoch.Add(time.Millisecond), ev)
 	if n := cell.Waiting(); n > 0 {
-		t.Errorf("%d requests wait for targets that leave", n)
+		t.Errorf("%d requests wait for leaving targets, want none", n)
 	}
 }
--- a/core/cell/kept_test.go
+++ b/core/cell/kept_test.go
@@ -11,34 +11,32 @@
 	"madderway/models/routing"
 )
 
-// A scheduler that takes a cell over sends a prompt to the engine that says it
-// keeps its beginning, not to where it would have begun itself.
+// Guards against ignoring the targets' cache reports after a takeover.
 func TestReportedCacheHolderIsPreferred(t *testing.T) {
 	p := &routing.Prompt{Tokens: 13_500, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 7, Tokens: 13_000}, {ID: 8, Tokens: 500}}}
-	keeper, home := "a", "b"
+	holder, home := "a", "b"
 	if place.Score("a", p.Affinity()) > place.Score("b", p.Affinity()) {
-		keeper, home = home, keeper
+		holder, home = home, holder
 	}
 	for _, learned := range []bool{false, true} {
 		c := New()
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "a", Slots: 8, CacheTokens: 500_000}, {ID: "b", Slots: 8, CacheTokens: 500_000}}})
 		if learned {
-			c.Step(epoch, CachedPartsSeen{Target: keeper, At: epoch, Parts: p.Parts[:1]})
+			c.Step(epoch, CachedPartsSeen{Target: holder, At: epoch, Parts: p.Parts[:1]})
 			c.Step(epoch, CachedPartsSeen{Target: "gone", At: epoch, Parts: p.Parts[:1]})
 		}
 		actions := c.Step(epoch.Add(time.Second), AskSeen{"e", Ask{ID: 1, Account: "x", Prompt: p, Hold: 200 * time.Millisecond, Objective: 800 * time.Millisecond}})
 		placed, ok := actions[0].(Place)
-		want, anew := home, 13_000
+		want, reread := home, 13_000
 		if learned {
-			want, anew = keeper, 0
+			want, reread = holder, 0
 		}
-		if !ok || placed.Target != want || placed.RereadTokens != anew {
-			t.Errorf("learned %v: %+v, want %s and %d tokens anew", learned, actions[0], want, anew)
+		if !ok || placed.Target != want || placed.RereadTokens != reread {
+			t.Errorf("learned %v: got %+v, want target %s and %d reread tokens", learned, actions[0], want, reread)
 		}
 	}
 }
 
-// A request waits on behind a short queue and is refused behind a long one.
 func TestWaitIsExtendedOnlyBehindShortQueue(t *testing.T) {
 	outcome := func(queued int) (refused int) {
 		c := New()
@@ -55,9 +53,9 @@
 		return refused
 	}
 	if n := outcome(3); n != 0 {
-		t.Errorf("%d of 3 refused though all will be read in half a second", n)
+		t.Errorf("%d of 3 refused, want none: all are read within half a second", n)
 	}
 	if n := outcome(20); n < 10 {
-		t.Errorf("%d of 20 refused though the last will be read in three seconds", n)
+		t.Errorf("%d of 20 refused, want at least 10: the last is read after three seconds", n)
 	}
 }
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -12,17 +12,15 @@
 	"madderway/models/routing"
 )
 
-// targetsPerCell is how many targets a cell has at most on average. One scheduler
-// sees all of a cell; at twelve targets of 64 slots that is some hundred
-// requests a second, about one percent of a core.
+// Largest average number of targets of a cell.
 const targetsPerCell = 12
 
-// Key names a cell of a service.
+// Key identifies a cell of a service.
 type Key string
 
-// Layout says which targets belong to which cell and which gateways schedule
-// it. Each gateway computes it alone from what it believes; where two differ
-// for a while, two schedulers share a cell and each sees a part of the load.
+// Layout assigns targets to cells and schedulers to each cell. Each gateway computes it
+// from its own view; while views differ, two schedulers may share a cell, each seeing a
+// part of its load.
 type Layout struct {
 	cells map[string][]*Group // by service
 	byKey map[Key]*Group
@@ -35,11 +33,10 @@
 	Service    string
 	Targets    []*routing.Target
 	layout     *Layout
-	schedulers []string // schedulers are worked out when they are first asked for.
+	schedulers []string // computed by Schedulers
 }
 
-// Schedulers returns the gateways that schedule the cell, in the order of
-// preference.
+// Schedulers returns the gateways that may schedule the cell, in order of preference.
 func (g *Group) Schedulers() []string {
 	if g.schedulers == nil {
 		g.schedulers = place.TopByStrength(g.layout.nodes, string(g.Key), schedulersPerCell)
@@ -47,15 +44,14 @@
 	return g.schedulers
 }
 
-// schedulersPerCell is how many gateways are named for each cell.
+// Number of gateways listed as schedulers of a cell.
 const schedulersPerCell = 3
 
-// NewLayout divides the targets of the services that have engines into cells.
+// NewLayout divides the targets of each service with an engine into cells.
 func NewLayout(x *routing.Index, targets *routing.TargetSet, nodes []place.Node) *Layout {
 	return newLayout(x, targets, nodes, targetsPerCell)
 }
 
-// newLayout makes cells of at most so many targets on average.
 func newLayout(x *routing.Index, targets *routing.TargetSet, nodes []place.Node, most int) *Layout {
 	l := &Layout{cells: map[string][]*Group{}, byKey: map[Key]*Group{}, nodes: nodes}
 	if x == nil || targets == nil {
@@ -71,9 +67,8 @@
 	return l
 }
 
-// WithNodes returns a layout of the same cells that other gateways schedule. It
-// costs as much as there are cells, not as there are gateways: those of a large
-// fleet come and go often.
+// WithNodes returns a layout with the same cells and other gateways. Its cost depends on
+// the number of cells only: gateways of a large fleet come and go often.
 func (l *Layout) WithNodes(nodes []place.Node) *Layout {
 	out := &Layout{cells: make(map[string][]*Group, len(l.cells)), byKey: make(map[Key]*Group, len(l.byKey)), nodes: nodes}
 	for service, groups := range l.cells {
@@ -105,8 +100,8 @@
 	l.cells[service] = groups
 }
 
-// cellCount is a power of two, so that a growing service splits cells in halves
-// and seldom.
+// cellCount returns a power of two, so that a growing service splits cells in halves and
+// rarely.
 func cellCount(targets, most int) int {
 	n := 1
 	for targets > n*most {
@@ -115,14 +110,14 @@
 	return n
 }
 
-// GroupFor returns the cell of a service that serves requests with this affinity: the
-// highest weighted hash, the weight being the number of targets.
+// GroupFor returns the cell that serves requests with this affinity, or nil. It uses
+// rendezvous hashing weighted by the number of targets.
 func (l *Layout) GroupFor(service string, affinity uint64) *Group {
 	return l.AlternativeTo(service, affinity, "")
 }
 
-// AlternativeTo returns the cell that would serve requests with this affinity if there
-// were not another one, or nil.
+// AlternativeTo returns the cell that would serve requests with this affinity if the cell
+// with the given key did not exist, or nil.
 func (l *Layout) AlternativeTo(service string, affinity uint64, than Key) *Group {
 	var best *Group
 	bestScore := math.Inf(-1)
@@ -139,14 +134,14 @@
 	return best
 }
 
-// takesWork tells whether a target of the cell may get anything. One whose targets all
-// leave or lie in evacuated data halls is passed over; the others keep their prompts.
+// takesWork reports whether a target of the cell may get requests. Cells with only leaving
+// or evacuated targets are skipped.
 func (g *Group) takesWork() bool {
 	return slices.ContainsFunc(g.Targets, (*routing.Target).TakesWork)
 }
 
-// FilterTargets returns those of some targets that belong to the cell: a scheduler has no use for the
-// others, and an ask grows by some 25 bytes with each.
+// FilterTargets returns the given targets that belong to the cell. Dropping the others
+// keeps messages to its scheduler small.
 func (g *Group) FilterTargets(ids []string) []string {
 	if g == nil || len(ids) == 0 {
 		return ids
@@ -160,16 +155,16 @@
 	return out
 }
 
-// Group returns a cell by its key, or nil.
+// Group returns the cell with this key, or nil.
 func (l *Layout) Group(key Key) *Group { return l.byKey[key] }
 
 // Groups returns all cells.
 func (l *Layout) Groups() map[Key]*Group { return l.byKey }
 
-// GroupsOf returns all cells of a service.
+// GroupsOf returns the cells of a service.
 func (l *Layout) GroupsOf(service string) []*Group { return l.cells[service] }
 
-// Siblings returns the other cells of a cell's service.
+// Siblings returns the other cells of the same service.
 func (l *Layout) Siblings(g *Group) []*Group {
 	var out []*Group
 	for _, other := range l.cells[g.Service] {
--- a/core/cell/layout_test.go
+++ b/core/cell/layout_test.go
@@ -45,12 +45,11 @@
 			t.Errorf("%d of %d targets are in a cell", total, n)
 		}
 		if largest > 2*targetsPerCell {
-			t.Errorf("with %d targets a cell has %d", n, largest)
+			t.Errorf("with %d targets the largest cell has %d", n, largest)
 		}
 	}
 }
 
-// Requests land on cells in proportion to their targets.
 func TestAffinitiesAreProportionalToTargets(t *testing.T) {
 	x, set := testService(140)
 	l := NewLayout(x, set, testNodes(59))
@@ -67,7 +66,6 @@
 	}
 }
 
-// One gateway less moves only the cells that it scheduled.
 func TestRemovedNodeMovesOnlyItsCells(t *testing.T) {
 	x, set := testService(600)
 	all := testNodes(320)
@@ -91,8 +89,8 @@
 	}
 }
 
-// Gateways of a large fleet come and go often; a change of them divides no targets, and
-// draws the schedulers of a cell only when that is asked.
+// Guards against reassigning targets or computing all schedulers whenever a gateway comes
+// or goes.
 func TestWithNodesKeepsTargetAssignment(t *testing.T) {
 	x, set := testService(320)
 	few, many := NewLayout(x, set, testNodes(20)), NewLayout(x, set, testNodes(1000))
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -15,20 +15,21 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// simEngine reads prompts in order at a fixed speed, keeps the parts used last
-// and gives the first event a fixed time after reading.
+// simEngine reads prompts in order at a fixed speed, has an LRU cache of parts and sends
+// the first event a fixed time after reading.
 type simEngine struct {
 	id     string
 	speed  float64
 	idleAt time.Time
-	kept   map[uint64]int // part, tokens
-	order  []uint64       // unused longest first
+	kept   map[uint64]int // tokens by part
+	order  []uint64       // cached parts, least recently used first
 	used   int
 	size   int
-	down   bool // a down engine gives no sign
+	down   bool // sends no events
 }
 
-// read puts a prompt to the engine and returns the tokens that it reads anew.
+// read queues a prompt and returns the tokens that are not cached, and those of them in
+// shared parts.
 func (e *simEngine) read(now time.Time, p *routing.Prompt) (missing, sharedMissing int) {
 	whole := true
 	for i, part := range p.Parts {
@@ -48,7 +49,7 @@
 	return missing, sharedMissing
 }
 
-// copy takes over the beginning of a prompt that another engine keeps.
+// copy takes over the cached prefix of a prompt from another engine.
 func (e *simEngine) copy(from *simEngine, p *routing.Prompt) {
 	for _, part := range p.Parts {
 		if _, ok := from.kept[part.ID]; !ok {
@@ -99,14 +100,14 @@
 	return last
 }
 
-// simAccount is a stream of requests of one account.
+// simAccount is a Poisson stream of requests of one account.
 type simAccount struct {
 	name      string
 	perSecond float64
-	subjects  int // shared parts that it draws from
-	shared    int // tokens of a shared part
-	own       int
-	base      uint64 // number of its first shared part
+	subjects  int    // number of shared parts that it draws from
+	shared    int    // tokens of a shared part
+	own       int    // average tokens of the part that is not shared
+	base      uint64 // ID of its first shared part
 	from      time.Duration
 	until     time.Duration
 }
@@ -131,9 +132,9 @@
 	asks      map[RequestID]simAsk
 	results   map[string]*simResult
 	objective time.Duration
-	slots     int                                    // slots of an engine
-	stream    time.Duration                          // stream is how long a request runs after its first event.
-	onPlace   func(id RequestID, target string) bool // reports whether the target takes it
+	slots     int                                    // per engine
+	stream    time.Duration                          // run time of a request after its first event
+	onPlace   func(id RequestID, target string) bool // reports whether the target accepts the request
 }
 
 type simAsk struct {
@@ -157,7 +158,6 @@
 	return s
 }
 
-// sendTargets tells the cell its targets and how they copy prompts.
 func (s *sim) sendTargets() {
 	ev := TargetsSeen{Transfer: s.links}
 	for id, e := range s.engines {
@@ -240,7 +240,7 @@
 	})
 }
 
-// run plays the accounts for some time.
+// run simulates the accounts for the given time.
 func (s *sim) run(length time.Duration, accounts []*simAccount) {
 	for _, a := range accounts {
 		if a.until == 0 {
--- a/core/cell/state.go
+++ b/core/cell/state.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// State is what a dump shows of a cell.
+// State is a cell in a state dump.
 type State struct {
 	Key      Key            `json:"key"`
 	Counts   Counts         `json:"counts"`
@@ -18,7 +18,7 @@
 	Accounts []AccountState `json:"accounts"`
 }
 
-// TargetState is what a scheduler believes of a target.
+// TargetState is a scheduler's view of a target.
 type TargetState struct {
 	ID      string        `json:"id"`
 	Running int           `json:"running"`
@@ -28,20 +28,20 @@
 	Errors  float64       `json:"share_failed"`
 	Usable  bool          `json:"usable"`
 	Leaving bool          `json:"leaving"`
-	// Evacuated tells that its data hall is evacuated, Cold that it gets little since
-	// it has just started.
+	// Evacuated: its data hall is evacuated. Cold: it was started recently and is rate
+	// limited.
 	Evacuated bool `json:"evacuated,omitempty"`
 	Cold      bool `json:"cold,omitempty"`
 }
 
-// AccountState is an account's queue.
+// AccountState is the queue of an account.
 type AccountState struct {
 	Name    string  `json:"name"`
 	Level   float64 `json:"service_of_late"`
 	Waiting int     `json:"waiting"`
 }
 
-// State returns what the cell believes.
+// State returns the state of the cell for a dump.
 func (c *Cell) State(now time.Time) State {
 	s := State{Counts: c.counts, Waiting: len(c.waiting), Running: len(c.runs)}
 	for _, t := range c.sorted {
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -8,25 +8,22 @@
 	"time"
 )
 
-// Fairness holds over all cells of a service: each scheduler tells the others
-// what it has given to whom, and what an account gets elsewhere counts here as
-// well. Between gateways tallies are sums, so that a lost, repeated or late one does no
-// harm.
+// Fairness covers all cells of a service: schedulers tell each other the service given
+// to each account. Tallies between gateways carry totals, so that lost, repeated and
+// late ones do no harm.
 
-// maxRemoteTallies bounds how many other gateways are remembered.
-const maxRemoteTallies = 1024
+const maxRemoteTallies = 1024 // bounds memory as gateways come and go
 
-// remoteTally is what another gateway has told so far.
+// remoteTally is the last known tally of another gateway.
 type remoteTally struct {
 	incarnation uint64
 	sums        map[string]float64
 	at          time.Time
 }
 
-// applyTally charges accounts for what they were given elsewhere since the last
-// tally. The first one of a gateway's life only says where its sums begin. Of an account
-// that is not in it the next one says what was told before: a cell that has just begun
-// must not be charged for all that the account ever got.
+// applyTally charges accounts for their service in other cells since the last tally. The
+// first tally of a gateway's incarnation only sets the starting totals. For an account
+// that was not in it, a later row's Before is the starting total.
 func (c *Cell) applyTally(now time.Time, e TallySeen) {
 	f := c.remoteTallies[e.Source]
 	if f == nil || f.incarnation != e.Incarnation {
@@ -43,8 +40,8 @@
 	}
 	f.at = now
 	for _, row := range e.Rows {
-		before, told := f.sums[row.Account]
-		if !told {
+		before, known := f.sums[row.Account]
+		if !known {
 			before = row.Before
 		}
 		more := row.Service - before
@@ -56,7 +53,7 @@
 	}
 }
 
-// chargeRows charges accounts for what another cell of this gateway has given them.
+// chargeRows charges accounts for service in another cell scheduled by this gateway.
 func (c *Cell) chargeRows(now time.Time, rows []TallyRow) {
 	for _, row := range rows {
 		c.account(row.Account).charge(now, row.Service)
@@ -73,7 +70,7 @@
 	delete(c.remoteTallies, oldest)
 }
 
-// DrainTally returns what each account was given since the last call.
+// DrainTally returns the service given to each account since the last call.
 func (c *Cell) DrainTally() []TallyRow {
 	var rows []TallyRow
 	for _, a := range c.accounts {
--- a/core/cell/tally_test.go
+++ b/core/cell/tally_test.go
@@ -10,9 +10,7 @@
 	"madderway/models/routing"
 )
 
-// Two cells of one engine each. The flood asks in both, the other account in
-// one of them only: over the whole service it is owed half, so it gets all that
-// its cell can give.
+// An account that asks in one of two cells must get as much as a flood in both.
 func TestFairnessAcrossCells(t *testing.T) {
 	for _, tell := range []bool{false, true} {
 		cells := []*Cell{New(), New()}
@@ -55,15 +53,15 @@
 		}
 		t.Logf("tallies %v: %v", tell, got)
 		if tell && got["other"] < 0.8*got["flood"] {
-			t.Errorf("the other account got %.0f, the flood %.0f", got["other"], got["flood"])
+			t.Errorf("the other account got %.0f, the flood %.0f, want at least 0.8 of it", got["other"], got["flood"])
 		}
 	}
 }
 
-// accountOf returns the account of a request that was placed.
+// accountOf returns the account of a placed request.
 func accountOf(c *Cell, id RequestID) string { return c.runs[requestKey{"e", id}].account }
 
-// A repeated, lost or late tally, or that of a new life, charges nothing twice.
+// Guards against charging repeated, late or restarted tallies twice.
 func TestRepeatedTalliesAreChargedOnce(t *testing.T) {
 	c := New()
 	level := func() float64 { return c.account("a").level }
@@ -72,30 +70,30 @@
 	}
 	tell(1, 1000)
 	if level() != 0 {
-		t.Fatal("the first tally, which only says where sums begin, was charged")
+		t.Fatal("the first tally was charged, want it to set the starting totals")
 	}
 	tell(1, 1500)
 	tell(1, 1500)
 	tell(1, 1200)
 	if level() != 500 {
-		t.Errorf("level %.0f after 500 more, told twice and late", level())
+		t.Errorf("level %.0f after repeated and late tallies, want 500", level())
 	}
 	tell(2, 300)
 	tell(2, 400)
 	if level() != 600 {
-		t.Errorf("level %.0f after a new life gave 100", level())
+		t.Errorf("level %.0f after 100 more in a new incarnation, want 600", level())
 	}
 }
 
-// An account that a gateway had not told of is charged for what is new only.
+// Guards against charging an account for all its service when it first appears in a tally.
 func TestNewAccountInTallyIsChargedForIncrease(t *testing.T) {
 	c := New()
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "a", Service: 10}}})
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "b", Service: 5000, Before: 4900}}})
 	if level := c.account("b").level; level != 100 {
-		t.Errorf("charged %.0f of a sum that grew by 100", level)
+		t.Errorf("charged %.0f, want the increase of 100", level)
 	}
-	// A tally that was lost on the way is made good by the next one.
+	// The next tally makes up for a lost one.
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "b", Service: 5300, Before: 5200}}})
 	if level := c.account("b").level; level != 400 {
 		t.Errorf("level %.0f after a lost tally, want 400", level)
@@ -114,9 +112,8 @@
 	}
 }
 
-// An account that gets far less than another one gets in other cells is sent to another
-// cell, though all that wait here get as little: at 32 cells an account got 14.6 million
-// tokens in six seconds in which another one, whose prompts are kept elsewhere, got 31.2.
+// Guards against keeping an account in its cell where all get little, while another
+// account gets far more in other cells.
 func TestStarvedAccountIsSentToOtherCells(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{Siblings: 1, TokensPerSecond: 10_000, Targets: []TargetInfo{{ID: "t", Slots: 1000, CacheTokens: 10_000_000}}})
@@ -148,12 +145,12 @@
 		}
 	}
 	if refused == 0 || elsewhere < refused*9/10 {
-		t.Errorf("%d of %d refused requests are sent to another cell", elsewhere, refused)
+		t.Errorf("%d of %d refused requests are sent to another cell, want nearly all", elsewhere, refused)
 	}
 }
 
-// What an account got while nobody else wanted it is forgotten soon once others do, also
-// where the capacity is less by then.
+// Guards against starving an account for its use of idle targets, also after capacity
+// shrinks.
 func TestLeadFromIdleTargetsIsCapped(t *testing.T) {
 	c := New()
 	ev := TargetsSeen{TokensPerSecond: 10_000}
@@ -180,10 +177,10 @@
 		}
 	}
 	play(0, 10*time.Second, "early")
-	ev.Targets = ev.Targets[:1] // three of four engines are gone
+	ev.Targets = ev.Targets[:1] // three of four targets are removed
 	c.Step(epoch.Add(10*time.Second), ev)
 	play(10*time.Second, 16*time.Second, "early", "late")
 	if got["early"] < 0.6*got["late"] {
-		t.Errorf("the one that was alone before got %.0f, the other one %.0f", got["early"], got["late"])
+		t.Errorf("the account that was alone before got %.0f, the other one %.0f, want at least 0.6 of it", got["early"], got["late"])
 	}
 }
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -5,23 +5,20 @@
 
 import "time"
 
-// Counts are what a cell has decided since its start.
+// Counts are totals of a cell since its start.
 type Counts struct {
 	Asked, Placed, Refused uint64
-	// RefusedWithRoom counts refusals while some target took requests.
+	// Refusals while some target accepted requests.
 	RefusedWithRoom uint64
-	// Tried counts how often a target was looked for, for a request that waits.
+	// Searches for a target, for all waiting requests.
 	Tried uint64
-	// AskedTokens and PlacedTokens are the prompts' tokens of those requests, Read
-	// the tokens of placed ones that engines read.
+	// Prompt tokens of the asked and placed requests, and those read by targets.
 	AskedTokens, PlacedTokens, Read uint64
-	// Anew counts the tokens of shared parts that placements let engines read
-	// again, by the reason of the placement.
+	// Tokens of shared parts that are read again, by the reason of the placement.
 	Anew [reasons]uint64
-	// Reading is how long the targets have been reading, together, those that are
-	// gone included.
+	// Reading time of all targets, removed ones included.
 	Reading time.Duration
-	// Copies counts the transfers between engines, Copied their tokens.
+	// Transfers between targets and their tokens.
 	Copies, Copied uint64
 }
 
@@ -34,14 +31,14 @@
 	return sum
 }
 
-// Load is what the targets of a cell do at a time.
+// Load is the current load of a cell.
 type Load struct {
-	Targets int           // Targets are those that take requests, full ones included.
-	Running int           // Streams are the requests that run.
-	Booked  time.Duration // Booked is how much of the targets' reading is given away, on average.
+	Targets int           // usable targets, full ones included
+	Running int           // running requests
+	Booked  time.Duration // average booked reading time of the usable targets
 }
 
-// Load returns what the targets do.
+// Load returns the current load.
 func (c *Cell) Load(now time.Time) Load {
 	var l Load
 	for _, t := range c.sorted {
@@ -56,7 +53,7 @@
 	return l
 }
 
-// Counts returns what the cell has decided since its start.
+// Counts returns the totals since the cell's start.
 func (c *Cell) Counts(now time.Time) Counts {
 	c.countReading(now)
 	return c.counts
--- a/core/cell/totals_test.go
+++ b/core/cell/totals_test.go
@@ -10,7 +10,6 @@
 	"madderway/core/batch"
 )
 
-// What targets have read stays counted when a target goes.
 func TestReadingTimeSurvivesTargetRemoval(t *testing.T) {
 	c := New()
 	targets := []TargetInfo{{ID: "a", Slots: 1, CacheTokens: 500_000}, {ID: "b", Slots: 1, CacheTokens: 500_000}}
@@ -21,25 +20,24 @@
 	}
 	read := c.Counts(epoch.Add(200 * time.Millisecond)).Reading
 	if read < 350*time.Millisecond || read > 450*time.Millisecond {
-		t.Errorf("reading for %v, want 400ms for 16,000 tokens", read)
+		t.Errorf("reading time %v, want about 400ms for 16,000 tokens", read)
 	}
 	now := epoch.Add(time.Second)
 	if l := c.Load(now); l.Targets != 2 || l.Running != 2 {
-		t.Errorf("%+v", l)
+		t.Errorf("load %+v, want 2 targets and 2 running", l)
 	}
 	c.Step(now, EndedSeen{"e", 1, batch.OutcomeDone})
 	c.Step(now, EndedSeen{"e", 2, batch.OutcomeDone})
 	c.Step(now, TargetsSeen{TokensPerSecond: 40_000, Targets: targets[:1]})
 	if got := c.Counts(epoch.Add(200 * time.Millisecond)).Reading; got != read {
-		t.Errorf("reading for %v after a target went, %v before", got, read)
+		t.Errorf("reading time %v after a target was removed, %v before", got, read)
 	}
 	if n := c.Counts(now); n.AskedTokens != 16_000 || n.PlacedTokens != 16_000 || n.Read != 16_000 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts %+v, want 16000 tokens asked, placed and read", n)
 	}
 }
 
-// Engines that read without a pause are said to, also where nobody hears of their
-// first events: a scheduler whose entries are cut off said that its engines idled.
+// Guards against reporting busy targets as idle while their first events do not arrive.
 func TestReadingIsCountedWithoutFirstEvents(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "a", Slots: 64, CacheTokens: 500_000}}})
@@ -47,6 +45,6 @@
 		c.Step(epoch.Add(time.Duration(i)*200*time.Millisecond), longAsk(RequestID(i)))
 	}
 	if got := c.Counts(epoch.Add(2 * time.Second)).Reading; got < 1900*time.Millisecond || got > 2*time.Second {
-		t.Errorf("reading for %v of 2s", got)
+		t.Errorf("reading time %v, want nearly 2s", got)
 	}
 }
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -10,27 +10,23 @@
 )
 
 const (
-	// transferSetup is what a transfer takes beside its bytes: the request between
-	// the two engines and the allocation of memory. Engines do not state it; it is
-	// of the order of a few round trips in a data hall.
+	// Fixed time of a transfer: a few round trips and the allocation of memory.
 	transferSetup = 3 * time.Millisecond
-	// crossHallFactor is how much longer a transfer between data halls takes.
+	// Slowdown of a transfer between data halls.
 	crossHallFactor = 2
-	// transferShare is the part of the time for reading that a transfer may take:
-	// where it takes more, little is gained for what it takes from the links.
+	// Longest transfer as a part of the time to read the same tokens.
 	transferShare = 0.5
 )
 
-// transfer is a copy of the beginning of a prompt from one engine to another.
+// transfer is a copy of a cached prompt prefix from one target to another.
 type transfer struct {
-	source   *target       // source is nil where nothing is copied.
+	source   *target       // nil if nothing is copied
 	tokens   int           // tokens that are copied
-	linkTime time.Duration // link is how long it takes both engines' links.
-	delay    time.Duration // takes is the time until it is there, behind other transfers.
+	linkTime time.Duration // time that it uses both links
+	delay    time.Duration // time to its end, including transfers before it
 }
 
-// cacheHolder is the engine of a data hall, or of all, that has most of a prompt in
-// memory.
+// cacheHolder is the target with the most tokens of a prompt in its cache.
 type cacheHolder struct {
 	target *target
 	tokens int
@@ -42,9 +38,8 @@
 	}
 }
 
-// findHolders returns who keeps most of the prompt, of all engines and in each data
-// hall; nobody where engines do not copy. Engines that leave or give no sign are no
-// sources.
+// findHolders returns the best source for a transfer of the prompt, of all targets and in
+// each data hall. Leaving and unresponsive targets are no sources.
 func (c *Cell) findHolders(p *routing.Prompt) (best cacheHolder, inHall map[string]cacheHolder) {
 	inHall = c.holdersByHall
 	clear(inHall)
@@ -68,8 +63,8 @@
 	return best, inHall
 }
 
-// transferTo returns the transfer that saves an engine the most time, or none
-// where reading is about as fast.
+// transferTo returns the transfer that saves the target the most time, or none if it saves
+// little.
 func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best cacheHolder, inHall map[string]cacheHolder) transfer {
 	near := inHall[v.target.info.DataHall]
 	a, b := c.planTransfer(now, v, p, missing, best), c.planTransfer(now, v, p, missing, near)
@@ -79,7 +74,7 @@
 	return a
 }
 
-// afterTransfer returns the time until a prompt is read after a transfer.
+// afterTransfer returns the time until the prompt is copied and the rest of it is read.
 func (v *view) afterTransfer(missing int, x transfer) time.Duration {
 	return x.delay + seconds(float64(missing-x.tokens)/v.speed)
 }
@@ -103,10 +98,10 @@
 	return x
 }
 
-// cost returns what a transfer counts for in the choice of a target.
+// cost returns the weighted link time of the transfer.
 func (x transfer) cost() time.Duration { return time.Duration(transferWeight * float64(x.linkTime)) }
 
-// reserveLinks reserves both engines' links for a transfer that begins now.
+// reserveLinks marks both links as used until the end of the transfer.
 func (x transfer) reserveLinks(now time.Time, to *target) {
 	if x.source == nil {
 		return
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -11,11 +11,11 @@
 	"madderway/models/routing"
 )
 
-// fastLinks copy a token in a thousandth of the time that reading it takes.
+// fastLinks copies a token in a thousandth of its read time.
 var fastLinks = &routing.Transfer{TokenBytes: 25, BytesPerSecond: 1e9}
 
-// transferCell has a keeper of part 7 whose slots are all taken, and two other
-// engines, one in the keeper's data hall. Each has one slot.
+// transferCell returns a cell of three targets with one slot each: keeper has part 7 and
+// no free slot, near is in its data hall, far is not.
 func transferCell(links *routing.Transfer) *Cell {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Transfer: links, Targets: []TargetInfo{
@@ -42,36 +42,31 @@
 	return Place{}, false
 }
 
-// A prompt whose keeper is busy goes to another engine, which copies what the
-// keeper has; the nearer of two.
 func TestPrefixIsCopiedFromBusyHolder(t *testing.T) {
 	c := transferCell(fastLinks)
 	p, ok := askTransfer(c, time.Second, 2)
 	if !ok || p.Target != "near" || p.Source != "keeper" || p.CopiedTokens != 8_000 || p.RereadTokens != 0 {
-		t.Fatalf("%+v %v, want near to copy 8000 tokens from the keeper", p, ok)
+		t.Fatalf("placed %+v %v, want target near with 8000 tokens copied from keeper", p, ok)
 	}
 	if n := c.counts; n.Copies != 1 || n.Copied != 8_000 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts %+v, want 1 copy of 8000 tokens", n)
 	}
 }
 
-// Engines that do not copy, and links on which copying takes about as long as
-// reading, leave all as it was: no source is named.
+// Covers targets that do not copy, and links on which copying takes as long as reading.
 func TestNoCopyWithoutGain(t *testing.T) {
 	slow := &routing.Transfer{TokenBytes: 25_000, BytesPerSecond: 1e9} // as fast as reading
 	for name, links := range map[string]*routing.Transfer{"none": nil, "slow": slow} {
 		c := transferCell(links)
 		if p, ok := askTransfer(c, time.Second, 2); ok && p.Source != "" {
-			t.Errorf("%s: %+v", name, p)
+			t.Errorf("links %s: placed %+v, want no source", name, p)
 		}
 		if n := c.counts.Copies; n != 0 {
-			t.Errorf("%s: %d copies", name, n)
+			t.Errorf("links %s: %d copies, want none", name, n)
 		}
 	}
 }
 
-// An engine that leaves, one that gives no sign and one that only begins to read
-// are no sources.
 func TestUnavailableTargetIsNoSource(t *testing.T) {
 	cases := map[string]func(c *Cell){
 		"leaving": func(c *Cell) {
@@ -94,12 +89,11 @@
 		c := transferCell(fastLinks)
 		spoil(c)
 		if p, ok := askTransfer(c, time.Second, 2); !ok || p.Source != "" {
-			t.Errorf("%s: %+v %v, want a place without a source", name, p, ok)
+			t.Errorf("%s: placed %+v %v, want a placement without a source", name, p, ok)
 		}
 	}
 }
 
-// What an engine is only about to read cannot be copied from it yet.
 func TestPartBeingReadIsNotCopied(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Transfer: fastLinks, Targets: []TargetInfo{
@@ -108,33 +102,30 @@
 	first, _ := askTransfer(c, 0, 1)
 	second, ok := askTransfer(c, 130*time.Millisecond, 2) // the first is still being read
 	if ok && second.Source != "" {
-		t.Fatalf("%+v copies from %s, which still reads", second, first.Target)
+		t.Fatalf("placed %+v with a copy from %s, which is still reading", second, first.Target)
 	}
 	c.Step(epoch.Add(250*time.Millisecond), BeganSeen{"e", 1})
 	if third, ok := askTransfer(c, 260*time.Millisecond, 3); !ok || third.Source != first.Target {
-		t.Errorf("%+v %v, want a copy from %s", third, ok, first.Target)
+		t.Errorf("placed %+v %v, want a copy from %s", third, ok, first.Target)
 	}
 }
 
-// Transfers go one after another on a link: with the links of all keepers taken
-// for long, an engine reads.
+// Guards against copies over a link that is in use for longer than reading takes.
 func TestTransfersQueueOnLink(t *testing.T) {
 	c := transferCell(fastLinks)
 	keeper := c.targets["keeper"]
 	keeper.linkFreeAt = epoch.Add(5 * time.Second)
 	if p, ok := askTransfer(c, time.Second, 2); ok && p.Source != "" {
-		t.Errorf("%+v: copied over a link that is taken for four seconds", p)
+		t.Errorf("placed %+v, want no copy over a link in use for four seconds", p)
 	}
 	c.Step(epoch.Add(1100*time.Millisecond), WithdrawSeen{"e", 2})
 	keeper.linkFreeAt = epoch
 	p, ok := askTransfer(c, 2*time.Second, 3)
 	if !ok || p.Source != "keeper" || !keeper.linkFreeAt.After(epoch.Add(2*time.Second)) {
-		t.Errorf("%+v %v, link free %v", p, ok, keeper.linkFreeAt.Sub(epoch))
+		t.Errorf("placed %+v %v, link free at %v; want a copy that reserves the link", p, ok, keeper.linkFreeAt.Sub(epoch))
 	}
 }
 
-// Each engine reads or copies a beginning that all ask for; over fast links it is
-// read seldom in the whole cell.
 func TestHotPrefixIsRarelyRead(t *testing.T) {
 	read := func(links *routing.Transfer) int {
 		s := newSim(9, 45_000, 570_000)
@@ -149,14 +140,14 @@
 	}
 	alone, shared := read(nil), read(fastLinks)
 	t.Logf("shared tokens read: %d alone, %d with transfers", alone, shared)
-	// Requests that come while a beginning is read for the first time read it too.
+	// Requests that arrive during the first read of a prefix read it too.
 	if shared > 3*6*13_000 || float64(shared) > 0.7*float64(alone) {
 		t.Errorf("%d shared tokens read with transfers, %d without, want at most three times %d", shared, alone, 6*13_000)
 	}
 }
 
-// A request spills to an engine with something to read where its beginning is
-// copied there cheaply, not where the copy is dear or it is read again.
+// A request spills to a target with reading booked only if its prefix is copied there
+// cheaply.
 func TestSpillDependsOnCopyCost(t *testing.T) {
 	spills := func(links *routing.Transfer) bool {
 		c := New()
@@ -165,24 +156,24 @@
 		}})
 		c.Step(epoch, CachedPartsSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
 		keeper, other := c.targets["keeper"].engine, c.targets["other"].engine
-		keeper.Start(epoch, &routing.Prompt{Tokens: 6_000}, 1) // 150 ms, more than may be given away
+		keeper.Start(epoch, &routing.Prompt{Tokens: 6_000}, 1) // 150 ms, more than backlogLimit
 		for range 6 {
-			other.Adopt(epoch, &routing.Prompt{Tokens: 1}, 1, true) // streams make it the second choice
+			other.Adopt(epoch, &routing.Prompt{Tokens: 1}, 1, true) // running requests make it the second choice
 		}
 		other.Start(epoch, &routing.Prompt{Tokens: 3_900}, 1) // 98 ms
 		ask := Ask{ID: 2, Account: "x", Prompt: transferPrompt(2000), Hold: 20 * time.Millisecond, Objective: 800 * time.Millisecond}
 		actions := c.Step(epoch, AskSeen{"e", ask})
 		if _, ok := placed(actions, 2); ok {
-			t.Fatal("placed at once: this request was to wait for its keeper")
+			t.Fatal("placed at once, want it to wait for the keeper")
 		}
 		p, ok := placed(c.Step(epoch.Add(8*time.Millisecond), Tick{}), 2)
 		return ok && p.Target == "other"
 	}
-	dear := &routing.Transfer{TokenBytes: 2500, BytesPerSecond: 1e9} // 20 ms for 8000 tokens
+	expensive := &routing.Transfer{TokenBytes: 2500, BytesPerSecond: 1e9} // 20 ms for 8000 tokens
 	if !spills(fastLinks) {
-		t.Error("a cheap copy was not worth an engine that is nearly free")
+		t.Error("no spill, want one to a nearly free target with a cheap copy")
 	}
-	if spills(dear) || spills(nil) {
-		t.Error("spilled though the copy is dear, or there is none")
+	if spills(expensive) || spills(nil) {
+		t.Error("spilled, want none if the copy is expensive or missing")
 	}
 }
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -34,8 +34,8 @@
 	return sc, ids
 }
 
-// BenchmarkGrant is the end of one request and the start of the next, as the
-// number of backlogged accounts grows.
+// BenchmarkGrant ends one request and starts the next with a growing number of backlogged
+// accounts.
 func BenchmarkGrant(b *testing.B) {
 	for _, backlogged := range []int{31, 310, 3100} {
 		b.Run(fmt.Sprintf("backlogged=%d", backlogged), func(b *testing.B) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkTally is a report of another scheduler on 310 backlogged accounts.
+// BenchmarkTally merges a tally of another scheduler into 310 backlogged accounts.
 func BenchmarkTally(b *testing.B) {
 	for _, rows := range []int{31, 310} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -11,12 +11,12 @@
 	"madderway/core/message"
 )
 
-// prefixScore puts a target that is thought to hold the prompt's prefix before
-// all others with a free slot.
+// Ranks targets that probably have the prompt's prefix in their cache before all others
+// with a free slot.
 const prefixScore = 1 << 20
 
-// dispatch gives free slots to the waiting accounts with the least virtual
-// service until no slot is free or nothing that waits may use one.
+// dispatch grants free slots to the waiting accounts with the least virtual service until
+// no slot is free or no waiting request may use one.
 func (s *Scheduler) dispatch(now time.Time, p *pool) {
 	if p == nil {
 		return
@@ -39,7 +39,7 @@
 	return granted
 }
 
-// reservedOnly tells whether the free slots are kept for interactive work.
+// reservedOnly reports whether the free slots are reserved for interactive requests.
 func (s *Scheduler) reservedOnly(now time.Time, p *pool, free int) bool {
 	if p.spec.ReserveShare <= 0 || now.Sub(p.lastInteractive) > reserveWindow {
 		return false
@@ -71,8 +71,9 @@
 	return false
 }
 
-// pickTarget chooses the allowed target with a free slot that is in the entry
-// router's data hall, then the one with the most free slots.
+// pickTarget chooses among the allowed targets with a free slot: first one with the
+// prompt's prefix, then the one with the most free slots, then one in the entry router's
+// data hall.
 func (s *Scheduler) pickTarget(now time.Time, p *pool, e *entryDemand) *target {
 	var best *target
 	bestScore := -1
--- a/core/sched/event.go
+++ b/core/sched/event.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package sched decides which account gets a free slot of a target. A
-// Scheduler is a pure state machine: Step(now, event) returns actions.
+// Package sched grants free slots of targets to accounts, in proportion to their weights.
+// A Scheduler is a pure state machine: Step(now, event) returns actions.
 package sched
 
 import (
@@ -13,20 +13,20 @@
 	"madderway/core/place"
 )
 
-// Event is something that a Scheduler reacts to.
+// Event is an input of a Scheduler.
 type Event interface{ isEvent() }
 
-// PoolSpec is what a scheduler needs to know of a pool.
+// PoolSpec holds the settings of a pool.
 type PoolSpec struct {
 	Name         string
-	HeadStart    float64 // HeadStart is how far interactive work goes first, in service units.
-	Quantum      float64
-	MaxDebt      float64 // MaxDebt bounds the debt of an account after a rejoin, in virtual units.
-	ReserveShare float64 // ReserveShare is the share of slots kept from long work while short work arrives.
+	HeadStart    float64 // advantage of interactive requests, in service units
+	Quantum      float64 // service that a grant may use before its slot is given back, in service units
+	MaxDebt      float64 // bounds an account's debt after a partition, in virtual units
+	ReserveShare float64 // part of the slots kept for interactive requests while such requests arrive
 	Peers        []fair.Reporter
 }
 
-// TargetSpec is a target that this scheduler owns.
+// TargetSpec describes a target that this scheduler owns.
 type TargetSpec struct {
 	Name           string
 	Pool           string
@@ -42,34 +42,34 @@
 	Pools   []PoolSpec
 	Targets []TargetSpec
 	Weights map[string]float64
-	Halls   map[string]string // Halls gives the data hall of each entry router.
+	Halls   map[string]string // data hall of each entry router
 }
 
-// DemandSeen is a demand from an entry router.
+// DemandSeen reports a demand of an entry router.
 type DemandSeen struct {
 	From   string
 	Demand message.Demand
 }
 
-// ReportSeen is a report from an entry router.
+// ReportSeen reports the progress or end of a grant.
 type ReportSeen struct {
 	From   string
 	Report message.Report
 }
 
-// InventorySeen is the inventory of an entry router.
+// InventorySeen lists the grants that an entry router holds.
 type InventorySeen struct {
 	From      string
 	Inventory message.Inventory
 }
 
-// TallySeen is a tally from another scheduler.
+// TallySeen delivers a tally of another scheduler.
 type TallySeen struct {
 	From  fair.Reporter
 	Tally message.Tally
 }
 
-// LoadSeen is a load report of an owned target; it lags.
+// LoadSeen is a delayed load report of an owned target.
 type LoadSeen struct {
 	Target  string
 	Running int
@@ -77,16 +77,16 @@
 	Leaving bool
 }
 
-// CacheSeen is a batch of an owned target's cache events, late and with gaps.
+// CacheSeen is a batch of cache events of an owned target. Batches may be late or missing.
 type CacheSeen struct {
 	Target string
 	Events []place.CacheEvent
 }
 
-// EntryGone tells that an entry router is dead.
+// EntryGone reports that an entry router has ended.
 type EntryGone struct{ ID string }
 
-// Tick lets time pass.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Configured) isEvent()    {}
@@ -99,7 +99,7 @@
 func (EntryGone) isEvent()     {}
 func (Tick) isEvent()          {}
 
-// Action is something that the owner of a Scheduler must do.
+// Action is a task for the owner of a Scheduler.
 type Action interface{ isAction() }
 
 // GrantOut sends a grant to an entry router.
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -12,7 +12,7 @@
 	"madderway/core/place"
 )
 
-// epsilon is below any charge that counts, in virtual units.
+// Smaller than any charge, in virtual units; absorbs rounding errors.
 const epsilon = 1e-6
 
 type target struct {
@@ -20,9 +20,9 @@
 	limiter         *limit.Limiter
 	prefixes        *place.PrefixMap
 	inflight        int
-	running         int // running is the load report's word, used only after a takeover.
-	openFrom        time.Time
-	countCompleteAt time.Time // trustAt is when the own count of inflight is complete.
+	running         int       // from the load report; used only after a takeover
+	openFrom        time.Time // no grants before, so that adoptions can arrive
+	countCompleteAt time.Time // from then on inflight alone counts the busy slots
 	down            bool
 	leaving         bool
 }
@@ -38,7 +38,7 @@
 	return t.limiter.Limit() - busy
 }
 
-// entryDemand is what one entry router asks for one account.
+// entryDemand is the demand of one entry router for one account.
 type entryDemand struct {
 	from        string
 	count       int
@@ -50,7 +50,7 @@
 
 type accountDemand struct {
 	entries []*entryDemand
-	next    int // next rotates over the entries.
+	next    int // index of the next entry to serve, round robin
 }
 
 func (d *accountDemand) interactive() int {
@@ -62,7 +62,7 @@
 }
 
 type peerState struct {
-	sentRevision uint64 // sent is the change counter that the peer has been told.
+	sentRevision uint64 // ledger revision up to which rows were sent to the peer
 	waiting      bool
 	floor        float64
 	lastTallyAt  time.Time
@@ -76,20 +76,19 @@
 	demands          map[string]*accountDemand
 	targets          []*target
 	peers            map[fair.Reporter]*peerState
-	waitingSince     map[string]time.Time // since is when an account began to wait here.
-	inflight         map[string]float64   // inflight is what is charged for requests that run, in virtual units.
+	waitingSince     map[string]time.Time // by account
+	inflight         map[string]float64   // charges for running requests by account, in virtual units
 	localFloor       virtualFloor
 	lastStart        float64
 	lastInteractive  time.Time
 	tallyAt          time.Time
 	tallySeq         uint64
 	lastTallyWaiting bool
-	idle             bool // quiet tells that nothing waits here or at a peer.
-	lastRowCount     int  // lastRows is how many rows the last tally had.
+	idle             bool // no account waits here or at a peer
+	lastRowCount     int  // rows of the last tally
 }
 
-// virtualFloor is what a scheduler knows of the virtual time from what waits at
-// itself.
+// virtualFloor is a scheduler's own lower bound of the pool's virtual time.
 type virtualFloor struct {
 	floor   float64
 	waiting bool
@@ -147,8 +146,8 @@
 	}
 }
 
-// requeue puts the account where its virtual service says, or takes it out of
-// the queue when nothing of it waits.
+// requeue updates the account's position by its virtual service, or removes an account
+// without demand.
 func (p *pool) requeue(now time.Time, account string, weight float64) {
 	ad := p.demands[account]
 	if ad == nil || len(ad.entries) == 0 {
@@ -176,13 +175,12 @@
 	return n
 }
 
-// settledLevel is an account's key without what is charged here for requests that
-// still run: the service that it certainly had.
+// settledLevel returns the account's virtual service without the charges for its running
+// requests, which may still be corrected.
 func (p *pool) settledLevel(account string) float64 {
 	return p.ledger.Level(account) - p.inflight[account]
 }
 
-// addInflight adds to what is charged for an account's running requests.
 func (p *pool) addInflight(account string, delta float64) {
 	p.inflight[account] += delta
 	if p.inflight[account] < epsilon {
@@ -190,11 +188,11 @@
 	}
 }
 
-// updateLocalFloor finds the least service that waits here, or the start tag of the
-// last grant where nothing does. Charges for running requests do not count: an
-// estimate that is too high would lift all others for good. Nor do accounts
-// that wait for a moment only: there is nearly always one somewhere, and it
-// would hold the floor down, which gives credit for idle time to all others.
+// updateLocalFloor sets the floor to the least service of the accounts that wait here, or
+// to the start tag of the last grant if none does. Charges for running requests are left
+// out: an estimate that is too high would raise all other accounts for good. Accounts that
+// have waited for less than minFloorWait are left out as well: they would hold the floor
+// down and give all others credit for idle time.
 func (p *pool) updateLocalFloor(now time.Time) {
 	p.localFloor = virtualFloor{floor: p.lastStart}
 	p.queue.Ascend(func(account string, _ float64) bool {
@@ -209,8 +207,9 @@
 	})
 }
 
-// raiseFloor computes the fleet's virtual time from what waits here and what
-// the peers said. Where nothing waits anywhere, the highest start tag counts.
+// raiseFloor raises the ledger's floor to the fleet's virtual time: the least floor of the
+// schedulers with waiting accounts, or the highest floor if no account waits. Peers
+// without a recent tally are ignored.
 func (p *pool) raiseFloor(now time.Time, freshness time.Duration) {
 	floor, waiting := p.localFloor.floor, p.localFloor.waiting
 	for _, peer := range p.peers {
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -22,10 +22,10 @@
 const (
 	simSlots = 4
 	simStep  = 10 * time.Millisecond
-	simRate  = 100.0 // units a slot does in a second
+	simRate  = 100.0 // units that a slot serves per second
 )
 
-// simAccount is an account that always has work waiting, at one entry router.
+// simAccount is an account that always has waiting requests, at one entry router.
 type simAccount struct {
 	name     string
 	cost     func(*rand.Rand) float64
@@ -43,8 +43,7 @@
 	charged float64
 }
 
-// sim steps pure schedulers against accounts that always wait. It is a fake
-// of the sockets between them, not of a cluster: messages are function calls.
+// sim runs schedulers against accounts that always wait. Messages are function calls.
 type sim struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -54,10 +53,10 @@
 	running  []*simRunning
 	interval time.Duration
 	lossy    bool
-	cut      map[int]bool // cut are the schedulers that hear of no other.
+	cut      map[int]bool // schedulers without contact to the others
 	low      map[[2]int]float64
 	high     map[[2]int]float64
-	onlyAt   map[string]int // onlyAt pins an account to one scheduler.
+	onlyAt   map[string]int // pins an account to one scheduler
 	step     int
 }
 
@@ -108,7 +107,7 @@
 	}
 }
 
-// deliver carries actions out: grants start work, tallies go to the others.
+// deliver starts granted requests and sends tallies to the other schedulers.
 func (s *sim) deliver(from int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -136,7 +135,7 @@
 		ev := TallySeen{From: s.scheds[from].opts.Self, Tally: out.Tally}
 		times := 1
 		if s.lossy {
-			times = s.rng.Intn(3) // lost, once or twice
+			times = s.rng.Intn(3) // lost, delivered once or twice
 		}
 		for range times {
 			s.deliver(i, sc.Step(s.now, ev))
@@ -230,7 +229,7 @@
 	return out
 }
 
-// The gap stays within the bound, and does not grow with time.
+// Guards against unfairness between accounts that grows over time.
 func TestGapStaysWithinBound(t *testing.T) {
 	for _, interval := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second} {
 		s := newSim(t, 5, interval, accountsOf(6)...)
@@ -244,7 +243,6 @@
 	}
 }
 
-// Estimates that are wrong by 100 times do not break the bound.
 func TestWrongEstimatesDoNotBreakBound(t *testing.T) {
 	accounts := accountsOf(4)
 	accounts[0].cost, accounts[0].estimate = constant(100), 1 // far too low
@@ -256,14 +254,14 @@
 	}
 }
 
-// An account is not starved by one whose requests are 1,000 times as large.
+// Guards against starvation beside an account with requests 1,000 times as large.
 func TestSmallRequestsAreNotStarved(t *testing.T) {
 	small := &simAccount{name: "small", cost: constant(1), estimate: 1, weight: 1}
 	huge := &simAccount{name: "huge", cost: constant(1000), estimate: 1000, weight: 1}
 	s := newSim(t, 3, time.Second, small, huge)
 	s.run(12_000)
 	if small.served < 0.4*huge.served {
-		t.Errorf("small got %.0f, huge %.0f", small.served, huge.served)
+		t.Errorf("small got %.0f, huge %.0f, want at least 0.4 of it", small.served, huge.served)
 	}
 }
 
@@ -274,7 +272,7 @@
 	s.run(6000)
 	got := accounts[0].served * 3 / accounts[1].served
 	if got < 2.5 || got > 3.5 {
-		t.Errorf("the account of weight 3 got %.2f times as much", got)
+		t.Errorf("the account of weight 3 got %.2f times as much, want about 3", got)
 	}
 }
 
@@ -282,20 +280,19 @@
 	s := newSim(t, 4, time.Second, accountsOf(5)...)
 	s.lossy = true
 	s.run(6000)
-	// A lost report makes counters as old as two intervals, then three.
+	// Counters are two intervals old after one lost tally, three after two.
 	if bound := 3 * s.bound(100, 50); s.gap() > bound {
-		t.Errorf("gap %.0f over %.0f", s.gap(), bound)
+		t.Errorf("gap %.0f over the bound %.0f", s.gap(), bound)
 	}
 }
 
-// Each side of a partition is fair in itself; after the rejoin no service is
-// counted twice and the sums agree again.
+// Guards against counting service twice, or not at all, after a partition ends.
 func TestPartitionAndRejoin(t *testing.T) {
 	accounts := accountsOf(3)
 	s := newSim(t, 2, time.Second, accounts...)
 	s.run(1000)
 	s.cut[1] = true
-	s.onlyAt["a0"] = 1 // a0 gets all of its service behind the cut
+	s.onlyAt["a0"] = 1 // a0 is served only by the cut-off scheduler
 	s.run(1000)
 	delete(s.cut, 1)
 	delete(s.onlyAt, "a0")
@@ -306,7 +303,7 @@
 			l := sc.pools["chat"].ledger
 			v := l.Virtual(a.name)
 			if math.Abs(v-total) > s.bound(100, 50) {
-				t.Errorf("scheduler %d counts %.0f for %s, true %.0f", i, v, a.name, total)
+				t.Errorf("scheduler %d counts %.0f for %s, want about %.0f", i, v, a.name, total)
 			}
 		}
 	}
@@ -315,12 +312,12 @@
 		low, high = math.Min(low, a.served), math.Max(high, a.served)
 	}
 	if high-low > s.bound(100, 50) {
-		t.Errorf("long after the rejoin accounts differ by %.0f", high-low)
+		t.Errorf("accounts differ by %.0f long after the rejoin, want less than the bound", high-low)
 	}
 }
 
-// A scheduler that starts with no memory is told the others' counters, those
-// of its own former life included.
+// Guards against losing counters at a restart, also those of the scheduler's former
+// incarnation.
 func TestRestartedSchedulerRecoversCounters(t *testing.T) {
 	s := newSim(t, 3, time.Second, accountsOf(4)...)
 	s.run(2000)
@@ -336,16 +333,16 @@
 	s.run(500)
 	after := s.scheds[2].pools["chat"].ledger.Virtual("a0")
 	if after < before {
-		t.Errorf("the restarted scheduler counts %.0f, the others had %.0f", after, before)
+		t.Errorf("the restarted scheduler counts %.0f, want at least %.0f", after, before)
 	}
 	s.run(2000)
 	if bound := 2 * s.bound(100, 50); s.gap() > bound {
-		t.Errorf("gap %.0f over %.0f", s.gap(), bound)
+		t.Errorf("gap %.0f over the bound %.0f", s.gap(), bound)
 	}
 }
 
-// Many light accounts that wait for a moment held the floor down, and an
-// account that began to wait then had credit for all the time before.
+// Guards against accounts that wait briefly holding the floor down: an account that begins
+// to wait would get credit for idle time.
 func TestBriefWaitersDoNotHoldFloor(t *testing.T) {
 	sc, now := singleTarget(1)
 	sc.Step(now, LoadSeen{Target: "t0"}) // no slot is free
@@ -360,7 +357,7 @@
 		sc.Step(now, DemandSeen{"entry", message.Demand{Account: light, Pool: "chat"}})
 	}
 	if floor := sc.pools["chat"].ledger.Floor(); floor != 1000 {
-		t.Fatalf("the floor is %v, the backlogged account stands at 1000", floor)
+		t.Fatalf("floor %v, want the backlogged account's 1000", floor)
 	}
 }
 
@@ -387,11 +384,11 @@
 	sc, now := singleTarget(3)
 	got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 10, Cost: 1}}))
 	if len(got) != 3 {
-		t.Fatalf("%d grants for 3 slots", len(got))
+		t.Fatalf("got %d grants, want 3 for 3 slots", len(got))
 	}
 	got = grantsOf(sc.Step(now, ReportSeen{"entry", message.Report{Grant: got[0].ID, Kind: message.ReportDone, Cost: 1}}))
 	if len(got) != 1 {
-		t.Fatalf("%d grants for the slot that was freed", len(got))
+		t.Fatalf("got %d grants, want 1 for the freed slot", len(got))
 	}
 }
 
@@ -399,11 +396,11 @@
 	sc, open := singleTarget(2)
 	demand := DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 5, Cost: 1}}
 	if got := grantsOf(sc.Step(epoch, demand)); len(got) != 0 {
-		t.Fatalf("%d grants before the adoptions came", len(got))
+		t.Fatalf("got %d grants before the adoptions arrived, want none", len(got))
 	}
 	sc.Step(epoch, InventorySeen{"other", message.Inventory{Adopt: []message.Adoption{{Grant: 1 << 63, Account: "b", Pool: "chat", Target: "t0", Charged: 5}}}})
 	if got := grantsOf(sc.Step(open, Tick{})); len(got) != 1 {
-		t.Fatalf("%d grants beside one adopted request in 2 slots", len(got))
+		t.Fatalf("got %d grants beside one adopted request in 2 slots, want 1", len(got))
 	}
 }
 
@@ -412,7 +409,7 @@
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
 	if got := grantsOf(sc.Step(now.Add(UnconfirmedGrantTimeout+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
-		t.Fatalf("after the limit: %v", got)
+		t.Fatalf("after the timeout: got %v, want one grant for b", got)
 	}
 }
 
@@ -430,7 +427,7 @@
 		sc, now := singleTarget(2)
 		sc.Step(now, l)
 		if got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})); len(got) != 0 {
-			t.Fatalf("%+v: granted", l)
+			t.Fatalf("%+v: got a grant, want none", l)
 		}
 	}
 }
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -12,38 +12,38 @@
 	"madderway/core/place"
 )
 
-// Times of the grant protocol.
+// Timing of the grant protocol.
 const (
-	UnconfirmedGrantTimeout = 20 * time.Second       // after it a grant that no inventory names is released
-	InventoryGrace          = 3 * time.Second        // a younger grant may be missing from an inventory
-	TakeoverWait            = 300 * time.Millisecond // a new owner waits for adoptions
-	TakeoverCountPeriod     = 3 * time.Second        // so long a new owner heeds the target's own count
-	reserveWindow           = 2 * time.Second        // so long after interactive work slots stay reserved
-	fullTallyEvery          = 32                     // every so many tallies all rows are sent
-	prefixMaxAge            = 5 * time.Minute        // an older cache hint is not heeded
-	prefixMaxSize           = 512                    // cache hints kept for one target
-	tallyFreshnessIntervals = 3                      // intervals after which a peer's floor is not heeded
-	settleAgeTenths         = 12                     // tenths of an interval after which a lift is fixed
-	minFloorWait            = 500 * time.Millisecond // an account that waits for less does not hold the floor
+	UnconfirmedGrantTimeout = 20 * time.Second       // after it a grant missing from all inventories is released
+	InventoryGrace          = 3 * time.Second        // inventories may miss younger grants
+	TakeoverWait            = 300 * time.Millisecond // a new owner waits for adoptions before it grants
+	TakeoverCountPeriod     = 3 * time.Second        // a new owner also uses the target's own count
+	reserveWindow           = 2 * time.Second        // slots stay reserved after an interactive demand
+	fullTallyEvery          = 32                     // every so many tallies contain all rows
+	prefixMaxAge            = 5 * time.Minute        // older cache hints are ignored
+	prefixMaxSize           = 512                    // cache hints per target
+	tallyFreshnessIntervals = 3                      // older floors of a peer are ignored
+	settleAgeTenths         = 12                     // age at which the ledger settles, in tenths of a tally interval
+	minFloorWait            = 500 * time.Millisecond // accounts that have waited for less do not hold the floor
 	defaultTallyInterval    = time.Second
-	grantCounterBits        = 24 // bits of grant IDs left to the counter
+	grantCounterBits        = 24 // low bits of a grant ID; the incarnation uses the next ones
 )
 
-// Options of a Scheduler.
+// Options configure a Scheduler.
 type Options struct {
 	Self          fair.Reporter
-	TallyInterval time.Duration // TallyInterval is the least time between two tallies to a peer.
-	TallyBudget   float64       // TallyBudget bounds the bytes a second spent on tallies.
+	TallyInterval time.Duration // least time between two tallies to a peer
+	TallyBudget   float64       // limit for tallies in bytes per second, 0 for none
 }
 
-// What a tally costs on the wire: its packet and headers, and each row.
+// Size of a tally on the wire: packet and headers, and each row.
 const (
 	tallyOverheadBytes = 100
 	tallyRowBytes      = 35
 )
 
-// maxTallyInterval is the longest interval of tallies while accounts wait; while none
-// does it is idleTallyFactor times as long.
+// Longest interval of tallies. While no account waits, the interval is multiplied by
+// idleTallyFactor.
 const (
 	maxTallyInterval = 2500 * time.Millisecond
 	idleTallyFactor  = 4
@@ -59,7 +59,8 @@
 	confirmedAt time.Time
 }
 
-// Scheduler hands out the slots of the targets it owns.
+// Scheduler grants the slots of the targets that it owns. It is not safe for concurrent
+// use.
 type Scheduler struct {
 	opts    Options
 	pools   map[string]*pool
@@ -69,11 +70,11 @@
 	halls   map[string]string
 	nextID  message.GrantID
 	out     []Action
-	Granted uint64 // Granted counts the grants given out.
-	Expired uint64 // Expired counts the grants released without a report.
+	Granted uint64 // total number of grants
+	Expired uint64 // grants released without a report
 }
 
-// New returns a scheduler that owns nothing.
+// New returns a scheduler that owns no targets.
 func New(opts Options) *Scheduler {
 	if opts.TallyInterval == 0 {
 		opts.TallyInterval = defaultTallyInterval
@@ -85,12 +86,12 @@
 		grants:  map[message.GrantID]*grant{},
 		weights: map[string]float64{},
 		halls:   map[string]string{},
-		// The incarnation keeps the IDs of two lives of one router apart.
+		// The incarnation keeps grant IDs unique across restarts of a router.
 		nextID: message.GrantID(opts.Self.Incarnation%(1<<grantCounterBits)) << grantCounterBits,
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step applies an event and returns the resulting actions.
 func (s *Scheduler) Step(now time.Time, ev Event) []Action {
 	s.out = nil
 	switch e := ev.(type) {
@@ -190,8 +191,8 @@
 		s.targets[spec.Name] = t
 		p.targets = append(p.targets, t)
 	}
-	// The entry routers hand the requests in flight at a lost target to its
-	// new owner, so the grants are forgotten without settling them.
+	// Entry routers hand the running requests of a lost target to its new owner, so the
+	// grants are dropped without settling them.
 	for id, g := range s.grants {
 		if s.targets[g.target.spec.Name] != g.target {
 			g.pool.addInflight(g.account, -g.charged/s.weight(g.account))
@@ -261,7 +262,7 @@
 	case message.ReportDone:
 		s.charge(now, g, r.Cost)
 		if r.Failed && r.Cost == 0 {
-			// It could not be reached; the next load report opens it again.
+			// Unreachable: the next load report reopens the target.
 			g.target.down = true
 		}
 		g.target.limiter.Observe(now, limit.Sample{FirstToken: r.FirstToken, TokenGap: r.TokenGap, Failed: r.Failed})
@@ -353,7 +354,8 @@
 	}
 }
 
-// reorderQueue brings the order of the queue up to date when a round begins.
+// reorderQueue updates the positions of all waiting accounts at the start of a tally
+// round.
 func (s *Scheduler) reorderQueue(now time.Time, p *pool) {
 	waiting := make([]string, 0, len(p.demands))
 	for account := range p.demands {
--- a/core/sched/state.go
+++ b/core/sched/state.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// TargetState is one owned target in a dump.
+// TargetState is an owned target in a state dump.
 type TargetState struct {
 	Name     string `json:"name"`
 	Pool     string `json:"pool"`
@@ -16,14 +16,14 @@
 	Leaving  bool   `json:"leaving"`
 }
 
-// WaitingState is one waiting account in a dump.
+// WaitingState is a waiting account in a state dump.
 type WaitingState struct {
 	Account string  `json:"account"`
 	Virtual float64 `json:"virtual_service"`
 	Count   int     `json:"count"`
 }
 
-// PoolState is one pool in a dump.
+// PoolState is a pool in a state dump.
 type PoolState struct {
 	Name    string         `json:"name"`
 	Floor   float64        `json:"floor"`
@@ -31,7 +31,7 @@
 	Waiting []WaitingState `json:"waiting"`
 }
 
-// State is what a dump shows of a scheduler.
+// State is a scheduler in a state dump.
 type State struct {
 	Targets []TargetState `json:"targets"`
 	Pools   []PoolState   `json:"pools"`
@@ -40,7 +40,7 @@
 	Expired uint64        `json:"expired_total"`
 }
 
-// State returns the scheduler's state at now.
+// State returns the state of the scheduler for a dump.
 func (s *Scheduler) State(now time.Time) State {
 	st := State{Grants: len(s.grants), Granted: s.Granted, Expired: s.Expired, Targets: []TargetState{}, Pools: []PoolState{}}
 	for _, t := range s.targets {
--- a/core/sched/tally.go
+++ b/core/sched/tally.go
@@ -11,13 +11,12 @@
 	"madderway/core/place"
 )
 
-// bootstrapPeers is how many peers tell a scheduler that just started all they know.
+// Number of peers that send the rows of all schedulers to a new one.
 const bootstrapPeers = 2
 
-// TallyInterval returns the time between two tallies to a peer: at least the
-// least interval, and so long that tallies with so many rows to all peers stay
-// within a budget of bytes a second, but at most maxTally; a budget of 0 is
-// none.
+// TallyInterval returns the time between two tallies to a peer. It is at least least, and
+// long enough to keep tallies of the given rows to all peers within the budget in bytes
+// per second, up to maxTallyInterval. A budget of 0 is no limit.
 func TallyInterval(peers, rows int, least time.Duration, budget float64) time.Duration {
 	if budget <= 0 {
 		return least
@@ -26,8 +25,8 @@
 	return max(least, min(time.Duration(seconds*float64(time.Second)), maxTallyInterval))
 }
 
-// tallyInterval is longer while nothing waits: the counters then decide
-// nothing.
+// tallyInterval returns a longer interval while no account waits: the counters then affect
+// no decision.
 func (s *Scheduler) tallyInterval(p *pool) time.Duration {
 	interval := TallyInterval(len(p.peers), p.lastRowCount, s.opts.TallyInterval, s.opts.TallyBudget)
 	if s.opts.TallyBudget > 0 && p.idle {
@@ -72,7 +71,7 @@
 	s.reorderQueue(now, p)
 }
 
-// peersWait tells whether accounts wait at another scheduler.
+// peersWait reports whether accounts wait at another scheduler.
 func (p *pool) peersWait(now time.Time, freshness time.Duration) bool {
 	for _, peer := range p.peers {
 		if peer.waiting && now.Sub(peer.lastTallyAt) <= freshness {
@@ -82,8 +81,8 @@
 	return false
 }
 
-// bootstraps tells whether this scheduler is one of the few that give a newcomer
-// the rows of the others.
+// bootstraps reports whether this scheduler sends the rows of all schedulers to the new
+// one.
 func (s *Scheduler) bootstraps(p *pool, newcomer fair.Reporter) bool {
 	nodes := []place.Node{{ID: s.opts.Self.ID}}
 	for r := range p.peers {
