--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -197,7 +197,7 @@
 			ahead += v.target.engine.Missing(other.ask.Prompt)
 		}
 	}
-	return w.inTime(now, v.base+seconds(float64(ahead)/v.speed))
+	return w.inTime(now, v.baseWait+seconds(float64(ahead)/v.speed))
 }
 
 // underserved reports whether the account has had far less service than the most served
@@ -247,10 +247,10 @@
 
 // evictIdleAccounts drops accounts without requests, level or unreported service.
 func (c *Cell) evictIdleAccounts(now time.Time) {
-	if now.Sub(c.evictedAt) < evictInterval {
+	if now.Sub(c.lastEviction) < evictInterval {
 		return
 	}
-	c.evictedAt = now
+	c.lastEviction = now
 	for name, a := range c.accounts {
 		a.decay(now)
 		if len(a.queue) == 0 && a.level < 1 && a.served == a.reported {
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -32,14 +32,14 @@
 	engine         *batch.Engine
 	countedReading time.Duration // part of the engine's reading time that is in Cell.counts
 	linkFreeAt     time.Time     // end of the transfers from or to the target
-	cold           cold.Pacer    // rate limit while the target is cold
+	coldPacer      cold.Pacer    // rate limit while the target is cold
 }
 
 type run struct {
-	key     requestKey
-	account string
-	target  *target
-	model   *batch.Run
+	key       requestKey
+	account   string
+	target    *target
+	engineRun *batch.Run
 }
 
 // Cell schedules the requests of one cell. It is not safe for concurrent use.
@@ -51,7 +51,7 @@
 	waiting         map[requestKey]*waiter
 	runs            map[requestKey]*run
 	remoteTallies   map[string]*remoteTally
-	evictedAt       time.Time
+	lastEviction    time.Time
 	speed           float64      // configured tokens per second of one target
 	prior           *batch.Prior // read speed assumed for new targets
 	siblings        int          // number of the service's other cells
@@ -96,10 +96,10 @@
 		c.withdraw(now, requestKey{e.Entry, e.ID})
 	case BeganSeen:
 		if r := c.runs[requestKey{e.Entry, e.ID}]; r != nil {
-			r.target.engine.Begin(now, r.model)
+			r.target.engine.Begin(now, r.engineRun)
 		}
 	case EndedSeen:
-		c.end(now, requestKey{e.Entry, e.ID}, e.Outcome)
+		c.endRun(now, requestKey{e.Entry, e.ID}, e.Outcome)
 	case InventorySeen:
 		c.reconcile(now, e)
 	case EntryGone:
@@ -112,7 +112,7 @@
 	case TallySeen:
 		c.applyTally(now, e)
 	case SiblingTallySeen:
-		c.chargeRows(now, e.Rows)
+		c.applySiblingTally(now, e.Rows)
 	case CachedPartsSeen:
 		if t := c.targets[e.Target]; t != nil {
 			t.engine.Learn(e.At, e.Parts)
@@ -159,7 +159,7 @@
 		c.dequeue(w)
 		return
 	}
-	c.end(now, key, batch.OutcomeCanceled)
+	c.endRun(now, key, batch.OutcomeCanceled)
 }
 
 func (c *Cell) dequeue(w *waiter) {
@@ -168,13 +168,13 @@
 	a.remove(w)
 }
 
-func (c *Cell) end(now time.Time, key requestKey, o batch.Outcome) {
+func (c *Cell) endRun(now time.Time, key requestKey, o batch.Outcome) {
 	r := c.runs[key]
 	if r == nil {
 		return
 	}
 	delete(c.runs, key)
-	r.target.engine.End(now, r.model, o)
+	r.target.engine.End(now, r.engineRun, o)
 	if gone := c.draining[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
 		c.countTarget(now, gone)
 		delete(c.draining, r.target.info.ID)
@@ -199,11 +199,11 @@
 			continue
 		}
 		model := t.engine.Adopt(now, h.Prompt, h.Prompt.OutputEstimate(), h.Begun)
-		c.runs[key] = &run{key: key, account: h.Account, target: t, model: model}
+		c.runs[key] = &run{key: key, account: h.Account, target: t, engineRun: model}
 	}
 	for key := range c.runs {
 		if key.entry == e.Entry && !inventory[key.id] {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 	}
 	for key := range c.runs {
 		if key.entry == entry {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 }
 
 func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
-	p, t, x := w.ask.Prompt, c.views[o.at].target, o.transfer
+	p, t, x := w.ask.Prompt, c.views[o.index].target, o.transfer
 	reread := sharedTokens(p, o.missing-x.tokens)
 	if reread > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
 		why = ReasonUnseen
@@ -268,7 +268,7 @@
 	c.counts.Read += uint64(max(o.missing-x.tokens, 0))
 	c.counts.Anew[why] += uint64(reread)
 	c.account(w.ask.Account).placed++
-	c.start(now, w.key, w.ask.Account, t, p, x)
+	c.startRun(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
 		Account: w.ask.Account, Affinity: p.Affinity(), RereadTokens: reread, CopiedTokens: x.tokens, Reason: why,
@@ -292,15 +292,15 @@
 	return false
 }
 
-func (c *Cell) start(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
+func (c *Cell) startRun(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
 	r := &run{key: key, account: account, target: t}
-	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.delay)
+	r.engineRun = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.delay)
 	x.reserveLinks(now, t)
 	if c.isCold(now, t) {
-		t.cold.Take(now, c.coldShare*c.coldRate)
+		t.coldPacer.Take(now, c.coldShare*c.coldRate)
 	}
 	c.runs[key] = r
-	service := float64(p.Tokens + outputWeight*r.model.Output)
+	service := float64(p.Tokens + outputWeight*r.engineRun.Output)
 	a := c.account(account)
 	a.charge(now, service)
 	a.served += service
@@ -317,7 +317,7 @@
 	if !c.isCold(now, t) {
 		return 0
 	}
-	return t.cold.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
+	return t.coldPacer.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
 }
 
 // Waiting returns the number of waiting requests.
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -38,7 +38,7 @@
 
 // option is a target that could take a request.
 type option struct {
-	at       int           // index in Cell.views
+	index    int           // index in Cell.views
 	missing  int           // prompt tokens that are not in the target's cache
 	transfer               // copy of some of the missing tokens
 	wait     time.Duration // estimated time to the first event
@@ -55,7 +55,7 @@
 	if !ok {
 		return option{}, ReasonCheapest, false
 	}
-	if c.views[best.at].accepts(backlogLimit) {
+	if c.views[best.index].accepts(backlogLimit) {
 		return best, ReasonCheapest, true
 	}
 	if now.Sub(w.arrived) < time.Duration(spillShare*float64(w.ask.Hold)) {
@@ -69,7 +69,7 @@
 	}
 	open := options[:0]
 	for _, o := range options {
-		if c.views[o.at].accepts(c.spillLimit(w, o, limit)) && w.inTime(now, o.wait) {
+		if c.views[o.index].accepts(c.spillLimit(w, o, limit)) && w.inTime(now, o.wait) {
 			open = append(open, o)
 		}
 	}
@@ -96,7 +96,7 @@
 		return option{}, false
 	}
 	best := slices.MinFunc(options, func(a, b option) int { return compare(a, b, a.cost, b.cost) })
-	w.best = c.views[best.at].target
+	w.best = c.views[best.index].target
 	return best, true
 }
 
@@ -135,7 +135,7 @@
 			continue
 		}
 		o := v.option(p, missing, c.transferTo(now, v, p, missing, best, inHall))
-		o.at, o.tieBreak = i, scores[i]
+		o.index, o.tieBreak = i, scores[i]
 		out = append(out, o)
 		if home < 0 || o.tieBreak > out[home].tieBreak {
 			home = len(out) - 1
@@ -163,7 +163,7 @@
 
 func (v *view) option(p *routing.Prompt, missing int, x transfer) option {
 	read := missing - x.tokens
-	wait := max(v.base, x.delay) + seconds(float64(read)/v.speed)
+	wait := max(v.baseWait, x.delay) + seconds(float64(read)/v.speed)
 	reread := seconds((rereadWeight - 1) * float64(sharedTokens(p, read)) / v.speed)
 	return option{missing: missing, transfer: x, wait: wait, cost: wait + v.penalty + reread + x.cost()}
 }
@@ -171,7 +171,7 @@
 // discountHome reduces the home's cost by the reading that its cache probably saves.
 func (c *Cell) discountHome(o *option, p *routing.Prompt) {
 	shared := float64(sharedTokens(p, o.missing-o.tokens))
-	o.cost -= seconds(homeCacheProbability * rereadWeight * shared / c.views[o.at].speed)
+	o.cost -= seconds(homeCacheProbability * rereadWeight * shared / c.views[o.index].speed)
 }
 
 // sharedTokens returns the number of missing tokens in parts that other requests share.
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -16,12 +16,12 @@
 // view is the state of a target in one decision. It is shared by all waiting requests and
 // refreshed after a placement.
 type view struct {
-	target *target
-	usable bool
-	source bool          // cached parts may be copied from the target
-	full   bool          // no free slot, or cold and at its rate limit
-	booked time.Duration // reading time committed to placed requests
-	base   time.Duration // time until a request placed now would be read
+	target   *target
+	usable   bool
+	source   bool          // cached parts may be copied from the target
+	full     bool          // no free slot, or cold and at its rate limit
+	booked   time.Duration // reading time committed to placed requests
+	baseWait time.Duration // time until a request placed now would be read
 	// Cost of failures and load in the choice. Not part of the expected wait.
 	penalty time.Duration
 	speed   float64 // prompt tokens per second
@@ -38,8 +38,8 @@
 	crowd := float64(e.Running()) / float64(max(t.info.Slots, 1))
 	return view{
 		target: t, usable: source && !t.info.Evacuated, source: source, full: slot > 0 || cold > 0, booked: e.Booked(now), speed: e.Speed(),
-		base:    max(e.Backlog(now)+slot, cold),
-		penalty: time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(crowd*float64(fullBatchPenalty)),
+		baseWait: max(e.Backlog(now)+slot, cold),
+		penalty:  time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(crowd*float64(fullBatchPenalty)),
 	}
 }
 
@@ -77,7 +77,7 @@
 		open = c.anyAccepts()
 		reinsertFirst(accounts)
 	}
-	c.refuseLate(now, all)
+	c.refuseOverdue(now, all)
 }
 
 // reinsertFirst moves the first account to its place after its level has risen.
@@ -97,7 +97,7 @@
 	return false
 }
 
-func (c *Cell) refuseLate(now time.Time, accounts []*account) {
+func (c *Cell) refuseOverdue(now time.Time, accounts []*account) {
 	least := accounts[0].level
 	for _, a := range accounts {
 		least = min(least, a.level)
@@ -172,7 +172,7 @@
 		}
 		c.dequeue(w)
 		c.place(now, w, o, why)
-		c.views[o.at] = c.makeView(now, c.views[o.at].target)
+		c.views[o.index] = c.makeView(now, c.views[o.index].target)
 		return true
 	}
 	return false
--- a/core/cell/dispatch_test.go
+++ b/core/cell/dispatch_test.go
@@ -45,7 +45,7 @@
 			if r.target.info.ID != "a" {
 				continue // the other targets stay busy
 			}
-			if !r.model.Begun() {
+			if !r.engineRun.Begun() {
 				c.Apply(now, BeganSeen{key.entry, key.id})
 			}
 			if i%2 == 0 {
--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -178,10 +178,10 @@
 	ReasonUnseen                 // lowest cost, but no target has the shared parts in its cache
 	ReasonSpilled                // the targets with the shared parts were too busy
 	ReasonStarved                // as ReasonSpilled, for an account that was starved
-	reasons        = 4           // number of reasons
+	reasonCount    = 4           // number of reasons
 )
 
-var reasonNames = [reasons]string{"cheapest", "unseen", "spilled", "starved"}
+var reasonNames = [reasonCount]string{"cheapest", "unseen", "spilled", "starved"}
 
 // String returns the reason as used in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -17,8 +17,8 @@
 // remoteTally is the last known tally of another gateway.
 type remoteTally struct {
 	incarnation uint64
-	sums        map[string]float64
-	at          time.Time
+	totals      map[string]float64
+	updatedAt   time.Time
 }
 
 // applyTally charges accounts for their service in other cells since the last tally. The
@@ -30,17 +30,17 @@
 		if len(c.remoteTallies) >= maxRemoteTallies {
 			c.evictOldestTally()
 		}
-		f = &remoteTally{incarnation: e.Incarnation, sums: map[string]float64{}}
+		f = &remoteTally{incarnation: e.Incarnation, totals: map[string]float64{}}
 		c.remoteTallies[e.Source] = f
 		for _, row := range e.Rows {
-			f.sums[row.Account] = row.Service
+			f.totals[row.Account] = row.Service
 		}
-		f.at = now
+		f.updatedAt = now
 		return
 	}
-	f.at = now
+	f.updatedAt = now
 	for _, row := range e.Rows {
-		before, known := f.sums[row.Account]
+		before, known := f.totals[row.Account]
 		if !known {
 			before = row.Before
 		}
@@ -48,13 +48,13 @@
 		if more <= 0 {
 			continue
 		}
-		f.sums[row.Account] = row.Service
+		f.totals[row.Account] = row.Service
 		c.account(row.Account).charge(now, more)
 	}
 }
 
-// chargeRows charges accounts for service in another cell scheduled by this gateway.
-func (c *Cell) chargeRows(now time.Time, rows []TallyRow) {
+// applySiblingTally charges accounts for service in another cell scheduled by this gateway.
+func (c *Cell) applySiblingTally(now time.Time, rows []TallyRow) {
 	for _, row := range rows {
 		c.account(row.Account).charge(now, row.Service)
 	}
@@ -63,7 +63,7 @@
 func (c *Cell) evictOldestTally() {
 	oldest := ""
 	for source, f := range c.remoteTallies {
-		if oldest == "" || f.at.Before(c.remoteTallies[oldest].at) {
+		if oldest == "" || f.updatedAt.Before(c.remoteTallies[oldest].updatedAt) {
 			oldest = source
 		}
 	}
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -15,7 +15,7 @@
 	// Prompt tokens of the asked and placed requests, and those read by targets.
 	AskedTokens, PlacedTokens, Read uint64
 	// Tokens of shared parts that are read again, by the reason of the placement.
-	Anew [reasons]uint64
+	Anew [reasonCount]uint64
 	// Reading time of all targets, removed ones included.
 	Reading time.Duration
 	// Transfers between targets and their tokens.
