--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -81,7 +81,7 @@
 	localFloor       virtualFloor
 	lastStart        float64
 	lastInteractive  time.Time
-	tallyAt          time.Time
+	nextTallyAt      time.Time
 	tallySeq         uint64
 	lastTallyWaiting bool
 	idle             bool // no account waits here or at a peer
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -98,19 +98,19 @@
 	case Configured:
 		s.configure(now, e)
 	case DemandSeen:
-		s.demand(now, e.From, e.Demand)
+		s.applyDemand(now, e.From, e.Demand)
 	case ReportSeen:
-		s.report(now, e.From, e.Report)
+		s.applyReport(now, e.From, e.Report)
 	case InventorySeen:
-		s.inventory(now, e.From, e.Inventory)
+		s.reconcileInventory(now, e.From, e.Inventory)
 	case TallySeen:
-		s.tally(now, e.From, e.Tally)
+		s.mergeTally(now, e.From, e.Tally)
 	case LoadSeen:
-		s.load(now, e)
+		s.applyLoad(now, e)
 	case CacheSeen:
-		s.cache(now, e)
+		s.applyCacheEvents(now, e)
 	case EntryGone:
-		s.entryGone(now, e.ID)
+		s.releaseEntry(now, e.ID)
 	case Tick:
 		s.tick(now)
 	}
@@ -215,7 +215,7 @@
 	}
 }
 
-func (s *Scheduler) demand(now time.Time, from string, d message.Demand) {
+func (s *Scheduler) applyDemand(now time.Time, from string, d message.Demand) {
 	p := s.pools[d.Pool]
 	if p == nil {
 		return
@@ -245,7 +245,7 @@
 	g.target.inflight--
 }
 
-func (s *Scheduler) report(now time.Time, from string, r message.Report) {
+func (s *Scheduler) applyReport(now time.Time, from string, r message.Report) {
 	g := s.grants[r.Grant]
 	if g == nil || g.to != from {
 		return
@@ -271,7 +271,7 @@
 	s.dispatch(now, g.pool)
 }
 
-func (s *Scheduler) inventory(now time.Time, from string, inv message.Inventory) {
+func (s *Scheduler) reconcileInventory(now time.Time, from string, inv message.Inventory) {
 	held := make(map[message.GrantID]bool, len(inv.Held))
 	for _, id := range inv.Held {
 		held[id] = true
@@ -307,7 +307,7 @@
 	s.dispatch(now, g.pool)
 }
 
-func (s *Scheduler) load(now time.Time, l LoadSeen) {
+func (s *Scheduler) applyLoad(now time.Time, l LoadSeen) {
 	t := s.targets[l.Target]
 	if t == nil {
 		return
@@ -316,7 +316,7 @@
 	s.dispatch(now, s.pools[t.spec.Pool])
 }
 
-func (s *Scheduler) cache(now time.Time, c CacheSeen) {
+func (s *Scheduler) applyCacheEvents(now time.Time, c CacheSeen) {
 	t := s.targets[c.Target]
 	if t == nil {
 		return
@@ -326,7 +326,7 @@
 	}
 }
 
-func (s *Scheduler) entryGone(now time.Time, id string) {
+func (s *Scheduler) releaseEntry(now time.Time, id string) {
 	for _, p := range s.pools {
 		for account, ad := range p.demands {
 			if at := ad.find(id); at >= 0 {
--- a/core/sched/tally.go
+++ b/core/sched/tally.go
@@ -42,10 +42,10 @@
 	p.ledger.Settle(now, settleAgeTenths*interval/10, func(account string) float64 { return p.inflight[account] })
 	started := p.localFloor.waiting && p.idle
 	p.idle = !p.localFloor.waiting && !p.peersWait(now, tallyFreshnessIntervals*interval)
-	if now.Before(p.tallyAt) && !started {
+	if now.Before(p.nextTallyAt) && !started {
 		return
 	}
-	p.tallyAt = now.Add(s.tallyInterval(p))
+	p.nextTallyAt = now.Add(s.tallyInterval(p))
 	p.tallySeq++
 	floor, waiting := p.localFloor.floor, p.localFloor.waiting
 	full := p.tallySeq%fullTallyEvery == 0
@@ -98,7 +98,7 @@
 	return false
 }
 
-func (s *Scheduler) tally(now time.Time, from fair.Reporter, t message.Tally) {
+func (s *Scheduler) mergeTally(now time.Time, from fair.Reporter, t message.Tally) {
 	p := s.pools[t.Pool]
 	if p == nil {
 		return
