--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -19,8 +19,7 @@
 	starvedShare = 0.35
 	// An account is underserved up to this share of another account's service.
 	underservedRatio = 0.5
-	// With other cells, an account is underserved already up to this share: moved work is
-	// served late.
+	// Replaces underservedRatio if there are other cells: moved requests are served later.
 	elsewhereRatio = 0.65
 	// Bounds how far a waiting account is ahead of another, as time of the capacity of all
 	// targets. Without it, an account that used idle targets would wait for seconds once
@@ -159,10 +158,10 @@
 	}
 }
 
-// extendWait reports whether a request waits beyond its hold time. An underserved account
-// is next in line, so a refusal would only bring the request back to the same place. Other
-// accounts, except the most served one, wait on if their target will read the request in
-// time.
+// extendWait reports whether a request may wait beyond its hold time. An underserved
+// account is next in line, so a refusal would only bring the request back to the same
+// place. Requests of other accounts, except the most served one, keep waiting if their
+// target will read them in time.
 func (c *Cell) extendWait(now time.Time, w *waiter, a *account) bool {
 	if w.ask.Objective <= 0 || now.Sub(w.arrived) >= time.Duration(extendedWaitShare*float64(w.ask.Objective)) {
 		return false
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -29,7 +29,7 @@
 
 type target struct {
 	info           TargetInfo
-	engine         *batch.Engine
+	engine         *batch.Engine // model of the target's queue, cache and speed
 	countedReading time.Duration // part of the engine's reading time that is in Cell.counts
 	linkFreeAt     time.Time     // end of the transfers from or to the target
 	coldPacer      cold.Pacer    // rate limit while the target is cold
@@ -39,7 +39,7 @@
 	key       requestKey
 	account   string
 	target    *target
-	engineRun *batch.Run
+	engineRun *batch.Run // the run in the target's engine model
 }
 
 // Cell schedules the requests of one cell. It is not safe for concurrent use.
@@ -52,8 +52,8 @@
 	runs            map[requestKey]*run
 	remoteTallies   map[string]*remoteTally
 	lastEviction    time.Time
-	speed           float64      // configured tokens per second of one target
-	prior           *batch.Prior // read speed assumed for new targets
+	speed           float64      // initial estimate of one target's tokens per second
+	prior           *batch.Prior // measured read speed shared by all engines, the start value of new ones
 	siblings        int          // number of the service's other cells
 	transfer        *routing.Transfer
 	fairWindow      time.Duration
@@ -257,21 +257,21 @@
 	c.layoutVersion++
 }
 
-func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
+func (c *Cell) place(now time.Time, w *waiter, o option, reason Reason) {
 	p, t, x := w.ask.Prompt, c.views[o.index].target, o.transfer
 	reread := sharedTokens(p, o.missing-x.tokens)
-	if reread > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
-		why = ReasonUnseen
+	if reread > 0 && reason == ReasonCheapest && !c.cachedInCell(p) {
+		reason = ReasonUnseen
 	}
 	c.counts.Placed++
 	c.counts.PlacedTokens += uint64(p.Tokens)
 	c.counts.Read += uint64(max(o.missing-x.tokens, 0))
-	c.counts.Anew[why] += uint64(reread)
+	c.counts.Anew[reason] += uint64(reread)
 	c.account(w.ask.Account).placed++
 	c.startRun(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
-		Account: w.ask.Account, Affinity: p.Affinity(), RereadTokens: reread, CopiedTokens: x.tokens, Reason: why,
+		Account: w.ask.Account, Affinity: p.Affinity(), RereadTokens: reread, CopiedTokens: x.tokens, Reason: reason,
 	}
 	if x.source != nil {
 		placed.Source = x.source.info.ID
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -32,8 +32,9 @@
 	inTimeShare = 0.85
 )
 
-// The home of a prompt's prefix is the target with the highest hash. If no target is
-// known to have the prefix, an earlier scheduler probably sent it there.
+// Probability that the home of a prompt's prefix has it in its cache although this
+// scheduler has not seen that. The home is the target with the highest hash; earlier
+// schedulers also preferred it.
 const homeCacheProbability = 0.25
 
 // option is a target that could take a request.
@@ -63,9 +64,9 @@
 	}
 	// Starved accounts may spill to busier targets: fairness is worth the repeated
 	// reading.
-	limit, why := spillBacklog, ReasonSpilled
+	limit, reason := spillBacklog, ReasonSpilled
 	if c.starved(now, c.account(w.ask.Account)) {
-		limit, why = backlogLimit, ReasonStarved
+		limit, reason = backlogLimit, ReasonStarved
 	}
 	open := options[:0]
 	for _, o := range options {
@@ -74,9 +75,9 @@
 		}
 	}
 	if len(open) == 0 {
-		return option{}, why, false
+		return option{}, reason, false
 	}
-	return slices.MinFunc(open, func(a, b option) int { return compare(a, b, a.wait, b.wait) }), why, true
+	return slices.MinFunc(open, func(a, b option) int { return compare(a, b, a.wait, b.wait) }), reason, true
 }
 
 // spillLimit returns how much reading may be booked at a target that a request spills to:
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -35,11 +35,11 @@
 	e := t.engine
 	slot, cold := e.SlotWait(), c.coldWait(now, t)
 	source := !t.info.Leaving && e.Usable(now)
-	crowd := float64(e.Running()) / float64(max(t.info.Slots, 1))
+	occupancy := float64(e.Running()) / float64(max(t.info.Slots, 1))
 	return view{
 		target: t, usable: source && !t.info.Evacuated, source: source, full: slot > 0 || cold > 0, booked: e.Booked(now), speed: e.Speed(),
 		baseWait: max(e.Backlog(now)+slot, cold),
-		penalty:  time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(crowd*float64(fullBatchPenalty)),
+		penalty:  time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(occupancy*float64(fullBatchPenalty)),
 	}
 }
 
@@ -80,7 +80,7 @@
 	c.refuseOverdue(now, all)
 }
 
-// reinsertFirst moves the first account to its place after its level has risen.
+// reinsertFirst moves the first account to its new position after its level has risen.
 func reinsertFirst(accounts []*account) {
 	first := accounts[0]
 	at := sort.Search(len(accounts)-1, func(i int) bool { return !accounts[i+1].before(first) })
@@ -104,10 +104,10 @@
 	}
 	for _, a := range accounts {
 		for _, w := range c.overdue(now, a) {
-			hopeless := c.unservable(w)
-			elsewhere := c.siblings > 0 && (hopeless || c.starved(now, a))
+			unservable := c.unservable(w)
+			elsewhere := c.siblings > 0 && (unservable || c.starved(now, a))
 			after := c.retryAfter(a.level-least, len(accounts))
-			if hopeless {
+			if unservable {
 				after = max(after, unservableRetryAfter)
 			}
 			c.dequeue(w)
@@ -165,13 +165,13 @@
 	for i := a.tried; i < len(a.queue) && i < scanLimit; i++ {
 		w := a.queue[i]
 		c.counts.Tried++
-		o, why, ok := c.choose(now, w)
+		o, reason, ok := c.choose(now, w)
 		if !ok {
 			a.tried++
 			continue
 		}
 		c.dequeue(w)
-		c.place(now, w, o, why)
+		c.place(now, w, o, reason)
 		c.views[o.index] = c.makeView(now, c.views[o.index].target)
 		return true
 	}
--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -5,10 +5,10 @@
 // prefers targets with the prompt's prefix in their cache, shares capacity fairly
 // between accounts and refuses requests that cannot be served in time.
 //
-// One gateway schedules a cell at a time. A Cell is a pure state machine: Step(now,
-// event) returns actions. Reading a prompt means the prefill: the target computes the
-// tokens that are not in its cache. Reading time committed to placed requests is called
-// booked.
+// One gateway schedules a cell at a time. A Cell is a pure state machine: Step returns
+// actions. Reading a prompt means the prefill: the target computes the tokens that are
+// not in its cache. Reading time committed to placed requests is called booked. Service
+// is counted in tokens, with outputWeight for output tokens.
 package cell
 
 import (
@@ -178,7 +178,7 @@
 	ReasonUnseen                 // lowest cost, but no target has the shared parts in its cache
 	ReasonSpilled                // the targets with the shared parts were too busy
 	ReasonStarved                // as ReasonSpilled, for an account that was starved
-	reasonCount    = 4           // number of reasons
+	reasonCount    = 4
 )
 
 var reasonNames = [reasonCount]string{"cheapest", "unseen", "spilled", "starved"}
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -61,9 +61,9 @@
 
 // divideFleet assigns targets and shared parts to cells as the layout does. The shared
 // parts of a cell get consecutive numbers, so that they can be drawn evenly.
-func divideFleet(most int) []largeCell {
+func divideFleet(maxPerCell int) []largeCell {
 	x, set := testService(largeEngines)
-	l := newLayout(x, set, testNodes(20), most)
+	l := newLayout(x, set, testNodes(20), maxPerCell)
 	byKey, cells := map[Key]int{}, []largeCell{}
 	for key, g := range l.Groups() {
 		byKey[key] = len(cells)
@@ -90,12 +90,12 @@
 // cell. Requests are not moved between cells here.
 func BenchmarkCells(b *testing.B) {
 	for _, load := range []float64{1} {
-		for _, most := range []int{12, 24, 48, largeEngines} {
-			b.Run(fmt.Sprintf("load=%v/engines=%d", load, most), func(b *testing.B) {
+		for _, maxPerCell := range []int{12, 24, 48, largeEngines} {
+			b.Run(fmt.Sprintf("load=%v/engines=%d", load, maxPerCell), func(b *testing.B) {
 				var t simResult
 				for range b.N {
 					t = simResult{}
-					for _, c := range divideFleet(most) {
+					for _, c := range divideFleet(maxPerCell) {
 						r := simulateFleet(c.engines, c.subjects, load, 8*time.Second)
 						t.asked += r.asked
 						t.placed += r.placed
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -12,7 +12,7 @@
 	"madderway/models/routing"
 )
 
-// Largest average number of targets of a cell.
+// Largest average number of targets in a cell.
 const targetsPerCell = 12
 
 // Key identifies a cell of a service.
@@ -52,7 +52,7 @@
 	return newLayout(x, targets, nodes, targetsPerCell)
 }
 
-func newLayout(x *routing.Index, targets *routing.TargetSet, nodes []place.Node, most int) *Layout {
+func newLayout(x *routing.Index, targets *routing.TargetSet, nodes []place.Node, maxPerCell int) *Layout {
 	l := &Layout{cells: map[string][]*Group{}, byKey: map[Key]*Group{}, nodes: nodes}
 	if x == nil || targets == nil {
 		return l
@@ -62,7 +62,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		l.assignTargets(s.Name, targets.Of(s.Name), most)
+		l.assignTargets(s.Name, targets.Of(s.Name), maxPerCell)
 	}
 	return l
 }
@@ -81,8 +81,8 @@
 	return out
 }
 
-func (l *Layout) assignTargets(service string, targets []*routing.Target, most int) {
-	groups := make([]*Group, cellCount(len(targets), most))
+func (l *Layout) assignTargets(service string, targets []*routing.Target, maxPerCell int) {
+	groups := make([]*Group, cellCount(len(targets), maxPerCell))
 	for i := range groups {
 		key := Key(fmt.Sprintf("%s/%d", service, i))
 		groups[i] = &Group{Key: key, Service: service, layout: l}
@@ -102,9 +102,9 @@
 
 // cellCount returns a power of two, so that a growing service splits cells in halves and
 // rarely.
-func cellCount(targets, most int) int {
+func cellCount(targets, maxPerCell int) int {
 	n := 1
-	for targets > n*most {
+	for targets > n*maxPerCell {
 		n *= 2
 	}
 	return n
@@ -118,11 +118,11 @@
 
 // AlternativeTo returns the cell that would serve requests with this affinity if the cell
 // with the given key did not exist, or nil.
-func (l *Layout) AlternativeTo(service string, affinity uint64, than Key) *Group {
+func (l *Layout) AlternativeTo(service string, affinity uint64, except Key) *Group {
 	var best *Group
 	bestScore := math.Inf(-1)
 	for _, g := range l.cells[service] {
-		if g.Key == than || !g.takesWork() {
+		if g.Key == except || !g.takesWork() {
 			continue
 		}
 		unit := (float64(place.Score(string(g.Key), affinity)>>11) + 0.5) / (1 << 53)
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -20,8 +20,8 @@
 
 // transfer is a copy of a cached prompt prefix from one target to another.
 type transfer struct {
-	source   *target       // nil if nothing is copied
-	tokens   int           // tokens that are copied
+	source   *target // nil if nothing is copied
+	tokens   int
 	linkTime time.Duration // time that it uses both links
 	delay    time.Duration // time to its end, including transfers before it
 }
@@ -32,9 +32,11 @@
 	tokens int
 }
 
-func (k *cacheHolder) consider(t *target, ready int) {
-	if ready > k.tokens || ready == k.tokens && k.target != nil && t.linkFreeAt.Before(k.target.linkFreeAt) {
-		k.target, k.tokens = t, ready
+// consider takes a target with more tokens, or with as many and a link that is free
+// earlier.
+func (h *cacheHolder) consider(t *target, ready int) {
+	if ready > h.tokens || ready == h.tokens && h.target != nil && t.linkFreeAt.Before(h.target.linkFreeAt) {
+		h.target, h.tokens = t, ready
 	}
 }
 
@@ -56,9 +58,9 @@
 			continue
 		}
 		best.consider(v.target, ready)
-		k := inHall[v.target.info.DataHall]
-		k.consider(v.target, ready)
-		inHall[v.target.info.DataHall] = k
+		h := inHall[v.target.info.DataHall]
+		h.consider(v.target, ready)
+		inHall[v.target.info.DataHall] = h
 	}
 	return best, inHall
 }
@@ -79,19 +81,19 @@
 	return x.delay + seconds(float64(missing-x.tokens)/v.speed)
 }
 
-func (c *Cell) planTransfer(now time.Time, v *view, p *routing.Prompt, missing int, k cacheHolder) transfer {
-	if c.transfer == nil || k.target == nil || k.target == v.target {
+func (c *Cell) planTransfer(now time.Time, v *view, p *routing.Prompt, missing int, h cacheHolder) transfer {
+	if c.transfer == nil || h.target == nil || h.target == v.target {
 		return transfer{}
 	}
-	tokens := k.tokens - (p.Tokens - missing)
+	tokens := h.tokens - (p.Tokens - missing)
 	if tokens <= 0 {
 		return transfer{}
 	}
-	x := transfer{source: k.target, tokens: tokens, linkTime: c.transfer.Time(tokens) + transferSetup}
-	if k.target.info.DataHall != v.target.info.DataHall {
+	x := transfer{source: h.target, tokens: tokens, linkTime: c.transfer.Time(tokens) + transferSetup}
+	if h.target.info.DataHall != v.target.info.DataHall {
 		x.linkTime *= crossHallFactor
 	}
-	x.delay = max(k.target.linkFreeAt.Sub(now), v.target.linkFreeAt.Sub(now), 0) + x.linkTime
+	x.delay = max(h.target.linkFreeAt.Sub(now), v.target.linkFreeAt.Sub(now), 0) + x.linkTime
 	if x.delay > seconds(transferShare*float64(tokens)/v.speed) {
 		return transfer{}
 	}
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -66,7 +66,7 @@
 	waiting      bool
 	floor        float64
 	lastTallyAt  time.Time
-	contacted    bool
+	contacted    bool // a tally was sent to the peer
 }
 
 type pool struct {
@@ -78,8 +78,8 @@
 	peers            map[fair.Reporter]*peerState
 	waitingSince     map[string]time.Time // by account
 	inflight         map[string]float64   // charges for running requests by account, in virtual units
-	localFloor       virtualFloor
-	lastStart        float64
+	localFloor       virtualFloor         // lower bound of the virtual time from the accounts that wait here
+	lastStart        float64              // highest virtual service of an account at a grant
 	lastInteractive  time.Time
 	nextTallyAt      time.Time
 	tallySeq         uint64
@@ -88,7 +88,7 @@
 	lastRowCount     int  // rows of the last tally
 }
 
-// virtualFloor is a scheduler's own lower bound of the pool's virtual time.
+// virtualFloor is a lower bound of the pool's virtual time.
 type virtualFloor struct {
 	floor   float64
 	waiting bool
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -50,13 +50,13 @@
 )
 
 type grant struct {
-	to          string
+	to          string // ID of the entry router
 	account     string
 	pool        *pool
 	target      *target
 	charged     float64
 	issuedAt    time.Time
-	confirmedAt time.Time
+	confirmedAt time.Time // last report or inventory that named the grant
 }
 
 // Scheduler grants the slots of the targets that it owns. It is not safe for concurrent
