--- a/core/cell/bench_test.go
+++ b/core/cell/bench_test.go
@@ -16,7 +16,7 @@
 	for b.Loop() {
 		s := newSim(9, 45_000, 570_000)
 		accounts := evenAccounts(30, 130, 0, 0)
-		accounts = append(accounts, &simAccount{name: "flood", perSecond: 260, subjects: 20, shared: 13_000, own: 3_700, base: 1000})
+		accounts = append(accounts, &simAccount{name: "flood", perSecond: 260, prefixes: 20, shared: 13_000, own: 3_700, base: 1000})
 		s.run(length, accounts)
 		steps += s.steps
 	}
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -17,7 +17,7 @@
 	var out []*simAccount
 	for i := range accounts {
 		out = append(out, &simAccount{
-			name: fmt.Sprintf("a%02d", i), perSecond: perSecond / float64(accounts), subjects: 55, shared: 13_000, own: 3_700, base: 1,
+			name: fmt.Sprintf("a%02d", i), perSecond: perSecond / float64(accounts), prefixes: 55, shared: 13_000, own: 3_700, base: 1,
 			from: from, until: until,
 		})
 	}
@@ -44,7 +44,7 @@
 func TestFloodDoesNotDelayOtherAccounts(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	accounts := evenAccounts(16, 50, 0, 0)
-	accounts = append(accounts, &simAccount{name: "flood", perSecond: 150, subjects: 20, shared: 13_000, own: 3_700, base: 1000})
+	accounts = append(accounts, &simAccount{name: "flood", perSecond: 150, prefixes: 20, shared: 13_000, own: 3_700, base: 1000})
 	s.run(30*time.Second, accounts)
 	worst := 1.0
 	for name, r := range s.results {
@@ -82,7 +82,7 @@
 
 func TestNoRefusalWithIdleTargets(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
-	s.run(20*time.Second, []*simAccount{{name: "one", perSecond: 40, subjects: 1, shared: 13_000, own: 3_700, base: 1}})
+	s.run(20*time.Second, []*simAccount{{name: "one", perSecond: 40, prefixes: 1, shared: 13_000, own: 3_700, base: 1}})
 	if r := s.total(); r.refused > r.asked/50 {
 		t.Errorf("%d of %d requests with one shared part were refused at a third of the capacity", r.refused, r.asked)
 	}
@@ -210,8 +210,8 @@
 func TestAccountWithFewPrefixesGetsItsShare(t *testing.T) {
 	s := newSim(9, 45_000, 570_000)
 	s.run(30*time.Second, []*simAccount{
-		{name: "flood", perSecond: 250, subjects: 60, shared: 8_000, own: 4_000, base: 1000},
-		{name: "narrow", perSecond: 60, subjects: 2, shared: 8_000, own: 4_000, base: 1},
+		{name: "flood", perSecond: 250, prefixes: 60, shared: 8_000, own: 4_000, base: 1000},
+		{name: "narrow", perSecond: 60, prefixes: 2, shared: 8_000, own: 4_000, base: 1},
 	})
 	flood, narrow := s.results["flood"], s.results["narrow"]
 	t.Logf("flood %+v, narrow %+v", *flood, *narrow)
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -22,7 +22,7 @@
 type largeKind struct {
 	name      string
 	perSecond float64
-	subjects  int
+	prefixes  int
 	shared    int
 	own       int
 }
@@ -50,8 +50,8 @@
 		}
 		for i := range largeAccounts {
 			accounts = append(accounts, &simAccount{
-				name: fmt.Sprintf("%s-%d", k.name, i), perSecond: load * k.perSecond * float64(len(of)) / float64(k.subjects) / largeAccounts,
-				subjects: len(of), shared: k.shared, own: k.own, base: of[0],
+				name: fmt.Sprintf("%s-%d", k.name, i), perSecond: load * k.perSecond * float64(len(of)) / float64(k.prefixes) / largeAccounts,
+				prefixes: len(of), shared: k.shared, own: k.own, base: of[0],
 			})
 		}
 	}
@@ -67,15 +67,15 @@
 	byKey, cells := map[Key]int{}, []largeCell{}
 	for key, g := range l.Groups() {
 		byKey[key] = len(cells)
-		cells = append(cells, largeCell{engines: len(g.Targets), subjects: map[string][]uint64{}})
+		cells = append(cells, largeCell{engines: len(g.Targets), prefixes: map[string][]uint64{}})
 	}
 	number := uint64(0)
 	for _, k := range largeKinds {
-		for range k.subjects {
+		for range k.prefixes {
 			number++
 			p := routing.Prompt{Parts: []routing.PromptPart{{ID: number * 0x9E3779B97F4A7C15, Tokens: k.shared}, {ID: 1, Tokens: 1}}}
 			c := &cells[byKey[l.GroupFor("s", p.Affinity()).Key]]
-			c.subjects[k.name] = append(c.subjects[k.name], number<<20)
+			c.prefixes[k.name] = append(c.prefixes[k.name], number<<20)
 		}
 	}
 	return cells
@@ -83,7 +83,7 @@
 
 type largeCell struct {
 	engines  int
-	subjects map[string][]uint64
+	prefixes map[string][]uint64
 }
 
 // BenchmarkCells compares the fleet divided into cells of several sizes with one large
@@ -96,7 +96,7 @@
 				for range b.N {
 					t = simResult{}
 					for _, c := range divideFleet(maxPerCell) {
-						r := simulateFleet(c.engines, c.subjects, load, 8*time.Second)
+						r := simulateFleet(c.engines, c.prefixes, load, 8*time.Second)
 						t.asked += r.asked
 						t.placed += r.placed
 						t.late += r.late
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -104,7 +104,7 @@
 type simAccount struct {
 	name      string
 	perSecond float64
-	subjects  int    // number of shared parts that it draws from
+	prefixes  int    // number of shared parts that it draws from
 	shared    int    // tokens of a shared part
 	own       int    // average tokens of the part that is not shared
 	base      uint64 // ID of its first shared part
@@ -215,7 +215,7 @@
 
 func (s *sim) ask(a *simAccount) {
 	s.next++
-	subject := a.base + uint64(s.rng.IntN(a.subjects))
+	subject := a.base + uint64(s.rng.IntN(a.prefixes))
 	own := 1 + a.own/2 + s.rng.IntN(a.own)
 	p := &routing.Prompt{
 		Tokens: a.shared + own, MaxOutput: 60,
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -131,7 +131,7 @@
 		s := newSim(9, 45_000, 570_000)
 		s.links = links
 		s.sendTargets()
-		s.run(20*time.Second, []*simAccount{{name: "one", perSecond: 60, subjects: 6, shared: 13_000, own: 3_700, base: 1}})
+		s.run(20*time.Second, []*simAccount{{name: "one", perSecond: 60, prefixes: 6, shared: 13_000, own: 3_700, base: 1}})
 		r := s.total()
 		if r.refused > r.asked/20 {
 			t.Errorf("links %v: %d of %d refused", links, r.refused, r.asked)
