--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -77,7 +77,7 @@
 func (s *Scheduler) pickTarget(now time.Time, p *pool, e *entryDemand) *target {
 	var best *target
 	bestScore := -1
-	hall := s.halls[e.from]
+	hall := s.entryDataHalls[e.from]
 	for _, t := range p.targets {
 		free := t.free(now)
 		if free <= 0 || slices.Contains(e.deny, t.spec.Name) {
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -15,7 +15,7 @@
 	"madderway/core/place"
 )
 
-type placeEvent = place.CacheEvent
+type cacheEvent = place.CacheEvent
 
 var epoch = time.Unix(1_700_000_000, 0)
 
@@ -53,10 +53,10 @@
 	running  []*simRunning
 	interval time.Duration
 	lossy    bool
-	cut      map[int]bool // schedulers without contact to the others
+	isolated map[int]bool // schedulers without contact to the others
 	low      map[[2]int]float64
 	high     map[[2]int]float64
-	onlyAt   map[string]int // pins an account to one scheduler
+	pinnedTo map[string]int // pins an account to one scheduler
 	step     int
 }
 
@@ -67,7 +67,7 @@
 func newSim(t *testing.T, n int, interval time.Duration, accounts ...*simAccount) *sim {
 	s := &sim{
 		t: t, rng: rand.New(rand.NewSource(7)), now: epoch, accounts: accounts, interval: interval,
-		cut: map[int]bool{}, low: map[[2]int]float64{}, high: map[[2]int]float64{}, onlyAt: map[string]int{},
+		isolated: map[int]bool{}, low: map[[2]int]float64{}, high: map[[2]int]float64{}, pinnedTo: map[string]int{},
 	}
 	for i := range n {
 		s.scheds = append(s.scheds, nil)
@@ -129,7 +129,7 @@
 
 func (s *sim) tally(from int, out TallyOut) {
 	for i, sc := range s.scheds {
-		if sc.opts.Self.ID != out.To || s.cut[i] || s.cut[from] {
+		if sc.opts.Self.ID != out.To || s.isolated[i] || s.isolated[from] {
 			continue
 		}
 		ev := TallySeen{From: s.scheds[from].opts.Self, Tally: out.Tally}
@@ -159,7 +159,7 @@
 func (s *sim) demand() {
 	for _, a := range s.accounts {
 		for i, sc := range s.scheds {
-			if at, pinned := s.onlyAt[a.name]; pinned && at != i {
+			if at, pinned := s.pinnedTo[a.name]; pinned && at != i {
 				continue
 			}
 			s.deliver(i, sc.Step(s.now, DemandSeen{From: "entry", Demand: message.Demand{Account: a.name, Pool: "chat", Count: 8, Cost: a.estimate}}))
@@ -291,11 +291,11 @@
 	accounts := accountsOf(3)
 	s := newSim(t, 2, time.Second, accounts...)
 	s.run(1000)
-	s.cut[1] = true
-	s.onlyAt["a0"] = 1 // a0 is served only by the cut-off scheduler
+	s.isolated[1] = true
+	s.pinnedTo["a0"] = 1 // a0 is served only by the cut-off scheduler
 	s.run(1000)
-	delete(s.cut, 1)
-	delete(s.onlyAt, "a0")
+	delete(s.isolated, 1)
+	delete(s.pinnedTo, "a0")
 	s.run(3000)
 	for _, a := range accounts {
 		total := a.served
@@ -439,7 +439,7 @@
 		Targets: []TargetSpec{{Name: "t0", Pool: "chat", Slots: 2}, {Name: "t1", Pool: "chat", Slots: 9}},
 	})
 	now := epoch.Add(TakeoverWait)
-	sc.Step(now, CacheSeen{"t0", []placeEvent{{Seq: 1, Prefix: "p", Stored: true}}})
+	sc.Step(now, CacheSeen{"t0", []cacheEvent{{Seq: 1, Prefix: "p", Stored: true}}})
 	got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 1, Prefix: "p"}}))
 	if len(got) != 1 || got[0].Target != "t0" {
 		t.Fatalf("got %v", got)
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -62,16 +62,16 @@
 // Scheduler grants the slots of the targets that it owns. It is not safe for concurrent
 // use.
 type Scheduler struct {
-	opts    Options
-	pools   map[string]*pool
-	targets map[string]*target
-	grants  map[message.GrantID]*grant
-	weights map[string]float64
-	halls   map[string]string
-	nextID  message.GrantID
-	out     []Action
-	Granted uint64 // total number of grants
-	Expired uint64 // grants released without a report
+	opts           Options
+	pools          map[string]*pool
+	targets        map[string]*target
+	grants         map[message.GrantID]*grant
+	weights        map[string]float64
+	entryDataHalls map[string]string
+	nextID         message.GrantID
+	out            []Action
+	Granted        uint64 // total number of grants
+	Expired        uint64 // grants released without a report
 }
 
 // New returns a scheduler that owns no targets.
@@ -80,12 +80,12 @@
 		opts.TallyInterval = defaultTallyInterval
 	}
 	return &Scheduler{
-		opts:    opts,
-		pools:   map[string]*pool{},
-		targets: map[string]*target{},
-		grants:  map[message.GrantID]*grant{},
-		weights: map[string]float64{},
-		halls:   map[string]string{},
+		opts:           opts,
+		pools:          map[string]*pool{},
+		targets:        map[string]*target{},
+		grants:         map[message.GrantID]*grant{},
+		weights:        map[string]float64{},
+		entryDataHalls: map[string]string{},
 		// The incarnation keeps grant IDs unique across restarts of a router.
 		nextID: message.GrantID(opts.Self.Incarnation%(1<<grantCounterBits)) << grantCounterBits,
 	}
@@ -125,7 +125,7 @@
 }
 
 func (s *Scheduler) configure(now time.Time, c Configured) {
-	s.weights, s.halls = c.Weights, c.Halls
+	s.weights, s.entryDataHalls = c.Weights, c.Halls
 	s.configurePools(c.Pools)
 	s.configureTargets(now, c.Targets)
 	for _, p := range s.pools {
