--- a/core/sched/event.go
+++ b/core/sched/event.go
@@ -39,10 +39,10 @@
 
 // Configured replaces the pools, owned targets and account weights.
 type Configured struct {
-	Pools   []PoolSpec
-	Targets []TargetSpec
-	Weights map[string]float64
-	Halls   map[string]string // data hall of each entry router
+	Pools          []PoolSpec
+	Targets        []TargetSpec
+	Weights        map[string]float64
+	EntryDataHalls map[string]string // data hall of each entry router
 }
 
 // DemandSeen reports a demand of an entry router.
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -125,7 +125,7 @@
 }
 
 func (s *Scheduler) configure(now time.Time, c Configured) {
-	s.weights, s.entryDataHalls = c.Weights, c.Halls
+	s.weights, s.entryDataHalls = c.Weights, c.EntryDataHalls
 	s.configurePools(c.Pools)
 	s.configureTargets(now, c.Targets)
 	for _, p := range s.pools {
--- a/services/control/route.go
+++ b/services/control/route.go
@@ -37,7 +37,7 @@
 		}
 	}
 	l.owned.Store(&owned)
-	l.schedule(now, sched.Configured{Pools: pools, Targets: specs, Weights: l.weights(), Halls: l.halls()})
+	l.schedule(now, sched.Configured{Pools: pools, Targets: specs, Weights: l.weights(), EntryDataHalls: l.halls()})
 	l.admit(now, admit.Routed{Pools: routes})
 }
 
