--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -175,18 +175,18 @@
 	}
 	delete(c.runs, key)
 	r.target.engine.End(now, r.engineRun, o)
-	if gone := c.draining[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
-		c.countTarget(now, gone)
+	if t := c.draining[r.target.info.ID]; t == r.target && t.engine.Empty() {
+		c.countTarget(now, t)
 		delete(c.draining, r.target.info.ID)
 	}
 }
 
 // reconcile replaces the runs of an entry gateway by those in its inventory.
 func (c *Cell) reconcile(now time.Time, e InventorySeen) {
-	inventory := map[RequestID]bool{}
+	held := map[RequestID]bool{}
 	for i := range e.Held {
 		h := &e.Held[i]
-		inventory[h.ID] = true
+		held[h.ID] = true
 		key := requestKey{e.Entry, h.ID}
 		if c.runs[key] != nil {
 			continue
@@ -202,7 +202,7 @@
 		c.runs[key] = &run{key: key, account: h.Account, target: t, engineRun: model}
 	}
 	for key := range c.runs {
-		if key.entry == e.Entry && !inventory[key.id] {
+		if key.entry == e.Entry && !held[key.id] {
 			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -76,7 +76,7 @@
 	}
 	r := s.total()
 	if capacity := 9 * 45_000 * 30; float64(r.read) < 0.8*float64(capacity) {
-		t.Errorf("%d of %d tokens were read while work waited", r.read, capacity)
+		t.Errorf("%d tokens were read under overload, want at least 0.8 of %d", r.read, capacity)
 	}
 }
 
@@ -216,7 +216,7 @@
 	flood, narrow := s.results["flood"], s.results["narrow"]
 	t.Logf("flood %+v, narrow %+v", *flood, *narrow)
 	if narrow.placed < narrow.asked*6/10 && narrow.service < 0.7*flood.service {
-		t.Errorf("the account with two shared parts got %d of %d placed, the flood %d of %d", narrow.placed, narrow.asked, flood.placed, flood.asked)
+		t.Errorf("the account with two shared parts got %d of %d placed, the flood %d of %d; want 0.6 placed or 0.7 of the flood's service", narrow.placed, narrow.asked, flood.placed, flood.asked)
 	}
 }
 
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -101,6 +101,7 @@
 	return best, true
 }
 
+// compare orders options by the times x and y, then by hash.
 func compare(a, b option, x, y time.Duration) int {
 	if x != y {
 		return cmp.Compare(x, y)
@@ -125,7 +126,7 @@
 	scores := c.scores(w)
 	out := c.scratch[:0]
 	home := -1
-	best, inHall := c.findHolders(p)
+	best, byHall := c.findHolders(p)
 	for i := range c.views {
 		v := &c.views[i]
 		if !v.usable || slices.Contains(w.ask.Deny, v.target.info.ID) {
@@ -135,7 +136,7 @@
 		if !v.target.engine.Fits(missing, output) {
 			continue
 		}
-		o := v.option(p, missing, c.transferTo(now, v, p, missing, best, inHall))
+		o := v.option(p, missing, c.transferTo(now, v, p, missing, best, byHall))
 		o.index, o.tieBreak = i, scores[i]
 		out = append(out, o)
 		if home < 0 || o.tieBreak > out[home].tieBreak {
--- a/core/cell/cold_test.go
+++ b/core/cell/cold_test.go
@@ -82,8 +82,8 @@
 	}}
 	ev.Targets[0].Leaving = true
 	c.Step(epoch, ev)
-	subject := &routing.Prompt{Tokens: 9000, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 1, Tokens: 8500}, {ID: 2, Tokens: 500}}}
-	p, ok := placed(c.Step(epoch, AskSeen{Entry: "g", Ask: Ask{ID: 1, Account: "a", Prompt: subject, Hold: time.Second, Objective: 2 * time.Second}}), 1)
+	prompt := &routing.Prompt{Tokens: 9000, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 1, Tokens: 8500}, {ID: 2, Tokens: 500}}}
+	p, ok := placed(c.Step(epoch, AskSeen{Entry: "g", Ask: Ask{ID: 1, Account: "a", Prompt: prompt, Hold: time.Second, Objective: 2 * time.Second}}), 1)
 	if !ok || p.Target != "there" {
 		t.Fatalf("placed %+v, want target there", p)
 	}
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -37,21 +37,21 @@
 const largeAccounts = 8
 
 // simulateFleet runs a cell of the fleet with its subset of the shared parts.
-func simulateFleet(engines int, subjects map[string][]uint64, load float64, length time.Duration) simResult {
+func simulateFleet(engines int, prefixes map[string][]uint64, load float64, length time.Duration) simResult {
 	s := newSim(engines, largeSpeed, largeMemory)
 	s.links = &routing.Transfer{TokenBytes: 163_840, BytesPerSecond: 550e9 / 8}
 	s.objective, s.slots, s.stream = time.Second, 12, 700*time.Millisecond
 	s.sendTargets()
 	var accounts []*simAccount
 	for _, k := range largeKinds {
-		of := subjects[k.name]
-		if len(of) == 0 {
+		ids := prefixes[k.name]
+		if len(ids) == 0 {
 			continue
 		}
 		for i := range largeAccounts {
 			accounts = append(accounts, &simAccount{
-				name: fmt.Sprintf("%s-%d", k.name, i), perSecond: load * k.perSecond * float64(len(of)) / float64(k.prefixes) / largeAccounts,
-				prefixes: len(of), shared: k.shared, own: k.own, base: of[0],
+				name: fmt.Sprintf("%s-%d", k.name, i), perSecond: load * k.perSecond * float64(len(ids)) / float64(k.prefixes) / largeAccounts,
+				prefixes: len(ids), shared: k.shared, own: k.own, base: ids[0],
 			})
 		}
 	}
--- a/core/cell/layout_test.go
+++ b/core/cell/layout_test.go
@@ -38,14 +38,14 @@
 			total += len(g.Targets)
 			largest = max(largest, len(g.Targets))
 			if len(g.Schedulers()) != schedulersPerCell {
-				t.Errorf("%s has schedulers %v", g.Key, g.Schedulers())
+				t.Errorf("%s has schedulers %v, want three", g.Key, g.Schedulers())
 			}
 		}
 		if total != n {
-			t.Errorf("%d of %d targets are in a cell", total, n)
+			t.Errorf("%d targets in the cells, want %d", total, n)
 		}
 		if largest > 2*targetsPerCell {
-			t.Errorf("with %d targets the largest cell has %d", n, largest)
+			t.Errorf("with %d targets the largest cell has %d, want at most twice the average", n, largest)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	before, after := NewLayout(x, set, all), NewLayout(x, set, append(append([]place.Node{}, all[:7]...), all[8:]...))
 	for key, g := range before.Groups() {
 		if g.Schedulers()[0] != all[7].ID && after.Group(key).Schedulers()[0] != g.Schedulers()[0] {
-			t.Errorf("%s moved from %s to %s", key, g.Schedulers()[0], after.Group(key).Schedulers()[0])
+			t.Errorf("cell %s moved from %s to %s, though its scheduler stayed", key, g.Schedulers()[0], after.Group(key).Schedulers()[0])
 		}
 	}
 }
@@ -98,7 +98,7 @@
 		return testing.AllocsPerRun(20, func() { l = l.WithNodes(n) })
 	}
 	if a, b := allocations(few, testNodes(20)), allocations(many, testNodes(1000)); a != b || b > 200 {
-		t.Errorf("%.0f allocations with 20 gateways, %.0f with 1,000", a, b)
+		t.Errorf("%.0f allocations with 20 gateways, %.0f with 1,000; want as many, at most 200", a, b)
 	}
 	moved := few.WithNodes(testNodes(50))
 	fresh := NewLayout(x, set, testNodes(50))
--- a/core/cell/reborn_test.go
+++ b/core/cell/reborn_test.go
@@ -56,13 +56,13 @@
 	c.Step(now, CachedPartsSeen{Target: incarnation(1), At: now, Parts: prompt.Parts}) // late report of the former incarnation
 	for _, a := range c.Step(now, AskSeen{"e", Ask{ID: 9, Account: "a", Prompt: prompt, Hold: time.Second, Objective: time.Minute}}) {
 		if p, ok := a.(Place); ok && (p.Source != "" || p.Target == incarnation(1)) {
-			t.Errorf("placed at %s, copied from %q", p.Target, p.Source)
+			t.Errorf("placed at %s, copied from %q; want the new targets without a copy", p.Target, p.Source)
 		}
 	}
 	running := c.State(now).Running
 	c.Step(now, EndedSeen{Entry: "e", ID: 1, Outcome: batch.OutcomeDone})
 	if after := c.State(now); after.Running != running-1 {
-		t.Errorf("%d run after a run of the former incarnation ended, %d before", after.Running, running)
+		t.Errorf("%d run after a run of the former incarnation ended, %d before; want one less", after.Running, running)
 	}
 	total := 0
 	for _, target := range c.State(now).Targets {
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -215,11 +215,11 @@
 
 func (s *sim) ask(a *simAccount) {
 	s.next++
-	subject := a.base + uint64(s.rng.IntN(a.prefixes))
+	prefix := a.base + uint64(s.rng.IntN(a.prefixes))
 	own := 1 + a.own/2 + s.rng.IntN(a.own)
 	p := &routing.Prompt{
 		Tokens: a.shared + own, MaxOutput: 60,
-		Parts: []routing.PromptPart{{ID: subject, Tokens: a.shared}, {ID: 1<<40 + uint64(s.next), Tokens: own}},
+		Parts: []routing.PromptPart{{ID: prefix, Tokens: a.shared}, {ID: 1<<40 + uint64(s.next), Tokens: own}},
 	}
 	s.asks[s.next] = simAsk{a.name, p, s.now}
 	s.results[a.name].asked++
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -25,22 +25,22 @@
 // first tally of a gateway's incarnation only sets the starting totals. For an account
 // that was not in it, a later row's Before is the starting total.
 func (c *Cell) applyTally(now time.Time, e TallySeen) {
-	f := c.remoteTallies[e.Source]
-	if f == nil || f.incarnation != e.Incarnation {
+	tally := c.remoteTallies[e.Source]
+	if tally == nil || tally.incarnation != e.Incarnation {
 		if len(c.remoteTallies) >= maxRemoteTallies {
 			c.evictOldestTally()
 		}
-		f = &remoteTally{incarnation: e.Incarnation, totals: map[string]float64{}}
-		c.remoteTallies[e.Source] = f
+		tally = &remoteTally{incarnation: e.Incarnation, totals: map[string]float64{}}
+		c.remoteTallies[e.Source] = tally
 		for _, row := range e.Rows {
-			f.totals[row.Account] = row.Service
+			tally.totals[row.Account] = row.Service
 		}
-		f.updatedAt = now
+		tally.updatedAt = now
 		return
 	}
-	f.updatedAt = now
+	tally.updatedAt = now
 	for _, row := range e.Rows {
-		before, known := f.totals[row.Account]
+		before, known := tally.totals[row.Account]
 		if !known {
 			before = row.Before
 		}
@@ -48,7 +48,7 @@
 		if more <= 0 {
 			continue
 		}
-		f.totals[row.Account] = row.Service
+		tally.totals[row.Account] = row.Service
 		c.account(row.Account).charge(now, more)
 	}
 }
@@ -62,8 +62,8 @@
 
 func (c *Cell) evictOldestTally() {
 	oldest := ""
-	for source, f := range c.remoteTallies {
-		if oldest == "" || f.updatedAt.Before(c.remoteTallies[oldest].updatedAt) {
+	for source, tally := range c.remoteTallies {
+		if oldest == "" || tally.updatedAt.Before(c.remoteTallies[oldest].updatedAt) {
 			oldest = source
 		}
 	}
--- a/core/cell/tally_test.go
+++ b/core/cell/tally_test.go
@@ -12,7 +12,7 @@
 
 // An account that asks in one of two cells must get as much as a flood in both.
 func TestFairnessAcrossCells(t *testing.T) {
-	for _, tell := range []bool{false, true} {
+	for _, exchange := range []bool{false, true} {
 		cells := []*Cell{New(), New()}
 		for _, c := range cells {
 			c.Step(epoch, TargetsSeen{TokensPerSecond: 10_000, Targets: []TargetInfo{{ID: "t", Slots: 1000, CacheTokens: 10_000_000}}})
@@ -45,14 +45,14 @@
 					}
 				}
 			}
-			if tell && at%(500*time.Millisecond) == 0 {
+			if exchange && at%(500*time.Millisecond) == 0 {
 				first, second := cells[0].DrainTally(), cells[1].DrainTally()
 				cells[0].Step(now, SiblingTallySeen{Rows: second})
 				cells[1].Step(now, SiblingTallySeen{Rows: first})
 			}
 		}
-		t.Logf("tallies %v: %v", tell, got)
-		if tell && got["other"] < 0.8*got["flood"] {
+		t.Logf("tallies %v: %v", exchange, got)
+		if exchange && got["other"] < 0.8*got["flood"] {
 			t.Errorf("the other account got %.0f, the flood %.0f, want at least 0.8 of it", got["other"], got["flood"])
 		}
 	}
@@ -65,21 +65,21 @@
 func TestRepeatedTalliesAreChargedOnce(t *testing.T) {
 	c := New()
 	level := func() float64 { return c.account("a").level }
-	tell := func(incarnation uint64, service float64) {
+	report := func(incarnation uint64, service float64) {
 		c.Step(epoch, TallySeen{Source: "s", Incarnation: incarnation, Rows: []TallyRow{{Account: "a", Service: service}}})
 	}
-	tell(1, 1000)
+	report(1, 1000)
 	if level() != 0 {
 		t.Fatal("the first tally was charged, want it to set the starting totals")
 	}
-	tell(1, 1500)
-	tell(1, 1500)
-	tell(1, 1200)
+	report(1, 1500)
+	report(1, 1500)
+	report(1, 1200)
 	if level() != 500 {
 		t.Errorf("level %.0f after repeated and late tallies, want 500", level())
 	}
-	tell(2, 300)
-	tell(2, 400)
+	report(2, 300)
+	report(2, 400)
 	if level() != 600 {
 		t.Errorf("level %.0f after 100 more in a new incarnation, want 600", level())
 	}
@@ -104,11 +104,11 @@
 	c := New()
 	c.account("a").served, c.account("b").served = 5, 7
 	if rows := c.DrainTally(); len(rows) != 2 || rows[1] != (TallyRow{Account: "b", Service: 7}) {
-		t.Errorf("%+v", rows)
+		t.Errorf("rows %+v, want all service of a and b", rows)
 	}
 	c.account("a").served = 6
 	if rows := c.DrainTally(); len(rows) != 1 || rows[0] != (TallyRow{Account: "a", Service: 1}) {
-		t.Errorf("%+v", rows)
+		t.Errorf("rows %+v, want only the increase of a", rows)
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	c.Step(epoch, ev)
 	id, got := RequestID(0), map[string]float64{}
-	play := func(from, to time.Duration, accounts ...string) {
+	run := func(from, to time.Duration, accounts ...string) {
 		clear(got)
 		for at := from; at < to; at += 10 * time.Millisecond {
 			now := epoch.Add(at)
@@ -176,10 +176,10 @@
 			}
 		}
 	}
-	play(0, 10*time.Second, "early")
+	run(0, 10*time.Second, "early")
 	ev.Targets = ev.Targets[:1] // three of four targets are removed
 	c.Step(epoch.Add(10*time.Second), ev)
-	play(10*time.Second, 16*time.Second, "early", "late")
+	run(10*time.Second, 16*time.Second, "early", "late")
 	if got["early"] < 0.6*got["late"] {
 		t.Errorf("the account that was alone before got %.0f, the other one %.0f, want at least 0.6 of it", got["early"], got["late"])
 	}
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -42,11 +42,11 @@
 
 // findHolders returns the best source for a transfer of the prompt, of all targets and in
 // each data hall. Leaving and unresponsive targets are no sources.
-func (c *Cell) findHolders(p *routing.Prompt) (best cacheHolder, inHall map[string]cacheHolder) {
-	inHall = c.holdersByHall
-	clear(inHall)
+func (c *Cell) findHolders(p *routing.Prompt) (best cacheHolder, byHall map[string]cacheHolder) {
+	byHall = c.holdersByHall
+	clear(byHall)
 	if c.transfer == nil {
-		return best, inHall
+		return best, byHall
 	}
 	for i := range c.views {
 		v := &c.views[i]
@@ -58,17 +58,17 @@
 			continue
 		}
 		best.consider(v.target, ready)
-		h := inHall[v.target.info.DataHall]
+		h := byHall[v.target.info.DataHall]
 		h.consider(v.target, ready)
-		inHall[v.target.info.DataHall] = h
+		byHall[v.target.info.DataHall] = h
 	}
-	return best, inHall
+	return best, byHall
 }
 
 // transferTo returns the transfer that saves the target the most time, or none if it saves
 // little.
-func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best cacheHolder, inHall map[string]cacheHolder) transfer {
-	near := inHall[v.target.info.DataHall]
+func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best cacheHolder, byHall map[string]cacheHolder) transfer {
+	near := byHall[v.target.info.DataHall]
 	a, b := c.planTransfer(now, v, p, missing, best), c.planTransfer(now, v, p, missing, near)
 	if b.source != nil && (a.source == nil || v.afterTransfer(missing, b) <= v.afterTransfer(missing, a)) {
 		return b
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -81,13 +81,13 @@
 		"unreachable": func(c *Cell) {
 			c.Step(epoch.Add(900*time.Millisecond), EndedSeen{"e", 1, batch.OutcomeNotSent})
 		},
-		"gone": func(c *Cell) {
+		"removed": func(c *Cell) {
 			c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Transfer: fastLinks, Targets: []TargetInfo{{ID: "near", Slots: 1, CacheTokens: 500_000}}})
 		},
 	}
-	for name, spoil := range cases {
+	for name, disable := range cases {
 		c := transferCell(fastLinks)
-		spoil(c)
+		disable(c)
 		if p, ok := askTransfer(c, time.Second, 2); !ok || p.Source != "" {
 			t.Errorf("%s: placed %+v %v, want a placement without a source", name, p, ok)
 		}
@@ -134,7 +134,7 @@
 		s.run(20*time.Second, []*simAccount{{name: "one", perSecond: 60, prefixes: 6, shared: 13_000, own: 3_700, base: 1}})
 		r := s.total()
 		if r.refused > r.asked/20 {
-			t.Errorf("links %v: %d of %d refused", links, r.refused, r.asked)
+			t.Errorf("links %v: %d of %d requests refused, want at most one in 20", links, r.refused, r.asked)
 		}
 		return r.sharedRead
 	}
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -238,7 +238,7 @@
 			t.Errorf("interval %v: gap %.0f over the bound %.0f", interval, s.gap(), bound)
 		}
 		if s.accounts[0].served < 1000 {
-			t.Errorf("interval %v: only %.0f units were served", interval, s.accounts[0].served)
+			t.Errorf("interval %v: only %.0f units were served, want at least 1000", interval, s.accounts[0].served)
 		}
 	}
 }
@@ -418,7 +418,7 @@
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 9, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
 	if got := grantsOf(sc.Step(now, EntryGone{"gone"})); len(got) != 1 || got[0].Account != "b" {
-		t.Fatalf("got %v", got)
+		t.Fatalf("got %v, want one grant for b", got)
 	}
 }
 
@@ -442,6 +442,6 @@
 	sc.Step(now, CacheSeen{"t0", []cacheEvent{{Seq: 1, Prefix: "p", Stored: true}}})
 	got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 1, Prefix: "p"}}))
 	if len(got) != 1 || got[0].Target != "t0" {
-		t.Fatalf("got %v", got)
+		t.Fatalf("got %v, want one grant at t0", got)
 	}
 }
