--- a/core/cell/cold_test.go
+++ b/core/cell/cold_test.go
@@ -41,9 +41,9 @@
 // Guards against overloading a cold target, and against a limit that outlasts the cold
 // period.
 func TestColdTargetIsRateLimited(t *testing.T) {
-	const bears = 6.0
+	const rate = 6.0
 	c := New()
-	ev := TargetsSeen{TokensPerSecond: 40_000, ColdRate: bears, ColdShare: 0.9, Targets: []TargetInfo{
+	ev := TargetsSeen{TokensPerSecond: 40_000, ColdRate: rate, ColdShare: 0.9, Targets: []TargetInfo{
 		{ID: "cold", Slots: 8, CacheTokens: 500_000, ColdUntil: epoch.Add(3 * time.Second)}, {ID: "warm", Slots: 8, CacheTokens: 500_000},
 	}}
 	c.Step(epoch, ev)
@@ -55,7 +55,7 @@
 				n++
 			}
 		}
-		if float64(n) > bears+1 {
+		if float64(n) > rate+1 {
 			t.Fatalf("%d requests within a second at the cold target, want at most 7", n)
 		}
 	}
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -13,9 +13,9 @@
 
 // A large fleet and its load in requests per second.
 const (
-	largeEngines = 320
-	largeSpeed   = 51_100  // tokens per second
-	largeMemory  = 472_528 // tokens
+	largeEngines         = 320
+	largeTokensPerSecond = 51_100  // tokens per second
+	largeCacheTokens     = 472_528 // tokens
 )
 
 // largeKind is a kind of requests with its own shared parts.
@@ -38,7 +38,7 @@
 
 // simulateFleet runs a cell of the fleet with its subset of the shared parts.
 func simulateFleet(engines int, prefixes map[string][]uint64, load float64, length time.Duration) simResult {
-	s := newSim(engines, largeSpeed, largeMemory)
+	s := newSim(engines, largeTokensPerSecond, largeCacheTokens)
 	s.links = &routing.Transfer{TokenBytes: 163_840, BytesPerSecond: 550e9 / 8}
 	s.objective, s.slots, s.stream = time.Second, 12, 700*time.Millisecond
 	s.sendTargets()
@@ -105,7 +105,7 @@
 					}
 				}
 				b.ReportMetric(float64(t.placed-t.late)/float64(t.asked), "in_time")
-				b.ReportMetric(float64(t.read)/(8*largeEngines*largeSpeed), "reading")
+				b.ReportMetric(float64(t.read)/(8*largeEngines*largeTokensPerSecond), "reading")
 				b.ReportMetric(float64(t.sharedRead)/float64(t.read), "anew")
 				b.ReportMetric(0, "ns/op")
 			})
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -18,14 +18,14 @@
 // simEngine reads prompts in order at a fixed speed, has an LRU cache of parts and sends
 // the first event a fixed time after reading.
 type simEngine struct {
-	id     string
-	speed  float64
-	idleAt time.Time
-	kept   map[uint64]int // tokens by part
-	order  []uint64       // cached parts, least recently used first
-	used   int
-	size   int
-	down   bool // sends no events
+	id          string
+	speed       float64
+	idleAt      time.Time
+	cached      map[uint64]int // tokens by part
+	order       []uint64       // cached parts, least recently used first
+	usedTokens  int
+	cacheTokens int
+	down        bool // sends no events
 }
 
 // read queues a prompt and returns the tokens that are not cached, and those of them in
@@ -33,7 +33,7 @@
 func (e *simEngine) read(now time.Time, p *routing.Prompt) (missing, sharedMissing int) {
 	whole := true
 	for i, part := range p.Parts {
-		if _, ok := e.kept[part.ID]; !ok || !whole {
+		if _, ok := e.cached[part.ID]; !ok || !whole {
 			whole = false
 			missing += part.Tokens
 			if i < len(p.Parts)-1 {
@@ -52,7 +52,7 @@
 // copy takes over the cached prefix of a prompt from another engine.
 func (e *simEngine) copy(from *simEngine, p *routing.Prompt) {
 	for _, part := range p.Parts {
-		if _, ok := from.kept[part.ID]; !ok {
+		if _, ok := from.cached[part.ID]; !ok {
 			return
 		}
 		e.touch(part)
@@ -60,7 +60,7 @@
 }
 
 func (e *simEngine) touch(part routing.PromptPart) {
-	if _, ok := e.kept[part.ID]; ok {
+	if _, ok := e.cached[part.ID]; ok {
 		for i, id := range e.order {
 			if id == part.ID {
 				e.order = append(e.order[:i], e.order[i+1:]...)
@@ -68,13 +68,13 @@
 			}
 		}
 	} else {
-		e.kept[part.ID] = part.Tokens
-		e.used += part.Tokens
+		e.cached[part.ID] = part.Tokens
+		e.usedTokens += part.Tokens
 	}
 	e.order = append(e.order, part.ID)
-	for e.used > e.size {
-		e.used -= e.kept[e.order[0]]
-		delete(e.kept, e.order[0])
+	for e.usedTokens > e.cacheTokens {
+		e.usedTokens -= e.cached[e.order[0]]
+		delete(e.cached, e.order[0])
 		e.order = e.order[1:]
 	}
 }
@@ -152,7 +152,7 @@
 	}
 	for i := range engines {
 		id := fmt.Sprintf("t%02d", i)
-		s.engines[id] = &simEngine{id: id, speed: speed, kept: map[uint64]int{}, size: memory}
+		s.engines[id] = &simEngine{id: id, speed: speed, cached: map[uint64]int{}, cacheTokens: memory}
 	}
 	s.sendTargets()
 	return s
@@ -162,7 +162,7 @@
 	ev := TargetsSeen{Transfer: s.links}
 	for id, e := range s.engines {
 		ev.TokensPerSecond = e.speed
-		ev.Targets = append(ev.Targets, TargetInfo{ID: id, Slots: s.slots, CacheTokens: e.size})
+		ev.Targets = append(ev.Targets, TargetInfo{ID: id, Slots: s.slots, CacheTokens: e.cacheTokens})
 	}
 	s.step(ev)
 }
