--- a/core/cell/dispatch_test.go
+++ b/core/cell/dispatch_test.go
@@ -24,7 +24,7 @@
 	next := RequestID(0)
 	for c.Waiting() < waiting {
 		if next++; next > RequestID(10*waiting) {
-			t.Fatalf("only %d of %d asks wait", c.Waiting(), next)
+			t.Fatalf("only %d of %d requests wait", c.Waiting(), next)
 		}
 		c.Step(epoch, longAsk(next))
 	}
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -14,8 +14,8 @@
 // A large fleet and its load in requests per second.
 const (
 	largeEngines         = 320
-	largeTokensPerSecond = 51_100  // tokens per second
-	largeCacheTokens     = 472_528 // tokens
+	largeTokensPerSecond = 51_100
+	largeCacheTokens     = 472_528
 )
 
 // largeKind is a kind of requests with its own shared parts.
