--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -117,7 +117,7 @@
 func TestKeepForgets(t *testing.T) {
 	b := newBalancer("h1")
 	b.Choose(start, three(), nil, Limits{})
-	b.Keep((&routing.TargetSet{Targets: []routing.Target{{ID: "a"}}}).Build())
+	b.Keep((&routing.TargetSet{Targets: []routing.Target{{ID: "a"}}}).BuildIndex())
 	if len(b.states) > 1 {
 		t.Errorf("%d targets remembered, one is left", len(b.states))
 	}
@@ -134,7 +134,7 @@
 		b.Failed(start, b.Choose(start, life(1), nil, Limits{}), attempt.Failed)
 	}
 	b.Choose(start, life(1), nil, Limits{})
-	b.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)[0]}}).Build())
+	b.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)[0]}}).BuildIndex())
 	b.Choose(start, life(2), nil, Limits{})
 	if len(b.states) != 1 || len(b.state(life(2)[0].ID).underWay) != 1 || b.Usual(life(2)[0].ID) != New("h1", nil).Usual("w") {
 		t.Errorf("the new life begins with %+v", b.state(life(2)[0].ID))
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -158,7 +158,7 @@
 		return r
 	}
 	e.pace.count(now, e.queue)
-	r.Read = min(p.Own(), p.Tokens)
+	r.Read = min(p.OwnTokens(), p.Tokens)
 	e.queue = append(e.queue, r)
 	r.dueAt = e.pace.add(now, r, len(e.runs))
 	return r
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -271,7 +271,7 @@
 	c.startRun(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
-		Account: w.ask.Account, Affinity: p.Affinity(), RereadTokens: reread, CopiedTokens: x.tokens, Reason: reason,
+		Account: w.ask.Account, Affinity: p.AffinityKey(), RereadTokens: reread, CopiedTokens: x.tokens, Reason: reason,
 	}
 	if x.source != nil {
 		placed.Source = x.source.info.ID
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -156,7 +156,7 @@
 		return w.scores
 	}
 	w.scoresVersion, w.scores = c.layoutVersion, w.scores[:0]
-	affinity := w.ask.Prompt.Affinity()
+	affinity := w.ask.Prompt.AffinityKey()
 	for _, t := range c.sorted {
 		w.scores = append(w.scores, place.Score(t.info.ID, affinity))
 	}
@@ -178,7 +178,7 @@
 
 // sharedTokens returns the number of missing tokens in parts that other requests share.
 func sharedTokens(p *routing.Prompt, missing int) int {
-	return max(missing-p.Own(), 0)
+	return max(missing-p.OwnTokens(), 0)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/cell/cold_test.go
+++ b/core/cell/cold_test.go
@@ -113,7 +113,7 @@
 	for i := range 40 {
 		set.Targets = append(set.Targets, routing.Target{ID: fmt.Sprint("t", i), Service: "s"})
 	}
-	l := NewLayout(x, set.Build(), nil)
+	l := NewLayout(x, set.BuildIndex(), nil)
 	first := l.GroupFor("s", 77)
 	for _, target := range first.Targets {
 		target.Evacuated = true
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -74,7 +74,7 @@
 		for range k.prefixes {
 			number++
 			p := routing.Prompt{Parts: []routing.PromptPart{{ID: number * 0x9E3779B97F4A7C15, Tokens: k.shared}, {ID: 1, Tokens: 1}}}
-			c := &cells[byKey[l.GroupFor("s", p.Affinity()).Key]]
+			c := &cells[byKey[l.GroupFor("s", p.AffinityKey()).Key]]
 			c.prefixes[k.name] = append(c.prefixes[k.name], number<<20)
 		}
 	}
--- a/core/cell/kept_test.go
+++ b/core/cell/kept_test.go
@@ -15,7 +15,7 @@
 func TestReportedCacheHolderIsPreferred(t *testing.T) {
 	p := &routing.Prompt{Tokens: 13_500, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 7, Tokens: 13_000}, {ID: 8, Tokens: 500}}}
 	holder, home := "a", "b"
-	if place.Score("a", p.Affinity()) > place.Score("b", p.Affinity()) {
+	if place.Score("a", p.AffinityKey()) > place.Score("b", p.AffinityKey()) {
 		holder, home = home, holder
 	}
 	for _, learned := range []bool{false, true} {
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -62,7 +62,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		l.assignTargets(s.Name, targets.Of(s.Name), maxPerCell)
+		l.assignTargets(s.Name, targets.ByService(s.Name), maxPerCell)
 	}
 	return l
 }
@@ -137,7 +137,7 @@
 // takesWork reports whether a target of the cell may get requests. Cells with only leaving
 // or evacuated targets are skipped.
 func (g *Group) takesWork() bool {
-	return slices.ContainsFunc(g.Targets, (*routing.Target).TakesWork)
+	return slices.ContainsFunc(g.Targets, (*routing.Target).AcceptsWork)
 }
 
 // FilterTargets returns the given targets that belong to the cell. Dropping the others
--- a/core/cell/layout_test.go
+++ b/core/cell/layout_test.go
@@ -18,7 +18,7 @@
 	for i := range targets {
 		set.Targets = append(set.Targets, routing.Target{ID: fmt.Sprintf("t%04d", i), Service: "s"})
 	}
-	return x, set.Build()
+	return x, set.BuildIndex()
 }
 
 func testNodes(n int) []place.Node {
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -113,7 +113,7 @@
 func (m *Machine) Running() int { return len(m.running) }
 
 func (m *Machine) submit(now time.Time, e Submitted) {
-	g := m.layout.GroupFor(e.Service, e.Ask.Prompt.Affinity())
+	g := m.layout.GroupFor(e.Service, e.Ask.Prompt.AffinityKey())
 	if g == nil {
 		m.emit(Refuse{e.Ask.ID, m.self, noTargetRetry})
 		return
@@ -226,7 +226,7 @@
 // move asks another cell for a request of an account that is owed more than its
 // own cell can give, once.
 func (m *Machine) move(now time.Time, p *pending) bool {
-	other := m.layout.AlternativeTo(p.service, p.ask.Prompt.Affinity(), p.cell)
+	other := m.layout.AlternativeTo(p.service, p.ask.Prompt.AffinityKey(), p.cell)
 	if p.moved || other == nil || p.ask.Objective <= 0 {
 		return false
 	}
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -158,7 +158,7 @@
 
 func (l *Loop) newLink(id, address string) *peernet.Link {
 	return peernet.NewLink(l.t, peernet.LinkOptions{
-		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTime, Ring: linkRing, Idle: linkIdle,
+		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTime, Ring: linkRing, IdleTimeout: linkIdle,
 	})
 }
 
