--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -12,14 +12,13 @@
 	"madderway/models/routing"
 )
 
-// Weights of the scheduling decision.
 const (
-	// backlogLimit bounds what is sent to an engine ahead of its reading: enough
-	// to keep it busy, little enough that who goes first is decided here.
+	// Reading time that may be queued at a target: enough to keep it busy, little enough
+	// that the order is decided here.
 	backlogLimit = 120 * time.Millisecond
-	// outputWeight is the service of a token made, in tokens read.
+	// Service of one output token, in input tokens.
 	outputWeight = 2
-	// scanLimit is how many waiting requests of an account are tried in one go.
+	// Number of an account's waiting requests that are tried in one decision.
 	scanLimit = 16
 )
 
@@ -29,195 +28,195 @@
 }
 
 type target struct {
-	info     TargetInfo
-	engine   *batch.Engine
-	counted  time.Duration // counted is how much of its reading is in the cell's counts.
-	linkFree time.Time     // linkFree is when the transfers that it takes part in are over.
-	cold     cold.Pacer    // cold paces what it gets while it is cold.
+	info           TargetInfo
+	engine         *batch.Engine // model of the target's queue, cache and speed
+	countedReading time.Duration // part of the engine's reading time that is in Cell.counts
+	linkFreeAt     time.Time     // end of the transfers from or to the target
+	coldPacer      cold.Pacer    // rate limit while the target is cold
 }
 
 type run struct {
-	key     requestKey
-	account string
-	target  *target
-	model   *batch.Run
+	key       requestKey
+	account   string
+	target    *target
+	engineRun *batch.Run // the run in the target's engine model
 }
 
-// Cell is the scheduler of a few targets.
+// Cell schedules the requests of one cell. It is not safe for concurrent use.
 type Cell struct {
-	targets    map[string]*target
-	sorted     []*target
-	gone       map[string]*target // gone holds targets that are no longer listed but still run something.
-	accounts   map[string]*account
-	waiting    map[requestKey]*waiter
-	runs       map[requestKey]*run
-	foreign    map[string]*foreign
-	swept      time.Time
-	speed      float64
-	prior      *batch.Prior // prior is how fast the engines here read, as far as any has shown.
-	siblings   int
-	transfer   *routing.Transfer
-	fairWindow time.Duration
-	coldRate   float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
-	coldShare  float64           // coldShare is the part of them that is placed here.
-	inHall     map[string]keeper // inHall is what keepers returns, kept for its memory.
-	counts     Counts
-	layout     uint64  // layout counts the changes of the list of targets.
-	most       float64 // most is the highest level of an account that waits.
-	best       float64 // best is the highest level of any account, as of bestAt.
-	bestAt     time.Time
-	views      []view     // views are the targets as one decision sees them, in the order of sorted.
-	unheard    []*waiter  // unheard are waiters that arrived since the last decision.
-	queued     []*account // queued is what order returns, kept for its memory.
-	scratch    []option
-	out        []Action
+	targets         map[string]*target
+	sorted          []*target
+	draining        map[string]*target // unlisted targets that still run requests
+	accounts        map[string]*account
+	waiting         map[requestKey]*waiter
+	runs            map[requestKey]*run
+	remoteTallies   map[string]*remoteTally
+	lastEviction    time.Time
+	speed           float64      // initial estimate of one target's tokens per second
+	prior           *batch.Prior // measured read speed shared by all engines, the start value of new ones
+	siblings        int          // number of the service's other cells
+	transfer        *routing.Transfer
+	fairWindow      time.Duration
+	coldRate        float64                // requests per second that a cold target can serve, 0 for no limit
+	coldShare       float64                // part of coldRate that this scheduler may use
+	holdersByHall   map[string]cacheHolder // reused by findHolders
+	counts          Counts
+	layoutVersion   uint64  // incremented when the list of targets changes
+	maxWaitingLevel float64 // highest level of the waiting accounts
+	maxLevel        float64 // highest level of all accounts at maxLevelAt
+	maxLevelAt      time.Time
+	views           []view     // targets in the order of sorted, as seen by the current decision
+	newWaiters      []*waiter  // arrived since the last decision
+	waitingAccounts []*account // result of the last orderAccounts
+	scratch         []option   // reused by options
+	out             []Action
 }
 
 // New returns a cell without targets.
 func New() *Cell {
 	return &Cell{
-		targets: map[string]*target{}, gone: map[string]*target{}, accounts: map[string]*account{},
-		waiting: map[requestKey]*waiter{}, runs: map[requestKey]*run{}, foreign: map[string]*foreign{}, inHall: map[string]keeper{}, fairWindow: defaultFairWindow,
+		targets: map[string]*target{}, draining: map[string]*target{}, accounts: map[string]*account{},
+		waiting: map[requestKey]*waiter{}, runs: map[requestKey]*run{}, remoteTallies: map[string]*remoteTally{}, holdersByHall: map[string]cacheHolder{}, fairWindow: defaultFairWindow,
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step applies an event and decides.
 func (c *Cell) Step(now time.Time, ev Event) []Action {
-	c.Take(now, ev)
+	c.Apply(now, ev)
 	return c.Decide(now)
 }
 
-// Take notes one event. What follows from it is decided by the next Decide, so
-// that events that come together cost one decision.
-func (c *Cell) Take(now time.Time, ev Event) {
+// Apply applies an event without deciding. Callers with several events apply all of them
+// and call Decide once.
+func (c *Cell) Apply(now time.Time, ev Event) {
 	switch e := ev.(type) {
 	case AskSeen:
-		c.ask(now, e)
+		c.enqueue(now, e)
 	case WithdrawSeen:
 		c.withdraw(now, requestKey{e.Entry, e.ID})
 	case BeganSeen:
 		if r := c.runs[requestKey{e.Entry, e.ID}]; r != nil {
-			r.target.engine.Begin(now, r.model)
+			r.target.engine.Begin(now, r.engineRun)
 		}
 	case EndedSeen:
-		c.end(now, requestKey{e.Entry, e.ID}, e.Outcome)
+		c.endRun(now, requestKey{e.Entry, e.ID}, e.Outcome)
 	case InventorySeen:
-		c.inventory(now, e)
+		c.reconcile(now, e)
 	case EntryGone:
-		c.entryGone(now, e.Entry)
+		c.releaseEntry(now, e.Entry)
 	case TargetsSeen:
 		c.countReading(now)
 		c.setTargets(e)
 	case ColdShareSeen:
 		c.coldShare = e.Share
 	case TallySeen:
-		c.takeTally(now, e)
-	case GivenSeen:
-		c.takeGiven(now, e.Rows)
-	case KeptSeen:
+		c.applyTally(now, e)
+	case SiblingTallySeen:
+		c.applySiblingTally(now, e.Rows)
+	case CachedPartsSeen:
 		if t := c.targets[e.Target]; t != nil {
 			t.engine.Learn(e.At, e.Parts)
 		}
 	case Tick:
-		c.forget(now)
+		c.evictIdleAccounts(now)
 	}
 }
 
-// Decide refuses what is too late, places what may be placed and tells those
-// that have arrived and wait.
+// Decide refuses requests that are overdue, places others and acknowledges new ones that
+// wait.
 func (c *Cell) Decide(now time.Time) []Action {
 	c.out = nil
 	c.dispatch(now)
-	for _, w := range c.unheard {
+	for _, w := range c.newWaiters {
 		if c.waiting[w.key] == w {
 			c.emit(Wait{w.key.entry, w.key.id})
 		}
 	}
-	c.unheard = c.unheard[:0]
+	c.newWaiters = c.newWaiters[:0]
 	return c.out
 }
 
 func (c *Cell) emit(a Action) { c.out = append(c.out, a) }
 
-func (c *Cell) ask(now time.Time, e AskSeen) {
+func (c *Cell) enqueue(now time.Time, e AskSeen) {
 	key := requestKey{e.Entry, e.Ask.ID}
 	if c.waiting[key] != nil || c.runs[key] != nil {
 		return
 	}
 	c.counts.Asked++
 	c.counts.AskedTokens += uint64(e.Ask.Prompt.Tokens)
-	w := &waiter{key: key, ask: e.Ask, arrived: now, stands: now, until: now.Add(e.Ask.Hold)}
+	w := &waiter{key: key, ask: e.Ask, arrived: now, orderAt: now, waitUntil: now.Add(e.Ask.Hold)}
 	if c.speed > 0 {
-		w.stands = now.Add(seconds(sizeAging * float64(e.Ask.Prompt.Tokens) / c.speed))
+		w.orderAt = now.Add(seconds(sizeAging * float64(e.Ask.Prompt.Tokens) / c.speed))
 	}
 	c.waiting[key] = w
 	c.account(e.Ask.Account).push(w)
-	c.unheard = append(c.unheard, w)
+	c.newWaiters = append(c.newWaiters, w)
 }
 
 func (c *Cell) withdraw(now time.Time, key requestKey) {
 	if w := c.waiting[key]; w != nil {
-		c.drop(w)
+		c.dequeue(w)
 		return
 	}
-	c.end(now, key, batch.OutcomeCanceled)
+	c.endRun(now, key, batch.OutcomeCanceled)
 }
 
-func (c *Cell) drop(w *waiter) {
+func (c *Cell) dequeue(w *waiter) {
 	delete(c.waiting, w.key)
 	a := c.account(w.ask.Account)
 	a.remove(w)
 }
 
-func (c *Cell) end(now time.Time, key requestKey, o batch.Outcome) {
+func (c *Cell) endRun(now time.Time, key requestKey, o batch.Outcome) {
 	r := c.runs[key]
 	if r == nil {
 		return
 	}
 	delete(c.runs, key)
-	r.target.engine.End(now, r.model, o)
-	if gone := c.gone[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
-		c.countTarget(now, gone)
-		delete(c.gone, r.target.info.ID)
+	r.target.engine.End(now, r.engineRun, o)
+	if t := c.draining[r.target.info.ID]; t == r.target && t.engine.Empty() {
+		c.countTarget(now, t)
+		delete(c.draining, r.target.info.ID)
 	}
 }
 
-// inventory makes the runs of an entry gateway those that it tells.
-func (c *Cell) inventory(now time.Time, e InventorySeen) {
-	told := map[RequestID]bool{}
+// reconcile replaces the runs of an entry gateway by those in its inventory.
+func (c *Cell) reconcile(now time.Time, e InventorySeen) {
+	held := map[RequestID]bool{}
 	for i := range e.Held {
 		h := &e.Held[i]
-		told[h.ID] = true
+		held[h.ID] = true
 		key := requestKey{e.Entry, h.ID}
 		if c.runs[key] != nil {
 			continue
 		}
 		if w := c.waiting[key]; w != nil {
-			c.drop(w)
+			c.dequeue(w)
 		}
 		t := c.targets[h.Target]
 		if t == nil {
 			continue
 		}
 		model := t.engine.Adopt(now, h.Prompt, h.Prompt.OutputEstimate(), h.Begun)
-		c.runs[key] = &run{key: key, account: h.Account, target: t, model: model}
+		c.runs[key] = &run{key: key, account: h.Account, target: t, engineRun: model}
 	}
 	for key := range c.runs {
-		if key.entry == e.Entry && !told[key.id] {
-			c.end(now, key, batch.OutcomeCanceled)
+		if key.entry == e.Entry && !held[key.id] {
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
 
-func (c *Cell) entryGone(now time.Time, entry string) {
+func (c *Cell) releaseEntry(now time.Time, entry string) {
 	for key, w := range c.waiting {
 		if key.entry == entry {
-			c.drop(w)
+			c.dequeue(w)
 		}
 	}
 	for key := range c.runs {
 		if key.entry == entry {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -247,7 +246,7 @@
 		}
 		delete(c.targets, id)
 		if !t.engine.Empty() {
-			c.gone[id] = t
+			c.draining[id] = t
 		}
 	}
 	c.sorted = c.sorted[:0]
@@ -255,24 +254,24 @@
 		c.sorted = append(c.sorted, t)
 	}
 	sort.Slice(c.sorted, func(i, j int) bool { return c.sorted[i].info.ID < c.sorted[j].info.ID })
-	c.layout++
+	c.layoutVersion++
 }
 
-func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
-	p, t, x := w.ask.Prompt, c.views[o.at].target, o.transfer
-	anew := sharedOf(p, o.missing-x.tokens)
-	if anew > 0 && why == ReasonCheapest && !c.kept(p) {
-		why = ReasonUnseen
+func (c *Cell) place(now time.Time, w *waiter, o option, reason Reason) {
+	p, t, x := w.ask.Prompt, c.views[o.index].target, o.transfer
+	reread := sharedTokens(p, o.missing-x.tokens)
+	if reread > 0 && reason == ReasonCheapest && !c.cachedInCell(p) {
+		reason = ReasonUnseen
 	}
 	c.counts.Placed++
 	c.counts.PlacedTokens += uint64(p.Tokens)
 	c.counts.Read += uint64(max(o.missing-x.tokens, 0))
-	c.counts.Anew[why] += uint64(anew)
+	c.counts.Anew[reason] += uint64(reread)
 	c.account(w.ask.Account).placed++
-	c.start(now, w.key, w.ask.Account, t, p, x)
+	c.startRun(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
-		Account: w.ask.Account, Subject: p.AffinityKey(), Anew: anew, Copied: x.tokens, Why: why,
+		Account: w.ask.Account, Affinity: p.AffinityKey(), RereadTokens: reread, CopiedTokens: x.tokens, Reason: reason,
 	}
 	if x.source != nil {
 		placed.Source = x.source.info.ID
@@ -282,46 +281,47 @@
 	c.emit(placed)
 }
 
-// kept tells whether some engine of the cell keeps all the shared parts.
-func (c *Cell) kept(p *routing.Prompt) bool {
+// cachedInCell reports whether a target of the cell has all shared parts of the prompt in
+// its cache.
+func (c *Cell) cachedInCell(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
-		if sharedOf(p, t.engine.Missing(p)) == 0 {
+		if sharedTokens(p, t.engine.Missing(p)) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Cell) start(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
+func (c *Cell) startRun(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
 	r := &run{key: key, account: account, target: t}
-	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.takes)
-	x.take(now, t)
-	if c.cold(now, t) {
-		t.cold.Take(now, c.coldShare*c.coldRate)
+	r.engineRun = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.delay)
+	x.reserveLinks(now, t)
+	if c.isCold(now, t) {
+		t.coldPacer.Take(now, c.coldShare*c.coldRate)
 	}
 	c.runs[key] = r
-	service := float64(p.Tokens + outputWeight*r.model.Output)
+	service := float64(p.Tokens + outputWeight*r.engineRun.Output)
 	a := c.account(account)
 	a.charge(now, service)
 	a.served += service
 }
 
-// cold tells whether a target gets no more than a cold one bears.
-func (c *Cell) cold(now time.Time, t *target) bool {
+// isCold reports whether the rate limit for cold targets applies.
+func (c *Cell) isCold(now time.Time, t *target) bool {
 	return c.coldRate > 0 && now.Before(t.info.ColdUntil)
 }
 
-// coldWait returns how long it takes until a target may get a request, for its being
-// cold: until it bears the next one, or is warm.
+// coldWait returns the time until the cold target may get a request, 0 if it may now or is
+// warm.
 func (c *Cell) coldWait(now time.Time, t *target) time.Duration {
-	if !c.cold(now, t) {
+	if !c.isCold(now, t) {
 		return 0
 	}
-	return t.cold.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
+	return t.coldPacer.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (c *Cell) Waiting() int { return len(c.waiting) }
 
-// Idle tells whether nothing waits and nothing runs.
+// Idle reports whether no request waits or runs.
 func (c *Cell) Idle() bool { return len(c.waiting) == 0 && len(c.runs) == 0 }
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -9,114 +9,110 @@
 	"time"
 )
 
-// hopelessRetry is when a request may come back that no target of the cell takes: a new target
-// is listed within a second or two of its start.
-const hopelessRetry = time.Second
+// Least retry time for a request that no target of the cell may serve: new targets are
+// listed within about a second of their start.
+const unservableRetryAfter = time.Second
 
-// view is a target as one decision sees it. It is made once for all requests
-// that wait, and anew where something was placed.
+// view is the state of a target in one decision. It is shared by all waiting requests and
+// refreshed after a placement.
 type view struct {
-	target *target
-	usable bool
-	source bool          // source tells that what the target keeps may be copied from it.
-	full   bool          // full tells that it takes nothing now: all slots are taken, or it is cold and has just got something.
-	booked time.Duration // booked is how long the target's reading is given away.
-	base   time.Duration // base is the wait before a request that goes there is read.
-	// penalty is what failures and a crowd there count for in the choice. It is no
-	// wait: a request is not late for it.
+	target   *target
+	usable   bool
+	source   bool          // cached parts may be copied from the target
+	full     bool          // no free slot, or cold and at its rate limit
+	booked   time.Duration // reading time committed to placed requests
+	baseWait time.Duration // time until a request placed now would be read
+	// Cost of failures and load in the choice. Not part of the expected wait.
 	penalty time.Duration
-	speed   float64 // tokens of prompts read in a second
+	speed   float64 // prompt tokens per second
 }
 
-// open tells whether the target takes a request while less than the limit of its
-// reading is given away.
-func (v *view) open(limit time.Duration) bool { return v.usable && !v.full && v.booked < limit }
+// accepts reports whether the target can take a request with less than the limit of its
+// reading time booked.
+func (v *view) accepts(limit time.Duration) bool { return v.usable && !v.full && v.booked < limit }
 
 func (c *Cell) makeView(now time.Time, t *target) view {
 	e := t.engine
 	slot, cold := e.SlotWait(), c.coldWait(now, t)
 	source := !t.info.Leaving && e.Usable(now)
-	crowd := float64(e.Running()) / float64(max(t.info.Slots, 1))
+	occupancy := float64(e.Running()) / float64(max(t.info.Slots, 1))
 	return view{
 		target: t, usable: source && !t.info.Evacuated, source: source, full: slot > 0 || cold > 0, booked: e.Booked(now), speed: e.Speed(),
-		base:    max(e.Backlog(now)+slot, cold),
-		penalty: time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(crowd*float64(crowdPenalty)),
+		baseWait: max(e.Backlog(now)+slot, cold),
+		penalty:  time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(occupancy*float64(fullBatchPenalty)),
 	}
 }
 
-// look makes the views of all targets and tells whether one takes requests.
-func (c *Cell) look(now time.Time) bool {
+// refreshViews rebuilds the views and reports whether a target accepts requests.
+func (c *Cell) refreshViews(now time.Time) bool {
 	c.views = c.views[:0]
 	open := false
 	for _, t := range c.sorted {
 		v := c.makeView(now, t)
-		open = open || v.open(backlogLimit)
+		open = open || v.accepts(backlogLimit)
 		c.views = append(c.views, v)
 	}
 	return open
 }
 
-// dispatch places what may be placed, the account with the least service first, and
-// refuses what has waited too long and has found no place now either. A request is
-// tried once: what is placed takes room away and makes none.
+// dispatch places waiting requests, the least served account first, and then refuses
+// overdue ones. Each request is tried once: placements only use up capacity.
 func (c *Cell) dispatch(now time.Time) {
 	if len(c.waiting) == 0 {
 		return
 	}
-	open := c.look(now)
-	for _, w := range c.unheard {
-		c.prefer(w, c.options(now, w))
+	open := c.refreshViews(now)
+	for _, w := range c.newWaiters {
+		c.pickCheapest(w, c.options(now, w))
 	}
-	accounts := c.order(now)
-	c.most = accounts[len(accounts)-1].level
+	accounts := c.orderAccounts(now)
+	c.maxWaitingLevel = accounts[len(accounts)-1].level
 	all := slices.Clone(accounts)
 	for open && len(accounts) > 0 {
 		a := accounts[0]
-		if !c.tryAccount(now, a) {
+		if !c.placeNext(now, a) {
 			accounts = accounts[1:]
 			continue
 		}
-		open = c.anyOpen()
-		sink(accounts)
+		open = c.anyAccepts()
+		reinsertFirst(accounts)
 	}
-	c.refuseLate(now, all)
+	c.refuseOverdue(now, all)
 }
 
-// sink moves the first account, which has just been given something, to its
-// place among the others.
-func sink(accounts []*account) {
+// reinsertFirst moves the first account to its new position after its level has risen.
+func reinsertFirst(accounts []*account) {
 	first := accounts[0]
 	at := sort.Search(len(accounts)-1, func(i int) bool { return !accounts[i+1].before(first) })
 	copy(accounts, accounts[1:at+1])
 	accounts[at] = first
 }
 
-func (c *Cell) anyOpen() bool {
+func (c *Cell) anyAccepts() bool {
 	for i := range c.views {
-		if c.views[i].open(backlogLimit) {
+		if c.views[i].accepts(backlogLimit) {
 			return true
 		}
 	}
 	return false
 }
 
-// refuseLate refuses the requests of these accounts that have waited too long.
-func (c *Cell) refuseLate(now time.Time, accounts []*account) {
+func (c *Cell) refuseOverdue(now time.Time, accounts []*account) {
 	least := accounts[0].level
 	for _, a := range accounts {
 		least = min(least, a.level)
 	}
 	for _, a := range accounts {
-		for _, w := range c.lateOf(now, a) {
-			hopeless := c.hopeless(w)
-			elsewhere := c.siblings > 0 && (hopeless || c.starved(now, a))
+		for _, w := range c.overdue(now, a) {
+			unservable := c.unservable(w)
+			elsewhere := c.siblings > 0 && (unservable || c.starved(now, a))
 			after := c.retryAfter(a.level-least, len(accounts))
-			if hopeless {
-				after = max(after, hopelessRetry)
+			if unservable {
+				after = max(after, unservableRetryAfter)
 			}
-			c.drop(w)
+			c.dequeue(w)
 			c.counts.Refused++
-			if c.anyOpen() {
+			if c.anyAccepts() {
 				c.counts.RefusedWithRoom++
 			}
 			a.refused++
@@ -129,20 +125,20 @@
 	}
 }
 
-// lateOf returns the requests of an account that have waited for too long.
-func (c *Cell) lateOf(now time.Time, a *account) []*waiter {
+// overdue returns the account's requests that must be refused now.
+func (c *Cell) overdue(now time.Time, a *account) []*waiter {
 	var late []*waiter
 	for _, w := range a.queue {
-		if c.hopeless(w) || !now.Before(w.until) && !c.mayWaitOn(now, w, a) {
+		if c.unservable(w) || !now.Before(w.waitUntil) && !c.extendWait(now, w, a) {
 			late = append(late, w)
 		}
 	}
 	return late
 }
 
-// hopeless tells whether no target of the cell will take a request, however long it waits:
-// all leave, lie in evacuated data halls, or want nothing from its gateway.
-func (c *Cell) hopeless(w *waiter) bool {
+// unservable reports whether every target of the cell is leaving, evacuated or denied to
+// the request.
+func (c *Cell) unservable(w *waiter) bool {
 	for i := range c.views {
 		t := &c.views[i].target.info
 		if !t.Leaving && !t.Evacuated && !slices.Contains(w.ask.Deny, t.ID) {
@@ -152,8 +148,8 @@
 	return len(c.views) > 0
 }
 
-// leastBooked returns how long the reading of the least busy target is given
-// away, or -1 where no target is usable.
+// leastBooked returns the least booked reading time of the usable targets, or -1 if there
+// are none.
 func (c *Cell) leastBooked() time.Duration {
 	least := time.Duration(-1)
 	for i := range c.views {
@@ -164,19 +160,19 @@
 	return least
 }
 
-// tryAccount places the next request of the account that finds a target.
-func (c *Cell) tryAccount(now time.Time, a *account) bool {
+// placeNext places the account's first request that finds a target.
+func (c *Cell) placeNext(now time.Time, a *account) bool {
 	for i := a.tried; i < len(a.queue) && i < scanLimit; i++ {
 		w := a.queue[i]
 		c.counts.Tried++
-		o, why, ok := c.choose(now, w)
+		o, reason, ok := c.choose(now, w)
 		if !ok {
 			a.tried++
 			continue
 		}
-		c.drop(w)
-		c.place(now, w, o, why)
-		c.views[o.at] = c.makeView(now, c.views[o.at].target)
+		c.dequeue(w)
+		c.place(now, w, o, reason)
+		c.views[o.index] = c.makeView(now, c.views[o.index].target)
 		return true
 	}
 	return false
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -11,19 +11,18 @@
 	"madderway/models/routing"
 )
 
-// A large fleet of engines: as many, as fast and with as much memory as those of the
-// largest deployment known, and the work that is asked of them, in requests a second.
+// A large fleet and its load in requests per second.
 const (
-	largeEngines = 320
-	largeSpeed   = 51_100 // tokens a second
-	largeMemory  = 472_528
+	largeEngines         = 320
+	largeTokensPerSecond = 51_100
+	largeCacheTokens     = 472_528
 )
 
-// largeKind is a kind of requests: all tokens of one subject are shared.
+// largeKind is a kind of requests with its own shared parts.
 type largeKind struct {
 	name      string
 	perSecond float64
-	subjects  int
+	prefixes  int
 	shared    int
 	own       int
 }
@@ -34,26 +33,25 @@
 	{"tag", 703, 1107, 350, 1110},
 }
 
-// largeAccounts is how many accounts share each kind evenly.
+// Number of accounts that share the load of a kind evenly.
 const largeAccounts = 8
 
-// playLarge plays some of the fleet's engines with their part of the subjects and
-// returns what became of the requests.
-func playLarge(engines int, subjects map[string][]uint64, load float64, length time.Duration) simResult {
-	s := newSim(engines, largeSpeed, largeMemory)
+// simulateFleet runs a cell of the fleet with its subset of the shared parts.
+func simulateFleet(engines int, prefixes map[string][]uint64, load float64, length time.Duration) simResult {
+	s := newSim(engines, largeTokensPerSecond, largeCacheTokens)
 	s.links = &routing.Transfer{TokenBytes: 163_840, BytesPerSecond: 550e9 / 8}
 	s.objective, s.slots, s.stream = time.Second, 12, 700*time.Millisecond
-	s.layout()
+	s.sendTargets()
 	var accounts []*simAccount
 	for _, k := range largeKinds {
-		of := subjects[k.name]
-		if len(of) == 0 {
+		ids := prefixes[k.name]
+		if len(ids) == 0 {
 			continue
 		}
 		for i := range largeAccounts {
 			accounts = append(accounts, &simAccount{
-				name: fmt.Sprintf("%s-%d", k.name, i), perSecond: load * k.perSecond * float64(len(of)) / float64(k.subjects) / largeAccounts,
-				subjects: len(of), shared: k.shared, own: k.own, base: of[0],
+				name: fmt.Sprintf("%s-%d", k.name, i), perSecond: load * k.perSecond * float64(len(ids)) / float64(k.prefixes) / largeAccounts,
+				prefixes: len(ids), shared: k.shared, own: k.own, base: ids[0],
 			})
 		}
 	}
@@ -61,23 +59,23 @@
 	return s.total()
 }
 
-// largeCells divides engines and subjects as the layout does. A cell's subjects are
-// numbered on from its first one, so that they can be drawn evenly.
-func largeCells(most int) []largeCell {
-	x, set := world(largeEngines)
-	l := newLayout(x, set, nodes(20), most)
+// divideFleet assigns targets and shared parts to cells as the layout does. The shared
+// parts of a cell get consecutive numbers, so that they can be drawn evenly.
+func divideFleet(maxPerCell int) []largeCell {
+	x, set := testService(largeEngines)
+	l := newLayout(x, set, testNodes(20), maxPerCell)
 	byKey, cells := map[Key]int{}, []largeCell{}
 	for key, g := range l.Groups() {
 		byKey[key] = len(cells)
-		cells = append(cells, largeCell{engines: len(g.Targets), subjects: map[string][]uint64{}})
+		cells = append(cells, largeCell{engines: len(g.Targets), prefixes: map[string][]uint64{}})
 	}
 	number := uint64(0)
 	for _, k := range largeKinds {
-		for range k.subjects {
+		for range k.prefixes {
 			number++
 			p := routing.Prompt{Parts: []routing.PromptPart{{ID: number * 0x9E3779B97F4A7C15, Tokens: k.shared}, {ID: 1, Tokens: 1}}}
-			c := &cells[byKey[l.Of("s", p.AffinityKey()).Key]]
-			c.subjects[k.name] = append(c.subjects[k.name], number<<20)
+			c := &cells[byKey[l.GroupFor("s", p.AffinityKey()).Key]]
+			c.prefixes[k.name] = append(c.prefixes[k.name], number<<20)
 		}
 	}
 	return cells
@@ -85,21 +83,20 @@
 
 type largeCell struct {
 	engines  int
-	subjects map[string][]uint64
+	prefixes map[string][]uint64
 }
 
-// BenchmarkCells plays the large fleet divided into cells of at most so many engines on
-// average, and as one cell that sees all: the difference is what cells cost. Cells do
-// not help each other here, as gateways let starved accounts do.
+// BenchmarkCells compares the fleet divided into cells of several sizes with one large
+// cell. Requests are not moved between cells here.
 func BenchmarkCells(b *testing.B) {
 	for _, load := range []float64{1} {
-		for _, most := range []int{12, 24, 48, largeEngines} {
-			b.Run(fmt.Sprintf("load=%v/engines=%d", load, most), func(b *testing.B) {
+		for _, maxPerCell := range []int{12, 24, 48, largeEngines} {
+			b.Run(fmt.Sprintf("load=%v/engines=%d", load, maxPerCell), func(b *testing.B) {
 				var t simResult
 				for range b.N {
 					t = simResult{}
-					for _, c := range largeCells(most) {
-						r := playLarge(c.engines, c.subjects, load, 8*time.Second)
+					for _, c := range divideFleet(maxPerCell) {
+						r := simulateFleet(c.engines, c.prefixes, load, 8*time.Second)
 						t.asked += r.asked
 						t.placed += r.placed
 						t.late += r.late
@@ -108,7 +105,7 @@
 					}
 				}
 				b.ReportMetric(float64(t.placed-t.late)/float64(t.asked), "in_time")
-				b.ReportMetric(float64(t.read)/(8*largeEngines*largeSpeed), "reading")
+				b.ReportMetric(float64(t.read)/(8*largeEngines*largeTokensPerSecond), "reading")
 				b.ReportMetric(float64(t.sharedRead)/float64(t.read), "anew")
 				b.ReportMetric(0, "ns/op")
 			})
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -15,24 +15,25 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// simEngine reads prompts in order at a fixed speed, keeps the parts used last
-// and gives the first event a fixed time after reading.
+// simEngine reads prompts in order at a fixed speed, has an LRU cache of parts and sends
+// the first event a fixed time after reading.
 type simEngine struct {
-	id      string
-	speed   float64
-	clearAt time.Time
-	kept    map[uint64]int // part, tokens
-	order   []uint64       // unused longest first
-	used    int
-	size    int
-	down    bool // a down engine gives no sign
+	id          string
+	speed       float64
+	idleAt      time.Time
+	cached      map[uint64]int // tokens by part
+	order       []uint64       // cached parts, least recently used first
+	usedTokens  int
+	cacheTokens int
+	down        bool // sends no events
 }
 
-// read puts a prompt to the engine and returns the tokens that it reads anew.
+// read queues a prompt and returns the tokens that are not cached, and those of them in
+// shared parts.
 func (e *simEngine) read(now time.Time, p *routing.Prompt) (missing, sharedMissing int) {
 	whole := true
 	for i, part := range p.Parts {
-		if _, ok := e.kept[part.ID]; !ok || !whole {
+		if _, ok := e.cached[part.ID]; !ok || !whole {
 			whole = false
 			missing += part.Tokens
 			if i < len(p.Parts)-1 {
@@ -41,17 +42,17 @@
 		}
 		e.touch(part)
 	}
-	if e.clearAt.Before(now) {
-		e.clearAt = now
+	if e.idleAt.Before(now) {
+		e.idleAt = now
 	}
-	e.clearAt = e.clearAt.Add(time.Duration(float64(missing) / e.speed * float64(time.Second)))
+	e.idleAt = e.idleAt.Add(time.Duration(float64(missing) / e.speed * float64(time.Second)))
 	return missing, sharedMissing
 }
 
-// copy takes over the beginning of a prompt that another engine keeps.
+// copy takes over the cached prefix of a prompt from another engine.
 func (e *simEngine) copy(from *simEngine, p *routing.Prompt) {
 	for _, part := range p.Parts {
-		if _, ok := from.kept[part.ID]; !ok {
+		if _, ok := from.cached[part.ID]; !ok {
 			return
 		}
 		e.touch(part)
@@ -59,7 +60,7 @@
 }
 
 func (e *simEngine) touch(part routing.PromptPart) {
-	if _, ok := e.kept[part.ID]; ok {
+	if _, ok := e.cached[part.ID]; ok {
 		for i, id := range e.order {
 			if id == part.ID {
 				e.order = append(e.order[:i], e.order[i+1:]...)
@@ -67,13 +68,13 @@
 			}
 		}
 	} else {
-		e.kept[part.ID] = part.Tokens
-		e.used += part.Tokens
+		e.cached[part.ID] = part.Tokens
+		e.usedTokens += part.Tokens
 	}
 	e.order = append(e.order, part.ID)
-	for e.used > e.size {
-		e.used -= e.kept[e.order[0]]
-		delete(e.kept, e.order[0])
+	for e.usedTokens > e.cacheTokens {
+		e.usedTokens -= e.cached[e.order[0]]
+		delete(e.cached, e.order[0])
 		e.order = e.order[1:]
 	}
 }
@@ -99,14 +100,14 @@
 	return last
 }
 
-// simAccount is a stream of requests of one account.
+// simAccount is a Poisson stream of requests of one account.
 type simAccount struct {
 	name      string
 	perSecond float64
-	subjects  int // shared parts that it draws from
-	shared    int // tokens of a shared part
-	own       int
-	base      uint64 // number of its first shared part
+	prefixes  int    // number of shared parts that it draws from
+	shared    int    // tokens of a shared part
+	own       int    // average tokens of the part that is not shared
+	base      uint64 // ID of its first shared part
 	from      time.Duration
 	until     time.Duration
 }
@@ -131,9 +132,9 @@
 	asks      map[RequestID]simAsk
 	results   map[string]*simResult
 	objective time.Duration
-	slots     int                                    // slots of an engine
-	stream    time.Duration                          // stream is how long a request runs after its first event.
-	onPlace   func(id RequestID, target string) bool // reports whether the target takes it
+	slots     int                                    // per engine
+	stream    time.Duration                          // run time of a request after its first event
+	onPlace   func(id RequestID, target string) bool // reports whether the target accepts the request
 }
 
 type simAsk struct {
@@ -142,7 +143,7 @@
 	at      time.Time
 }
 
-const simFirst = 50 * time.Millisecond
+const simFirstEventDelay = 50 * time.Millisecond
 
 func newSim(engines int, speed float64, memory int) *sim {
 	s := &sim{
@@ -151,18 +152,17 @@
 	}
 	for i := range engines {
 		id := fmt.Sprintf("t%02d", i)
-		s.engines[id] = &simEngine{id: id, speed: speed, kept: map[uint64]int{}, size: memory}
+		s.engines[id] = &simEngine{id: id, speed: speed, cached: map[uint64]int{}, cacheTokens: memory}
 	}
-	s.layout()
+	s.sendTargets()
 	return s
 }
 
-// layout tells the cell its targets and how they copy prompts.
-func (s *sim) layout() {
+func (s *sim) sendTargets() {
 	ev := TargetsSeen{Transfer: s.links}
 	for id, e := range s.engines {
 		ev.TokensPerSecond = e.speed
-		ev.Targets = append(ev.Targets, TargetInfo{ID: id, Slots: s.slots, CacheTokens: e.size})
+		ev.Targets = append(ev.Targets, TargetInfo{ID: id, Slots: s.slots, CacheTokens: e.cacheTokens})
 	}
 	s.step(ev)
 }
@@ -205,7 +205,7 @@
 	if e.down {
 		return
 	}
-	first := e.clearAt.Add(simFirst)
+	first := e.idleAt.Add(simFirstEventDelay)
 	if first.Sub(ask.at) > s.objective {
 		r.late++
 	}
@@ -215,11 +215,11 @@
 
 func (s *sim) ask(a *simAccount) {
 	s.next++
-	subject := a.base + uint64(s.rng.IntN(a.subjects))
+	prefix := a.base + uint64(s.rng.IntN(a.prefixes))
 	own := 1 + a.own/2 + s.rng.IntN(a.own)
 	p := &routing.Prompt{
 		Tokens: a.shared + own, MaxOutput: 60,
-		Parts: []routing.PromptPart{{ID: subject, Tokens: a.shared}, {ID: 1<<40 + uint64(s.next), Tokens: own}},
+		Parts: []routing.PromptPart{{ID: prefix, Tokens: a.shared}, {ID: 1<<40 + uint64(s.next), Tokens: own}},
 	}
 	s.asks[s.next] = simAsk{a.name, p, s.now}
 	s.results[a.name].asked++
@@ -240,7 +240,7 @@
 	})
 }
 
-// run plays the accounts for some time.
+// run simulates the accounts for the given time.
 func (s *sim) run(length time.Duration, accounts []*simAccount) {
 	for _, a := range accounts {
 		if a.until == 0 {
--- a/core/cell/state.go
+++ b/core/cell/state.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// State is what a dump shows of a cell.
+// State is a cell in a state dump.
 type State struct {
 	Key      Key            `json:"key"`
 	Counts   Counts         `json:"counts"`
@@ -18,7 +18,7 @@
 	Accounts []AccountState `json:"accounts"`
 }
 
-// TargetState is what a scheduler believes of a target.
+// TargetState is a scheduler's view of a target.
 type TargetState struct {
 	ID      string        `json:"id"`
 	Running int           `json:"running"`
@@ -28,31 +28,31 @@
 	Errors  float64       `json:"share_failed"`
 	Usable  bool          `json:"usable"`
 	Leaving bool          `json:"leaving"`
-	// Evacuated tells that its data hall is evacuated, Cold that it gets little since
-	// it has just started.
+	// Evacuated: its data hall is evacuated. Cold: it was started recently and is rate
+	// limited.
 	Evacuated bool `json:"evacuated,omitempty"`
 	Cold      bool `json:"cold,omitempty"`
 }
 
-// AccountState is an account's queue.
+// AccountState is the queue of an account.
 type AccountState struct {
 	Name    string  `json:"name"`
 	Level   float64 `json:"service_of_late"`
 	Waiting int     `json:"waiting"`
 }
 
-// State returns what the cell believes.
+// State returns the state of the cell for a dump.
 func (c *Cell) State(now time.Time) State {
 	s := State{Counts: c.counts, Waiting: len(c.waiting), Running: len(c.runs)}
 	for _, t := range c.sorted {
 		s.Targets = append(s.Targets, TargetState{
 			ID: t.info.ID, Running: t.engine.Running(), Backlog: t.engine.Backlog(now), Booked: t.engine.Booked(now),
 			Speed: t.engine.Speed(), Errors: t.engine.Errors(now), Usable: t.engine.Usable(now), Leaving: t.info.Leaving,
-			Evacuated: t.info.Evacuated, Cold: c.cold(now, t),
+			Evacuated: t.info.Evacuated, Cold: c.isCold(now, t),
 		})
 	}
 	for _, a := range c.accounts {
-		a.fade(now)
+		a.decay(now)
 		s.Accounts = append(s.Accounts, AccountState{Name: a.name, Level: a.level, Waiting: len(a.queue)})
 	}
 	sort.Slice(s.Accounts, func(i, j int) bool { return s.Accounts[i].Name < s.Accounts[j].Name })
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -8,77 +8,74 @@
 	"time"
 )
 
-// Fairness holds over all cells of a service: each scheduler tells the others
-// what it has given to whom, and what an account gets elsewhere counts here as
-// well. Between gateways tallies are sums, so that a lost, repeated or late one does no
-// harm.
+// Fairness covers all cells of a service: schedulers tell each other the service given
+// to each account. Tallies between gateways carry totals, so that lost, repeated and
+// late ones do no harm.
 
-// maxForeign bounds how many other gateways are remembered.
-const maxForeign = 1024
+const maxRemoteTallies = 1024 // bounds memory as gateways come and go
 
-// foreign is what another gateway has told so far.
-type foreign struct {
+// remoteTally is the last known tally of another gateway.
+type remoteTally struct {
 	incarnation uint64
-	sums        map[string]float64
-	at          time.Time
+	totals      map[string]float64
+	updatedAt   time.Time
 }
 
-// takeTally charges accounts for what they were given elsewhere since the last
-// tally. The first one of a gateway's life only says where its sums begin. Of an account
-// that is not in it the next one says what was told before: a cell that has just begun
-// must not be charged for all that the account ever got.
-func (c *Cell) takeTally(now time.Time, e TallySeen) {
-	f := c.foreign[e.Source]
-	if f == nil || f.incarnation != e.Incarnation {
-		if len(c.foreign) >= maxForeign {
-			c.dropOldestForeign()
+// applyTally charges accounts for their service in other cells since the last tally. The
+// first tally of a gateway's incarnation only sets the starting totals. For an account
+// that was not in it, a later row's Before is the starting total.
+func (c *Cell) applyTally(now time.Time, e TallySeen) {
+	tally := c.remoteTallies[e.Source]
+	if tally == nil || tally.incarnation != e.Incarnation {
+		if len(c.remoteTallies) >= maxRemoteTallies {
+			c.evictOldestTally()
 		}
-		f = &foreign{incarnation: e.Incarnation, sums: map[string]float64{}}
-		c.foreign[e.Source] = f
+		tally = &remoteTally{incarnation: e.Incarnation, totals: map[string]float64{}}
+		c.remoteTallies[e.Source] = tally
 		for _, row := range e.Rows {
-			f.sums[row.Account] = row.Service
+			tally.totals[row.Account] = row.Service
 		}
-		f.at = now
+		tally.updatedAt = now
 		return
 	}
-	f.at = now
+	tally.updatedAt = now
 	for _, row := range e.Rows {
-		before, told := f.sums[row.Account]
-		if !told {
+		before, known := tally.totals[row.Account]
+		if !known {
 			before = row.Before
 		}
 		more := row.Service - before
 		if more <= 0 {
 			continue
 		}
-		f.sums[row.Account] = row.Service
+		tally.totals[row.Account] = row.Service
 		c.account(row.Account).charge(now, more)
 	}
 }
 
-// takeGiven charges accounts for what another cell of this gateway has given them.
-func (c *Cell) takeGiven(now time.Time, rows []TallyRow) {
+// applySiblingTally charges accounts for service in another cell scheduled by this gateway.
+func (c *Cell) applySiblingTally(now time.Time, rows []TallyRow) {
 	for _, row := range rows {
 		c.account(row.Account).charge(now, row.Service)
 	}
 }
 
-func (c *Cell) dropOldestForeign() {
+func (c *Cell) evictOldestTally() {
 	oldest := ""
-	for source, f := range c.foreign {
-		if oldest == "" || f.at.Before(c.foreign[oldest].at) {
+	for source, tally := range c.remoteTallies {
+		if oldest == "" || tally.updatedAt.Before(c.remoteTallies[oldest].updatedAt) {
 			oldest = source
 		}
 	}
-	delete(c.foreign, oldest)
+	delete(c.remoteTallies, oldest)
 }
 
-// Tally returns what each account was given since the last call.
-func (c *Cell) Tally() []TallyRow {
+// DrainTally returns the service given to each account since the last call.
+func (c *Cell) DrainTally() []TallyRow {
 	var rows []TallyRow
 	for _, a := range c.accounts {
-		if more := a.served - a.told; more > 0 {
-			a.told = a.served
+		if more := a.served - a.reported; more > 0 {
+			a.reported = a.served
 			rows = append(rows, TallyRow{Account: a.name, Service: more})
 		}
 	}
--- a/core/cell/tally_test.go
+++ b/core/cell/tally_test.go
@@ -10,11 +10,9 @@
 	"madderway/models/routing"
 )
 
-// Two cells of one engine each. The flood asks in both, the other account in
-// one of them only: over the whole service it is owed half, so it gets all that
-// its cell can give.
-func TestFairnessHoldsOverCells(t *testing.T) {
-	for _, tell := range []bool{false, true} {
+// An account that asks in one of two cells must get as much as a flood in both.
+func TestFairnessAcrossCells(t *testing.T) {
+	for _, exchange := range []bool{false, true} {
 		cells := []*Cell{New(), New()}
 		for _, c := range cells {
 			c.Step(epoch, TargetsSeen{TokensPerSecond: 10_000, Targets: []TargetInfo{{ID: "t", Slots: 1000, CacheTokens: 10_000_000}}})
@@ -47,77 +45,76 @@
 					}
 				}
 			}
-			if tell && at%(500*time.Millisecond) == 0 {
-				first, second := cells[0].Tally(), cells[1].Tally()
-				cells[0].Step(now, GivenSeen{Rows: second})
-				cells[1].Step(now, GivenSeen{Rows: first})
+			if exchange && at%(500*time.Millisecond) == 0 {
+				first, second := cells[0].DrainTally(), cells[1].DrainTally()
+				cells[0].Step(now, SiblingTallySeen{Rows: second})
+				cells[1].Step(now, SiblingTallySeen{Rows: first})
 			}
 		}
-		t.Logf("tallies %v: %v", tell, got)
-		if tell && got["other"] < 0.8*got["flood"] {
-			t.Errorf("the other account got %.0f, the flood %.0f", got["other"], got["flood"])
+		t.Logf("tallies %v: %v", exchange, got)
+		if exchange && got["other"] < 0.8*got["flood"] {
+			t.Errorf("the other account got %.0f, the flood %.0f, want at least 0.8 of it", got["other"], got["flood"])
 		}
 	}
 }
 
-// accountOf returns the account of a request that was placed.
+// accountOf returns the account of a placed request.
 func accountOf(c *Cell, id RequestID) string { return c.runs[requestKey{"e", id}].account }
 
-// A repeated, lost or late tally, or that of a new life, charges nothing twice.
-func TestTalliesAreSums(t *testing.T) {
+// Guards against charging repeated, late or restarted tallies twice.
+func TestRepeatedTalliesAreChargedOnce(t *testing.T) {
 	c := New()
 	level := func() float64 { return c.account("a").level }
-	tell := func(incarnation uint64, service float64) {
+	report := func(incarnation uint64, service float64) {
 		c.Step(epoch, TallySeen{Source: "s", Incarnation: incarnation, Rows: []TallyRow{{Account: "a", Service: service}}})
 	}
-	tell(1, 1000)
+	report(1, 1000)
 	if level() != 0 {
-		t.Fatal("the first tally, which only says where sums begin, was charged")
+		t.Fatal("the first tally was charged, want it to set the starting totals")
 	}
-	tell(1, 1500)
-	tell(1, 1500)
-	tell(1, 1200)
+	report(1, 1500)
+	report(1, 1500)
+	report(1, 1200)
 	if level() != 500 {
-		t.Errorf("level %.0f after 500 more, told twice and late", level())
+		t.Errorf("level %.0f after repeated and late tallies, want 500", level())
 	}
-	tell(2, 300)
-	tell(2, 400)
+	report(2, 300)
+	report(2, 400)
 	if level() != 600 {
-		t.Errorf("level %.0f after a new life gave 100", level())
+		t.Errorf("level %.0f after 100 more in a new incarnation, want 600", level())
 	}
 }
 
-// An account that a gateway had not told of is charged for what is new only.
-func TestNewAccountOfATallyIsNotChargedForAll(t *testing.T) {
+// Guards against charging an account for all its service when it first appears in a tally.
+func TestNewAccountInTallyIsChargedForIncrease(t *testing.T) {
 	c := New()
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "a", Service: 10}}})
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "b", Service: 5000, Before: 4900}}})
 	if level := c.account("b").level; level != 100 {
-		t.Errorf("charged %.0f of a sum that grew by 100", level)
+		t.Errorf("charged %.0f, want the increase of 100", level)
 	}
-	// A tally that was lost on the way is made good by the next one.
+	// The next tally makes up for a lost one.
 	c.Step(epoch, TallySeen{Source: "g", Incarnation: 1, Rows: []TallyRow{{Account: "b", Service: 5300, Before: 5200}}})
 	if level := c.account("b").level; level != 400 {
 		t.Errorf("level %.0f after a lost tally, want 400", level)
 	}
 }
 
-func TestTallyTellsChangesOnly(t *testing.T) {
+func TestDrainTallyReturnsOnlyChanges(t *testing.T) {
 	c := New()
 	c.account("a").served, c.account("b").served = 5, 7
-	if rows := c.Tally(); len(rows) != 2 || rows[1] != (TallyRow{Account: "b", Service: 7}) {
-		t.Errorf("%+v", rows)
+	if rows := c.DrainTally(); len(rows) != 2 || rows[1] != (TallyRow{Account: "b", Service: 7}) {
+		t.Errorf("rows %+v, want all service of a and b", rows)
 	}
 	c.account("a").served = 6
-	if rows := c.Tally(); len(rows) != 1 || rows[0] != (TallyRow{Account: "a", Service: 1}) {
-		t.Errorf("%+v", rows)
+	if rows := c.DrainTally(); len(rows) != 1 || rows[0] != (TallyRow{Account: "a", Service: 1}) {
+		t.Errorf("rows %+v, want only the increase of a", rows)
 	}
 }
 
-// An account that gets far less than another one gets in other cells is sent to another
-// cell, though all that wait here get as little: at 32 cells an account got 14.6 million
-// tokens in six seconds in which another one, whose prompts are kept elsewhere, got 31.2.
-func TestLessThanElsewhereIsSentElsewhere(t *testing.T) {
+// Guards against keeping an account in its cell where all get little, while another
+// account gets far more in other cells.
+func TestStarvedAccountIsSentToOtherCells(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{Siblings: 1, TokensPerSecond: 10_000, Targets: []TargetInfo{{ID: "t", Slots: 1000, CacheTokens: 10_000_000}}})
 	id, rival, refused, elsewhere := RequestID(0), 0.0, 0, 0
@@ -148,13 +145,13 @@
 		}
 	}
 	if refused == 0 || elsewhere < refused*9/10 {
-		t.Errorf("%d of %d refused requests are sent to another cell", elsewhere, refused)
+		t.Errorf("%d of %d refused requests are sent to another cell, want nearly all", elsewhere, refused)
 	}
 }
 
-// What an account got while nobody else wanted it is forgotten soon once others do, also
-// where the capacity is less by then.
-func TestUseOfIdleTargetsIsForgottenSoon(t *testing.T) {
+// Guards against starving an account for its use of idle targets, also after capacity
+// shrinks.
+func TestLeadFromIdleTargetsIsCapped(t *testing.T) {
 	c := New()
 	ev := TargetsSeen{TokensPerSecond: 10_000}
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -162,7 +159,7 @@
 	}
 	c.Step(epoch, ev)
 	id, got := RequestID(0), map[string]float64{}
-	play := func(from, to time.Duration, accounts ...string) {
+	run := func(from, to time.Duration, accounts ...string) {
 		clear(got)
 		for at := from; at < to; at += 10 * time.Millisecond {
 			now := epoch.Add(at)
@@ -179,11 +176,11 @@
 			}
 		}
 	}
-	play(0, 10*time.Second, "early")
-	ev.Targets = ev.Targets[:1] // three of four engines are gone
+	run(0, 10*time.Second, "early")
+	ev.Targets = ev.Targets[:1] // three of four targets are removed
 	c.Step(epoch.Add(10*time.Second), ev)
-	play(10*time.Second, 16*time.Second, "early", "late")
+	run(10*time.Second, 16*time.Second, "early", "late")
 	if got["early"] < 0.6*got["late"] {
-		t.Errorf("the one that was alone before got %.0f, the other one %.0f", got["early"], got["late"])
+		t.Errorf("the account that was alone before got %.0f, the other one %.0f, want at least 0.6 of it", got["early"], got["late"])
 	}
 }
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -5,28 +5,25 @@
 
 import "time"
 
-// Counts are what a cell has decided since its start.
+// Counts are totals of a cell since its start.
 type Counts struct {
 	Asked, Placed, Refused uint64
-	// RefusedWithRoom counts refusals while some target took requests.
+	// Refusals while some target accepted requests.
 	RefusedWithRoom uint64
-	// Tried counts how often a target was looked for, for a request that waits.
+	// Searches for a target, for all waiting requests.
 	Tried uint64
-	// AskedTokens and PlacedTokens are the prompts' tokens of those requests, Read
-	// the tokens of placed ones that engines read.
+	// Prompt tokens of the asked and placed requests, and those read by targets.
 	AskedTokens, PlacedTokens, Read uint64
-	// Anew counts the tokens of shared parts that placements let engines read
-	// again, by the reason of the placement.
-	Anew [reasons]uint64
-	// Reading is how long the targets have been reading, together, those that are
-	// gone included.
+	// Tokens of shared parts that are read again, by the reason of the placement.
+	Anew [reasonCount]uint64
+	// Reading time of all targets, removed ones included.
 	Reading time.Duration
-	// Copies counts the transfers between engines, Copied their tokens.
+	// Transfers between targets and their tokens.
 	Copies, Copied uint64
 }
 
-// AnewAll returns the tokens of shared parts that were read again, for any reason.
-func (c Counts) AnewAll() uint64 {
+// RereadTokens returns the tokens of shared parts that were read again, for any reason.
+func (c Counts) RereadTokens() uint64 {
 	sum := uint64(0)
 	for _, tokens := range c.Anew {
 		sum += tokens
@@ -34,18 +31,18 @@
 	return sum
 }
 
-// Load is what the targets of a cell do at a time.
+// Load is the current load of a cell.
 type Load struct {
-	Targets int           // Targets are those that take requests, full ones included.
-	Streams int           // Streams are the requests that run.
-	Booked  time.Duration // Booked is how much of the targets' reading is given away, on average.
+	Targets int           // usable targets, full ones included
+	Running int           // running requests
+	Booked  time.Duration // average booked reading time of the usable targets
 }
 
-// Load returns what the targets do.
+// Load returns the current load.
 func (c *Cell) Load(now time.Time) Load {
 	var l Load
 	for _, t := range c.sorted {
-		l.Streams += t.engine.Running()
+		l.Running += t.engine.Running()
 		if t.info.Leaving || t.info.Evacuated || !t.engine.Usable(now) {
 			continue
 		}
@@ -56,7 +53,7 @@
 	return l
 }
 
-// Counts returns what the cell has decided since its start.
+// Counts returns the totals since the cell's start.
 func (c *Cell) Counts(now time.Time) Counts {
 	c.countReading(now)
 	return c.counts
@@ -66,13 +63,13 @@
 	for _, t := range c.sorted {
 		c.countTarget(now, t)
 	}
-	for _, t := range c.gone {
+	for _, t := range c.draining {
 		c.countTarget(now, t)
 	}
 }
 
 func (c *Cell) countTarget(now time.Time, t *target) {
 	reading := t.engine.ReadingTime(now)
-	c.counts.Reading += reading - t.counted
-	t.counted = reading
+	c.counts.Reading += reading - t.countedReading
+	t.countedReading = reading
 }
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -10,46 +10,43 @@
 )
 
 const (
-	// transferSetup is what a transfer takes beside its bytes: the request between
-	// the two engines and the allocation of memory. Engines do not state it; it is
-	// of the order of a few round trips in a data hall.
+	// Fixed time of a transfer: a few round trips and the allocation of memory.
 	transferSetup = 3 * time.Millisecond
-	// farFactor is how much longer a transfer between data halls takes.
-	farFactor = 2
-	// transferShare is the part of the time for reading that a transfer may take:
-	// where it takes more, little is gained for what it takes from the links.
+	// Slowdown of a transfer between data halls.
+	crossHallFactor = 2
+	// Longest transfer as a part of the time to read the same tokens.
 	transferShare = 0.5
 )
 
-// transfer is a copy of the beginning of a prompt from one engine to another.
+// transfer is a copy of a cached prompt prefix from one target to another.
 type transfer struct {
-	source *target       // source is nil where nothing is copied.
-	tokens int           // tokens that are copied
-	link   time.Duration // link is how long it takes both engines' links.
-	takes  time.Duration // takes is the time until it is there, behind other transfers.
+	source   *target // nil if nothing is copied
+	tokens   int
+	linkTime time.Duration // time that it uses both links
+	delay    time.Duration // time to its end, including transfers before it
 }
 
-// keeper is the engine of a data hall, or of all, that has most of a prompt in
-// memory.
-type keeper struct {
+// cacheHolder is the target with the most tokens of a prompt in its cache.
+type cacheHolder struct {
 	target *target
-	ready  int
+	tokens int
 }
 
-func (k *keeper) offer(t *target, ready int) {
-	if ready > k.ready || ready == k.ready && k.target != nil && t.linkFree.Before(k.target.linkFree) {
-		k.target, k.ready = t, ready
+// consider takes a target with more tokens, or with as many and a link that is free
+// earlier.
+func (h *cacheHolder) consider(t *target, ready int) {
+	if ready > h.tokens || ready == h.tokens && h.target != nil && t.linkFreeAt.Before(h.target.linkFreeAt) {
+		h.target, h.tokens = t, ready
 	}
 }
 
-// keepers returns who keeps most of the prompt, of all engines and in each data
-// hall; nobody where engines do not copy. Engines that leave or give no sign are no
-// sources.
-func (c *Cell) keepers(p *routing.Prompt) (best keeper, inHall map[string]keeper) {
-	inHall = c.inHall
-	clear(inHall)
+// findHolders returns the best source for a transfer of the prompt, of all targets and in
+// each data hall. Leaving and unresponsive targets are no sources.
+func (c *Cell) findHolders(p *routing.Prompt) (best cacheHolder, byHall map[string]cacheHolder) {
+	byHall = c.holdersByHall
+	clear(byHall)
 	if c.transfer == nil {
-		return best, inHall
+		return best, byHall
 	}
 	for i := range c.views {
 		v := &c.views[i]
@@ -60,57 +57,57 @@
 		if ready == 0 {
 			continue
 		}
-		best.offer(v.target, ready)
-		k := inHall[v.target.info.DataHall]
-		k.offer(v.target, ready)
-		inHall[v.target.info.DataHall] = k
+		best.consider(v.target, ready)
+		h := byHall[v.target.info.DataHall]
+		h.consider(v.target, ready)
+		byHall[v.target.info.DataHall] = h
 	}
-	return best, inHall
+	return best, byHall
 }
 
-// transferTo returns the transfer that saves an engine the most time, or none
-// where reading is about as fast.
-func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best keeper, inHall map[string]keeper) transfer {
-	near := inHall[v.target.info.DataHall]
-	a, b := c.plan(now, v, p, missing, best), c.plan(now, v, p, missing, near)
+// transferTo returns the transfer that saves the target the most time, or none if it saves
+// little.
+func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best cacheHolder, byHall map[string]cacheHolder) transfer {
+	near := byHall[v.target.info.DataHall]
+	a, b := c.planTransfer(now, v, p, missing, best), c.planTransfer(now, v, p, missing, near)
 	if b.source != nil && (a.source == nil || v.afterTransfer(missing, b) <= v.afterTransfer(missing, a)) {
 		return b
 	}
 	return a
 }
 
-// afterTransfer returns the time until a prompt is read after a transfer.
+// afterTransfer returns the time until the prompt is copied and the rest of it is read.
 func (v *view) afterTransfer(missing int, x transfer) time.Duration {
-	return x.takes + seconds(float64(missing-x.tokens)/v.speed)
+	return x.delay + seconds(float64(missing-x.tokens)/v.speed)
 }
 
-func (c *Cell) plan(now time.Time, v *view, p *routing.Prompt, missing int, k keeper) transfer {
-	if c.transfer == nil || k.target == nil || k.target == v.target {
+func (c *Cell) planTransfer(now time.Time, v *view, p *routing.Prompt, missing int, h cacheHolder) transfer {
+	if c.transfer == nil || h.target == nil || h.target == v.target {
 		return transfer{}
 	}
-	tokens := k.ready - (p.Tokens - missing)
+	tokens := h.tokens - (p.Tokens - missing)
 	if tokens <= 0 {
 		return transfer{}
 	}
-	x := transfer{source: k.target, tokens: tokens, link: c.transfer.Time(tokens) + transferSetup}
-	if k.target.info.DataHall != v.target.info.DataHall {
-		x.link *= farFactor
+	x := transfer{source: h.target, tokens: tokens, linkTime: c.transfer.Time(tokens) + transferSetup}
+	if h.target.info.DataHall != v.target.info.DataHall {
+		x.linkTime *= crossHallFactor
 	}
-	x.takes = max(k.target.linkFree.Sub(now), v.target.linkFree.Sub(now), 0) + x.link
-	if x.takes > seconds(transferShare*float64(tokens)/v.speed) {
+	x.delay = max(h.target.linkFreeAt.Sub(now), v.target.linkFreeAt.Sub(now), 0) + x.linkTime
+	if x.delay > seconds(transferShare*float64(tokens)/v.speed) {
 		return transfer{}
 	}
 	return x
 }
 
-// cost returns what a transfer counts for in the choice of a target.
-func (x transfer) cost() time.Duration { return time.Duration(transferWeight * float64(x.link)) }
+// cost returns the weighted link time of the transfer.
+func (x transfer) cost() time.Duration { return time.Duration(transferWeight * float64(x.linkTime)) }
 
-// take reserves both engines' links for a transfer that begins now.
-func (x transfer) take(now time.Time, to *target) {
+// reserveLinks marks both links as used until the end of the transfer.
+func (x transfer) reserveLinks(now time.Time, to *target) {
 	if x.source == nil {
 		return
 	}
-	end := now.Add(x.takes)
-	x.source.linkFree, to.linkFree = end, end
+	end := now.Add(x.delay)
+	x.source.linkFreeAt, to.linkFreeAt = end, end
 }
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -11,12 +11,12 @@
 	"madderway/core/message"
 )
 
-// prefixScore puts a target that is thought to hold the prompt's prefix before
-// all others with a free slot.
+// Ranks targets that probably have the prompt's prefix in their cache before all others
+// with a free slot.
 const prefixScore = 1 << 20
 
-// dispatch gives free slots to the waiting accounts with the least virtual
-// service until no slot is free or nothing that waits may use one.
+// dispatch grants free slots to the waiting accounts with the least virtual service until
+// no slot is free or no waiting request may use one.
 func (s *Scheduler) dispatch(now time.Time, p *pool) {
 	if p == nil {
 		return
@@ -39,7 +39,7 @@
 	return granted
 }
 
-// reservedOnly tells whether the free slots are kept for interactive work.
+// reservedOnly reports whether the free slots are reserved for interactive requests.
 func (s *Scheduler) reservedOnly(now time.Time, p *pool, free int) bool {
 	if p.spec.ReserveShare <= 0 || now.Sub(p.lastInteractive) > reserveWindow {
 		return false
@@ -64,19 +64,20 @@
 			continue
 		}
 		if t := s.pickTarget(now, p, e); t != nil {
-			s.give(now, p, account, e, t, free-1, reserved)
+			s.issueGrant(now, p, account, e, t, free-1, reserved)
 			return true
 		}
 	}
 	return false
 }
 
-// pickTarget chooses the allowed target with a free slot that is in the entry
-// router's data hall, then the one with the most free slots.
+// pickTarget chooses among the allowed targets with a free slot: first one with the
+// prompt's prefix, then the one with the most free slots, then one in the entry router's
+// data hall.
 func (s *Scheduler) pickTarget(now time.Time, p *pool, e *entryDemand) *target {
 	var best *target
 	bestScore := -1
-	hall := s.halls[e.from]
+	hall := s.entryDataHalls[e.from]
 	for _, t := range p.targets {
 		free := t.free(now)
 		if free <= 0 || slices.Contains(e.deny, t.spec.Name) {
@@ -96,16 +97,16 @@
 	return best
 }
 
-func (s *Scheduler) give(now time.Time, p *pool, account string, e *entryDemand, t *target, free int, reserved bool) {
+func (s *Scheduler) issueGrant(now time.Time, p *pool, account string, e *entryDemand, t *target, free int, reserved bool) {
 	s.nextID++
-	g := &grant{to: e.from, account: account, pool: p, target: t, at: now, seenAt: now}
+	g := &grant{to: e.from, account: account, pool: p, target: t, issuedAt: now, confirmedAt: now}
 	s.grants[s.nextID] = g
 	t.inflight++
 	if e.prefix != "" {
 		t.prefixes.Note(now, e.prefix)
 	}
-	p.lastStart = math.Max(p.lastStart, p.begun(account))
-	s.takeDemand(p, account, e)
+	p.lastStart = math.Max(p.lastStart, p.settledLevel(account))
+	s.reduceDemand(p, account, e)
 	s.charge(now, g, e.cost)
 	p.requeue(now, account, s.weight(account))
 	s.Granted++
@@ -116,7 +117,7 @@
 	}})
 }
 
-func (s *Scheduler) takeDemand(p *pool, account string, e *entryDemand) {
+func (s *Scheduler) reduceDemand(p *pool, account string, e *entryDemand) {
 	e.count--
 	if e.interactive > 0 {
 		e.interactive--
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -12,33 +12,33 @@
 	"madderway/core/place"
 )
 
-// epsilon is below any charge that counts, in virtual units.
+// Smaller than any charge, in virtual units; absorbs rounding errors.
 const epsilon = 1e-6
 
 type target struct {
-	spec     TargetSpec
-	limiter  *limit.Limiter
-	prefixes *place.PrefixMap
-	inflight int
-	running  int // running is the load report's word, used only after a takeover.
-	openAt   time.Time
-	trustAt  time.Time // trustAt is when the own count of inflight is complete.
-	down     bool
-	leaving  bool
+	spec            TargetSpec
+	limiter         *limit.Limiter
+	prefixes        *place.PrefixMap
+	inflight        int
+	running         int       // from the load report; used only after a takeover
+	openFrom        time.Time // no grants before, so that adoptions can arrive
+	countCompleteAt time.Time // from then on inflight alone counts the busy slots
+	down            bool
+	leaving         bool
 }
 
 func (t *target) free(now time.Time) int {
-	if t.down || t.leaving || t.spec.Leaving || now.Before(t.openAt) {
+	if t.down || t.leaving || t.spec.Leaving || now.Before(t.openFrom) {
 		return 0
 	}
 	busy := t.inflight
-	if now.Before(t.trustAt) {
+	if now.Before(t.countCompleteAt) {
 		busy = max(busy, t.running)
 	}
 	return t.limiter.Limit() - busy
 }
 
-// entryDemand is what one entry router asks for one account.
+// entryDemand is the demand of one entry router for one account.
 type entryDemand struct {
 	from        string
 	count       int
@@ -50,7 +50,7 @@
 
 type accountDemand struct {
 	entries []*entryDemand
-	next    int // next rotates over the entries.
+	next    int // index of the next entry to serve, round robin
 }
 
 func (d *accountDemand) interactive() int {
@@ -62,48 +62,47 @@
 }
 
 type peerState struct {
-	sent    uint64 // sent is the change counter that the peer has been told.
-	waiting bool
-	floor   float64
-	heardAt time.Time
-	greeted bool
+	sentRevision uint64 // ledger revision up to which rows were sent to the peer
+	waiting      bool
+	floor        float64
+	lastTallyAt  time.Time
+	contacted    bool // a tally was sent to the peer
 }
 
 type pool struct {
-	spec            PoolSpec
-	ledger          *fair.Ledger
-	queue           *fair.Queue
-	demands         map[string]*accountDemand
-	targets         []*target
-	peers           map[fair.Reporter]*peerState
-	since           map[string]time.Time // since is when an account began to wait here.
-	inflight        map[string]float64   // inflight is what is charged for requests that run, in virtual units.
-	local           floorState
-	lastStart       float64
-	lastInteractive time.Time
-	tallyAt         time.Time
-	tallySeq        uint64
-	wasWaiting      bool
-	quiet           bool // quiet tells that nothing waits here or at a peer.
-	lastRows        int  // lastRows is how many rows the last tally had.
-}
-
-// floorState is what a scheduler knows of the virtual time from what waits at
-// itself.
-type floorState struct {
+	spec             PoolSpec
+	ledger           *fair.Ledger
+	queue            *fair.Queue
+	demands          map[string]*accountDemand
+	targets          []*target
+	peers            map[fair.Reporter]*peerState
+	waitingSince     map[string]time.Time // by account
+	inflight         map[string]float64   // charges for running requests by account, in virtual units
+	localFloor       virtualFloor         // lower bound of the virtual time from the accounts that wait here
+	lastStart        float64              // highest virtual service of an account at a grant
+	lastInteractive  time.Time
+	nextTallyAt      time.Time
+	tallySeq         uint64
+	lastTallyWaiting bool
+	idle             bool // no account waits here or at a peer
+	lastRowCount     int  // rows of the last tally
+}
+
+// virtualFloor is a lower bound of the pool's virtual time.
+type virtualFloor struct {
 	floor   float64
 	waiting bool
 }
 
 func newPool(spec PoolSpec, salt string) *pool {
 	return &pool{
-		spec:     spec,
-		ledger:   fair.NewLedger(spec.MaxDebt),
-		queue:    fair.NewQueue(salt),
-		demands:  map[string]*accountDemand{},
-		since:    map[string]time.Time{},
-		inflight: map[string]float64{},
-		peers:    map[fair.Reporter]*peerState{},
+		spec:         spec,
+		ledger:       fair.NewLedger(spec.MaxDebt),
+		queue:        fair.NewQueue(salt),
+		demands:      map[string]*accountDemand{},
+		waitingSince: map[string]time.Time{},
+		inflight:     map[string]float64{},
+		peers:        map[fair.Reporter]*peerState{},
 	}
 }
 
@@ -147,19 +146,19 @@
 	}
 }
 
-// requeue puts the account where its virtual service says, or takes it out of
-// the queue when nothing of it waits.
+// requeue updates the account's position by its virtual service, or removes an account
+// without demand.
 func (p *pool) requeue(now time.Time, account string, weight float64) {
 	ad := p.demands[account]
 	if ad == nil || len(ad.entries) == 0 {
 		delete(p.demands, account)
-		delete(p.since, account)
+		delete(p.waitingSince, account)
 		p.queue.Remove(account)
 		return
 	}
 	if !p.queue.Has(account) {
 		p.ledger.Admit(now, account)
-		p.since[account] = now
+		p.waitingSince[account] = now
 	}
 	key, gain := p.ledger.Key(account)
 	if p.spec.HeadStart > 0 && ad.interactive() > 0 {
@@ -176,43 +175,45 @@
 	return n
 }
 
-// begun is an account's key without what is charged here for requests that
-// still run: the service that it certainly had.
-func (p *pool) begun(account string) float64 { return p.ledger.Level(account) - p.inflight[account] }
+// settledLevel returns the account's virtual service without the charges for its running
+// requests, which may still be corrected.
+func (p *pool) settledLevel(account string) float64 {
+	return p.ledger.Level(account) - p.inflight[account]
+}
 
-// noteInflight adds to what is charged for an account's running requests.
-func (p *pool) noteInflight(account string, delta float64) {
+func (p *pool) addInflight(account string, delta float64) {
 	p.inflight[account] += delta
 	if p.inflight[account] < epsilon {
 		delete(p.inflight, account)
 	}
 }
 
-// updateLocal finds the least service that waits here, or the start tag of the
-// last grant where nothing does. Charges for running requests do not count: an
-// estimate that is too high would lift all others for good. Nor do accounts
-// that wait for a moment only: there is nearly always one somewhere, and it
-// would hold the floor down, which gives credit for idle time to all others.
-func (p *pool) updateLocal(now time.Time) {
-	p.local = floorState{floor: p.lastStart}
+// updateLocalFloor sets the floor to the least service of the accounts that wait here, or
+// to the start tag of the last grant if none does. Charges for running requests are left
+// out: an estimate that is too high would raise all other accounts for good. Accounts that
+// have waited for less than minFloorWait are left out as well: they would hold the floor
+// down and give all others credit for idle time.
+func (p *pool) updateLocalFloor(now time.Time) {
+	p.localFloor = virtualFloor{floor: p.lastStart}
 	p.queue.Ascend(func(account string, _ float64) bool {
-		if now.Sub(p.since[account]) < persistentAfter {
+		if now.Sub(p.waitingSince[account]) < minFloorWait {
 			return true
 		}
-		v := p.begun(account)
-		if !p.local.waiting || v < p.local.floor {
-			p.local = floorState{v, true}
+		v := p.settledLevel(account)
+		if !p.localFloor.waiting || v < p.localFloor.floor {
+			p.localFloor = virtualFloor{v, true}
 		}
 		return true
 	})
 }
 
-// raiseFloor computes the fleet's virtual time from what waits here and what
-// the peers said. Where nothing waits anywhere, the highest start tag counts.
+// raiseFloor raises the ledger's floor to the fleet's virtual time: the least floor of the
+// schedulers with waiting accounts, or the highest floor if no account waits. Peers
+// without a recent tally are ignored.
 func (p *pool) raiseFloor(now time.Time, freshness time.Duration) {
-	floor, waiting := p.local.floor, p.local.waiting
+	floor, waiting := p.localFloor.floor, p.localFloor.waiting
 	for _, peer := range p.peers {
-		if peer.heardAt.IsZero() || now.Sub(peer.heardAt) > freshness {
+		if peer.lastTallyAt.IsZero() || now.Sub(peer.lastTallyAt) > freshness {
 			continue
 		}
 		switch {
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -15,17 +15,17 @@
 	"madderway/core/place"
 )
 
-type placeEvent = place.CacheEvent
+type cacheEvent = place.CacheEvent
 
 var epoch = time.Unix(1_700_000_000, 0)
 
 const (
 	simSlots = 4
 	simStep  = 10 * time.Millisecond
-	simRate  = 100.0 // units a slot does in a second
+	simRate  = 100.0 // units that a slot serves per second
 )
 
-// simAccount is an account that always has work waiting, at one entry router.
+// simAccount is an account that always has waiting requests, at one entry router.
 type simAccount struct {
 	name     string
 	cost     func(*rand.Rand) float64
@@ -43,8 +43,7 @@
 	charged float64
 }
 
-// sim steps pure schedulers against accounts that always wait. It is a fake
-// of the sockets between them, not of a cluster: messages are function calls.
+// sim runs schedulers against accounts that always wait. Messages are function calls.
 type sim struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -54,10 +53,10 @@
 	running  []*simRunning
 	interval time.Duration
 	lossy    bool
-	cut      map[int]bool // cut are the schedulers that hear of no other.
+	isolated map[int]bool // schedulers without contact to the others
 	low      map[[2]int]float64
 	high     map[[2]int]float64
-	onlyAt   map[string]int // onlyAt pins an account to one scheduler.
+	pinnedTo map[string]int // pins an account to one scheduler
 	step     int
 }
 
@@ -68,7 +67,7 @@
 func newSim(t *testing.T, n int, interval time.Duration, accounts ...*simAccount) *sim {
 	s := &sim{
 		t: t, rng: rand.New(rand.NewSource(7)), now: epoch, accounts: accounts, interval: interval,
-		cut: map[int]bool{}, low: map[[2]int]float64{}, high: map[[2]int]float64{}, onlyAt: map[string]int{},
+		isolated: map[int]bool{}, low: map[[2]int]float64{}, high: map[[2]int]float64{}, pinnedTo: map[string]int{},
 	}
 	for i := range n {
 		s.scheds = append(s.scheds, nil)
@@ -108,7 +107,7 @@
 	}
 }
 
-// deliver carries actions out: grants start work, tallies go to the others.
+// deliver starts granted requests and sends tallies to the other schedulers.
 func (s *sim) deliver(from int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -130,13 +129,13 @@
 
 func (s *sim) tally(from int, out TallyOut) {
 	for i, sc := range s.scheds {
-		if sc.opts.Self.ID != out.To || s.cut[i] || s.cut[from] {
+		if sc.opts.Self.ID != out.To || s.isolated[i] || s.isolated[from] {
 			continue
 		}
 		ev := TallySeen{From: s.scheds[from].opts.Self, Tally: out.Tally}
 		times := 1
 		if s.lossy {
-			times = s.rng.Intn(3) // lost, once or twice
+			times = s.rng.Intn(3) // lost, delivered once or twice
 		}
 		for range times {
 			s.deliver(i, sc.Step(s.now, ev))
@@ -160,7 +159,7 @@
 func (s *sim) demand() {
 	for _, a := range s.accounts {
 		for i, sc := range s.scheds {
-			if at, pinned := s.onlyAt[a.name]; pinned && at != i {
+			if at, pinned := s.pinnedTo[a.name]; pinned && at != i {
 				continue
 			}
 			s.deliver(i, sc.Step(s.now, DemandSeen{From: "entry", Demand: message.Demand{Account: a.name, Pool: "chat", Count: 8, Cost: a.estimate}}))
@@ -230,7 +229,7 @@
 	return out
 }
 
-// The gap stays within the bound, and does not grow with time.
+// Guards against unfairness between accounts that grows over time.
 func TestGapStaysWithinBound(t *testing.T) {
 	for _, interval := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second} {
 		s := newSim(t, 5, interval, accountsOf(6)...)
@@ -239,12 +238,11 @@
 			t.Errorf("interval %v: gap %.0f over the bound %.0f", interval, s.gap(), bound)
 		}
 		if s.accounts[0].served < 1000 {
-			t.Errorf("interval %v: only %.0f units were served", interval, s.accounts[0].served)
+			t.Errorf("interval %v: only %.0f units were served, want at least 1000", interval, s.accounts[0].served)
 		}
 	}
 }
 
-// Estimates that are wrong by 100 times do not break the bound.
 func TestWrongEstimatesDoNotBreakBound(t *testing.T) {
 	accounts := accountsOf(4)
 	accounts[0].cost, accounts[0].estimate = constant(100), 1 // far too low
@@ -256,14 +254,14 @@
 	}
 }
 
-// An account is not starved by one whose requests are 1,000 times as large.
-func TestNoStarvation(t *testing.T) {
+// Guards against starvation beside an account with requests 1,000 times as large.
+func TestSmallRequestsAreNotStarved(t *testing.T) {
 	small := &simAccount{name: "small", cost: constant(1), estimate: 1, weight: 1}
 	huge := &simAccount{name: "huge", cost: constant(1000), estimate: 1000, weight: 1}
 	s := newSim(t, 3, time.Second, small, huge)
 	s.run(12_000)
 	if small.served < 0.4*huge.served {
-		t.Errorf("small got %.0f, huge %.0f", small.served, huge.served)
+		t.Errorf("small got %.0f, huge %.0f, want at least 0.4 of it", small.served, huge.served)
 	}
 }
 
@@ -274,31 +272,30 @@
 	s.run(6000)
 	got := accounts[0].served * 3 / accounts[1].served
 	if got < 2.5 || got > 3.5 {
-		t.Errorf("the account of weight 3 got %.2f times as much", got)
+		t.Errorf("the account of weight 3 got %.2f times as much, want about 3", got)
 	}
 }
 
-func TestLostAndDoubledTallies(t *testing.T) {
+func TestLostAndDuplicateTallies(t *testing.T) {
 	s := newSim(t, 4, time.Second, accountsOf(5)...)
 	s.lossy = true
 	s.run(6000)
-	// A lost report makes counters as old as two intervals, then three.
+	// Counters are two intervals old after one lost tally, three after two.
 	if bound := 3 * s.bound(100, 50); s.gap() > bound {
-		t.Errorf("gap %.0f over %.0f", s.gap(), bound)
+		t.Errorf("gap %.0f over the bound %.0f", s.gap(), bound)
 	}
 }
 
-// Each side of a partition is fair in itself; after the rejoin no service is
-// counted twice and the sums agree again.
+// Guards against counting service twice, or not at all, after a partition ends.
 func TestPartitionAndRejoin(t *testing.T) {
 	accounts := accountsOf(3)
 	s := newSim(t, 2, time.Second, accounts...)
 	s.run(1000)
-	s.cut[1] = true
-	s.onlyAt["a0"] = 1 // a0 gets all of its service behind the cut
+	s.isolated[1] = true
+	s.pinnedTo["a0"] = 1 // a0 is served only by the cut-off scheduler
 	s.run(1000)
-	delete(s.cut, 1)
-	delete(s.onlyAt, "a0")
+	delete(s.isolated, 1)
+	delete(s.pinnedTo, "a0")
 	s.run(3000)
 	for _, a := range accounts {
 		total := a.served
@@ -306,7 +303,7 @@
 			l := sc.pools["chat"].ledger
 			v := l.Virtual(a.name)
 			if math.Abs(v-total) > s.bound(100, 50) {
-				t.Errorf("scheduler %d counts %.0f for %s, true %.0f", i, v, a.name, total)
+				t.Errorf("scheduler %d counts %.0f for %s, want about %.0f", i, v, a.name, total)
 			}
 		}
 	}
@@ -315,13 +312,13 @@
 		low, high = math.Min(low, a.served), math.Max(high, a.served)
 	}
 	if high-low > s.bound(100, 50) {
-		t.Errorf("long after the rejoin accounts differ by %.0f", high-low)
+		t.Errorf("accounts differ by %.0f long after the rejoin, want less than the bound", high-low)
 	}
 }
 
-// A scheduler that starts with no memory is told the others' counters, those
-// of its own former life included.
-func TestRestartWithNoMemory(t *testing.T) {
+// Guards against losing counters at a restart, also those of the scheduler's former
+// incarnation.
+func TestRestartedSchedulerRecoversCounters(t *testing.T) {
 	s := newSim(t, 3, time.Second, accountsOf(4)...)
 	s.run(2000)
 	before := s.scheds[0].pools["chat"].ledger.Virtual("a0")
@@ -336,18 +333,18 @@
 	s.run(500)
 	after := s.scheds[2].pools["chat"].ledger.Virtual("a0")
 	if after < before {
-		t.Errorf("the restarted scheduler counts %.0f, the others had %.0f", after, before)
+		t.Errorf("the restarted scheduler counts %.0f, want at least %.0f", after, before)
 	}
 	s.run(2000)
 	if bound := 2 * s.bound(100, 50); s.gap() > bound {
-		t.Errorf("gap %.0f over %.0f", s.gap(), bound)
+		t.Errorf("gap %.0f over the bound %.0f", s.gap(), bound)
 	}
 }
 
-// Many light accounts that wait for a moment held the floor down, and an
-// account that began to wait then had credit for all the time before.
-func TestMomentaryWaitersDoNotHoldTheFloor(t *testing.T) {
-	sc, now := configuredOne(1)
+// Guards against accounts that wait briefly holding the floor down: an account that begins
+// to wait would get credit for idle time.
+func TestBriefWaitersDoNotHoldFloor(t *testing.T) {
+	sc, now := singleTarget(1)
 	sc.Step(now, LoadSeen{Target: "t0"}) // no slot is free
 	peer := reporterOf(1, 1)
 	sc.Step(now, TallySeen{From: peer, Tally: message.Tally{Pool: "chat", Seq: 1, Rows: []fair.Row{{Account: "heavy", Service: 1000}}}})
@@ -360,11 +357,11 @@
 		sc.Step(now, DemandSeen{"entry", message.Demand{Account: light, Pool: "chat"}})
 	}
 	if floor := sc.pools["chat"].ledger.Floor(); floor != 1000 {
-		t.Fatalf("the floor is %v, the backlogged account stands at 1000", floor)
+		t.Fatalf("floor %v, want the backlogged account's 1000", floor)
 	}
 }
 
-func configuredOne(slots int) (*Scheduler, time.Time) {
+func singleTarget(slots int) (*Scheduler, time.Time) {
 	sc := New(Options{Self: reporterOf(0, 1)})
 	sc.Step(epoch, Configured{
 		Pools:   []PoolSpec{{Name: "chat"}},
@@ -383,68 +380,68 @@
 	return out
 }
 
-func TestNeverOverTheLimit(t *testing.T) {
-	sc, now := configuredOne(3)
+func TestGrantsNeverExceedSlots(t *testing.T) {
+	sc, now := singleTarget(3)
 	got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 10, Cost: 1}}))
 	if len(got) != 3 {
-		t.Fatalf("%d grants for 3 slots", len(got))
+		t.Fatalf("got %d grants, want 3 for 3 slots", len(got))
 	}
 	got = grantsOf(sc.Step(now, ReportSeen{"entry", message.Report{Grant: got[0].ID, Kind: message.ReportDone, Cost: 1}}))
 	if len(got) != 1 {
-		t.Fatalf("%d grants for the slot that was freed", len(got))
+		t.Fatalf("got %d grants, want 1 for the freed slot", len(got))
 	}
 }
 
 func TestNewOwnerWaitsForAdoptions(t *testing.T) {
-	sc, open := configuredOne(2)
+	sc, open := singleTarget(2)
 	demand := DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 5, Cost: 1}}
 	if got := grantsOf(sc.Step(epoch, demand)); len(got) != 0 {
-		t.Fatalf("%d grants before the adoptions came", len(got))
+		t.Fatalf("got %d grants before the adoptions arrived, want none", len(got))
 	}
 	sc.Step(epoch, InventorySeen{"other", message.Inventory{Adopt: []message.Adoption{{Grant: 1 << 63, Account: "b", Pool: "chat", Target: "t0", Charged: 5}}}})
 	if got := grantsOf(sc.Step(open, Tick{})); len(got) != 1 {
-		t.Fatalf("%d grants beside one adopted request in 2 slots", len(got))
+		t.Fatalf("got %d grants beside one adopted request in 2 slots, want 1", len(got))
 	}
 }
 
 func TestLostGrantsAreReleased(t *testing.T) {
-	sc, now := configuredOne(1)
+	sc, now := singleTarget(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
-	if got := grantsOf(sc.Step(now.Add(UnconfirmedLimit+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
-		t.Fatalf("after the limit: %v", got)
+	if got := grantsOf(sc.Step(now.Add(UnconfirmedGrantTimeout+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
+		t.Fatalf("after the timeout: got %v, want one grant for b", got)
 	}
 }
 
-func TestDeadEntryFreesItsSlots(t *testing.T) {
-	sc, now := configuredOne(1)
+func TestGoneEntryReleasesSlots(t *testing.T) {
+	sc, now := singleTarget(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 9, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
 	if got := grantsOf(sc.Step(now, EntryGone{"gone"})); len(got) != 1 || got[0].Account != "b" {
-		t.Fatalf("got %v", got)
+		t.Fatalf("got %v, want one grant for b", got)
 	}
 }
 
-func TestLeavingOrDownTargetGetsNothing(t *testing.T) {
+func TestLeavingOrDownTargetGetsNoGrants(t *testing.T) {
 	for _, l := range []LoadSeen{{Target: "t0", Healthy: true, Leaving: true}, {Target: "t0"}} {
-		sc, now := configuredOne(2)
+		sc, now := singleTarget(2)
 		sc.Step(now, l)
 		if got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})); len(got) != 0 {
-			t.Fatalf("%+v: granted", l)
+			t.Fatalf("%+v: got a grant, want none", l)
 		}
 	}
 }
 
-func TestPrefixHintDecidesTheTarget(t *testing.T) {
+func TestPrefixHintSelectsTarget(t *testing.T) {
 	sc := New(Options{Self: reporterOf(0, 1)})
 	sc.Step(epoch, Configured{
 		Pools:   []PoolSpec{{Name: "chat"}},
 		Targets: []TargetSpec{{Name: "t0", Pool: "chat", Slots: 2}, {Name: "t1", Pool: "chat", Slots: 9}},
 	})
 	now := epoch.Add(TakeoverWait)
-	sc.Step(now, CacheSeen{"t0", []placeEvent{{Seq: 1, Prefix: "p", Stored: true}}})
+	sc.Step(now, CacheSeen{"t0", []cacheEvent{{Seq: 1, Prefix: "p", Stored: true}}})
 	got := grantsOf(sc.Step(now, DemandSeen{"entry", message.Demand{Account: "a", Pool: "chat", Count: 1, Prefix: "p"}}))
 	if len(got) != 1 || got[0].Target != "t0" {
-		t.Fatalf("got %v", got)
+		t.Fatalf("got %v, want one grant at t0", got)
 	}
 }
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -12,104 +12,105 @@
 	"madderway/core/place"
 )
 
-// Times of the grant protocol.
+// Timing of the grant protocol.
 const (
-	UnconfirmedLimit  = 20 * time.Second       // after it a grant that no inventory names is released
-	InventoryGrace    = 3 * time.Second        // a younger grant may be missing from an inventory
-	TakeoverWait      = 300 * time.Millisecond // a new owner waits for adoptions
-	TakeoverTrust     = 3 * time.Second        // so long a new owner heeds the target's own count
-	reserveWindow     = 2 * time.Second        // so long after interactive work slots stay reserved
-	fullTallyEvery    = 32                     // every so many tallies all rows are sent
-	prefixMaxAge      = 5 * time.Minute        // an older cache hint is not heeded
-	prefixMaxSize     = 512                    // cache hints kept for one target
-	tallyFreshness    = 3                      // intervals after which a peer's floor is not heeded
-	settleAge         = 12                     // tenths of an interval after which a lift is fixed
-	persistentAfter   = 500 * time.Millisecond // an account that waits for less does not hold the floor
-	defaultTally      = time.Second
-	incarnationWindow = 24 // bits of grant IDs left to the counter
+	UnconfirmedGrantTimeout = 20 * time.Second       // after it a grant missing from all inventories is released
+	InventoryGrace          = 3 * time.Second        // inventories may miss younger grants
+	TakeoverWait            = 300 * time.Millisecond // a new owner waits for adoptions before it grants
+	TakeoverCountPeriod     = 3 * time.Second        // a new owner also uses the target's own count
+	reserveWindow           = 2 * time.Second        // slots stay reserved after an interactive demand
+	fullTallyEvery          = 32                     // every so many tallies contain all rows
+	prefixMaxAge            = 5 * time.Minute        // older cache hints are ignored
+	prefixMaxSize           = 512                    // cache hints per target
+	tallyFreshnessIntervals = 3                      // older floors of a peer are ignored
+	settleAgeTenths         = 12                     // age at which the ledger settles, in tenths of a tally interval
+	minFloorWait            = 500 * time.Millisecond // accounts that have waited for less do not hold the floor
+	defaultTallyInterval    = time.Second
+	grantCounterBits        = 24 // low bits of a grant ID; the incarnation uses the next ones
 )
 
-// Options of a Scheduler.
+// Options configure a Scheduler.
 type Options struct {
 	Self          fair.Reporter
-	TallyInterval time.Duration // TallyInterval is the least time between two tallies to a peer.
-	TallyBudget   float64       // TallyBudget bounds the bytes a second spent on tallies.
+	TallyInterval time.Duration // least time between two tallies to a peer
+	TallyBudget   float64       // limit for tallies in bytes per second, 0 for none
 }
 
-// What a tally costs on the wire: its packet and headers, and each row.
+// Size of a tally on the wire: packet and headers, and each row.
 const (
-	tallyBytes    = 100
-	tallyRowBytes = 35
+	tallyOverheadBytes = 100
+	tallyRowBytes      = 35
 )
 
-// maxTally is the longest interval of tallies while accounts wait; while none
-// does it is quietTally times as long.
+// Longest interval of tallies. While no account waits, the interval is multiplied by
+// idleTallyFactor.
 const (
-	maxTally   = 2500 * time.Millisecond
-	quietTally = 4
+	maxTallyInterval = 2500 * time.Millisecond
+	idleTallyFactor  = 4
 )
 
 type grant struct {
-	to      string
-	account string
-	pool    *pool
-	target  *target
-	charged float64
-	at      time.Time
-	seenAt  time.Time
+	to          string // ID of the entry router
+	account     string
+	pool        *pool
+	target      *target
+	charged     float64
+	issuedAt    time.Time
+	confirmedAt time.Time // last report or inventory that named the grant
 }
 
-// Scheduler hands out the slots of the targets it owns.
+// Scheduler grants the slots of the targets that it owns. It is not safe for concurrent
+// use.
 type Scheduler struct {
-	opts    Options
-	pools   map[string]*pool
-	targets map[string]*target
-	grants  map[message.GrantID]*grant
-	weights map[string]float64
-	halls   map[string]string
-	nextID  message.GrantID
-	out     []Action
-	Granted uint64 // Granted counts the grants given out.
-	Expired uint64 // Expired counts the grants released without a report.
+	opts           Options
+	pools          map[string]*pool
+	targets        map[string]*target
+	grants         map[message.GrantID]*grant
+	weights        map[string]float64
+	entryDataHalls map[string]string
+	nextID         message.GrantID
+	out            []Action
+	Granted        uint64 // total number of grants
+	Expired        uint64 // grants released without a report
 }
 
-// New returns a scheduler that owns nothing.
+// New returns a scheduler that owns no targets.
 func New(opts Options) *Scheduler {
 	if opts.TallyInterval == 0 {
-		opts.TallyInterval = defaultTally
+		opts.TallyInterval = defaultTallyInterval
 	}
 	return &Scheduler{
-		opts:    opts,
-		pools:   map[string]*pool{},
-		targets: map[string]*target{},
-		grants:  map[message.GrantID]*grant{},
-		weights: map[string]float64{},
-		halls:   map[string]string{},
-		// The incarnation keeps the IDs of two lives of one router apart.
-		nextID: message.GrantID(opts.Self.Incarnation%(1<<incarnationWindow)) << incarnationWindow,
+		opts:           opts,
+		pools:          map[string]*pool{},
+		targets:        map[string]*target{},
+		grants:         map[message.GrantID]*grant{},
+		weights:        map[string]float64{},
+		entryDataHalls: map[string]string{},
+		// The incarnation keeps grant IDs unique across restarts of a router.
+		nextID: message.GrantID(opts.Self.Incarnation%(1<<grantCounterBits)) << grantCounterBits,
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step applies an event and returns the resulting actions.
 func (s *Scheduler) Step(now time.Time, ev Event) []Action {
 	s.out = nil
 	switch e := ev.(type) {
 	case Configured:
 		s.configure(now, e)
 	case DemandSeen:
-		s.demand(now, e.From, e.Demand)
+		s.applyDemand(now, e.From, e.Demand)
 	case ReportSeen:
-		s.report(now, e.From, e.Report)
+		s.applyReport(now, e.From, e.Report)
 	case InventorySeen:
-		s.inventory(now, e.From, e.Inventory)
+		s.reconcileInventory(now, e.From, e.Inventory)
 	case TallySeen:
-		s.tally(now, e.From, e.Tally)
+		s.mergeTally(now, e.From, e.Tally)
 	case LoadSeen:
-		s.load(now, e)
+		s.applyLoad(now, e)
 	case CacheSeen:
-		s.cache(now, e)
+		s.applyCacheEvents(now, e)
 	case EntryGone:
-		s.entryGone(now, e.ID)
+		s.releaseEntry(now, e.ID)
 	case Tick:
 		s.tick(now)
 	}
@@ -124,7 +125,7 @@
 }
 
 func (s *Scheduler) configure(now time.Time, c Configured) {
-	s.weights, s.halls = c.Weights, c.Halls
+	s.weights, s.entryDataHalls = c.Weights, c.EntryDataHalls
 	s.configurePools(c.Pools)
 	s.configureTargets(now, c.Targets)
 	for _, p := range s.pools {
@@ -190,11 +191,11 @@
 		s.targets[spec.Name] = t
 		p.targets = append(p.targets, t)
 	}
-	// The entry routers hand the requests in flight at a lost target to its
-	// new owner, so the grants are forgotten without settling them.
+	// Entry routers hand the running requests of a lost target to its new owner, so the
+	// grants are dropped without settling them.
 	for id, g := range s.grants {
 		if s.targets[g.target.spec.Name] != g.target {
-			g.pool.noteInflight(g.account, -g.charged/s.weight(g.account))
+			g.pool.addInflight(g.account, -g.charged/s.weight(g.account))
 			delete(s.grants, id)
 		}
 	}
@@ -208,13 +209,13 @@
 			FirstTokenGoal: spec.FirstTokenGoal,
 			TokenGapGoal:   spec.TokenGapGoal,
 		}),
-		prefixes: place.NewPrefixMap(prefixMaxAge, prefixMaxSize),
-		openAt:   now.Add(TakeoverWait),
-		trustAt:  now.Add(TakeoverTrust),
+		prefixes:        place.NewPrefixMap(prefixMaxAge, prefixMaxSize),
+		openFrom:        now.Add(TakeoverWait),
+		countCompleteAt: now.Add(TakeoverCountPeriod),
 	}
 }
 
-func (s *Scheduler) demand(now time.Time, from string, d message.Demand) {
+func (s *Scheduler) applyDemand(now time.Time, from string, d message.Demand) {
 	p := s.pools[d.Pool]
 	if p == nil {
 		return
@@ -232,7 +233,7 @@
 	g.charged = cost
 	w := s.weight(g.account)
 	g.pool.ledger.Charge(g.account, delta/w)
-	g.pool.noteInflight(g.account, delta/w)
+	g.pool.addInflight(g.account, delta/w)
 	if g.pool.queue.Has(g.account) {
 		g.pool.requeue(now, g.account, w)
 	}
@@ -240,16 +241,16 @@
 
 func (s *Scheduler) release(id message.GrantID, g *grant) {
 	delete(s.grants, id)
-	g.pool.noteInflight(g.account, -g.charged/s.weight(g.account))
+	g.pool.addInflight(g.account, -g.charged/s.weight(g.account))
 	g.target.inflight--
 }
 
-func (s *Scheduler) report(now time.Time, from string, r message.Report) {
+func (s *Scheduler) applyReport(now time.Time, from string, r message.Report) {
 	g := s.grants[r.Grant]
 	if g == nil || g.to != from {
 		return
 	}
-	g.seenAt = now
+	g.confirmedAt = now
 	switch r.Kind {
 	case message.ReportProgress:
 		if r.Cost > g.charged {
@@ -261,7 +262,7 @@
 	case message.ReportDone:
 		s.charge(now, g, r.Cost)
 		if r.Failed && r.Cost == 0 {
-			// It could not be reached; the next load report opens it again.
+			// Unreachable: the next load report reopens the target.
 			g.target.down = true
 		}
 		g.target.limiter.Observe(now, limit.Sample{FirstToken: r.FirstToken, TokenGap: r.TokenGap, Failed: r.Failed})
@@ -270,12 +271,12 @@
 	s.dispatch(now, g.pool)
 }
 
-func (s *Scheduler) inventory(now time.Time, from string, inv message.Inventory) {
+func (s *Scheduler) reconcileInventory(now time.Time, from string, inv message.Inventory) {
 	held := make(map[message.GrantID]bool, len(inv.Held))
 	for _, id := range inv.Held {
 		held[id] = true
 		if g := s.grants[id]; g != nil && g.to == from {
-			g.seenAt = now
+			g.confirmedAt = now
 		}
 	}
 	for _, a := range inv.Adopt {
@@ -283,7 +284,7 @@
 		s.adopt(now, from, a)
 	}
 	for id, g := range s.grants {
-		if g.to == from && !held[id] && now.Sub(g.at) > InventoryGrace {
+		if g.to == from && !held[id] && now.Sub(g.issuedAt) > InventoryGrace {
 			s.expire(now, id, g)
 		}
 	}
@@ -296,8 +297,8 @@
 	}
 	t.inflight++
 	p := s.pools[t.spec.Pool]
-	s.grants[a.Grant] = &grant{to: from, account: a.Account, pool: p, target: t, charged: a.Charged, at: now, seenAt: now}
-	p.noteInflight(a.Account, a.Charged/s.weight(a.Account))
+	s.grants[a.Grant] = &grant{to: from, account: a.Account, pool: p, target: t, charged: a.Charged, issuedAt: now, confirmedAt: now}
+	p.addInflight(a.Account, a.Charged/s.weight(a.Account))
 }
 
 func (s *Scheduler) expire(now time.Time, id message.GrantID, g *grant) {
@@ -306,7 +307,7 @@
 	s.dispatch(now, g.pool)
 }
 
-func (s *Scheduler) load(now time.Time, l LoadSeen) {
+func (s *Scheduler) applyLoad(now time.Time, l LoadSeen) {
 	t := s.targets[l.Target]
 	if t == nil {
 		return
@@ -315,7 +316,7 @@
 	s.dispatch(now, s.pools[t.spec.Pool])
 }
 
-func (s *Scheduler) cache(now time.Time, c CacheSeen) {
+func (s *Scheduler) applyCacheEvents(now time.Time, c CacheSeen) {
 	t := s.targets[c.Target]
 	if t == nil {
 		return
@@ -325,7 +326,7 @@
 	}
 }
 
-func (s *Scheduler) entryGone(now time.Time, id string) {
+func (s *Scheduler) releaseEntry(now time.Time, id string) {
 	for _, p := range s.pools {
 		for account, ad := range p.demands {
 			if at := ad.find(id); at >= 0 {
@@ -343,7 +344,7 @@
 
 func (s *Scheduler) tick(now time.Time) {
 	for id, g := range s.grants {
-		if now.Sub(g.seenAt) > 2*UnconfirmedLimit || g.seenAt.Equal(g.at) && now.Sub(g.at) > UnconfirmedLimit {
+		if now.Sub(g.confirmedAt) > 2*UnconfirmedGrantTimeout || g.confirmedAt.Equal(g.issuedAt) && now.Sub(g.issuedAt) > UnconfirmedGrantTimeout {
 			s.expire(now, id, g)
 		}
 	}
@@ -353,8 +354,9 @@
 	}
 }
 
-// rekey brings the order of the queue up to date when a round begins.
-func (s *Scheduler) rekey(now time.Time, p *pool) {
+// reorderQueue updates the positions of all waiting accounts at the start of a tally
+// round.
+func (s *Scheduler) reorderQueue(now time.Time, p *pool) {
 	waiting := make([]string, 0, len(p.demands))
 	for account := range p.demands {
 		waiting = append(waiting, account)
