--- a/core/overload/costs.go
+++ b/core/overload/costs.go
@@ -5,45 +5,45 @@
 
 import "time"
 
-// verdicts is how many verdicts there are.
-const verdicts = 3
+// numVerdicts is how many numVerdicts there are.
+const numVerdicts = 3
 
-// tally counts handled requests by what became of them; a verdict's place is its value less
+// verdictCounts counts handled requests by what became of them; a verdict's place is its value less
 // one.
-type tally [verdicts]float64
+type verdictCounts [numVerdicts]float64
 
-func (n *tally) add(v Verdict) { n[v-1]++ }
+func (n *verdictCounts) add(v Verdict) { n[v-1]++ }
 
-func (n *tally) sum() float64 { return n[0] + n[1] + n[2] }
+func (n *verdictCounts) sum() float64 { return n[0] + n[1] + n[2] }
 
 const (
-	// Before anything was learned a request that is served takes firstCost, and one that is
+	// Before anything was learned a request that is served takes initialServeCost, and one that is
 	// handed over or refused these parts of it. The first window of a flood corrects the
 	// former, whatever the machine; the latter hold until windows differ in their mix.
-	firstCost     = time.Millisecond
-	firstHandOver = 0.35
-	firstRefuse   = 0.25
+	initialServeCost     = time.Millisecond
+	initialHandOverRatio = 0.35
+	initialRefuseRatio   = 0.25
 	// How far the first estimates may be off, as parts of them: all together, by the strength
 	// of the machine, and each for itself.
-	commonDoubt = 3.0
-	eachDoubt   = 0.4
+	commonUncertainty = 3.0
+	ownUncertainty    = 0.4
 	// How far the costs may move in a second, as parts of them: all together, since what else
 	// runs on the machine changes, and each for itself.
 	commonDrift = 0.3
-	eachDrift   = 0.1
-	// noise is how far the time of a window may differ from the work in it, as a part of the
+	ownDrift    = 0.1
+	// measurementNoise is how far the time of a window may differ from the work in it, as a part of the
 	// window.
-	noise = 0.15
-	// mostSurprise bounds how far the time of one window is believed to differ from what was
+	measurementNoise = 0.15
+	// maxInnovation bounds how far the time of one window is believed to differ from what was
 	// expected, as a factor: a process that was stopped for a while handled nothing.
-	mostSurprise = 2.0
-	// mostCost is the most that a request is taken to cost: what else makes a process late says
+	maxInnovation = 2.0
+	// maxCost is the most that a request is taken to cost: what else makes a process late says
 	// nothing of requests. mostPart is the part of that which one costs at most that is handed
 	// over or refused.
-	mostCost = 100 * time.Millisecond
-	mostPart = 0.5
-	// leastCost is the least that a request costs, as a part of one that is served.
-	leastCost = 0.02
+	maxCost      = 100 * time.Millisecond
+	maxCostRatio = 0.5
+	// minCostRatio is the least that a request costs, as a part of one that is served.
+	minCostRatio = 0.02
 )
 
 // costs estimates how much time each kind of request takes of a process that is never idle,
@@ -51,20 +51,20 @@
 // and its length; a Kalman filter solves them, since the mix of a window says little about
 // each kind, and the costs move.
 type costs struct {
-	each tally
-	cov  [verdicts][verdicts]float64
+	each verdictCounts
+	cov  [numVerdicts][numVerdicts]float64
 }
 
 func newCosts() costs {
-	c := costs{each: tally{Serve - 1: 1, HandOver - 1: firstHandOver, Refuse - 1: firstRefuse}}
+	c := costs{each: verdictCounts{Serve - 1: 1, HandOver - 1: initialHandOverRatio, Refuse - 1: initialRefuseRatio}}
 	for i := range c.each {
-		c.each[i] *= firstCost.Seconds()
+		c.each[i] *= initialServeCost.Seconds()
 	}
 	for i, a := range c.each {
 		for j, b := range c.each {
-			c.cov[i][j] = commonDoubt * commonDoubt * a * b
+			c.cov[i][j] = commonUncertainty * commonUncertainty * a * b
 		}
-		c.cov[i][i] += eachDoubt * eachDoubt * a * a
+		c.cov[i][i] += ownUncertainty * ownUncertainty * a * a
 	}
 	return c
 }
@@ -72,7 +72,7 @@
 func (c *costs) of(v Verdict) float64 { return c.each[v-1] }
 
 // expect returns how long so many requests take.
-func (c *costs) expect(n tally) float64 {
+func (c *costs) expect(n verdictCounts) float64 {
 	sum := 0.0
 	for i, each := range c.each {
 		sum += n[i] * each
@@ -81,20 +81,20 @@
 }
 
 // learn takes that so many requests have taken a time.
-func (c *costs) learn(n tally, took, doubt float64) {
+func (c *costs) learn(n verdictCounts, took, doubt float64) {
 	expected := c.expect(n)
 	if expected <= 0 || took <= 0 {
 		return
 	}
-	took = min(max(took, expected/mostSurprise), expected*mostSurprise)
+	took = min(max(took, expected/maxInnovation), expected*maxInnovation)
 	for i, a := range c.each {
 		for j, b := range c.each {
 			c.cov[i][j] += commonDrift * commonDrift * a * b * took
 		}
-		c.cov[i][i] += eachDrift * eachDrift * a * a * took
+		c.cov[i][i] += ownDrift * ownDrift * a * a * took
 	}
-	var gain tally
-	variance := noise*noise*took*took + doubt*doubt
+	var gain verdictCounts
+	variance := measurementNoise*measurementNoise*took*took + doubt*doubt
 	for i := range n {
 		for j := range n {
 			gain[i] += c.cov[i][j] * n[j]
@@ -112,12 +112,12 @@
 
 // bound keeps the costs where they can be: none is nothing, and none is above serving.
 func (c *costs) bound() {
-	serve := min(max(c.each[Serve-1], c.each[Refuse-1], c.each[HandOver-1]), mostCost.Seconds())
+	serve := min(max(c.each[Serve-1], c.each[Refuse-1], c.each[HandOver-1]), maxCost.Seconds())
 	for i := range c.each {
 		most := serve
 		if Verdict(i+1) != Serve {
-			most = min(serve, mostPart*mostCost.Seconds())
+			most = min(serve, maxCostRatio*maxCost.Seconds())
 		}
-		c.each[i] = min(max(c.each[i], leastCost*serve), most)
+		c.each[i] = min(max(c.each[i], minCostRatio*serve), most)
 	}
 }
--- a/core/overload/overload.go
+++ b/core/overload/overload.go
@@ -56,8 +56,8 @@
 	came   arrivals
 
 	window   samples
-	handled  tally         // handled counts the requests since the window before.
-	begun    tally         // begun counts requests of which a part of the work is still to come.
+	handled  verdictCounts // handled counts the requests since the window before.
+	begun    verdictCounts // begun counts requests of which a part of the work is still to come.
 	judged   time.Time     // judged is when the window before ended.
 	lateness time.Duration // lateness is that of the window before.
 
@@ -136,7 +136,7 @@
 	late := g.window.mean()
 	g.learn(now, late)
 	g.control(now, late)
-	g.window, g.handled, g.judged, g.lateness = samples{}, tally{}, now, late
+	g.window, g.handled, g.judged, g.lateness = samples{}, verdictCounts{}, now, late
 	g.setLevel(now)
 	return before != (g.bound > 0)
 }
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -70,7 +70,7 @@
 
 // workDone returns how many requests the work of a window amounts to, with that of earlier ones
 // in it.
-func (g *Governor) workDone(length time.Duration) tally {
+func (g *Governor) workDone(length time.Duration) verdictCounts {
 	part := 1 - math.Exp(-length.Seconds()/laterTime.Seconds())
 	done := g.handled
 	for _, v := range []Verdict{Serve, HandOver} {
