--- a/core/overload/costs.go
+++ b/core/overload/costs.go
@@ -51,17 +51,17 @@
 // and its length; a Kalman filter solves them, since the mix of a window says little about
 // each kind, and the costs move.
 type costs struct {
-	each verdictCounts
-	cov  [numVerdicts][numVerdicts]float64
+	perRequest verdictCounts
+	cov        [numVerdicts][numVerdicts]float64
 }
 
 func newCosts() costs {
-	c := costs{each: verdictCounts{Serve - 1: 1, HandOver - 1: initialHandOverRatio, Refuse - 1: initialRefuseRatio}}
-	for i := range c.each {
-		c.each[i] *= initialServeCost.Seconds()
+	c := costs{perRequest: verdictCounts{Serve - 1: 1, HandOver - 1: initialHandOverRatio, Refuse - 1: initialRefuseRatio}}
+	for i := range c.perRequest {
+		c.perRequest[i] *= initialServeCost.Seconds()
 	}
-	for i, a := range c.each {
-		for j, b := range c.each {
+	for i, a := range c.perRequest {
+		for j, b := range c.perRequest {
 			c.cov[i][j] = commonUncertainty * commonUncertainty * a * b
 		}
 		c.cov[i][i] += ownUncertainty * ownUncertainty * a * a
@@ -69,26 +69,26 @@
 	return c
 }
 
-func (c *costs) of(v Verdict) float64 { return c.each[v-1] }
+func (c *costs) of(v Verdict) float64 { return c.perRequest[v-1] }
 
 // expect returns how long so many requests take.
 func (c *costs) expect(n verdictCounts) float64 {
 	sum := 0.0
-	for i, each := range c.each {
+	for i, each := range c.perRequest {
 		sum += n[i] * each
 	}
 	return sum
 }
 
-// learn takes that so many requests have taken a time.
-func (c *costs) learn(n verdictCounts, took, doubt float64) {
+// update takes that so many requests have taken a time.
+func (c *costs) update(n verdictCounts, took, doubt float64) {
 	expected := c.expect(n)
 	if expected <= 0 || took <= 0 {
 		return
 	}
 	took = min(max(took, expected/maxInnovation), expected*maxInnovation)
-	for i, a := range c.each {
-		for j, b := range c.each {
+	for i, a := range c.perRequest {
+		for j, b := range c.perRequest {
 			c.cov[i][j] += commonDrift * commonDrift * a * b * took
 		}
 		c.cov[i][i] += ownDrift * ownDrift * a * a * took
@@ -102,22 +102,22 @@
 		variance += gain[i] * n[i]
 	}
 	for i := range n {
-		c.each[i] += gain[i] / variance * (took - expected)
+		c.perRequest[i] += gain[i] / variance * (took - expected)
 		for j := range n {
 			c.cov[i][j] -= gain[i] * gain[j] / variance
 		}
 	}
-	c.bound()
+	c.clamp()
 }
 
-// bound keeps the costs where they can be: none is nothing, and none is above serving.
-func (c *costs) bound() {
-	serve := min(max(c.each[Serve-1], c.each[Refuse-1], c.each[HandOver-1]), maxCost.Seconds())
-	for i := range c.each {
+// clamp keeps the costs where they can be: none is nothing, and none is above serving.
+func (c *costs) clamp() {
+	serve := min(max(c.perRequest[Serve-1], c.perRequest[Refuse-1], c.perRequest[HandOver-1]), maxCost.Seconds())
+	for i := range c.perRequest {
 		most := serve
 		if Verdict(i+1) != Serve {
 			most = min(serve, maxCostRatio*maxCost.Seconds())
 		}
-		c.each[i] = min(max(c.each[i], minCostRatio*serve), most)
+		c.perRequest[i] = min(max(c.perRequest[i], minCostRatio*serve), most)
 	}
 }
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -131,14 +131,14 @@
 		g := New()
 		total := 0.0
 		for i, n := range asks {
-			g.asked[string(rune('a'+i))] = &count{requests: n, at: epoch}
+			g.demands[string(rune('a'+i))] = &demand{requests: n, updated: epoch}
 			total += n
 		}
-		g.bound = share * total * perSecond
-		g.setLevel(epoch)
+		g.serveRate = share * total * ratePerCount
+		g.setLevels(epoch)
 		admitted := 0.0
 		for _, n := range asks {
-			admitted += min(n, g.level)
+			admitted += min(n, g.serveLevel)
 		}
 		return admitted > share*total-1e-6 && admitted < share*total+1e-6
 	}, gen.SliceOfN(8, gen.Float64Range(1, 500)), gen.Float64Range(0.1, 0.99)))
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -55,13 +55,13 @@
 // arrivals tells how many requests a second have come of late.
 type arrivals struct{ requests, seconds float64 }
 
-// note takes how many came in a time.
-func (a *arrivals) note(requests float64, in time.Duration) {
+// add takes how many came in a time.
+func (a *arrivals) add(requests float64, in time.Duration) {
 	fade := math.Exp(-in.Seconds() / recent.Seconds())
 	a.requests, a.seconds = a.requests*fade+requests, a.seconds*fade+in.Seconds()
 }
 
-func (a *arrivals) perSecond() float64 {
+func (a *arrivals) rate() float64 {
 	if a.seconds <= 0 {
 		return 0
 	}
@@ -76,9 +76,9 @@
 	for _, v := range []Verdict{Serve, HandOver} {
 		i := v - 1
 		later := laterWork * g.handled[i]
-		ended := part * g.begun[i]
+		ended := part * g.unfinished[i]
 		done[i] += ended - later
-		g.begun[i] += later - ended
+		g.unfinished[i] += later - ended
 	}
 	return done
 }
@@ -86,10 +86,10 @@
 // control decides what part of the requests there is time for, with what waits worked off
 // meanwhile.
 func (g *Governor) control(now time.Time, late time.Duration) {
-	g.kept += (1 - math.Exp(-window.Seconds()/returnTime.Seconds())) * (g.Share() - g.kept)
-	g.total = g.countAsked(now)
-	g.bound, g.reach = 0, 0
-	if g.came.perSecond() <= 0 {
+	g.smoothedShare += (1 - math.Exp(-windowLength.Seconds()/returnTime.Seconds())) * (g.Share() - g.smoothedShare)
+	g.totalRate = g.demandRate(now)
+	g.serveRate, g.acceptRate = 0, 0
+	if g.arrivals.rate() <= 0 {
 		return
 	}
 	off := late - standing
@@ -98,18 +98,18 @@
 		ownHeld, takenHeld := g.partsOf(1, 1)
 		own, taken = max(own, hold*min(ownHeld, heldMost)), max(taken, hold*min(takenHeld, heldMost))
 	}
-	if !g.relief {
-		g.lateSince = now
+	if !g.canHandOver {
+		g.lastInTime = now
 	} else {
 		taken = max(taken, g.moves(now, late))
-		own = min(own, g.own*mostRise+leastRise)
+		own = min(own, g.servable*mostRise+leastRise)
 	}
-	if g.own = own; own >= 1 {
+	if g.servable = own; own >= 1 {
 		return
 	}
-	g.bound, g.reach = max(own, leastShare)*g.total, max(taken, leastShare)*g.total
+	g.serveRate, g.acceptRate = max(own, leastShare)*g.totalRate, max(taken, leastShare)*g.totalRate
 	if taken >= 1 {
-		g.reach = math.Inf(1)
+		g.acceptRate = math.Inf(1)
 	}
 }
 
@@ -117,9 +117,9 @@
 // hand over to.
 func (g *Governor) moves(now time.Time, late time.Duration) float64 {
 	if late < movesTo {
-		g.lateSince = now
+		g.lastInTime = now
 	}
-	if now.Sub(g.lateSince) < movesTime {
+	if now.Sub(g.lastInTime) < movesTime {
 		return 1
 	}
 	_, taken := g.partsOf(1-worksOff, 1)
@@ -130,13 +130,13 @@
 // many come in a second.
 func (g *Governor) Costs() (serve, handOver, refuse time.Duration, arriving float64) {
 	in := func(v Verdict) time.Duration { return time.Duration(g.costs.of(v) * float64(time.Second)) }
-	return in(Serve), in(HandOver), in(Refuse), g.came.perSecond()
+	return in(Serve), in(HandOver), in(Refuse), g.arrivals.rate()
 }
 
 // parts returns which parts of the requests that come can be served here, and served or handed
 // over, in so much of the process's time: both in the long run and with what is owed now.
 func (g *Governor) parts(free float64) (own, taken float64) {
-	owed := g.costs.expect(g.begun) / laterTime.Seconds()
+	owed := g.costs.expect(g.unfinished) / laterTime.Seconds()
 	own, taken = g.partsOf(free, 1)
 	ownNow, takenNow := g.partsOf(free-owed, 1-laterWork)
 	return min(own, ownNow), min(taken, takenNow)
@@ -145,8 +145,8 @@
 // partsOf is parts where so much of the work of each request counts.
 func (g *Governor) partsOf(free, counts float64) (own, taken float64) {
 	serve, handOver, refuse := counts*g.costs.of(Serve), counts*g.costs.of(HandOver), g.costs.of(Refuse)
-	come := g.came.perSecond()
-	if !g.relief {
+	come := g.arrivals.rate()
+	if !g.canHandOver {
 		own = g.largest(free, serve, refuse)
 		return own, own
 	}
@@ -160,7 +160,7 @@
 // takes so much and one that is refused so much. Those that are refused come back soon: the
 // fewer are taken, the more come.
 func (g *Governor) largest(free, take, refuse float64) float64 {
-	first := g.came.perSecond() / (1 + returns*(1-g.kept))
+	first := g.arrivals.rate() / (1 + returns*(1-g.smoothedShare))
 	fits := func(p float64) bool {
 		return first*(1+returns*(1-p))*(refuse+p*(take-refuse)) <= free
 	}
