--- a/core/overload/collapse_test.go
+++ b/core/overload/collapse_test.go
@@ -14,30 +14,30 @@
 // of a gateway of 0.19 core under a flood. A stream costs half when it is admitted, half
 // until its end; a refusal costs a third of a stream.
 const (
-	streamWork  = 250 * time.Microsecond
-	refusalWork = 85 * time.Microsecond
-	passWork    = 90 * time.Microsecond // passWork is that of passing a stream on to another gateway.
-	streamTime  = 1500 * time.Millisecond
-	streamParts = 15
-	coreShare   = 0.19
-	returnAfter = 50 * time.Millisecond // returnAfter is when a refused caller comes back, once.
-	firstAim    = time.Second           // firstAim is within what time a stream must have its first part.
+	streamWork        = 250 * time.Microsecond
+	refusalWork       = 85 * time.Microsecond
+	handOverWork      = 90 * time.Microsecond // passWork is that of passing a stream on to another gateway.
+	streamTime        = 1500 * time.Millisecond
+	streamParts       = 15
+	coreShare         = 0.19
+	retryDelay        = 50 * time.Millisecond // returnAfter is when a refused caller comes back, once.
+	firstPartDeadline = time.Second           // firstAim is within what time a stream must have its first part.
 )
 
-// piece is some work of the model's process.
-type piece struct {
+// workItem is some work of the model's process.
+type workItem struct {
 	due    time.Time
 	stream *stream // stream is nil for refusals and probes.
 	parts  int     // parts is how many parts of the stream follow.
 	probe  bool
-	caller *visit
+	caller *callerRequest
 }
 
-// visit is a caller's request, first or come back.
-type visit struct {
+// callerRequest is a caller's request, first or come back.
+type callerRequest struct {
 	account string
 	asked   time.Time
-	again   bool
+	isRetry bool
 }
 
 type stream struct {
@@ -47,28 +47,28 @@
 	work    time.Duration // work is that of all of it.
 }
 
-// flooded is a process that works off what comes in order, and probes its own lateness by
+// floodedProcess is a process that works off what comes in order, and probes its own lateness by
 // a piece of work that is sent again only after it was read.
-type flooded struct {
+type floodedProcess struct {
 	*Governor
-	refusal time.Duration // refusal is the work of a refusal.
-	t       *testing.T
-	now     time.Time
-	rng     *rand.Rand
-	later   []piece // later are pieces that are due in the future, in no order.
-	queue   []piece // queue is what is due, in order.
-	done    time.Duration
+	refusal   time.Duration // refusal is the work of a refusal.
+	t         *testing.T
+	now       time.Time
+	rng       *rand.Rand
+	scheduled []workItem // later are pieces that are due in the future, in no order.
+	queue     []workItem // queue is what is due, in order.
+	workDebt  time.Duration
 	// served counts, for each second, the streams whose first part was in time, late those
 	// that were admitted and late, asked the first requests.
 	served, late, asked map[int]map[string]int
 }
 
-func newFlooded(t *testing.T) *flooded {
-	f := &flooded{
+func newFloodedProcess(t *testing.T) *floodedProcess {
+	f := &floodedProcess{
 		Governor: New(), refusal: refusalWork, t: t, now: epoch, rng: rand.New(rand.NewPCG(3, 4)),
 		served: map[int]map[string]int{}, late: map[int]map[string]int{}, asked: map[int]map[string]int{},
 	}
-	f.later = append(f.later, piece{due: epoch, probe: true})
+	f.scheduled = append(f.scheduled, workItem{due: epoch, probe: true})
 	return f
 }
 
@@ -79,10 +79,10 @@
 	m[second][account]++
 }
 
-func (f *flooded) second(at time.Time) int { return int(at.Sub(epoch) / time.Second) }
+func (f *floodedProcess) second(at time.Time) int { return int(at.Sub(epoch) / time.Second) }
 
 // step plays a millisecond in which these accounts ask at these rates a second.
-func (f *flooded) step(rates []rate) {
+func (f *floodedProcess) step(rates []rate) {
 	f.now = f.now.Add(time.Millisecond)
 	for _, r := range rates {
 		for n := 2 * f.rng.Float64() * r.perSecond / 1000; n > 0; n-- {
@@ -90,70 +90,70 @@
 				break
 			}
 			add(f.asked, f.second(f.now), r.account)
-			f.queue = append(f.queue, piece{due: f.now, caller: &visit{r.account, f.now, false}})
+			f.queue = append(f.queue, workItem{due: f.now, caller: &callerRequest{r.account, f.now, false}})
 		}
 	}
 	f.arrive()
-	for f.done -= time.Duration(coreShare * float64(time.Millisecond)); f.done < 0 && len(f.queue) > 0; {
+	for f.workDebt -= time.Duration(coreShare * float64(time.Millisecond)); f.workDebt < 0 && len(f.queue) > 0; {
 		next := f.queue[0]
 		f.queue = f.queue[1:]
-		f.work(next)
+		f.handle(next)
 	}
-	f.done = max(f.done, -time.Duration(coreShare*float64(time.Millisecond)))
+	f.workDebt = max(f.workDebt, -time.Duration(coreShare*float64(time.Millisecond)))
 }
 
-func (f *flooded) arrive() {
-	rest := f.later[:0]
-	for _, p := range f.later {
+func (f *floodedProcess) arrive() {
+	rest := f.scheduled[:0]
+	for _, p := range f.scheduled {
 		if p.due.After(f.now) {
 			rest = append(rest, p)
 		} else {
 			f.queue = append(f.queue, p)
 		}
 	}
-	f.later = rest
+	f.scheduled = rest
 }
 
-func (f *flooded) work(p piece) {
+func (f *floodedProcess) handle(p workItem) {
 	switch {
 	case p.probe:
 		f.Observe(f.now, f.now.Sub(p.due))
-		f.later = append(f.later, piece{due: f.now.Add(25 * time.Millisecond), probe: true})
+		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(25 * time.Millisecond), probe: true})
 	case p.caller != nil:
-		f.take(p.caller)
+		f.admit(p.caller)
 	default:
-		f.part(p)
+		f.sendPart(p)
 	}
 }
 
-func (f *flooded) take(v *visit) {
+func (f *floodedProcess) admit(v *callerRequest) {
 	s := &stream{account: v.account, asked: v.asked, work: streamWork}
 	switch f.Admit(f.now, v.account, f.rng.Float64(), true) {
 	case Refuse:
-		f.done += f.refusal
-		if !v.again {
-			f.later = append(f.later, piece{due: f.now.Add(returnAfter), caller: &visit{v.account, v.asked, true}})
+		f.workDebt += f.refusal
+		if !v.isRetry {
+			f.scheduled = append(f.scheduled, workItem{due: f.now.Add(retryDelay), caller: &callerRequest{v.account, v.asked, true}})
 		}
 		return
 	case HandOver:
-		s.work = passWork
+		s.work = handOverWork
 	}
-	f.done += s.work / 2
-	f.later = append(f.later, piece{due: f.now.Add(100 * time.Millisecond), stream: s, parts: streamParts})
+	f.workDebt += s.work / 2
+	f.scheduled = append(f.scheduled, workItem{due: f.now.Add(100 * time.Millisecond), stream: s, parts: streamParts})
 }
 
-func (f *flooded) part(p piece) {
-	f.done += p.stream.work / 2 / streamParts
+func (f *floodedProcess) sendPart(p workItem) {
+	f.workDebt += p.stream.work / 2 / streamParts
 	if p.stream.first == 0 {
 		p.stream.first = f.now.Sub(p.stream.asked)
-		if p.stream.first <= firstAim {
+		if p.stream.first <= firstPartDeadline {
 			add(f.served, f.second(f.now), p.stream.account)
 		} else {
 			add(f.late, f.second(f.now), p.stream.account)
 		}
 	}
 	if p.parts > 1 {
-		f.later = append(f.later, piece{due: f.now.Add(streamTime / streamParts), stream: p.stream, parts: p.parts - 1})
+		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(streamTime / streamParts), stream: p.stream, parts: p.parts - 1})
 	}
 }
 
@@ -163,15 +163,15 @@
 	perSecond float64
 }
 
-func (f *flooded) play(seconds int, rates ...rate) {
+func (f *floodedProcess) play(seconds int, rates ...rate) {
 	for range seconds * 1000 {
 		f.step(rates)
 	}
 }
 
-// sustainable is how many streams a second the model's process can serve while it refuses
+// sustainableRate is how many streams a second the model's process can serve while it refuses
 // the rest of a flood twice.
-func sustainable(perSecond float64, refusal time.Duration) float64 {
+func sustainableRate(perSecond float64, refusal time.Duration) float64 {
 	served := 0.0
 	for p := 0.0; p < 1; p += 0.001 {
 		visits := perSecond * (2 - p)
@@ -188,11 +188,11 @@
 // goes on serving in each second most of what it can, nearly all of that in time.
 func TestFloodDoesNotCollapseService(t *testing.T) {
 	for _, perSecond := range []float64{600, 800, 1000} {
-		f := newFlooded(t)
+		f := newFloodedProcess(t)
 		const before, flood, settled = 5, 15, 3
 		f.play(before, rate{"flood", 30}, rate{"a", 10})
 		f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
-		can := sustainable(perSecond, refusalWork)
+		can := sustainableRate(perSecond, refusalWork)
 		for s := before + settled; s < before+flood; s++ {
 			served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
 			t.Logf("%.0f a second, second %d: served %d of %.0f, late %d, share %.2f", perSecond, s, served, can, late, f.Share())
@@ -216,14 +216,14 @@
 // Nothing admits less than is worked off when the costs are not known: lateness stayed at 0.3 s,
 // so that first visits (two waits) were in time and those that came back (three) late. The
 // figures of each second showed it: share 0.03 to 0.05, lateness 0.28 to 0.33 s without a trend.
-func TestHeavyFloodLeavesTimeForService(t *testing.T) {
+func TestExpensiveRefusalsLeaveTimeForService(t *testing.T) {
 	const perSecond, refusal = 1450, 58 * time.Microsecond
-	f := newFlooded(t)
+	f := newFloodedProcess(t)
 	f.refusal = refusal
 	const before, flood, settled = 5, 15, 5
 	f.play(before, rate{"flood", 30}, rate{"a", 10})
 	f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
-	can := sustainable(perSecond, refusal)
+	can := sustainableRate(perSecond, refusal)
 	for s := before + settled; s < before+flood; s++ {
 		served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
 		t.Logf("second %d: served %d of %.0f, late %d, share %.2f", s, served, can, late, f.Share())
@@ -241,7 +241,7 @@
 // lasts and after it; then the process serves all by itself again.
 func TestFloodIsHandedOver(t *testing.T) {
 	for _, perSecond := range []float64{800, 1600} {
-		f := newFlooded(t)
+		f := newFloodedProcess(t)
 		f.SetRelief(true)
 		const before, flood, after, settled = 5, 8, 10, 3
 		f.play(before, rate{"flood", 30}, rate{"a", 10})
@@ -262,7 +262,7 @@
 
 // What cannot be handed over is served while the rest is, and where the other gateways have no
 // time any more the governor refuses again.
-func TestWhatCannotBeMovedIsServed(t *testing.T) {
+func TestUnmovableRequestsAreServed(t *testing.T) {
 	g := New()
 	g.SetRelief(true)
 	now, counts := epoch, map[Verdict]int{}
--- a/core/overload/duties_test.go
+++ b/core/overload/duties_test.go
@@ -41,7 +41,7 @@
 }
 
 // A full link is a reason, too; what crosses it in a moment is not.
-func TestFullLinkEndsDuties(t *testing.T) {
+func TestFullLinkSuspendsDuties(t *testing.T) {
 	const mbps, perTick = 10.0, 12_000 // 9.6 Mbit/s
 	var d Duties
 	l, now, sent, keeps := NewLink(mbps), epoch, uint64(0), true
--- a/core/overload/floods_test.go
+++ b/core/overload/floods_test.go
@@ -14,8 +14,8 @@
 
 // shape is how a flood goes over the seconds; it tells whether it is there in one of them.
 type shape struct {
-	name  string
-	there func(second int) bool
+	name   string
+	active func(second int) bool
 }
 
 var (
@@ -32,39 +32,39 @@
 	settled   = 5
 	// calmRate is how much of what it can serve a process is asked for before and after.
 	calmRate = 0.05
-	// firstPart is how long a target takes for the first part of an answer.
-	firstPart = 100 * time.Millisecond
+	// firstPartDelay is how long a target takes for the first part of an answer.
+	firstPartDelay = 100 * time.Millisecond
 )
 
 // flood is a load on a gateway of a model machine.
 type flood struct {
-	cores   float64 // cores is the machine's part of a core.
-	times   float64 // times is how often as much is asked for as the machine can serve.
-	refusal time.Duration
-	returns int // returns is how often a refused caller comes back.
-	shape   shape
-	relief  bool
-	seed    uint64
+	cores      float64 // cores is the machine's part of a core.
+	loadFactor float64 // times is how often as much is asked for as the machine can serve.
+	refusal    time.Duration
+	retries    int // returns is how often a refused caller comes back.
+	shape      shape
+	relief     bool
+	seed       uint64
 }
 
 func (f flood) String() string {
 	return fmt.Sprintf("%.2f cores, %.1f times, refusals of %v, %d returns, %s, relief %v, seed %d",
-		f.cores, f.times, f.refusal, f.returns, f.shape.name, f.relief, f.seed)
+		f.cores, f.loadFactor, f.refusal, f.retries, f.shape.name, f.relief, f.seed)
 }
 
 // perSecond is how many callers ask in a second of the flood.
-func (f flood) perSecond() float64 { return f.times * f.cores / streamWork.Seconds() }
+func (f flood) perSecond() float64 { return f.loadFactor * f.cores / streamWork.Seconds() }
 
-// can returns how many requests a second can be served in the flood by a rule that knows all
+// capacity returns how many requests a second capacity be served in the flood by a rule that knows all
 // costs: the most that leave time for refusing the others each time that they come.
-func (f flood) can() float64 {
+func (f flood) capacity() float64 {
 	if f.relief {
 		return f.perSecond()
 	}
 	best := 0.0
 	for p := 0.0; p <= 1; p += 0.002 {
 		visits, come := 0.0, f.perSecond()
-		for range f.returns + 1 {
+		for range f.retries + 1 {
 			visits += come
 			come *= 1 - p
 		}
@@ -93,13 +93,13 @@
 type floodRun struct {
 	flood
 	*Governor
-	rng     *rand.Rand
-	now     time.Time
-	queue   []attempt
-	due     map[int64][]attempt // due is what comes at a later millisecond.
-	owed    time.Duration       // owed is work of the process beyond the time that it had.
-	probed  time.Time
-	seconds [floodTo + 4]second
+	rng      *rand.Rand
+	now      time.Time
+	queue    []attempt
+	due      map[int64][]attempt // due is what comes at a later millisecond.
+	workDebt time.Duration       // owed is work of the process beyond the time that it had.
+	probed   time.Time
+	seconds  [floodTo + 4]second
 }
 
 func (r *floodRun) at(after time.Duration, a attempt) {
@@ -123,20 +123,20 @@
 func (r *floodRun) step() {
 	r.now = r.now.Add(time.Millisecond)
 	r.ask("calm", calmRate*r.cores/streamWork.Seconds())
-	if s := r.second(r.now); s < floodTo && r.shape.there(s) {
+	if s := r.second(r.now); s < floodTo && r.shape.active(s) {
 		r.ask("flood", r.perSecond())
 	}
 	ms := r.now.Sub(epoch).Milliseconds()
 	r.queue = append(r.queue, r.due[ms]...)
 	delete(r.due, ms)
 	have := time.Duration(r.cores * float64(time.Millisecond))
-	r.owed -= have
-	for r.owed < 0 && len(r.queue) > 0 {
+	r.workDebt -= have
+	for r.workDebt < 0 && len(r.queue) > 0 {
 		next := r.queue[0]
 		r.queue = r.queue[1:]
 		r.handle(next)
 	}
-	r.owed = max(r.owed, -have)
+	r.workDebt = max(r.workDebt, -have)
 }
 
 func (r *floodRun) ask(account string, perSecond float64) {
@@ -160,39 +160,39 @@
 		r.probed = r.now.Add(25 * time.Millisecond)
 		r.at(25*time.Millisecond, a)
 	case a.part > 0:
-		r.pass(a)
+		r.sendPart(a)
 	default:
-		r.judge(a)
+		r.admit(a)
 	}
 }
 
-func (r *floodRun) judge(a attempt) {
+func (r *floodRun) admit(a attempt) {
 	account := "flood"
 	if a.calm {
 		account = "calm"
 	}
 	switch r.Admit(r.now, account, r.rng.Float64(), true) {
 	case Refuse:
-		r.owed += r.refusal
-		if a.tries++; a.tries <= r.returns {
+		r.workDebt += r.refusal
+		if a.tries++; a.tries <= r.retries {
 			r.at(time.Duration(r.rng.IntN(100))*time.Millisecond, a)
 		}
 		return
 	case HandOver:
-		a.work = passWork
+		a.work = handOverWork
 	default:
 		a.work = streamWork
 	}
-	r.owed += a.work / 2
-	a.part, a.next = streamParts, r.now.Add(firstPart)
-	r.at(firstPart, a)
+	r.workDebt += a.work / 2
+	a.part, a.next = streamParts, r.now.Add(firstPartDelay)
+	r.at(firstPartDelay, a)
 }
 
-// pass passes a part of an answer on.
-func (r *floodRun) pass(a attempt) {
-	r.owed += a.work / 2 / streamParts
+// sendPart passes a part of an answer on.
+func (r *floodRun) sendPart(a attempt) {
+	r.workDebt += a.work / 2 / streamParts
 	if s := r.second(a.first); a.part == streamParts && s < len(r.seconds) {
-		if r.now.Sub(a.first) <= firstAim {
+		if r.now.Sub(a.first) <= firstPartDeadline {
 			r.seconds[s].inTime++
 		} else {
 			r.seconds[s].late++
@@ -204,14 +204,14 @@
 	}
 }
 
-// verdict tells what is wrong with how a flood was served; empty where nothing is. Of what can be
+// failure tells what is wrong with how a flood was served; empty where nothing is. Of what can be
 // served 0.6 must be, in time, and a fifth of what is served may be late, as in the tests of single
 // floods; after a flood that ends nothing may be refused.
-func (r *floodRun) verdict() string {
+func (r *floodRun) failure() string {
 	can, inTime, late := 0.0, 0, 0
 	for s := floodFrom + settled; s < floodTo; s++ {
-		if r.shape.there(s) {
-			can += math.Min(r.can(), float64(r.seconds[s].asked))
+		if r.shape.active(s) {
+			can += math.Min(r.capacity(), float64(r.seconds[s].asked))
 			inTime += r.seconds[s].inTime
 			late += r.seconds[s].late
 		}
@@ -229,23 +229,23 @@
 
 var floods = flag.Int("floods", 40, "how many floods a test plays")
 
-// draw returns a flood of any kind that leaves a process some time to serve.
-func draw(rng *rand.Rand, returns int) flood {
+// drawFlood returns a flood of any kind that leaves a process some time to serve.
+func drawFlood(rng *rand.Rand, returns int) flood {
 	for {
 		f := flood{
-			cores:   []float64{0.12, 0.19, 0.19, 0.4, 1}[rng.IntN(5)],
-			times:   1.1 + 4*rng.Float64()*rng.Float64(),
-			refusal: time.Duration(40+rng.IntN(46)) * time.Microsecond,
-			returns: returns,
-			shape:   []shape{lasting, ending, alternating}[rng.IntN(3)],
-			relief:  rng.IntN(4) == 0,
-			seed:    rng.Uint64(),
+			cores:      []float64{0.12, 0.19, 0.19, 0.4, 1}[rng.IntN(5)],
+			loadFactor: 1.1 + 4*rng.Float64()*rng.Float64(),
+			refusal:    time.Duration(40+rng.IntN(46)) * time.Microsecond,
+			retries:    returns,
+			shape:      []shape{lasting, ending, alternating}[rng.IntN(3)],
+			relief:     rng.IntN(4) == 0,
+			seed:       rng.Uint64(),
 		}
-		leaves := f.can() >= 0.15*f.cores/streamWork.Seconds()
+		leaves := f.capacity() >= 0.15*f.cores/streamWork.Seconds()
 		if f.relief {
-			leaves = f.times < 2
+			leaves = f.loadFactor < 2
 		}
-		if leaves && f.times*f.cores < 2.5 {
+		if leaves && f.loadFactor*f.cores < 2.5 {
 			return f
 		}
 	}
@@ -254,8 +254,8 @@
 func playFloods(t *testing.T, returns ...int) {
 	rng := rand.New(rand.NewPCG(17, 4))
 	for i := range *floods {
-		f := draw(rng, returns[i%len(returns)])
-		if wrong := f.play().verdict(); wrong != "" {
+		f := drawFlood(rng, returns[i%len(returns)])
+		if wrong := f.play().failure(); wrong != "" {
 			t.Errorf("%v: %s", f, wrong)
 		}
 	}
@@ -267,9 +267,9 @@
 // tell what the requests that it admits will cost, nor what refusing the others does: it left 0.1
 // to 0.3 s of work behind when a flood began, and what refusals left of the processor did not
 // suffice to work that off, so that all who came back had their answers late.
-func TestFloodsOfManyKinds(t *testing.T) { playFloods(t, 0, 1) }
+func TestRandomFloods(t *testing.T) { playFloods(t, 0, 1) }
 
 // The same where callers come back twice. Two more requests follow each refusal, one more than the
 // governor reckons with: where refusals take nearly all of the processor it admits too much at
 // first, and what waits then is worked off too slowly.
-func TestFloodsOfCallersWhoComeBackTwice(t *testing.T) { playFloods(t, 2) }
+func TestRandomFloodsWithTwoRetries(t *testing.T) { playFloods(t, 2) }
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -69,7 +69,7 @@
 
 // A process that is asked for twice what it can do comes to its work in time
 // all the same, and still serves most of what it can.
-func TestOverloadedProcessStaysInTime(t *testing.T) {
+func TestOverloadKeepsLatenessBounded(t *testing.T) {
 	m := newMachine(200)
 	m.play(20*time.Second, map[string]float64{"flood": 350, "a": 25, "b": 25}, []string{"flood", "a", "b"})
 	t.Logf("asked %v, admitted %v, worst %v, share %.2f", m.asked, m.admitted, m.worst, m.Share())
@@ -89,7 +89,7 @@
 
 // Who is asked for what he can do refuses nothing, and refusing ends when the
 // flood does.
-func TestCalmProcessRefusesNothing(t *testing.T) {
+func TestNoRefusalsWithoutOverload(t *testing.T) {
 	m := newMachine(200)
 	m.play(10*time.Second, map[string]float64{"a": 70, "b": 50}, []string{"a", "b"})
 	if m.Refused() != 0 {
@@ -108,7 +108,7 @@
 }
 
 // A single long pause, as the collector makes it, is no overload.
-func TestOnePauseIsNoOverload(t *testing.T) {
+func TestSinglePauseIsNotOverload(t *testing.T) {
 	g := New()
 	now := epoch
 	for i := range 100 {
