--- a/core/overload/collapse_test.go
+++ b/core/overload/collapse_test.go
@@ -195,7 +195,7 @@
 		can := sustainableRate(perSecond, refusalWork)
 		for s := before + settled; s < before+flood; s++ {
 			served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-			t.Logf("%.0f a second, second %d: served %d of %.0f, late %d, share %.2f", perSecond, s, served, can, late, f.Share())
+			t.Logf("%.0f a second, second %d: served %d of %.0f, late %d, share %.2f", perSecond, s, served, can, late, f.AcceptedShare())
 			if float64(served) < 0.6*can {
 				t.Errorf("%.0f a second: %d served in second %d of the flood, it can serve %.0f", perSecond, served, s-before, can)
 			}
@@ -226,7 +226,7 @@
 	can := sustainableRate(perSecond, refusal)
 	for s := before + settled; s < before+flood; s++ {
 		served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-		t.Logf("second %d: served %d of %.0f, late %d, share %.2f", s, served, can, late, f.Share())
+		t.Logf("second %d: served %d of %.0f, late %d, share %.2f", s, served, can, late, f.AcceptedShare())
 		if float64(served) < 0.6*can {
 			t.Errorf("%d served in second %d of the flood, it can serve %.0f", served, s-before, can)
 		}
@@ -242,7 +242,7 @@
 func TestFloodIsHandedOver(t *testing.T) {
 	for _, perSecond := range []float64{800, 1600} {
 		f := newFloodedProcess(t)
-		f.SetRelief(true)
+		f.SetHandOverAvailable(true)
 		const before, flood, after, settled = 5, 8, 10, 3
 		f.play(before, rate{"flood", 30}, rate{"a", 10})
 		f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
@@ -254,7 +254,7 @@
 				t.Errorf("%.0f a second: %d served in second %d of the flood, %d late", perSecond, served, s-before, late)
 			}
 		}
-		if f.Own() < 1 {
+		if f.ServedShare() < 1 {
 			t.Errorf("%.0f a second: still hands over ten seconds after the flood", perSecond)
 		}
 	}
@@ -264,7 +264,7 @@
 // time any more the governor refuses again.
 func TestUnmovableRequestsAreServed(t *testing.T) {
 	g := New()
-	g.SetRelief(true)
+	g.SetHandOverAvailable(true)
 	now, counts := epoch, map[Verdict]int{}
 	flood := func(seconds int, movable bool) {
 		clear(counts)
@@ -281,7 +281,7 @@
 	if v := g.Admit(now, "flood", 0.99, false); v != Serve {
 		t.Errorf("what cannot be moved ends as %d", v)
 	}
-	g.SetRelief(false)
+	g.SetHandOverAvailable(false)
 	flood(1, true)
 	if counts[HandOver] > 150 || counts[Refuse] < 700 {
 		t.Errorf("without another gateway %v", counts)
--- a/core/overload/floods_test.go
+++ b/core/overload/floods_test.go
@@ -110,7 +110,7 @@
 // play returns what has become of callers, by the second in which they asked.
 func (f flood) play() *floodRun {
 	r := &floodRun{flood: f, Governor: New(), rng: rand.New(rand.NewPCG(f.seed, 9)), now: epoch, due: map[int64][]attempt{}}
-	r.SetRelief(f.relief)
+	r.SetHandOverAvailable(f.relief)
 	r.probed = epoch
 	r.queue = append(r.queue, attempt{probe: true})
 	for range len(r.seconds) * 1000 {
@@ -221,7 +221,7 @@
 		return fmt.Sprintf("%d served in time of %.0f", inTime, can)
 	case late > (inTime+late)/5:
 		return fmt.Sprintf("%d served late, %d in time", late, inTime)
-	case r.Own() < 1:
+	case r.ServedShare() < 1:
 		return "still refuses four seconds after the flood"
 	}
 	return ""
--- a/core/overload/overload.go
+++ b/core/overload/overload.go
@@ -119,8 +119,8 @@
 	return &Governor{demands: map[string]*demand{}, costs: newCosts(), servable: 1, smoothedShare: 1, serveLevel: math.Inf(1), acceptLevel: math.Inf(1)}
 }
 
-// SetRelief tells whether there is another gateway to hand requests over to.
-func (g *Governor) SetRelief(there bool) { g.canHandOver = there }
+// SetHandOverAvailable tells whether there is another gateway to hand requests over to.
+func (g *Governor) SetHandOverAvailable(there bool) { g.canHandOver = there }
 
 // Observe takes how late the process has come to its work, or how long it has not come to
 // it yet. It reports whether what is admitted has changed between all and less than all.
@@ -244,16 +244,16 @@
 	return math.Inf(1)
 }
 
-// Share returns the part of what is asked that is not refused.
-func (g *Governor) Share() float64 {
+// AcceptedShare returns the part of what is asked that is not refused.
+func (g *Governor) AcceptedShare() float64 {
 	if !g.canHandOver {
-		return g.Own()
+		return g.ServedShare()
 	}
 	return g.admitted(g.acceptRate)
 }
 
-// Own returns the part of what is asked that there is time to serve here.
-func (g *Governor) Own() float64 { return g.admitted(g.serveRate) }
+// ServedShare returns the part of what is asked that there is time to serve here.
+func (g *Governor) ServedShare() float64 { return g.admitted(g.serveRate) }
 
 // admitted returns what part of all that is asked a bound lets through.
 func (g *Governor) admitted(bound float64) float64 {
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -72,7 +72,7 @@
 func TestOverloadKeepsLatenessBounded(t *testing.T) {
 	m := newMachine(200)
 	m.play(20*time.Second, map[string]float64{"flood": 350, "a": 25, "b": 25}, []string{"flood", "a", "b"})
-	t.Logf("asked %v, admitted %v, worst %v, share %.2f", m.asked, m.admitted, m.worst, m.Share())
+	t.Logf("asked %v, admitted %v, worst %v, share %.2f", m.asked, m.admitted, m.worst, m.AcceptedShare())
 	if m.worst > 400*time.Millisecond {
 		t.Errorf("up to %v late", m.worst)
 	}
@@ -102,8 +102,8 @@
 	m.play(10*time.Second, map[string]float64{"a": 50, "b": 50}, []string{"a", "b"})
 	before := m.Refused()
 	m.play(5*time.Second, map[string]float64{"a": 50, "b": 50}, []string{"a", "b"})
-	if m.Refused() != before || m.Share() < 1 {
-		t.Errorf("still refuses long after the flood: share %.2f", m.Share())
+	if m.Refused() != before || m.AcceptedShare() < 1 {
+		t.Errorf("still refuses long after the flood: share %.2f", m.AcceptedShare())
 	}
 }
 
@@ -117,7 +117,7 @@
 		if i%30 == 0 {
 			lateness = 100 * time.Millisecond
 		}
-		if g.Observe(now, lateness) || g.Share() < 1 {
+		if g.Observe(now, lateness) || g.AcceptedShare() < 1 {
 			t.Fatalf("overloaded after %d ticks", i)
 		}
 	}
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -86,7 +86,7 @@
 // control decides what part of the requests there is time for, with what waits worked off
 // meanwhile.
 func (g *Governor) control(now time.Time, late time.Duration) {
-	g.smoothedShare += (1 - math.Exp(-windowLength.Seconds()/retryTime.Seconds())) * (g.Share() - g.smoothedShare)
+	g.smoothedShare += (1 - math.Exp(-windowLength.Seconds()/retryTime.Seconds())) * (g.AcceptedShare() - g.smoothedShare)
 	g.totalRate = g.demandRate(now)
 	g.serveRate, g.acceptRate = 0, 0
 	if g.arrivals.rate() <= 0 {
--- a/services/forward/guard.go
+++ b/services/forward/guard.go
@@ -93,10 +93,10 @@
 	}
 	g.mu.Lock()
 	g.second.note(lateness, queued)
-	g.governor.SetRelief(relief)
+	g.governor.SetHandOverAvailable(relief)
 	use := g.link.Observe(now, sent, received)
 	changed := g.governor.Observe(now, max(lateness, queued))
-	share, own, refused := g.governor.Share(), g.governor.Own(), g.governor.Refused()
+	share, own, refused := g.governor.AcceptedShare(), g.governor.ServedShare(), g.governor.Refused()
 	g.strained.Store(own < 1)
 	keepsUp, moved := g.duties.Observe(now, own, use)
 	g.mu.Unlock()
@@ -146,7 +146,7 @@
 // returnAfter returns when a request that was refused may come back.
 func (g *Guard) returnAfter() time.Duration {
 	g.mu.Lock()
-	share := g.governor.Share()
+	share := g.governor.AcceptedShare()
 	g.mu.Unlock()
 	after := min(time.Duration(float64(workSpan)*(1-share)/share), returnMost)
 	if share >= worthShare {
@@ -163,7 +163,7 @@
 	l := g.second
 	g.second = latenessSecond{}
 	serve, handOver, refuse, arriving := g.governor.Costs()
-	return []any{"arriving", math.Round(arriving), "serve_takes", serve.Round(time.Microsecond), "hand_over_takes", handOver.Round(time.Microsecond), "refuse_takes", refuse.Round(time.Microsecond), "share", percent(g.governor.Share()), "own", percent(g.governor.Own()), "late_mean", l.mean().Round(time.Millisecond), "late_worst", l.worst.Round(time.Millisecond), "hand_over_queued", l.queued.Round(time.Millisecond)}
+	return []any{"arriving", math.Round(arriving), "serve_takes", serve.Round(time.Microsecond), "hand_over_takes", handOver.Round(time.Microsecond), "refuse_takes", refuse.Round(time.Microsecond), "share", percent(g.governor.AcceptedShare()), "own", percent(g.governor.ServedShare()), "late_mean", l.mean().Round(time.Millisecond), "late_worst", l.worst.Round(time.Millisecond), "hand_over_queued", l.queued.Round(time.Millisecond)}
 }
 
 // percent rounds a share to hundredths, for log lines.
@@ -174,7 +174,7 @@
 
 func (g *Guard) writeMetrics(w io.Writer) {
 	g.mu.Lock()
-	share, own, refused := g.governor.Share(), g.governor.Own(), g.governor.Refused()
+	share, own, refused := g.governor.AcceptedShare(), g.governor.ServedShare(), g.governor.Refused()
 	g.mu.Unlock()
 	sent, received := g.opts.Bytes()
 	fmt.Fprintf(w, "madderway_gateway_bytes_total{direction=\"sent\"} %d\nmadderway_gateway_bytes_total{direction=\"received\"} %d\n", sent, received)
