--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -21,8 +21,8 @@
 
 type peer struct {
 	Peer
-	open  int // open is how many requests are under way there from here.
-	avoid time.Time
+	inFlight   int // open is how many requests are under way there from here.
+	avoidUntil time.Time
 }
 
 // Chooser knows the gateways that may take requests over.
@@ -52,7 +52,7 @@
 // Available tells whether there is a gateway to choose.
 func (c *Chooser) Available(now time.Time) bool {
 	for _, p := range c.peers {
-		if !now.Before(p.avoid) {
+		if !now.Before(p.avoidUntil) {
 			return true
 		}
 	}
@@ -64,25 +64,25 @@
 func (c *Chooser) Choose(now time.Time, draw func() float64) (id string, ok bool) {
 	total := 0.0
 	for _, p := range c.peers {
-		if !now.Before(p.avoid) {
+		if !now.Before(p.avoidUntil) {
 			total += p.Strength
 		}
 	}
 	if total == 0 {
 		return "", false
 	}
-	first, second := c.at(now, draw()*total), c.at(now, draw()*total)
-	if float64(second.open)/second.Strength < float64(first.open)/first.Strength {
+	first, second := c.peerAt(now, draw()*total), c.peerAt(now, draw()*total)
+	if float64(second.inFlight)/second.Strength < float64(first.inFlight)/first.Strength {
 		first = second
 	}
 	return first.ID, true
 }
 
-// at returns the gateway at a point of the sum of all strengths.
-func (c *Chooser) at(now time.Time, point float64) *peer {
+// peerAt returns the gateway peerAt a point of the sum of all strengths.
+func (c *Chooser) peerAt(now time.Time, point float64) *peer {
 	var last *peer
 	for _, p := range c.peers {
-		if now.Before(p.avoid) {
+		if now.Before(p.avoidUntil) {
 			continue
 		}
 		last = p
@@ -96,20 +96,20 @@
 // Began counts a request that is handed over.
 func (c *Chooser) Began(id string) {
 	if p := c.byID[id]; p != nil {
-		p.open++
+		p.inFlight++
 	}
 }
 
 // Ended counts that a request which was handed over has ended.
 func (c *Chooser) Ended(id string) {
-	if p := c.byID[id]; p != nil && p.open > 0 {
-		p.open--
+	if p := c.byID[id]; p != nil && p.inFlight > 0 {
+		p.inFlight--
 	}
 }
 
 // Failed tells that a gateway could not be reached.
 func (c *Chooser) Failed(now time.Time, id string) {
 	if p := c.byID[id]; p != nil {
-		p.avoid = now.Add(avoidFor)
+		p.avoidUntil = now.Add(avoidFor)
 	}
 }
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -24,7 +24,7 @@
 }
 
 // Work goes by strength: who is four times as strong has about four times as much.
-func TestStrongerPeersTakeMore(t *testing.T) {
+func TestStrongerPeersGetMoreRequests(t *testing.T) {
 	c, rng := chooser(map[string]float64{"a": 0.2, "b": 0.8, "c": 0.2}), rand.New(rand.NewPCG(1, 2))
 	got := map[string]int{}
 	for range 1200 {
@@ -42,7 +42,7 @@
 
 // Who answers slowly has more under way and gets less: only what both draws give it, a
 // quarter of all where there are two.
-func TestSlowPeerGetsLess(t *testing.T) {
+func TestSlowPeerGetsFewerRequests(t *testing.T) {
 	c, rng := chooser(map[string]float64{"a": 0.2, "b": 0.2}), rand.New(rand.NewPCG(1, 2))
 	got := map[string]int{}
 	for range 400 {
@@ -60,7 +60,7 @@
 
 // Who could not be reached is left out for a while; where that holds for all there is
 // nobody to choose.
-func TestUnreachablePeersAreAvoided(t *testing.T) {
+func TestUnreachablePeersAreSkipped(t *testing.T) {
 	c, rng := chooser(map[string]float64{"a": 0.2, "b": 0.2}), rand.New(rand.NewPCG(1, 2))
 	c.Failed(start, "a")
 	for range 50 {
@@ -78,7 +78,7 @@
 }
 
 // A new list keeps what is under way to those that stay, and forgets the others.
-func TestNewListKeepsWhatIsUnderWay(t *testing.T) {
+func TestSetPeersKeepsInFlightCounts(t *testing.T) {
 	c := chooser(map[string]float64{"a": 0.2, "b": 0.2})
 	for range 5 {
 		c.Began("a")
@@ -86,7 +86,7 @@
 	}
 	c.SetPeers([]Peer{{"b", 0.8}, {"c", 0.2}})
 	c.Ended("a") // it is not known any more
-	if c.byID["b"].open != 5 || c.byID["b"].Strength != 0.8 || c.byID["c"].open != 0 {
+	if c.byID["b"].inFlight != 5 || c.byID["b"].Strength != 0.8 || c.byID["c"].inFlight != 0 {
 		t.Errorf("%+v", c.byID)
 	}
 	if _, ok := New().Choose(start, rand.Float64); ok {
