--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// factor is how much more than what is accepted is asked for, so that an
+	// acceptFactor is how much more than what is accepted is asked for, so that an
 	// account gets more as soon as there is more.
-	factor = 2
+	acceptFactor = 2
 	// slack lets accounts that ask for little through.
 	slack = 40
-	// half is the time in which what was counted fades to a half.
-	half = time.Second
-	// forget is the count below which an account is forgotten.
-	forget = 0.01
+	// halfLife is the time in which what was counted fades to a halfLife.
+	halfLife = time.Second
+	// minRequests is the count below which an account is forgotten.
+	minRequests = 0.01
 )
 
 type account struct {
-	asked, accepted float64
-	at              time.Time
+	requests, accepts float64
+	updated           time.Time
 }
 
-func (a *account) fade(now time.Time) {
-	if since := now.Sub(a.at); since > 0 {
-		f := math.Exp2(-float64(since) / float64(half))
-		a.asked *= f
-		a.accepted *= f
-		a.at = now
+func (a *account) decay(now time.Time) {
+	if since := now.Sub(a.updated); since > 0 {
+		f := math.Exp2(-float64(since) / float64(halfLife))
+		a.requests *= f
+		a.accepts *= f
+		a.updated = now
 	}
 }
 
 // Throttle counts what each account of one gateway asks for and is given. It is
 // not safe for concurrent use.
 type Throttle struct {
-	accounts map[string]*account
-	swept    time.Time
+	accounts  map[string]*account
+	lastSweep time.Time
 }
 
 // New returns a throttle that has counted nothing.
@@ -52,10 +52,10 @@
 func (t *Throttle) account(now time.Time, name string) *account {
 	a := t.accounts[name]
 	if a == nil {
-		a = &account{at: now}
+		a = &account{updated: now}
 		t.accounts[name] = a
 	}
-	a.fade(now)
+	a.decay(now)
 	return a
 }
 
@@ -64,30 +64,30 @@
 func (t *Throttle) Admit(now time.Time, name string, draw float64) bool {
 	t.sweep(now)
 	a := t.account(now, name)
-	refuse := (a.asked - factor*a.accepted) / (a.asked + slack)
-	a.asked++
+	refuse := (a.requests - acceptFactor*a.accepts) / (a.requests + slack)
+	a.requests++
 	return draw >= refuse
 }
 
 // Accepted counts a request that was placed.
-func (t *Throttle) Accepted(now time.Time, name string) { t.account(now, name).accepted++ }
+func (t *Throttle) Accepted(now time.Time, name string) { t.account(now, name).accepts++ }
 
 // Disregard takes a counted request back that is refused for a reason of its own: it is no
 // demand that the account's other requests should pay for.
 func (t *Throttle) Disregard(now time.Time, name string) {
 	a := t.account(now, name)
-	a.asked = max(a.asked-1, 0)
+	a.requests = max(a.requests-1, 0)
 }
 
 // sweep forgets accounts that have asked for nothing for long.
 func (t *Throttle) sweep(now time.Time) {
-	if now.Sub(t.swept) < 10*half {
+	if now.Sub(t.lastSweep) < 10*halfLife {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for name, a := range t.accounts {
-		a.fade(now)
-		if a.asked < forget {
+		a.decay(now)
+		if a.requests < minRequests {
 			delete(t.accounts, name)
 		}
 	}
--- a/core/throttle/throttle_test.go
+++ b/core/throttle/throttle_test.go
@@ -34,7 +34,7 @@
 	return asked, admitted, accepted
 }
 
-func TestFloodIsCutToAMultiple(t *testing.T) {
+func TestFloodIsLimitedToMultipleOfAccepted(t *testing.T) {
 	asked, admitted, accepted := play(2000, 50)
 	if float64(accepted) < 0.85*50*10 {
 		t.Errorf("%d were accepted of a capacity of 500", accepted)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestWhoIsServedIsNotTouched(t *testing.T) {
+func TestServedAccountIsNotThrottled(t *testing.T) {
 	for _, rate := range []float64{1, 20, 500} {
 		if asked, admitted, _ := play(rate, 10_000); admitted != asked {
 			t.Errorf("at %v a second %d of %d were admitted with room for all", rate, admitted, asked)
@@ -52,14 +52,14 @@
 	}
 }
 
-func TestSmallAccountsAreLetThrough(t *testing.T) {
+func TestSmallAccountIsRarelyThrottled(t *testing.T) {
 	asked, admitted, _ := play(10, 2)
 	if admitted < asked*7/10 {
 		t.Errorf("%d of %d requests of a small account were admitted", admitted, asked)
 	}
 }
 
-func TestAccountsAreApartAndForgotten(t *testing.T) {
+func TestAccountsAreIndependentAndExpire(t *testing.T) {
 	th := New()
 	for range 1000 {
 		th.Admit(start, "flood", 1)
@@ -81,7 +81,7 @@
 
 // An account's requests that are refused for what they did are no demand that was not met:
 // its other requests are asked for as before.
-func TestDisregardedRequestsAreNoFlood(t *testing.T) {
+func TestDisregardedRequestsDoNotThrottle(t *testing.T) {
 	th := New()
 	now := time.Unix(1_700_000_000, 0)
 	for range 1000 {
