--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -34,9 +34,9 @@
 
 // Limiter holds the current limit of one target.
 type Limiter struct {
-	cfg      Config
-	limit    float64
-	lastDrop time.Time
+	cfg          Config
+	limit        float64
+	lastDecrease time.Time
 }
 
 // New returns a limiter that starts at the ceiling.
@@ -71,7 +71,7 @@
 // Observe takes the sample of one finished request.
 func (l *Limiter) Observe(now time.Time, s Sample) {
 	if l.overloaded(s) {
-		l.drop(now)
+		l.decrease(now)
 		return
 	}
 	l.limit = min(l.limit+1/l.limit, float64(l.cfg.Ceiling))
@@ -87,10 +87,10 @@
 	return l.cfg.TokenGapGoal > 0 && s.TokenGap > l.cfg.TokenGapGoal
 }
 
-func (l *Limiter) drop(now time.Time) {
-	if !l.lastDrop.IsZero() && now.Sub(l.lastDrop) < l.cfg.Cooldown {
+func (l *Limiter) decrease(now time.Time) {
+	if !l.lastDecrease.IsZero() && now.Sub(l.lastDecrease) < l.cfg.Cooldown {
 		return
 	}
-	l.lastDrop = now
+	l.lastDecrease = now
 	l.limit = max(l.limit*l.cfg.Backoff, float64(l.cfg.Floor))
 }
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestAdapts(t *testing.T) {
+func TestLimitAdaptsToSamples(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := New(Config{Ceiling: 10, FirstTokenGoal: time.Second, TokenGapGoal: 50 * time.Millisecond})
 	for _, s := range []Sample{{FirstToken: 2 * time.Second}, {TokenGap: time.Second}, {Failed: true}} {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestNeverBelowOne(t *testing.T) {
+func TestLimitStaysAtLeastOne(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := New(Config{Ceiling: 2})
 	for range 50 {
