--- a/core/budget/window_test.go
+++ b/core/budget/window_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowExpiresOldRetries(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	w := NewWindow(10*time.Second, 0)
 	for range 3 {
