--- a/core/budget/window.go
+++ b/core/budget/window.go
@@ -42,12 +42,12 @@
 	return int(w.newest % (windowSlots + 1))
 }
 
-// First records a first send.
-func (w *Window) First(now time.Time) { w.attempts[w.advance(now)]++ }
+// Attempt records a first send.
+func (w *Window) Attempt(now time.Time) { w.attempts[w.advance(now)]++ }
 
-// Again takes one repeat where the window allows it; extra is how many this
+// Retry takes one repeat where the window allows it; extra is how many this
 // gateway may make beyond the ratio.
-func (w *Window) Again(now time.Time, extra float64) bool {
+func (w *Window) Retry(now time.Time, extra float64) bool {
 	i := w.advance(now)
 	first, again := 0, 0
 	for j := range w.attempts {
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -133,7 +133,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	extra := budgetShare * s.opts.Retry.Extra / float64(s.opts.Mesh.Members())
-	ok := s.window(service).Again(s.opts.Clock.Now(), extra)
+	ok := s.window(service).Retry(s.opts.Clock.Now(), extra)
 	if !ok {
 		s.counters.budgetSpent.Inc()
 	}
@@ -143,7 +143,7 @@
 func (s *Service) first(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.window(service).First(s.opts.Clock.Now())
+	s.window(service).Attempt(s.opts.Clock.Now())
 }
 
 func (s *Service) window(service string) *budget.Window {
