--- a/core/admit/ask.go
+++ b/core/admit/ask.go
@@ -17,31 +17,31 @@
 	q.hints[pool][scheduler] = hint{free, now}
 }
 
-// ask keeps the schedulers' view of a queue good enough: a scheduler that has
+// updateDemands keeps the schedulers' view of a queue good enough: a scheduler that has
 // granted all that it was told of hears of the rest, one that was asked for
 // requests that are gone hears so a little later.
-func (q *Queuer) ask(now time.Time, qu *queue) {
+func (q *Queuer) updateDemands(now time.Time, qu *queue) {
 	if qu.tree.Len() == 0 {
-		q.takeBack(now, qu)
+		q.withdrawDemands(now, qu)
 		return
 	}
-	if len(qu.asked) == 0 {
-		q.askMore(now, qu, 1)
+	if len(qu.demands) == 0 {
+		q.addSchedulers(now, qu, 1)
 	}
 	interactive := qu.interactive > 0
-	for id, a := range qu.asked {
-		a.cleanupAt = time.Time{}
-		fresh := now.Sub(a.toldAt) < demandRefresh
+	for id, a := range qu.demands {
+		a.withdrawAt = time.Time{}
+		fresh := now.Sub(a.sentAt) < demandRefreshInterval
 		if a.remaining > 0 && a.interactive == interactive && fresh {
 			continue
 		}
-		q.tell(now, qu, id, a)
+		q.sendDemand(now, qu, id, a)
 	}
 }
 
-func (q *Queuer) tell(now time.Time, qu *queue, id string, a *asked) {
-	a.toldAt = now
-	count := min(qu.tree.Len(), demandCap)
+func (q *Queuer) sendDemand(now time.Time, qu *queue, id string, a *demandState) {
+	a.sentAt = now
+	count := min(qu.tree.Len(), maxDemandCount)
 	a.remaining, a.interactive = count, qu.interactive > 0
 	head := qu.head()
 	q.emit(DemandOut{To: id, Demand: message.Demand{
@@ -50,20 +50,20 @@
 	}})
 }
 
-func (q *Queuer) takeBack(now time.Time, qu *queue) {
-	for id, a := range qu.asked {
+func (q *Queuer) withdrawDemands(now time.Time, qu *queue) {
+	for id, a := range qu.demands {
 		if a.remaining == 0 {
-			delete(qu.asked, id)
+			delete(qu.demands, id)
 			continue
 		}
-		if a.cleanupAt.IsZero() {
-			a.cleanupAt = now.Add(cleanupDelay)
+		if a.withdrawAt.IsZero() {
+			a.withdrawAt = now.Add(withdrawDelay)
 			continue
 		}
-		if now.Before(a.cleanupAt) {
+		if now.Before(a.withdrawAt) {
 			continue
 		}
-		delete(qu.asked, id)
+		delete(qu.demands, id)
 		q.emit(DemandOut{To: id, Lazy: true, Demand: message.Demand{Account: qu.key.account, Pool: qu.key.pool}})
 	}
 }
@@ -71,25 +71,25 @@
 // widen asks more schedulers, twice as many each time, until all of the pool
 // are asked. So a free slot anywhere finds the work that waits.
 func (q *Queuer) widen(now time.Time, qu *queue) {
-	if !q.askMore(now, qu, qu.widenBy) {
-		qu.widenAt = now.Add(widenMax)
+	if !q.addSchedulers(now, qu, qu.widenBy) {
+		qu.widenAt = now.Add(widenMaxDelay)
 		return
 	}
 	qu.widenBy *= 2
-	qu.widenAt = now.Add(min(widenFirst*time.Duration(qu.widenBy), widenMax))
+	qu.widenAt = now.Add(min(widenInitialDelay*time.Duration(qu.widenBy), widenMaxDelay))
 }
 
-// askMore adds up to n schedulers. Those that were full by the last hint come
+// addSchedulers adds up to n schedulers. Those that were full by the last hint come
 // last; of the others those with the preferred targets come first, then this
 // router's own scheduler, which costs no message, then those known to have free
 // slots, the nearest, and the rest in rotation. It reports whether there was any
 // left to ask.
-func (q *Queuer) askMore(now time.Time, qu *queue, n int) bool {
+func (q *Queuer) addSchedulers(now time.Time, qu *queue, n int) bool {
 	candidates := q.candidates(now, qu)
 	for _, id := range candidates[:min(n, len(candidates))] {
-		a := &asked{}
-		qu.asked[id] = a
-		q.tell(now, qu, id, a)
+		a := &demandState{}
+		qu.demands[id] = a
+		q.sendDemand(now, qu, id, a)
 	}
 	return len(candidates) > 0
 }
@@ -105,16 +105,16 @@
 func (q *Queuer) candidates(now time.Time, qu *queue) []string {
 	byID := map[string]*candidate{}
 	var list []*candidate
-	q.rotate++
+	q.rotation++
 	head := qu.head().Request
 	for i, r := range q.allowed(head) {
 		id := r.Scheduler.ID
-		if qu.asked[id] != nil {
+		if qu.demands[id] != nil {
 			continue
 		}
 		c := byID[id]
 		if c == nil {
-			c = &candidate{id: id, free: q.hintOf(now, qu.key.pool, id), distance: r.Distance, order: (i + q.rotate) % (len(q.routes[qu.key.pool]) + 1)}
+			c = &candidate{id: id, free: q.freeHint(now, qu.key.pool, id), distance: r.Distance, order: (i + q.rotation) % (len(q.routes[qu.key.pool]) + 1)}
 			byID[id] = c
 			list = append(list, c)
 		}
@@ -147,11 +147,11 @@
 	return ids
 }
 
-// hintOf returns 1 where some slots were free, 0 where nothing is known and -1
+// freeHint returns 1 where some slots were free, 0 where nothing is known and -1
 // where no slot was free, so that near schedulers come first among equals.
-func (q *Queuer) hintOf(now time.Time, pool, id string) int {
+func (q *Queuer) freeHint(now time.Time, pool, id string) int {
 	h, ok := q.hints[pool][id]
-	if !ok || now.Sub(h.at) > hintFreshness {
+	if !ok || now.Sub(h.at) > hintMaxAge {
 		return 0
 	}
 	if h.free > 0 {
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -15,9 +15,9 @@
 	// scanLimit is how many waiting requests of the best rank are compared for
 	// their affinity to a granted target.
 	scanLimit = 8
-	// paceWeight is the weight of the newest sample in the average time
+	// startIntervalWeight is the weight of the newest sample in the average time
 	// between two starts.
-	paceWeight = 0.2
+	startIntervalWeight = 0.2
 )
 
 type waiting struct {
@@ -37,27 +37,27 @@
 
 // queue holds the waiting requests of one account for one pool.
 type queue struct {
-	key         queueKey
-	tree        *btree.BTreeG[*waiting]
-	bytes       int64
-	interactive int
-	asked       map[string]*asked
-	widenAt     time.Time
-	widenBy     int
-	lastStart   time.Time
-	pace        time.Duration // pace is the average time between two starts.
+	key           queueKey
+	tree          *btree.BTreeG[*waiting]
+	bytes         int64
+	interactive   int
+	demands       map[string]*demandState
+	widenAt       time.Time
+	widenBy       int
+	lastStart     time.Time
+	startInterval time.Duration // pace is the average time between two starts.
 }
 
-// asked is what a scheduler has been told and has used of it.
-type asked struct {
+// demandState is what a scheduler has been told and has used of it.
+type demandState struct {
 	remaining   int // remaining is what the scheduler may still grant.
 	interactive bool
-	toldAt      time.Time
-	cleanupAt   time.Time
+	sentAt      time.Time
+	withdrawAt  time.Time
 }
 
 func newQueue(key queueKey) *queue {
-	return &queue{key: key, tree: btree.NewG(btreeDegree, lessWaiting), asked: map[string]*asked{}}
+	return &queue{key: key, tree: btree.NewG(btreeDegree, lessWaiting), demands: map[string]*demandState{}}
 }
 
 func (q *queue) push(w *waiting) {
@@ -104,17 +104,17 @@
 	return best
 }
 
-func (q *queue) started(now time.Time) {
+func (q *queue) recordStart(now time.Time) {
 	if !q.lastStart.IsZero() {
 		gap := now.Sub(q.lastStart)
-		q.pace = time.Duration(paceWeight*float64(gap) + (1-paceWeight)*float64(q.pace))
+		q.startInterval = time.Duration(startIntervalWeight*float64(gap) + (1-startIntervalWeight)*float64(q.startInterval))
 	}
 	q.lastStart = now
 }
 
-// estimate tells when the queue will have moved on by about half, which is
+// retryAfter tells when the queue will have moved on by about half, which is
 // when a refused caller should come back.
-func (q *queue) estimate() time.Duration {
-	d := q.pace * time.Duration(q.tree.Len()) / 2
+func (q *queue) retryAfter() time.Duration {
+	d := q.startInterval * time.Duration(q.tree.Len()) / 2
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/core/admit/queuer.go
+++ b/core/admit/queuer.go
@@ -13,18 +13,18 @@
 
 // Times and sizes of the demand protocol.
 const (
-	minRetryAfter   = time.Second
-	maxRetryAfter   = time.Minute
-	widenFirst      = 10 * time.Millisecond // after it a demand goes to more schedulers
-	widenMax        = 500 * time.Millisecond
-	cleanupDelay    = 20 * time.Millisecond // demands that nothing waits for are taken back this late
-	demandRefresh   = 2 * time.Second       // a demand is told again, in case it was lost
-	demandCap       = 8                     // a demand names at most so many requests
-	inventoryEvery  = 8 * time.Second
-	hintFreshness   = time.Second
-	chargeAhead     = 1.25 // a request that costs more than charged is charged so much more
-	chargeAheadStep = 16   // and at least so many units
-	maxHold         = 2 * time.Second
+	minRetryAfter         = time.Second
+	maxRetryAfter         = time.Minute
+	widenInitialDelay     = 10 * time.Millisecond // after it a demand goes to more schedulers
+	widenMaxDelay         = 500 * time.Millisecond
+	withdrawDelay         = 20 * time.Millisecond // demands that nothing waits for are taken back this late
+	demandRefreshInterval = 2 * time.Second       // a demand is told again, in case it was lost
+	maxDemandCount        = 8                     // a demand names at most so many requests
+	inventoryInterval     = 8 * time.Second
+	hintMaxAge            = time.Second
+	chargeAheadFactor     = 1.25 // a request that costs more than charged is charged so much more
+	minChargeAhead        = 16   // and at least so many units
+	maxGrantReuse         = 2 * time.Second
 )
 
 type hint struct {
@@ -40,25 +40,25 @@
 	charged   float64
 	base      float64 // base is the cost of earlier requests under the same grant.
 	quantum   float64
-	busy      bool // busy tells that the scheduler had accounts waiting.
+	contended bool // busy tells that the scheduler had accounts waiting.
 	grantedAt time.Time
 	scheduler fair.Reporter
 }
 
 // Queuer is the Dispatcher that asks schedulers for grants.
 type Queuer struct {
-	self      string
-	queues    map[queueKey]*queue
-	byID      map[RequestID]*waiting
-	running   map[RequestID]*running
-	routes    map[string][]Route
-	hints     map[string]map[string]hint // pool, scheduler
-	nextSeq   uint64
-	rotate    int
-	adoptSeq  message.GrantID
-	inventory time.Time
-	unused    uint64
-	out       []Action
+	self          string
+	queues        map[queueKey]*queue
+	byID          map[RequestID]*waiting
+	running       map[RequestID]*running
+	routes        map[string][]Route
+	hints         map[string]map[string]hint // pool, scheduler
+	nextSeq       uint64
+	rotation      int
+	adoptSeq      message.GrantID
+	nextInventory time.Time
+	unusedGrants  uint64
+	out           []Action
 }
 
 // New returns a Queuer of the router with this ID and incarnation.
@@ -91,7 +91,7 @@
 	case Finished:
 		q.finish(now, e)
 	case Routed:
-		q.reroute(now, e.Pools)
+		q.setRoutes(now, e.Pools)
 	case Tick:
 		q.tick(now)
 	}
@@ -114,8 +114,8 @@
 
 func (q *Queuer) arrive(now time.Time, r Request) {
 	qu := q.queue(queueKey{r.Account, r.Pool})
-	if over(qu, r) {
-		q.emit(Refuse{r.ID, result.QueueFull, qu.estimate()})
+	if isFull(qu, r) {
+		q.emit(Refuse{r.ID, result.QueueFull, qu.retryAfter()})
 		return
 	}
 	if len(q.allowed(r)) == 0 {
@@ -128,12 +128,12 @@
 	fresh := qu.tree.Len() == 0
 	qu.push(w)
 	if fresh {
-		qu.widenBy, qu.widenAt = 1, now.Add(widenFirst)
+		qu.widenBy, qu.widenAt = 1, now.Add(widenInitialDelay)
 	}
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
-func over(qu *queue, r Request) bool {
+func isFull(qu *queue, r Request) bool {
 	if r.MaxQueued > 0 && qu.tree.Len() >= r.MaxQueued {
 		return true
 	}
@@ -172,34 +172,34 @@
 	qu := q.queue(queueKey{w.Account, w.Pool})
 	delete(q.byID, id)
 	qu.remove(w)
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
 func (q *Queuer) grant(now time.Time, from string, g message.Grant) {
 	q.setHint(now, g.Pool, from, g.Free)
 	qu := q.queue(queueKey{g.Account, g.Pool})
-	if a := qu.asked[from]; a != nil && a.remaining > 0 {
+	if a := qu.demands[from]; a != nil && a.remaining > 0 {
 		a.remaining--
 	}
 	route, ok := q.route(g.Pool, g.Target)
 	w := qu.pick(g.Target, g.InteractiveOnly)
 	if w == nil || !ok || route.Scheduler.ID != from {
-		q.unused++
+		q.unusedGrants++
 		q.emit(ReportOut{To: from, Report: message.Report{Grant: g.ID, Kind: message.ReportUnused}})
-		q.ask(now, qu)
+		q.updateDemands(now, qu)
 		return
 	}
 	q.start(now, qu, w, &running{
 		key: GrantKey{from, g.ID}, pool: g.Pool, target: g.Target, charged: g.Charged,
-		quantum: g.Quantum, busy: g.Waiting, grantedAt: now, scheduler: route.Scheduler,
+		quantum: g.Quantum, contended: g.Waiting, grantedAt: now, scheduler: route.Scheduler,
 	})
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
 func (q *Queuer) start(now time.Time, qu *queue, w *waiting, r *running) {
 	delete(q.byID, w.ID)
 	qu.remove(w)
-	qu.started(now)
+	qu.recordStart(now)
 	r.req = w
 	q.running[w.ID] = r
 	q.emit(Start{ID: w.ID, Target: r.target, Scheduler: r.key.Scheduler, Grant: r.key.ID, Waited: now.Sub(w.arrived)})
@@ -222,7 +222,7 @@
 		return
 	}
 	cost := r.base + e.Cost
-	r.charged = max(cost*chargeAhead, cost+chargeAheadStep)
+	r.charged = max(cost*chargeAheadFactor, cost+minChargeAhead)
 	q.emit(ReportOut{To: r.key.Scheduler, Lazy: true, Report: message.Report{
 		Grant: r.key.ID, Kind: message.ReportProgress, Cost: r.charged,
 	}})
@@ -238,7 +238,7 @@
 	if !e.Failed && q.reuse(now, r, cost) {
 		return
 	}
-	q.emit(ReportOut{To: r.key.Scheduler, Lazy: !r.busy, Report: message.Report{
+	q.emit(ReportOut{To: r.key.Scheduler, Lazy: !r.contended, Report: message.Report{
 		Grant: r.key.ID, Kind: message.ReportDone, Cost: cost,
 		FirstToken: e.FirstToken, TokenGap: e.TokenGap, Failed: e.Failed,
 	}})
@@ -247,7 +247,7 @@
 // reuse starts the account's next request under the same grant while the
 // quantum lasts, which saves a round trip for short calls.
 func (q *Queuer) reuse(now time.Time, r *running, cost float64) bool {
-	if cost >= r.quantum || now.Sub(r.grantedAt) > maxHold {
+	if cost >= r.quantum || now.Sub(r.grantedAt) > maxGrantReuse {
 		return false
 	}
 	qu := q.queue(queueKey{r.req.Account, r.pool})
@@ -268,13 +268,13 @@
 		if qu.tree.Len() > 0 && !now.Before(qu.widenAt) {
 			q.widen(now, qu)
 		}
-		q.ask(now, qu)
-		if qu.tree.Len() == 0 && len(qu.asked) == 0 && now.Sub(qu.lastStart) > maxRetryAfter {
+		q.updateDemands(now, qu)
+		if qu.tree.Len() == 0 && len(qu.demands) == 0 && now.Sub(qu.lastStart) > maxRetryAfter {
 			delete(q.queues, key)
 		}
 	}
-	if !now.Before(q.inventory) {
-		q.inventory = now.Add(inventoryEvery)
+	if !now.Before(q.nextInventory) {
+		q.nextInventory = now.Add(inventoryInterval)
 		q.sendInventories(nil)
 	}
 }
@@ -290,16 +290,16 @@
 	for _, w := range late {
 		delete(q.byID, w.ID)
 		qu.remove(w)
-		q.emit(Refuse{w.ID, result.QueueTimeout, qu.estimate()})
+		q.emit(Refuse{w.ID, result.QueueTimeout, qu.retryAfter()})
 	}
 }
 
 // State implements Dispatcher.
 func (q *Queuer) State() State {
-	st := State{Running: len(q.running), Unused: q.unused, Queues: []QueueState{}}
+	st := State{Running: len(q.running), Unused: q.unusedGrants, Queues: []QueueState{}}
 	for key, qu := range q.queues {
 		qs := QueueState{Account: key.account, Pool: key.pool, Length: qu.tree.Len(), Bytes: qu.bytes, Asked: []string{}}
-		for id := range qu.asked {
+		for id := range qu.demands {
 			qs.Asked = append(qs.Asked, id)
 		}
 		st.Queues = append(st.Queues, qs)
--- a/core/admit/queuer_test.go
+++ b/core/admit/queuer_test.go
@@ -61,7 +61,7 @@
 	q.Step(now, Arrived{request(1)})
 	asked := map[string]bool{}
 	for range 200 {
-		now = now.Add(widenMax)
+		now = now.Add(widenMaxDelay)
 		for id := range demandsTo(q.Step(now, Tick{})) {
 			asked[id] = true
 		}
@@ -79,7 +79,7 @@
 	if got := demandsTo(q.Step(epoch, Arrived{request(1)})); len(got) != 1 {
 		t.Fatalf("asked %v at once", got)
 	}
-	got := demandsTo(q.Step(epoch.Add(widenFirst), Tick{}))
+	got := demandsTo(q.Step(epoch.Add(widenInitialDelay), Tick{}))
 	if len(got) != 1 {
 		t.Fatalf("then asked %v", got)
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestUnusableGrantIsHandedBack(t *testing.T) {
+func TestUnusableGrantIsReported(t *testing.T) {
 	q := newQueuer("a", "b")
 	actions := q.Step(epoch, GrantSeen{"a", message.Grant{ID: 7, Account: "alder", Pool: "chat", Target: "target-a"}})
 	r, ok := actions[0].(ReportOut)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestBoundsRefuseWithRetryAfter(t *testing.T) {
+func TestFullQueueRefusesWithRetryAfter(t *testing.T) {
 	q := newQueuer("a")
 	for id := RequestID(1); id <= 4; id++ {
 		r := request(id)
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestDeadlineRefusesAtOnce(t *testing.T) {
+func TestExpiredRequestIsRefused(t *testing.T) {
 	q := newQueuer("a")
 	r := request(1)
 	r.Deadline = epoch.Add(time.Second)
@@ -157,7 +157,7 @@
 	t.Fatal("not refused at its deadline")
 }
 
-func TestRankThenAffinityDecide(t *testing.T) {
+func TestGrantGoesByRankThenAffinity(t *testing.T) {
 	q := newQueuer("a")
 	long, plain, near := request(1), request(2), request(3)
 	long.Rank = 10
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestOwnerChangeHandsRequestsOver(t *testing.T) {
+func TestSchedulerChangeAdoptsRunningRequests(t *testing.T) {
 	q := newQueuer("a")
 	q.Step(epoch, Arrived{request(1)})
 	q.Step(epoch, GrantSeen{"a", message.Grant{ID: 1, Account: "alder", Pool: "chat", Target: "target-a", Charged: 100}})
--- a/core/admit/route.go
+++ b/core/admit/route.go
@@ -9,9 +9,9 @@
 	"madderway/core/message"
 )
 
-// reroute takes new targets and schedulers. Requests in flight whose target
+// setRoutes takes new targets and schedulers. Requests in flight whose target
 // has another scheduler now are handed to that one.
-func (q *Queuer) reroute(now time.Time, pools map[string][]Route) {
+func (q *Queuer) setRoutes(now time.Time, pools map[string][]Route) {
 	q.routes = pools
 	adopt := map[string][]message.Adoption{}
 	for _, r := range q.running {
@@ -30,28 +30,28 @@
 		q.sendInventories(adopt)
 	}
 	for _, qu := range q.queues {
-		q.forgetSchedulers(now, qu)
+		q.resetDemands(now, qu)
 	}
 }
 
-// forgetSchedulers drops what was asked of routers that no longer schedule for
+// resetDemands drops what was asked of routers that no longer schedule for
 // the pool, or that have restarted, and asks anew.
-func (q *Queuer) forgetSchedulers(now time.Time, qu *queue) {
+func (q *Queuer) resetDemands(now time.Time, qu *queue) {
 	alive := map[string]bool{}
 	for _, r := range q.routes[qu.key.pool] {
 		alive[r.Scheduler.ID] = true
 	}
-	for id, a := range qu.asked {
+	for id, a := range qu.demands {
 		if !alive[id] {
-			delete(qu.asked, id)
+			delete(qu.demands, id)
 			continue
 		}
 		a.remaining = 0
 	}
 	if qu.tree.Len() > 0 {
-		qu.widenBy, qu.widenAt = 1, now.Add(widenFirst)
+		qu.widenBy, qu.widenAt = 1, now.Add(widenInitialDelay)
 	}
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
 // sendInventories tells each scheduler which of its grants are still in use,
