--- a/core/fair/fair_test.go
+++ b/core/fair/fair_test.go
@@ -33,7 +33,7 @@
 	return lowest, ok
 }
 
-func TestQueueAgainstNaive(t *testing.T) {
+func TestQueueMatchesNaiveQueue(t *testing.T) {
 	props := gopter.NewProperties(parameters())
 	props.Property("the queue has the naive queue's minimum", prop.ForAll(func(ops []int) bool {
 		q, naive := NewQueue("salt"), map[string]float64{}
@@ -65,7 +65,7 @@
 
 // Reports that are lost, doubled and reordered lead to the plain sum once the
 // last report of each reporter has come.
-func TestTallyAgainstPlainSum(t *testing.T) {
+func TestMergeConvergesToPlainSum(t *testing.T) {
 	props := gopter.NewProperties(parameters())
 	props.Property("the ledger has the plain sum", prop.ForAll(func(seed int64) bool {
 		rng := rand.New(rand.NewSource(seed))
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestContinuousWaiterLosesNothing(t *testing.T) {
+func TestContinuousWaiterKeepsItsService(t *testing.T) {
 	l := NewLedger(0)
 	l.Charge("alder", 500)
 	l.RaiseFloor(400)
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestAccountsWithDifferentGainsMeetAtTheSameLevel(t *testing.T) {
+func TestEqualLevelsHaveEqualKeysDespiteGains(t *testing.T) {
 	l := NewLedger(0)
 	l.Charge("here", 5000)
 	l.Charge("everywhere", 2000)
--- a/core/fair/ledger.go
+++ b/core/fair/ledger.go
@@ -30,45 +30,45 @@
 	Forgive float64 // Forgive only grows.
 }
 
-// cell is a row of another reporter.
-type cell struct {
+// foreignEntry is a row of another reporter.
+type foreignEntry struct {
 	service float64
 	seq     uint64
 }
 
 type account struct {
-	own     float64
-	others  float64 // others is the sum of the rows of other reporters.
-	rows    map[Reporter]cell
-	lift    float64
-	forgive float64
-	dirty   uint64 // dirty is the ledger's change counter at the last local change.
+	ownService     float64
+	foreignService float64 // others is the sum of the rows of other reporters.
+	rows           map[Reporter]foreignEntry
+	lift           float64
+	forgive        float64
+	changedAt      uint64 // dirty is the ledger's change counter at the last local change.
 
-	// base is the own service at the start of the round that it belongs to.
-	base  float64
-	round uint64
+	// roundBase is the own service at the start of the round that it belongs to.
+	roundBase float64
+	round     uint64
 
 	// An account that starts to wait below the floor is pending for a while:
 	// tag orders it here, and the lift is fixed only once the counters of the
 	// other reporters have caught up. A lift from stale counters would be too
 	// high, for good, each time.
-	pending   bool
-	admitted  float64 // admitted is the floor at which it became pending.
-	pendingAt time.Time
-	tag       float64
+	pending      bool
+	pendingFloor float64 // admitted is the floor at which it became pending.
+	pendingAt    time.Time
+	pendingTag   float64
 }
 
-func (a *account) virtual() float64 { return a.own + a.others + a.lift - a.forgive }
+func (a *account) virtual() float64 { return a.ownService + a.foreignService + a.lift - a.forgive }
 
 // Ledger sums the service of the accounts of one pool.
 type Ledger struct {
-	accounts map[string]*account
-	pending  map[string]*account
-	floor    float64
-	maxDebt  float64
-	changes  uint64
-	reports  map[Reporter]uint64 // reports holds the latest sequence number of each reporter.
-	round    uint64
+	accounts  map[string]*account
+	pending   map[string]*account
+	floor     float64
+	maxDebt   float64
+	changeSeq uint64
+	latestSeq map[Reporter]uint64 // reports holds the latest sequence number of each reporter.
+	round     uint64
 	// reference is the level that keys are relative to.
 	reference float64
 }
@@ -77,7 +77,7 @@
 // above the floor after partitions rejoin, in virtual units; it must be larger
 // than the fairness bound.
 func NewLedger(maxDebt float64) *Ledger {
-	return &Ledger{accounts: map[string]*account{}, pending: map[string]*account{}, reports: map[Reporter]uint64{}, maxDebt: maxDebt}
+	return &Ledger{accounts: map[string]*account{}, pending: map[string]*account{}, latestSeq: map[Reporter]uint64{}, maxDebt: maxDebt}
 }
 
 // SetMaxDebt replaces the debt limit, in virtual units.
@@ -100,23 +100,23 @@
 	}
 	a := l.get(name)
 	if a.round != l.round {
-		a.base, a.round = a.own, l.round
+		a.roundBase, a.round = a.ownService, l.round
 	}
-	a.own += delta
+	a.ownService += delta
 	if a.pending {
-		a.tag += delta
+		a.pendingTag += delta
 	}
-	l.touch(a)
+	l.markChanged(a)
 }
 
-func (l *Ledger) touch(a *account) {
-	l.changes++
-	a.dirty = l.changes
+func (l *Ledger) markChanged(a *account) {
+	l.changeSeq++
+	a.changedAt = l.changeSeq
 }
 
 // Heard tells that a report of another reporter came; its rows follow by Merge.
 func (l *Ledger) Heard(from Reporter, seq uint64) {
-	l.reports[from] = max(l.reports[from], seq)
+	l.latestSeq[from] = max(l.latestSeq[from], seq)
 }
 
 // Merge takes one row of another reporter. seq orders the reports of one
@@ -126,12 +126,12 @@
 	a := l.get(row.Account)
 	before := a.virtual()
 	if a.rows == nil {
-		a.rows = map[Reporter]cell{}
+		a.rows = map[Reporter]foreignEntry{}
 	}
 	old, known := a.rows[from]
 	if !known || seq > old.seq {
-		a.others += row.Service - old.service
-		a.rows[from] = cell{row.Service, seq}
+		a.foreignService += row.Service - old.service
+		a.rows[from] = foreignEntry{row.Service, seq}
 	}
 	a.lift = math.Max(a.lift, row.Lift)
 	a.forgive = math.Max(a.forgive, row.Forgive)
@@ -165,7 +165,7 @@
 
 func (a *account) level() float64 {
 	if a.pending {
-		return math.Max(a.virtual(), a.tag)
+		return math.Max(a.virtual(), a.pendingTag)
 	}
 	return a.virtual()
 }
@@ -203,23 +203,23 @@
 	if !ok {
 		return -l.reference, 1
 	}
-	gain = 1 / float64(l.serving(a))
-	return gain*(a.level()-l.reference) + (1-gain)*l.sinceRound(a), gain
+	gain = 1 / float64(l.servingSchedulers(a))
+	return gain*(a.level()-l.reference) + (1-gain)*l.roundService(a), gain
 }
 
-func (l *Ledger) sinceRound(a *account) float64 {
+func (l *Ledger) roundService(a *account) float64 {
 	if a.round != l.round {
 		return 0
 	}
-	return a.own - a.base
+	return a.ownService - a.roundBase
 }
 
-// serving counts the schedulers that serve the account, this one included, by
+// servingSchedulers counts the schedulers that serve the account, this one included, by
 // the latest report of each.
-func (l *Ledger) serving(a *account) int {
+func (l *Ledger) servingSchedulers(a *account) int {
 	n := 1
 	for from, c := range a.rows {
-		if c.seq == l.reports[from] {
+		if c.seq == l.latestSeq[from] {
 			n++
 		}
 	}
@@ -235,15 +235,15 @@
 	v := a.virtual()
 	if v < l.floor {
 		if !a.pending {
-			a.pending, a.admitted, a.pendingAt = true, l.floor, now
+			a.pending, a.pendingFloor, a.pendingAt = true, l.floor, now
 			l.pending[name] = a
 		}
-		a.tag = math.Max(a.tag, l.floor)
+		a.pendingTag = math.Max(a.pendingTag, l.floor)
 		return
 	}
 	if excess := v - l.floor - l.maxDebt; l.maxDebt > 0 && excess > 0 {
 		a.forgive += excess
-		l.touch(a)
+		l.markChanged(a)
 	}
 }
 
@@ -258,10 +258,10 @@
 			continue
 		}
 		delete(l.pending, name)
-		a.pending, a.tag = false, 0
-		if v := a.virtual() - running(name)*float64(l.serving(a)); v < a.admitted {
-			a.lift += a.admitted - v
-			l.touch(a)
+		a.pending, a.pendingTag = false, 0
+		if v := a.virtual() - running(name)*float64(l.servingSchedulers(a)); v < a.pendingFloor {
+			a.lift += a.pendingFloor - v
+			l.markChanged(a)
 		}
 	}
 }
@@ -271,11 +271,11 @@
 func (l *Ledger) Changed(after uint64) ([]Row, uint64) {
 	var rows []Row
 	for name, a := range l.accounts {
-		if a.dirty > after {
-			rows = append(rows, Row{name, a.own, a.lift, a.forgive})
+		if a.changedAt > after {
+			rows = append(rows, Row{name, a.ownService, a.lift, a.forgive})
 		}
 	}
-	return rows, l.changes
+	return rows, l.changeSeq
 }
 
 // ForeignRow is a row of another reporter as this ledger knows it.
