--- a/core/fair/ledger.go
+++ b/core/fair/ledger.go
@@ -114,8 +114,8 @@
 	a.changedAt = l.changeSeq
 }
 
-// Heard tells that a report of another reporter came; its rows follow by Merge.
-func (l *Ledger) Heard(from Reporter, seq uint64) {
+// RecordReport tells that a report of another reporter came; its rows follow by Merge.
+func (l *Ledger) RecordReport(from Reporter, seq uint64) {
 	l.latestSeq[from] = max(l.latestSeq[from], seq)
 }
 
@@ -138,8 +138,8 @@
 	return a.virtual() != before
 }
 
-// Virtual returns the virtual service of an account.
-func (l *Ledger) Virtual(name string) float64 {
+// VirtualService returns the virtual service of an account.
+func (l *Ledger) VirtualService(name string) float64 {
 	a, ok := l.accounts[name]
 	if !ok {
 		return 0
@@ -174,8 +174,8 @@
 // apart from what the last report said.
 func (l *Ledger) NextRound() { l.round++ }
 
-// Refer sets the reference of keys to the mean level of these accounts.
-func (l *Ledger) Refer(waiting []string) {
+// SetReference sets the reference of keys to the mean level of these accounts.
+func (l *Ledger) SetReference(waiting []string) {
 	if len(waiting) == 0 {
 		return
 	}
@@ -226,11 +226,11 @@
 	return n
 }
 
-// Admit prepares an account that starts to wait: below the floor it becomes
+// BeginWaiting prepares an account that starts to wait: below the floor it becomes
 // pending, so idle time earns no credit; a debt above the limit is forgiven.
 // An account that waits without a break stands above the floor, so nothing is
 // taken from it.
-func (l *Ledger) Admit(now time.Time, name string) {
+func (l *Ledger) BeginWaiting(now time.Time, name string) {
 	a := l.get(name)
 	v := a.virtual()
 	if v < l.floor {
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -359,7 +359,7 @@
 	for account := range p.demands {
 		waiting = append(waiting, account)
 	}
-	p.ledger.Refer(waiting)
+	p.ledger.SetReference(waiting)
 	for _, account := range waiting {
 		p.requeue(now, account, s.weight(account))
 	}
--- a/core/sched/tally.go
+++ b/core/sched/tally.go
@@ -107,7 +107,7 @@
 	if peer := p.peers[from]; peer != nil {
 		peer.waiting, peer.floor, peer.heardAt = t.Waiting, t.Floor, now
 	}
-	p.ledger.Heard(from, t.Seq)
+	p.ledger.RecordReport(from, t.Seq)
 	for _, row := range t.Rows {
 		if p.ledger.Merge(from, t.Seq, row) {
 			s.requeueWaiting(now, p, row.Account)
