--- a/core/overload/collapse_test.go
+++ b/core/overload/collapse_test.go
@@ -10,30 +10,29 @@
 	"time"
 )
 
-// The work of the model below, as shares of a core: what was estimated from the seconds
-// of a gateway of 0.19 core under a flood. A stream costs half when it is admitted, half
-// until its end; a refusal costs a third of a stream.
+// Processor time of the modelled gateway's work. A stream takes half of its work when it is
+// admitted and half spread over its parts.
 const (
 	streamWork        = 250 * time.Microsecond
 	refusalWork       = 85 * time.Microsecond
-	handOverWork      = 90 * time.Microsecond // passWork is that of passing a stream on to another gateway.
+	handOverWork      = 90 * time.Microsecond
 	streamTime        = 1500 * time.Millisecond
 	streamParts       = 15
 	coreShare         = 0.19
-	retryDelay        = 50 * time.Millisecond // returnAfter is when a refused caller comes back, once.
-	firstPartDeadline = time.Second           // firstAim is within what time a stream must have its first part.
+	retryDelay        = 50 * time.Millisecond // until the one retry of a refused request
+	firstPartDeadline = time.Second           // after the first visit of the caller
 )
 
-// workItem is some work of the model's process.
+// workItem is a piece of work in the process's queue.
 type workItem struct {
 	due    time.Time
-	stream *stream // stream is nil for refusals and probes.
-	parts  int     // parts is how many parts of the stream follow.
+	stream *stream // nil for requests and probes
+	parts  int     // of the stream, still to come
 	probe  bool
 	caller *callerRequest
 }
 
-// callerRequest is a caller's request, first or come back.
+// callerRequest is a caller's first request or its retry.
 type callerRequest struct {
 	account string
 	asked   time.Time
@@ -44,22 +43,22 @@
 	account string
 	asked   time.Time
 	first   time.Duration
-	work    time.Duration // work is that of all of it.
+	work    time.Duration // total work of the stream
 }
 
-// floodedProcess is a process that works off what comes in order, and probes its own lateness by
-// a piece of work that is sent again only after it was read.
+// floodedProcess handles queued work in order. It measures its lateness by a probe that is
+// queued again only after it was handled.
 type floodedProcess struct {
 	*Governor
-	refusal   time.Duration // refusal is the work of a refusal.
+	refusal   time.Duration // work of a refusal
 	t         *testing.T
 	now       time.Time
 	rng       *rand.Rand
-	scheduled []workItem // later are pieces that are due in the future, in no order.
-	queue     []workItem // queue is what is due, in order.
+	scheduled []workItem // due in the future, in no order
+	queue     []workItem // due now, in order
 	workDebt  time.Duration
-	// served counts, for each second, the streams whose first part was in time, late those
-	// that were admitted and late, asked the first requests.
+	// Counts by second and account: streams whose first part was in time, streams whose first
+	// part was late, and first requests.
 	served, late, asked map[int]map[string]int
 }
 
@@ -81,7 +80,7 @@
 
 func (f *floodedProcess) second(at time.Time) int { return int(at.Sub(epoch) / time.Second) }
 
-// step plays a millisecond in which these accounts ask at these rates a second.
+// step simulates a millisecond with requests at these rates.
 func (f *floodedProcess) step(rates []rate) {
 	f.now = f.now.Add(time.Millisecond)
 	for _, r := range rates {
@@ -157,7 +156,7 @@
 	}
 }
 
-// rate is how often an account asks in a second.
+// rate is the request rate of an account.
 type rate struct {
 	account   string
 	perSecond float64
@@ -169,8 +168,8 @@
 	}
 }
 
-// sustainableRate is how many streams a second the model's process can serve while it refuses
-// the rest of a flood twice.
+// sustainableRate returns how many streams a second the process can serve while it refuses
+// the other requests and their retries.
 func sustainableRate(perSecond float64, refusal time.Duration) float64 {
 	served := 0.0
 	for p := 0.0; p < 1; p += 0.001 {
@@ -184,8 +183,8 @@
 	return served
 }
 
-// Under a flood for many seconds, whose refused requests come back and cost time, a process
-// goes on serving in each second most of what it can, nearly all of that in time.
+// Guards against a collapse of service under a lasting flood whose refused requests are
+// retried: most of the capacity must still be served in time.
 func TestFloodDoesNotCollapseService(t *testing.T) {
 	for _, perSecond := range []float64{600, 800, 1000} {
 		f := newFloodedProcess(t)
@@ -195,27 +194,19 @@
 		can := sustainableRate(perSecond, refusalWork)
 		for s := before + settled; s < before+flood; s++ {
 			served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-			t.Logf("%.0f a second, second %d: served %d of %.0f, late %d, share %.2f", perSecond, s, served, can, late, f.AcceptedShare())
+			t.Logf("%.0f requests/s, second %d: served %d of %.0f, late %d, accepted share %.2f", perSecond, s, served, can, late, f.AcceptedShare())
 			if float64(served) < 0.6*can {
-				t.Errorf("%.0f a second: %d served in second %d of the flood, it can serve %.0f", perSecond, served, s-before, can)
+				t.Errorf("%.0f requests/s: served %d in second %d of the flood, capacity %.0f", perSecond, served, s-before, can)
 			}
 			if late > served/5 {
-				t.Errorf("%.0f a second: %d of %d late in second %d of the flood", perSecond, late, served+late, s-before)
+				t.Errorf("%.0f requests/s: %d of %d late in second %d of the flood", perSecond, late, served+late, s-before)
 			}
 		}
 	}
 }
 
-// The same holds where refusals alone take nearly all of the processor: what is left of it
-// is for service in time, not for more service that is late.
-//
-// What happened: of 133 requests that can be served in a second 58 to 88 were, and 38 to 63 more
-// were late, for as long as the flood lasted. Why: the governor knew only how late the process
-// was. Refusals took 0.168 of 0.19 of a core; the first second of the flood left 0.3 s of work
-// behind, the later parts of what it had admitted among it, and refusing made what arrives double.
-// Nothing admits less than is worked off when the costs are not known: lateness stayed at 0.3 s,
-// so that first visits (two waits) were in time and those that came back (three) late. The
-// figures of each second showed it: share 0.03 to 0.05, lateness 0.28 to 0.33 s without a trend.
+// Guards against a standing backlog where refusals take nearly all processor time, which made
+// the answers to all retried requests late.
 func TestExpensiveRefusalsLeaveTimeForService(t *testing.T) {
 	const perSecond, refusal = 1450, 58 * time.Microsecond
 	f := newFloodedProcess(t)
@@ -226,9 +217,9 @@
 	can := sustainableRate(perSecond, refusal)
 	for s := before + settled; s < before+flood; s++ {
 		served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-		t.Logf("second %d: served %d of %.0f, late %d, share %.2f", s, served, can, late, f.AcceptedShare())
+		t.Logf("second %d: served %d of %.0f, late %d, accepted share %.2f", s, served, can, late, f.AcceptedShare())
 		if float64(served) < 0.6*can {
-			t.Errorf("%d served in second %d of the flood, it can serve %.0f", served, s-before, can)
+			t.Errorf("served %d in second %d of the flood, capacity %.0f", served, s-before, can)
 		}
 		if late > served/5 {
 			t.Errorf("%d of %d late in second %d of the flood", late, served+late, s-before)
@@ -236,9 +227,8 @@
 	}
 }
 
-// Where other gateways of the data hall have time, a flood that is three times what a process
-// can serve is handed over: after a few seconds next to nothing is refused or late, while it
-// lasts and after it; then the process serves all by itself again.
+// Guards against refused or late requests in a flood while other gateways have capacity, and
+// against handing over long after it.
 func TestFloodIsHandedOver(t *testing.T) {
 	for _, perSecond := range []float64{800, 1600} {
 		f := newFloodedProcess(t)
@@ -249,19 +239,19 @@
 		f.play(after, rate{"flood", 30}, rate{"a", 10})
 		for s := before + settled; s < before+flood; s++ {
 			served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-			t.Logf("%.0f a second, second %d: served %d of %.0f, late %d", perSecond, s, served, perSecond, late)
+			t.Logf("%.0f requests/s, second %d: served %d of %.0f, late %d", perSecond, s, served, perSecond, late)
 			if float64(served) < 0.9*perSecond || late > served/10 {
-				t.Errorf("%.0f a second: %d served in second %d of the flood, %d late", perSecond, served, s-before, late)
+				t.Errorf("%.0f requests/s: served %d in second %d of the flood, %d late", perSecond, served, s-before, late)
 			}
 		}
 		if f.ServedShare() < 1 {
-			t.Errorf("%.0f a second: still hands over ten seconds after the flood", perSecond)
+			t.Errorf("%.0f requests/s: still hands over ten seconds after the flood", perSecond)
 		}
 	}
 }
 
-// What cannot be handed over is served while the rest is, and where the other gateways have no
-// time any more the governor refuses again.
+// Unmovable requests are served while the others are handed over; without another gateway
+// the governor refuses again.
 func TestUnmovableRequestsAreServed(t *testing.T) {
 	g := New()
 	g.SetHandOverAvailable(true)
@@ -276,14 +266,14 @@
 	}
 	flood(1, true)
 	if counts[Refuse] > 0 || counts[HandOver] < 500 {
-		t.Errorf("in the first second of a flood %v", counts)
+		t.Errorf("verdicts in the first second of a flood: %v, want no refusals and at least 500 handed over", counts)
 	}
 	if v := g.Admit(now, "flood", 0.99, false); v != Serve {
-		t.Errorf("what cannot be moved ends as %d", v)
+		t.Errorf("verdict on an unmovable request: got %d, want Serve", v)
 	}
 	g.SetHandOverAvailable(false)
 	flood(1, true)
 	if counts[HandOver] > 150 || counts[Refuse] < 700 {
-		t.Errorf("without another gateway %v", counts)
+		t.Errorf("verdicts without another gateway: %v, want at most 150 handed over and at least 700 refused", counts)
 	}
 }
--- a/core/overload/costs.go
+++ b/core/overload/costs.go
@@ -5,11 +5,9 @@
 
 import "time"
 
-// numVerdicts is how many numVerdicts there are.
 const numVerdicts = 3
 
-// verdictCounts counts handled requests by what became of them; a verdict's place is its value less
-// one.
+// verdictCounts counts requests by verdict, at index verdict-1.
 type verdictCounts [numVerdicts]float64
 
 func (n *verdictCounts) add(v Verdict) { n[v-1]++ }
@@ -17,39 +15,36 @@
 func (n *verdictCounts) sum() float64 { return n[0] + n[1] + n[2] }
 
 const (
-	// Before anything was learned a request that is served takes initialServeCost, and one that is
-	// handed over or refused these parts of it. The first window of a flood corrects the
-	// former, whatever the machine; the latter hold until windows differ in their mix.
+	// Initial costs. The first window of an overload corrects the cost of serving; the
+	// ratios of the others to it stay until windows differ in their mix of verdicts.
 	initialServeCost     = time.Millisecond
 	initialHandOverRatio = 0.35
 	initialRefuseRatio   = 0.25
-	// How far the first estimates may be off, as parts of them: all together, by the strength
-	// of the machine, and each for itself.
+	// Standard deviation of the initial costs, relative to them: the error that they
+	// have in common because of the machine's speed, and the error of each one.
 	commonUncertainty = 3.0
 	ownUncertainty    = 0.4
-	// How far the costs may move in a second, as parts of them: all together, since what else
-	// runs on the machine changes, and each for itself.
+	// Drift of the costs in a second, relative to them: the drift that they have in
+	// common because of other load on the machine, and the drift of each one.
 	commonDrift = 0.3
 	ownDrift    = 0.1
-	// measurementNoise is how far the time of a window may differ from the work in it, as a part of the
-	// window.
+	// measurementNoise is the error of a window's measured work, as a fraction of its length.
 	measurementNoise = 0.15
-	// maxInnovation bounds how far the time of one window is believed to differ from what was
-	// expected, as a factor: a process that was stopped for a while handled nothing.
+	// maxInnovation limits the factor between the measured and the expected time of a
+	// window: a process that was stopped for a while handled nothing meanwhile.
 	maxInnovation = 2.0
-	// maxCost is the most that a request is taken to cost: what else makes a process late says
-	// nothing of requests. mostPart is the part of that which one costs at most that is handed
-	// over or refused.
+	// maxCost limits the cost of a request, since other things make a process late too.
+	// For requests that are handed over or refused the limit is maxCostRatio of it.
 	maxCost      = 100 * time.Millisecond
 	maxCostRatio = 0.5
-	// minCostRatio is the least that a request costs, as a part of one that is served.
+	// as a fraction of the cost of serving
 	minCostRatio = 0.02
 )
 
-// costs estimates how much time each kind of request takes of a process that is never idle,
-// in seconds of elapsed time. Each window gives one equation, the counts of the requests in it
-// and its length; a Kalman filter solves them, since the mix of a window says little about
-// each kind, and the costs move.
+// costs estimates the time that a request of each verdict takes, in seconds of elapsed
+// time of a process that is never idle. A single window says little about each verdict
+// and the costs drift, so a Kalman filter is updated with the counts and the length of
+// each window.
 type costs struct {
 	perRequest verdictCounts
 	cov        [numVerdicts][numVerdicts]float64
@@ -71,7 +66,7 @@
 
 func (c *costs) of(v Verdict) float64 { return c.perRequest[v-1] }
 
-// expect returns how long so many requests take.
+// expect returns the expected time for these requests, in seconds.
 func (c *costs) expect(n verdictCounts) float64 {
 	sum := 0.0
 	for i, each := range c.perRequest {
@@ -80,8 +75,9 @@
 	return sum
 }
 
-// update takes that so many requests have taken a time.
-func (c *costs) update(n verdictCounts, took, doubt float64) {
+// update corrects the estimate with the seconds that these requests took, known up to
+// the standard deviation stddev.
+func (c *costs) update(n verdictCounts, took, stddev float64) {
 	expected := c.expect(n)
 	if expected <= 0 || took <= 0 {
 		return
@@ -94,7 +90,7 @@
 		c.cov[i][i] += ownDrift * ownDrift * a * a * took
 	}
 	var gain verdictCounts
-	variance := measurementNoise*measurementNoise*took*took + doubt*doubt
+	variance := measurementNoise*measurementNoise*took*took + stddev*stddev
 	for i := range n {
 		for j := range n {
 			gain[i] += c.cov[i][j] * n[j]
@@ -110,7 +106,7 @@
 	c.clamp()
 }
 
-// clamp keeps the costs where they can be: none is nothing, and none is above serving.
+// clamp keeps the costs positive and none of them above the cost of serving.
 func (c *costs) clamp() {
 	serve := min(max(c.perRequest[Serve-1], c.perRequest[Refuse-1], c.perRequest[HandOver-1]), maxCost.Seconds())
 	for i := range c.perRequest {
--- a/core/overload/duties.go
+++ b/core/overload/duties.go
@@ -6,22 +6,22 @@
 import "time"
 
 const (
-	// dropAfter is how long a gateway must refuse requests, or have a full link, before it leaves scheduling to
-	// others, takeAfter how long it must admit all before it takes part again: each
-	// move of a cell costs its new scheduler what the old one knew.
+	// A gateway stops scheduling for others when it has refused requests, or its link has been
+	// full, for dropAfter, and resumes when it has admitted everything for resumeAfter. Each
+	// move of a cell loses the state of its old scheduler.
 	dropAfter   = 700 * time.Millisecond
 	resumeAfter = 5 * time.Second
 )
 
-// Duties decides whether a gateway schedules for others while it cannot keep up with
-// its own callers. It is not safe for concurrent use.
+// Duties decides whether a gateway schedules for others while it is overloaded by its own
+// callers. It is not safe for concurrent use.
 type Duties struct {
 	suspended      bool
-	disagreesSince time.Time // since is when what is observed began to say otherwise; zero while it agrees.
+	disagreesSince time.Time // start of the observations that contradict suspended; zero while they agree
 }
 
-// Observe takes the share of requests that is admitted and how much of the link is in
-// use. It reports whether the gateway keeps its duties, and whether that has changed.
+// Observe takes the share of requests that is admitted and the utilization of the link. It
+// reports whether the gateway schedules for others, and whether that has changed.
 func (d *Duties) Observe(now time.Time, share, link float64) (keeps, changed bool) {
 	if (share < 1 || Full(link)) == d.suspended {
 		d.disagreesSince = time.Time{}
@@ -30,11 +30,11 @@
 	if d.disagreesSince.IsZero() {
 		d.disagreesSince = now
 	}
-	patience := dropAfter
+	delay := dropAfter
 	if d.suspended {
-		patience = resumeAfter
+		delay = resumeAfter
 	}
-	if now.Sub(d.disagreesSince) < patience {
+	if now.Sub(d.disagreesSince) < delay {
 		return !d.suspended, false
 	}
 	d.suspended, d.disagreesSince = !d.suspended, time.Time{}
--- a/core/overload/duties_test.go
+++ b/core/overload/duties_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A gateway that cannot keep up gives its duties away once, and takes them back after a
-// calm, however its share swings in between.
+// Guards against flapping: duties are suspended once under overload and resumed only after
+// a calm period, even if the share swings in between.
 func TestDutiesDoNotFlap(t *testing.T) {
 	var d Duties
 	now, changes, keeps := epoch, 0, true
@@ -24,23 +24,23 @@
 	}
 	play(time.Second, func(i int) float64 { return []float64{1, 0.8}[i/20%2] })
 	if !keeps || changes != 0 {
-		t.Errorf("keeps %v after short overloads, %d changes", keeps, changes)
+		t.Errorf("after short overloads: keeps duties = %v after %d changes, want true after 0", keeps, changes)
 	}
 	play(time.Second, func(int) float64 { return 0.5 })
 	if keeps || changes != 1 {
-		t.Errorf("keeps %v after a second of overload, %d changes", keeps, changes)
+		t.Errorf("after a second of overload: keeps duties = %v after %d changes, want false after 1", keeps, changes)
 	}
 	play(20*time.Second, func(i int) float64 { return []float64{1, 0.8}[i/300%2] })
 	if keeps || changes != 1 {
-		t.Errorf("keeps %v while the share swings, %d changes", keeps, changes)
+		t.Errorf("while the share swings: keeps duties = %v after %d changes, want false after 1", keeps, changes)
 	}
 	play(6*time.Second, func(int) float64 { return 1 })
 	if !keeps || changes != 2 {
-		t.Errorf("keeps %v after a calm, %d changes", keeps, changes)
+		t.Errorf("after a calm period: keeps duties = %v after %d changes, want true after 2", keeps, changes)
 	}
 }
 
-// A full link is a reason, too; what crosses it in a moment is not.
+// A link that stays full suspends the duties; a short burst does not.
 func TestFullLinkSuspendsDuties(t *testing.T) {
 	const mbps, perTick = 10.0, 12_000 // 9.6 Mbit/s
 	var d Duties
@@ -55,7 +55,7 @@
 	play(200*time.Millisecond, perTick)
 	play(2*time.Second, perTick/2)
 	if !keeps {
-		t.Error("a moment ended the duties")
+		t.Error("duties suspended by a short burst")
 	}
 	play(3*time.Second, perTick)
 	if keeps {
@@ -63,9 +63,9 @@
 	}
 	play(8*time.Second, perTick/2)
 	if !keeps {
-		t.Error("has no duties after a calm")
+		t.Error("duties not resumed after a calm period")
 	}
 	if use := NewLink(0).Observe(now, sent, 0); use != 0 {
-		t.Errorf("a link of unknown size is used for %.2f", use)
+		t.Errorf("utilization of a link of unknown capacity: got %.2f, want 0", use)
 	}
 }
--- a/core/overload/floods_test.go
+++ b/core/overload/floods_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// shape is how a flood goes over the seconds; it tells whether it is there in one of them.
+// shape says in which seconds a flood is active.
 type shape struct {
 	name   string
 	active func(second int) bool
@@ -25,38 +25,37 @@
 )
 
 const (
-	// floodFrom is the second in which floods begin, floodTo that in which they end, settled how
-	// many of their seconds are for settling.
+	// Floods run from second floodFrom to floodTo. The first settled seconds are not judged.
 	floodFrom = 4
 	floodTo   = 16
 	settled   = 5
-	// calmRate is how much of what it can serve a process is asked for before and after.
+	// calmRate is the load outside the flood, as a fraction of the capacity.
 	calmRate = 0.05
-	// firstPartDelay is how long a target takes for the first part of an answer.
+	// firstPartDelay is the time that a target takes for the first part of an answer.
 	firstPartDelay = 100 * time.Millisecond
 )
 
-// flood is a load on a gateway of a model machine.
+// flood is a load on the gateway of a modelled machine.
 type flood struct {
-	cores      float64 // cores is the machine's part of a core.
-	loadFactor float64 // times is how often as much is asked for as the machine can serve.
+	cores      float64
+	loadFactor float64 // offered load as a multiple of the capacity
 	refusal    time.Duration
-	retries    int // returns is how often a refused caller comes back.
+	retries    int // of each caller after refusals
 	shape      shape
 	relief     bool
 	seed       uint64
 }
 
 func (f flood) String() string {
-	return fmt.Sprintf("%.2f cores, %.1f times, refusals of %v, %d returns, %s, relief %v, seed %d",
+	return fmt.Sprintf("%.2f cores, load %.1f times the capacity, refusals of %v, %d retries, %s, hand-over %v, seed %d",
 		f.cores, f.loadFactor, f.refusal, f.retries, f.shape.name, f.relief, f.seed)
 }
 
-// perSecond is how many callers ask in a second of the flood.
+// perSecond returns the offered rate of new requests in the flood.
 func (f flood) perSecond() float64 { return f.loadFactor * f.cores / streamWork.Seconds() }
 
-// capacity returns how many requests a second capacity be served in the flood by a rule that knows all
-// costs: the most that leave time for refusing the others each time that they come.
+// capacity returns the highest rate that can be served in the flood with known costs, while
+// the other requests are refused at each of their attempts.
 func (f flood) capacity() float64 {
 	if f.relief {
 		return f.perSecond()
@@ -75,29 +74,29 @@
 	return best
 }
 
-// second is what has become of the callers who first asked in a second.
+// second counts the callers whose first attempt was in a second, by outcome.
 type second struct{ asked, inTime, late int }
 
-// attempt is a request that came.
+// attempt is a queued request, the stream that follows from it, or a probe.
 type attempt struct {
-	first time.Time // first is when its caller first asked.
+	first time.Time // first attempt of the caller
 	tries int
-	part  int       // part is how many parts of its answer the process has still to pass on.
-	next  time.Time // next is when the target sends the next of them, whatever the process does.
+	part  int       // number of parts still to be sent
+	next  time.Time // time at which the target sends the next part
 	work  time.Duration
 	calm  bool
 	probe bool
 }
 
-// floodRun plays a flood: a process that works off what comes in order.
+// floodRun simulates a flood on a process that handles queued work in order.
 type floodRun struct {
 	flood
 	*Governor
 	rng      *rand.Rand
 	now      time.Time
 	queue    []attempt
-	due      map[int64][]attempt // due is what comes at a later millisecond.
-	workDebt time.Duration       // owed is work of the process beyond the time that it had.
+	due      map[int64][]attempt // by the millisecond in which the work becomes due
+	workDebt time.Duration       // work done beyond the processor time available
 	probed   time.Time
 	seconds  [floodTo + 4]second
 }
@@ -107,7 +106,7 @@
 	r.due[ms] = append(r.due[ms], a)
 }
 
-// play returns what has become of callers, by the second in which they asked.
+// play simulates the flood and returns the run with its counts.
 func (f flood) play() *floodRun {
 	r := &floodRun{flood: f, Governor: New(), rng: rand.New(rand.NewPCG(f.seed, 9)), now: epoch, due: map[int64][]attempt{}}
 	r.SetHandOverAvailable(f.relief)
@@ -119,7 +118,7 @@
 	return r
 }
 
-// step plays a millisecond.
+// step simulates a millisecond.
 func (r *floodRun) step() {
 	r.now = r.now.Add(time.Millisecond)
 	r.ask("calm", calmRate*r.cores/streamWork.Seconds())
@@ -188,7 +187,7 @@
 	r.at(firstPartDelay, a)
 }
 
-// sendPart passes a part of an answer on.
+// sendPart handles a part of a streamed answer.
 func (r *floodRun) sendPart(a attempt) {
 	r.workDebt += a.work / 2 / streamParts
 	if s := r.second(a.first); a.part == streamParts && s < len(r.seconds) {
@@ -204,9 +203,9 @@
 	}
 }
 
-// failure tells what is wrong with how a flood was served; empty where nothing is. Of what can be
-// served 0.6 must be, in time, and a fifth of what is served may be late, as in the tests of single
-// floods; after a flood that ends nothing may be refused.
+// failure returns how the run failed, or an empty string. At least 0.6 of the capacity must be
+// served in time, at most a fifth of the served requests may be late, and nothing may be refused
+// or handed over at the end.
 func (r *floodRun) failure() string {
 	can, inTime, late := 0.0, 0, 0
 	for s := floodFrom + settled; s < floodTo; s++ {
@@ -218,18 +217,18 @@
 	}
 	switch {
 	case float64(inTime) < 0.6*can:
-		return fmt.Sprintf("%d served in time of %.0f", inTime, can)
+		return fmt.Sprintf("served %d in time, capacity %.0f", inTime, can)
 	case late > (inTime+late)/5:
-		return fmt.Sprintf("%d served late, %d in time", late, inTime)
+		return fmt.Sprintf("served %d late and %d in time", late, inTime)
 	case r.ServedShare() < 1:
-		return "still refuses four seconds after the flood"
+		return "still refuses or hands over four seconds after the flood"
 	}
 	return ""
 }
 
-var floods = flag.Int("floods", 40, "how many floods a test plays")
+var floods = flag.Int("floods", 40, "number of floods that each test simulates")
 
-// drawFlood returns a flood of any kind that leaves a process some time to serve.
+// drawFlood returns a random flood that leaves the process enough time to serve some of it.
 func drawFlood(rng *rand.Rand, returns int) flood {
 	for {
 		f := flood{
@@ -261,15 +260,9 @@
 	}
 }
 
-// A gateway is flooded by 1.1 to 5 times what it can serve, on machines of 0.12 to 1 of a core,
-// by callers who come back once or never; floods last, end or come each other second, and there
-// is or is not a gateway to hand over to. A rule that knows only how late the process is cannot
-// tell what the requests that it admits will cost, nor what refusing the others does: it left 0.1
-// to 0.3 s of work behind when a flood began, and what refusals left of the processor did not
-// suffice to work that off, so that all who came back had their answers late.
+// Guards against late answers in floods of 1.1 to 5 times the capacity that last, end or
+// alternate, with and without another gateway to hand over to.
 func TestRandomFloods(t *testing.T) { playFloods(t, 0, 1) }
 
-// The same where callers come back twice. Two more requests follow each refusal, one more than the
-// governor reckons with: where refusals take nearly all of the processor it admits too much at
-// first, and what waits then is worked off too slowly.
+// Guards against late answers when callers retry twice, once more than the governor assumes.
 func TestRandomFloodsWithTwoRetries(t *testing.T) { playFloods(t, 2) }
--- a/core/overload/link.go
+++ b/core/overload/link.go
@@ -6,31 +6,31 @@
 import "time"
 
 const (
-	// fullUtilization is the use of the link from which a machine leaves scheduling to others:
-	// packets begin to wait, and their headers are not in what is counted.
+	// fullUtilization is the utilization from which packets begin to queue; it is below 1
+	// because packet headers are not counted.
 	fullUtilization = 0.8
-	// minLinkSpan is the least time over which the use is measured: a few bodies that come
-	// at once fill a thin link for some hundred milliseconds.
+	// minLinkSpan is the shortest measuring interval: a few large bodies at once fill a
+	// slow link for some hundred milliseconds.
 	minLinkSpan = 500 * time.Millisecond
 )
 
-// Link tells how much of a machine's link is in use. It is not safe for concurrent
-// use.
+// Link measures the utilization of a machine's network link. It is not safe for
+// concurrent use.
 type Link struct {
-	bytesPerSecond float64 // perSecond is how many bytes cross the link in a second, each way; 0 where that is not known.
+	bytesPerSecond float64 // capacity in each direction; 0 if unknown
 	sampledAt      time.Time
 	sent, received uint64
 	utilization    float64
 }
 
-// NewLink returns a link of so many megabits a second, 0 where that is not known.
+// NewLink returns a link with this capacity in megabits per second, 0 if unknown.
 func NewLink(mbps float64) *Link { return &Link{bytesPerSecond: mbps * 1e6 / 8} }
 
-// Full tells whether so much use of a link makes what crosses it late.
-func Full(use float64) bool { return use >= fullUtilization }
+// Full reports whether a link at this utilization delays its traffic.
+func Full(utilization float64) bool { return utilization >= fullUtilization }
 
-// Observe takes the bytes sent and received since the start and returns the use of
-// the busier direction, 1 where it is full.
+// Observe takes the bytes sent and received since the start and returns the utilization
+// of the busier direction: 1 is full, and 0 is returned if the capacity is unknown.
 func (l *Link) Observe(now time.Time, sent, received uint64) float64 {
 	if l.bytesPerSecond <= 0 {
 		return 0
--- a/core/overload/overload.go
+++ b/core/overload/overload.go
@@ -1,17 +1,17 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package overload protects a gateway that is given less of the processor than
-// its callers ask of it. Callers land unevenly: one gateway may be asked for ten
-// times what others are, and where it serves all of that late, nobody is served
-// in time. A Governor learns what a request costs that is served, handed over to
-// another gateway of the data hall, or refused: while the process is never idle, the
-// time that passes is the work of what it handles. From that, from what arrives and
-// from how late the process comes to its work it follows which part there is time to
-// serve. The rest is handed over where there is such a gateway, and only what cannot
-// be passed on in time either is refused, at once. Accounts that ask for the most are
-// handed over and refused first: both parts are shared max-min between accounts. A
-// Governor is a pure state machine; it is not safe for concurrent use.
+// Package overload decides which requests an overloaded gateway serves itself, hands over
+// to another gateway of the data hall, or refuses.
+//
+// A Governor estimates what a request of each verdict costs: while the process is never
+// idle, elapsed time is the work of the requests that it handles. From these costs, the
+// arrival rate and the lateness of the process (how long its work waits before it runs) it
+// derives the share of requests that it can serve in time. The rest is handed over if
+// another gateway is available, and refused at once only if there is no time for that
+// either. Both limits are shared max-min fairly between accounts, so that accounts that
+// ask for the most are handed over and refused first. A Governor is a pure state machine;
+// it is not safe for concurrent use.
 package overload
 
 import (
@@ -21,61 +21,59 @@
 )
 
 const (
-	// windowLength is the time over which lateness is judged. A sample that is late by more
-	// ends its windowLength at once: the next one comes only after it was read.
+	// windowLength is the time over which lateness is averaged. A sample later than that
+	// ends its window at once, as the next one is taken only after it was read.
 	windowLength = 100 * time.Millisecond
-	// busyLateness is the lateness from which a process counts as never idle: more than one has that
-	// keeps up (1 to 4 ms).
+	// busyLateness is the lateness from which a process counts as never idle; a process
+	// that keeps up is 1 to 4 ms late.
 	busyLateness = 12 * time.Millisecond
-	// maxUtilization is the part of its time that a process in time is taken to have used at most, so
-	// that what it admits rises until it is late or all is admitted.
+	// maxUtilization limits the utilization that is assumed of a process in time, so that
+	// the admitted share rises until the process is late or everything is admitted.
 	maxUtilization = 0.9
-	// halfLife is the time in which counted requests fade to a halfLife.
-	halfLife = time.Second
-	// minDemand is the count below which an account is forgotten.
+	halfLife       = time.Second
+	// minDemand is the decayed request count below which an account is removed.
 	minDemand = 0.05
 )
 
-// ratePerCount is the rate that a count of requests which fade by half stands for.
+// ratePerCount converts a count that decays with halfLife to requests per second.
 const ratePerCount = math.Ln2 / float64(halfLife) * float64(time.Second)
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict int
 
-// The verdicts.
 const (
-	Serve    Verdict = iota + 1 // this gateway serves it
-	HandOver                    // another gateway of the data hall serves it
+	Serve    Verdict = iota + 1 // on this gateway
+	HandOver                    // to another gateway of the data hall
 	Refuse
 )
 
-// Governor decides which requests a gateway admits.
+// Governor decides which requests a gateway serves, hands over or refuses.
 type Governor struct {
-	canHandOver bool // relief tells that there is a gateway to hand requests over to.
+	canHandOver bool
 	costs       costs
 	arrivals    arrivals
 
 	window       samples
-	handled      verdictCounts // handled counts the requests since the window before.
-	unfinished   verdictCounts // begun counts requests of which a part of the work is still to come.
-	windowEnd    time.Time     // judged is when the window before ended.
-	lastLateness time.Duration // lateness is that of the window before.
+	handled      verdictCounts // since the end of the last window
+	unfinished   verdictCounts // requests weighted by the part of their deferred work that is still to come
+	windowEnd    time.Time     // end of the last window
+	lastLateness time.Duration // mean lateness of the last window
 
-	servable float64 // own is the part of the requests that there is time to serve here.
-	// lastInTime is when the process was last late by less than movesTo while it could hand over.
+	servable float64 // share of the requests that can be served here
+	// lastInTime is when lateness was last below refuseLateness, or nothing could be handed over.
 	lastInTime    time.Time
-	smoothedShare float64 // kept is the part that was admitted of the requests that come back now.
+	smoothedShare float64 // accepted share, smoothed over retryTime: the share at the time of the refusals whose retries come now
 
 	demands     map[string]*demand
-	totalRate   float64 // total is how many requests a second are asked for, by what was counted.
-	serveRate   float64 // bound is how many of them are served here; 0 for all.
-	acceptRate  float64 // reach is how many are served here or handed over.
-	serveLevel  float64 // level is the most that is served here of an account.
-	acceptLevel float64 // most is the most that is served here or handed over of an account.
+	totalRate   float64 // requested, in requests per second
+	serveRate   float64 // served here, in requests per second; 0 is unlimited
+	acceptRate  float64 // served here or handed over, in requests per second
+	serveLevel  float64 // limit on an account's decayed count that is served here
+	acceptLevel float64 // limit on an account's decayed count that is served here or handed over
 	refused     uint64
 }
 
-// samples sums up the lateness in a window.
+// samples summarizes the lateness in a window.
 type samples struct {
 	began time.Time
 	n     int
@@ -92,8 +90,8 @@
 	s.worst = max(s.worst, lateness)
 }
 
-// mean returns the mean of all samples but the worst: a pause of the collector, which
-// delays one of them, is no overload.
+// mean returns the mean of all samples but the worst: a garbage collection pause, which
+// delays a single sample, is no overload.
 func (s *samples) mean() time.Duration {
 	if s.n == 1 {
 		return s.worst
@@ -101,7 +99,7 @@
 	return (s.sum - s.worst) / time.Duration(s.n-1)
 }
 
-// demand is how many requests an account has sent of late.
+// demand is the exponentially decayed number of requests of an account.
 type demand struct {
 	requests float64
 	updated  time.Time
@@ -119,11 +117,11 @@
 	return &Governor{demands: map[string]*demand{}, costs: newCosts(), servable: 1, smoothedShare: 1, serveLevel: math.Inf(1), acceptLevel: math.Inf(1)}
 }
 
-// SetHandOverAvailable tells whether there is another gateway to hand requests over to.
-func (g *Governor) SetHandOverAvailable(there bool) { g.canHandOver = there }
+// SetHandOverAvailable sets whether requests can be handed over to another gateway.
+func (g *Governor) SetHandOverAvailable(available bool) { g.canHandOver = available }
 
-// Observe takes how late the process has come to its work, or how long it has not come to
-// it yet. It reports whether what is admitted has changed between all and less than all.
+// Observe takes the lateness of the process, or for how long its current work is overdue.
+// It reports whether the governor has begun or ceased to limit requests.
 func (g *Governor) Observe(now time.Time, lateness time.Duration) (changed bool) {
 	g.window.add(now, lateness)
 	if now.Sub(g.window.began) < windowLength && (lateness < windowLength || now.Sub(g.windowEnd) < windowLength) {
@@ -141,9 +139,9 @@
 	return before != (g.serveRate > 0)
 }
 
-// learn takes what a window tells of the requests in it. A process that is late all the time is
-// never idle: the length of the window is the time that they took. One that is in time has
-// taken less for them.
+// learn updates the costs and the arrival rate from a window. A process that is late
+// throughout was never idle, so its requests took the length of the window. They took
+// less if it was in time.
 func (g *Governor) learn(now time.Time, late time.Duration) {
 	if g.windowEnd.IsZero() {
 		return
@@ -151,14 +149,14 @@
 	length := now.Sub(g.windowEnd)
 	done := g.workDone(length)
 	rise := late - g.lastLateness
-	// A request waits before it is judged, and what it causes waits again: between none and all
-	// of what lateness has risen by is work of the requests that were handled.
+	// A request waits before it is decided on, and the work that it causes waits again: between
+	// none and all of the rise in lateness is work of the handled requests.
 	g.arrivals.add(g.handled.sum(), max(length-rise/2, length/4))
 	took := length.Seconds()
 	switch {
 	case late >= busyLateness && g.lastLateness >= busyLateness:
 		g.costs.update(done, took+rise.Seconds()/2, rise.Seconds()/2)
-	case late >= busyLateness: // idle at its beginning
+	case late >= busyLateness: // idle at the start of the window
 		if expected := g.costs.expect(done); expected < took {
 			g.costs.update(done, took, rise.Seconds()/2)
 		}
@@ -167,7 +165,7 @@
 	}
 }
 
-// demandRate returns how many requests a second are asked for, and forgets who asks no more.
+// demandRate returns the requested rate in requests per second, and removes idle accounts.
 func (g *Governor) demandRate(now time.Time) float64 {
 	total := 0.0
 	for name, c := range g.demands {
@@ -181,8 +179,8 @@
 	return total * ratePerCount
 }
 
-// Admit counts a request of an account and tells what becomes of it. Draw is a random
-// number between 0 and 1; movable tells whether the request can be handed over.
+// Admit counts a request of an account and decides on it. draw is a random number
+// between 0 and 1; movable says whether the request can be handed over.
 func (g *Governor) Admit(now time.Time, account string, draw float64, movable bool) Verdict {
 	v := g.decide(now, account, draw, movable)
 	g.handled.add(v)
@@ -211,8 +209,8 @@
 	}
 }
 
-// setLevels finds the most that is served of an account, so that all accounts together are
-// within the bounds.
+// setLevels sets the limits of each account so that all accounts together stay within
+// serveRate and acceptRate.
 func (g *Governor) setLevels(now time.Time) {
 	g.totalRate = g.demandRate(now)
 	g.serveLevel, g.acceptLevel = math.Inf(1), math.Inf(1)
@@ -231,20 +229,20 @@
 	}
 }
 
-// maxMinLevel returns the most that each may have so that all together have so much, infinite
-// where that is enough for all; asked is in rising order.
-func maxMinLevel(asked []float64, left float64) float64 {
+// maxMinLevel returns the max-min fair limit for each of the accounts that together
+// may have capacity, infinite if it suffices for all; asked is in ascending order.
+func maxMinLevel(asked []float64, capacity float64) float64 {
 	for i, requests := range asked {
-		even := left / float64(len(asked)-i)
+		even := capacity / float64(len(asked)-i)
 		if requests > even {
 			return even
 		}
-		left -= requests
+		capacity -= requests
 	}
 	return math.Inf(1)
 }
 
-// AcceptedShare returns the part of what is asked that is not refused.
+// AcceptedShare returns the share of the requested rate that is not refused.
 func (g *Governor) AcceptedShare() float64 {
 	if !g.canHandOver {
 		return g.ServedShare()
@@ -252,16 +250,16 @@
 	return g.admitted(g.acceptRate)
 }
 
-// ServedShare returns the part of what is asked that there is time to serve here.
+// ServedShare returns the share of the requested rate that can be served here.
 func (g *Governor) ServedShare() float64 { return g.admitted(g.serveRate) }
 
-// admitted returns what part of all that is asked a bound lets through.
-func (g *Governor) admitted(bound float64) float64 {
-	if g.serveRate <= 0 || bound >= g.totalRate {
+// admitted returns the share of the requested rate that a limit admits.
+func (g *Governor) admitted(limit float64) float64 {
+	if g.serveRate <= 0 || limit >= g.totalRate {
 		return 1
 	}
-	return bound / g.totalRate
+	return limit / g.totalRate
 }
 
-// Refused returns how many requests were refused since the start.
+// Refused returns the number of requests refused since the start.
 func (g *Governor) Refused() uint64 { return g.refused }
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -15,18 +15,17 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// machine is a process that can do so much work in a second: what it admits
-// beyond that makes it late.
+// machine is a process with a fixed capacity: work beyond it becomes a backlog.
 type machine struct {
 	*Governor
 	now      time.Time
 	rng      *rand.Rand
-	perTick  float64 // requests that it can serve in a tick
-	refusal  float64 // the work of a refusal, in served requests
+	perTick  float64 // capacity in served requests per tick
+	refusal  float64 // work of a refusal, in served requests
 	backlog  float64
 	asked    map[string]int
 	admitted map[string]int
-	worst    time.Duration // worst is the longest lateness in the second half.
+	worst    time.Duration // highest lateness in the second half
 }
 
 const tick = 10 * time.Millisecond
@@ -42,7 +41,7 @@
 	return time.Duration(m.backlog / m.perTick * float64(tick))
 }
 
-// play lets accounts ask at these rates a second.
+// play simulates accounts that send requests at these rates per second.
 func (m *machine) play(length time.Duration, rates map[string]float64, order []string) {
 	for i := range int(length / tick) {
 		m.now = m.now.Add(tick)
@@ -67,47 +66,46 @@
 	}
 }
 
-// A process that is asked for twice what it can do comes to its work in time
-// all the same, and still serves most of what it can.
+// Guards against growing lateness and lost throughput at twice the capacity, and against
+// accounts that ask for little being refused.
 func TestOverloadKeepsLatenessBounded(t *testing.T) {
 	m := newMachine(200)
 	m.play(20*time.Second, map[string]float64{"flood": 350, "a": 25, "b": 25}, []string{"flood", "a", "b"})
-	t.Logf("asked %v, admitted %v, worst %v, share %.2f", m.asked, m.admitted, m.worst, m.AcceptedShare())
+	t.Logf("asked %v, admitted %v, highest lateness %v, accepted share %.2f", m.asked, m.admitted, m.worst, m.AcceptedShare())
 	if m.worst > 400*time.Millisecond {
-		t.Errorf("up to %v late", m.worst)
+		t.Errorf("lateness up to %v, want at most 400ms", m.worst)
 	}
 	total := m.admitted["flood"] + m.admitted["a"] + m.admitted["b"]
 	if total < 200*20*6/10 {
-		t.Errorf("served %d of %d that it could have", total, 200*20)
+		t.Errorf("served %d, capacity %d", total, 200*20)
 	}
 	for _, name := range []string{"a", "b"} {
 		if m.admitted[name] < m.asked[name]*95/100 {
-			t.Errorf("%s was admitted %d of %d times beside a flood", name, m.admitted[name], m.asked[name])
+			t.Errorf("account %s: %d of %d requests admitted beside a flood, want 95%%", name, m.admitted[name], m.asked[name])
 		}
 	}
 }
 
-// Who is asked for what he can do refuses nothing, and refusing ends when the
-// flood does.
+// Guards against refusals at half load, and against refusals that go on after a flood.
 func TestNoRefusalsWithoutOverload(t *testing.T) {
 	m := newMachine(200)
 	m.play(10*time.Second, map[string]float64{"a": 70, "b": 50}, []string{"a", "b"})
 	if m.Refused() != 0 {
-		t.Fatalf("%d refused at half load", m.Refused())
+		t.Fatalf("%d requests refused at half load, want 0", m.Refused())
 	}
 	m.play(5*time.Second, map[string]float64{"a": 500, "b": 50}, []string{"a", "b"})
 	if m.Refused() == 0 {
-		t.Fatal("nothing refused in a flood")
+		t.Fatal("no request refused in a flood")
 	}
 	m.play(10*time.Second, map[string]float64{"a": 50, "b": 50}, []string{"a", "b"})
 	before := m.Refused()
 	m.play(5*time.Second, map[string]float64{"a": 50, "b": 50}, []string{"a", "b"})
 	if m.Refused() != before || m.AcceptedShare() < 1 {
-		t.Errorf("still refuses long after the flood: share %.2f", m.AcceptedShare())
+		t.Errorf("still refuses long after the flood: accepted share %.2f, want 1", m.AcceptedShare())
 	}
 }
 
-// A single long pause, as the collector makes it, is no overload.
+// Guards against refusals after a single long pause, such as a garbage collection.
 func TestSinglePauseIsNotOverload(t *testing.T) {
 	g := New()
 	now := epoch
@@ -118,13 +116,12 @@
 			lateness = 100 * time.Millisecond
 		}
 		if g.Observe(now, lateness) || g.AcceptedShare() < 1 {
-			t.Fatalf("overloaded after %d ticks", i)
+			t.Fatalf("requests limited after %d ticks with single pauses", i)
 		}
 	}
 }
 
-// The admitted rates are max-min: nobody below the level is cut, and all above
-// it are cut to the same.
+// Accounts below the level get all that they ask for, and all others are cut to the level.
 func TestLevelIsMaxMin(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	properties.Property("level", prop.ForAll(func(asks []float64, share float64) bool {
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -9,53 +9,49 @@
 )
 
 const (
-	// standingLateness is the lateness that is aimed at under a flood: a process that is never idle
-	// shows what its work costs. drainTime is the time in which what waits beyond that is
-	// worked off.
+	// standingLateness is the lateness aimed at under overload: the costs can only be
+	// learned from a process that is never idle. A backlog beyond it is drained within
+	// drainTime.
 	standingLateness = 50 * time.Millisecond
 	drainTime        = 700 * time.Millisecond
-	// Where at most maxHeldShare is admitted, since refusals take most of the time, a lateness of up to
-	// heldTo is borne, and what keeps it as it is goes on being admitted: whoever waits that long,
-	// and again after a refusal, still has an answer in time. From noneFrom on nothing is admitted
-	// that is not worked off at once.
+	// When refusals take most of the time, so that at most maxHeldShare is admitted, lateness
+	// up to holdLateness is tolerated and the share that keeps it constant is still admitted:
+	// a caller that waits that long, and again after a refusal, is still answered in time.
+	// From holdEndLateness on only the share that drains the backlog is admitted.
 	maxHeldShare    = 0.2
 	holdLateness    = 200 * time.Millisecond
 	holdEndLateness = 300 * time.Millisecond
-	// All is handed over that cannot be served here until the process has been late by refuseLateness
-	// for movesTime: a flood that begins makes it late for a second whatever is admitted, and
-	// what is refused then waits as long once more. From then on some is refused where handing
-	// over would leave less than worksOff of the time for what waits.
+	// Requests that cannot be served here are all handed over until the process has been
+	// late by refuseLateness for refuseAfter: the onset of a flood makes it late for a second
+	// in any case, and a refused request would wait that long again. After that, requests are
+	// refused if handing them over would leave less than minDrainShare of the time for the backlog.
 	refuseLateness = 400 * time.Millisecond
 	refuseAfter    = 1500 * time.Millisecond
 	minDrainShare  = 0.3
-	// minHandOverShare is the least part that is taken where there is a gateway to hand over to.
+	// minHandOverShare is the least share that is served or handed over if another gateway is available.
 	minHandOverShare = 0.1
-	// The part that is served here rises by maxRiseFactor and leastRise a window at most: pauses of
-	// a process are longer than the lateness that is aimed at, and what follows one comes late
-	// if as much is admitted at once as there is time for just then.
+	// In each window the share served here rises at most by maxRiseFactor and riseStep. A pause
+	// of the process is longer than standingLateness, and the backlog that it leaves would be
+	// served late if the share rose at once to what there is time for.
 	maxRiseFactor = 1.08
 	riseStep      = 0.01
-	// retriesPerRefusal is how many requests come back for each that is refused, returnTime the time in
-	// which most of them do.
+	// retriesPerRefusal is the assumed number of retries after a refusal; most come within retryTime.
 	retriesPerRefusal = 1.0
 	retryTime         = 300 * time.Millisecond
-	// arrivalDecay is the time in which arrivals fade to a third.
+	// arrivalDecay is the time constant of the arrival rate.
 	arrivalDecay = 300 * time.Millisecond
-	// deferredWork is the part of the work of a request that follows its beginning, laterTime the
-	// time in which that fades to a third: the events of an answer take time for seconds.
+	// deferredWork is the fraction of a request's work that follows after its start, as the
+	// answer is streamed; it decays with the time constant deferredTime.
 	deferredWork = 0.5
 	deferredTime = time.Second
-	// minAcceptedShare is the least part that is admitted: without any, what serving costs would not
-	// be learned.
+	// minAcceptedShare is always admitted, so that the cost of serving can be learned.
 	minAcceptedShare = 0.01
-	// bisectionSteps is how often the span is halved in which a part is looked for.
-	bisectionSteps = 12
+	bisectionSteps   = 12
 )
 
-// arrivals tells how many requests a second have come of late.
+// arrivals measures the rate of requests, exponentially decayed.
 type arrivals struct{ requests, seconds float64 }
 
-// add takes how many came in a time.
 func (a *arrivals) add(requests float64, in time.Duration) {
 	fade := math.Exp(-in.Seconds() / arrivalDecay.Seconds())
 	a.requests, a.seconds = a.requests*fade+requests, a.seconds*fade+in.Seconds()
@@ -68,8 +64,8 @@
 	return a.requests / a.seconds
 }
 
-// workDone returns how many requests the work of a window amounts to, with that of earlier ones
-// in it.
+// workDone returns the requests whose work was done in a window of this length, counting
+// the deferred work of earlier ones.
 func (g *Governor) workDone(length time.Duration) verdictCounts {
 	part := 1 - math.Exp(-length.Seconds()/deferredTime.Seconds())
 	done := g.handled
@@ -83,8 +79,7 @@
 	return done
 }
 
-// control decides what part of the requests there is time for, with what waits worked off
-// meanwhile.
+// control sets the rates that can be served and accepted while the backlog is drained.
 func (g *Governor) control(now time.Time, late time.Duration) {
 	g.smoothedShare += (1 - math.Exp(-windowLength.Seconds()/retryTime.Seconds())) * (g.AcceptedShare() - g.smoothedShare)
 	g.totalRate = g.demandRate(now)
@@ -92,29 +87,28 @@
 	if g.arrivals.rate() <= 0 {
 		return
 	}
-	off := late - standingLateness
-	own, taken := g.sharesFor(1 - off.Seconds()/drainTime.Seconds())
-	if hold := rampDown(late, holdLateness, holdEndLateness); off > 0 {
-		ownHeld, takenHeld := g.sharesWithin(1, 1)
-		own, taken = max(own, hold*min(ownHeld, maxHeldShare)), max(taken, hold*min(takenHeld, maxHeldShare))
+	backlog := late - standingLateness
+	own, accepted := g.sharesFor(1 - backlog.Seconds()/drainTime.Seconds())
+	if hold := rampDown(late, holdLateness, holdEndLateness); backlog > 0 {
+		ownHeld, acceptedHeld := g.sharesWithin(1, 1)
+		own, accepted = max(own, hold*min(ownHeld, maxHeldShare)), max(accepted, hold*min(acceptedHeld, maxHeldShare))
 	}
 	if !g.canHandOver {
 		g.lastInTime = now
 	} else {
-		taken = max(taken, g.minAccepted(now, late))
+		accepted = max(accepted, g.minAccepted(now, late))
 		own = min(own, g.servable*maxRiseFactor+riseStep)
 	}
 	if g.servable = own; own >= 1 {
 		return
 	}
-	g.serveRate, g.acceptRate = max(own, minAcceptedShare)*g.totalRate, max(taken, minAcceptedShare)*g.totalRate
-	if taken >= 1 {
+	g.serveRate, g.acceptRate = max(own, minAcceptedShare)*g.totalRate, max(accepted, minAcceptedShare)*g.totalRate
+	if accepted >= 1 {
 		g.acceptRate = math.Inf(1)
 	}
 }
 
-// minAccepted returns the least part that is served here or handed over where there is a gateway to
-// hand over to.
+// minAccepted returns the least share that is served or handed over if another gateway is available.
 func (g *Governor) minAccepted(now time.Time, late time.Duration) float64 {
 	if late < refuseLateness {
 		g.lastInTime = now
@@ -122,47 +116,49 @@
 	if now.Sub(g.lastInTime) < refuseAfter {
 		return 1
 	}
-	_, taken := g.sharesWithin(1-minDrainShare, 1)
-	return max(taken, minHandOverShare)
+	_, accepted := g.sharesWithin(1-minDrainShare, 1)
+	return max(accepted, minHandOverShare)
 }
 
-// Costs returns what the governor has learned: how much time a request takes that ends so, and how
-// many come in a second.
+// Costs returns the estimated time that a request takes by its verdict, and the arrival
+// rate in requests per second.
 func (g *Governor) Costs() (serve, handOver, refuse time.Duration, arriving float64) {
 	in := func(v Verdict) time.Duration { return time.Duration(g.costs.of(v) * float64(time.Second)) }
 	return in(Serve), in(HandOver), in(Refuse), g.arrivals.rate()
 }
 
-// sharesFor returns which sharesFor of the requests that come can be served here, and served or handed
-// over, in so much of the process's time: both in the long run and with what is owed now.
-func (g *Governor) sharesFor(free float64) (own, taken float64) {
+// sharesFor returns the shares of the arriving requests that can be served here, and served
+// or handed over, within free seconds of work per second. They hold both in the long run and
+// with the deferred work that is due now.
+func (g *Governor) sharesFor(free float64) (own, accepted float64) {
 	owed := g.costs.expect(g.unfinished) / deferredTime.Seconds()
-	own, taken = g.sharesWithin(free, 1)
-	ownNow, takenNow := g.sharesWithin(free-owed, 1-deferredWork)
-	return min(own, ownNow), min(taken, takenNow)
+	own, accepted = g.sharesWithin(free, 1)
+	ownNow, acceptedNow := g.sharesWithin(free-owed, 1-deferredWork)
+	return min(own, ownNow), min(accepted, acceptedNow)
 }
 
-// sharesWithin is parts where so much of the work of each request counts.
-func (g *Governor) sharesWithin(free, counts float64) (own, taken float64) {
-	serve, handOver, refuse := counts*g.costs.of(Serve), counts*g.costs.of(HandOver), g.costs.of(Refuse)
-	come := g.arrivals.rate()
+// sharesWithin is sharesFor without deferred work, with only the fraction counted of the work
+// of each admitted request.
+func (g *Governor) sharesWithin(free, counted float64) (own, accepted float64) {
+	serve, handOver, refuse := counted*g.costs.of(Serve), counted*g.costs.of(HandOver), g.costs.of(Refuse)
+	arriving := g.arrivals.rate()
 	if !g.canHandOver {
 		own = g.largestShare(free, serve, refuse)
 		return own, own
 	}
-	if each := free / come; each >= handOver {
+	if each := free / arriving; each >= handOver {
 		return fraction(each-handOver, serve-handOver), 1
 	}
 	return 0, g.largestShare(free, handOver, refuse)
 }
 
-// largestShare returns the largestShare part of the requests that can be taken in so much time, where one
-// takes so much and one that is refused so much. Those that are refused come back soon: the
-// fewer are taken, the more come.
-func (g *Governor) largestShare(free, take, refuse float64) float64 {
+// largestShare returns the largest share of the requests that can be admitted within free
+// seconds of work per second, given the costs of an admitted and of a refused request. Refused
+// requests are retried soon, so a smaller share means more arrivals.
+func (g *Governor) largestShare(free, admit, refuse float64) float64 {
 	first := g.arrivals.rate() / (1 + retriesPerRefusal*(1-g.smoothedShare))
 	fits := func(p float64) bool {
-		return first*(1+retriesPerRefusal*(1-p))*(refuse+p*(take-refuse)) <= free
+		return first*(1+retriesPerRefusal*(1-p))*(refuse+p*(admit-refuse)) <= free
 	}
 	if fits(1) {
 		return 1
@@ -178,12 +174,12 @@
 	return least
 }
 
-// rampDown returns 1 up to a lateness, 0 from another one on, and what lies between in between.
-func rampDown(late, from, to time.Duration) float64 {
-	return min(max(float64(to-late)/float64(to-from), 0), 1)
+// rampDown falls linearly from 1 at the lateness from to 0 at the lateness to.
+func rampDown(lateness, from, to time.Duration) float64 {
+	return min(max(float64(to-lateness)/float64(to-from), 0), 1)
 }
 
-// fraction returns a fraction of a whole, between none and all of it.
+// fraction returns some/all, limited to between 0 and 1.
 func fraction(some, all float64) float64 {
 	switch {
 	case some <= 0:
