--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,40 +1,40 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package relay chooses which other gateway of the data hall serves a request
-// that this one has no time for. Of two that are drawn by their strength it takes
-// the one with fewer requests under way from here. A Chooser is a pure state
-// machine; it is not safe for concurrent use.
+// Package relay chooses the gateway of the data hall to which an overloaded gateway hands a
+// request over. It draws two gateways, weighted by strength, and takes the one with fewer
+// requests in flight from here per strength. A Chooser is a pure state machine; it is not
+// safe for concurrent use.
 package relay
 
 import "time"
 
-// avoidFor is how long a gateway that could not be reached is left out: as long as the
-// others need to find a silent member dead.
+// avoidFor is how long an unreachable gateway is skipped: about as long as the membership
+// protocol needs to declare a silent member dead.
 const avoidFor = 3 * time.Second
 
 // Peer is a gateway that may take requests over.
 type Peer struct {
 	ID       string
-	Strength float64 // Strength is what it has of a processor core; it must be above 0.
+	Strength float64 // in processor cores, above 0
 }
 
 type peer struct {
 	Peer
-	inFlight   int // open is how many requests are under way there from here.
+	inFlight   int // handed over from here
 	avoidUntil time.Time
 }
 
-// Chooser knows the gateways that may take requests over.
+// Chooser chooses among the gateways that may take requests over.
 type Chooser struct {
 	peers []*peer
 	byID  map[string]*peer
 }
 
-// New returns a chooser that knows nobody.
+// New returns a chooser without gateways.
 func New() *Chooser { return &Chooser{byID: map[string]*peer{}} }
 
-// SetPeers replaces the gateways. What is under way to those that stay is kept.
+// SetPeers replaces the gateways. Those that stay keep their in-flight counts.
 func (c *Chooser) SetPeers(peers []Peer) {
 	known := c.byID
 	c.peers, c.byID = nil, map[string]*peer{}
@@ -49,7 +49,7 @@
 	}
 }
 
-// Available tells whether there is a gateway to choose.
+// Available reports whether there is a gateway to choose.
 func (c *Chooser) Available(now time.Time) bool {
 	for _, p := range c.peers {
 		if !now.Before(p.avoidUntil) {
@@ -59,7 +59,7 @@
 	return false
 }
 
-// Choose returns a gateway, and false where there is none; draw returns random numbers
+// Choose returns a gateway, or false if none is available; draw returns random numbers
 // between 0 and 1.
 func (c *Chooser) Choose(now time.Time, draw func() float64) (id string, ok bool) {
 	total := 0.0
@@ -78,7 +78,7 @@
 	return first.ID, true
 }
 
-// peerAt returns the gateway peerAt a point of the sum of all strengths.
+// peerAt returns the available gateway at a point of the cumulative strengths.
 func (c *Chooser) peerAt(now time.Time, point float64) *peer {
 	var last *peer
 	for _, p := range c.peers {
@@ -100,14 +100,14 @@
 	}
 }
 
-// Ended counts that a request which was handed over has ended.
+// Ended counts the end of a request that was handed over.
 func (c *Chooser) Ended(id string) {
 	if p := c.byID[id]; p != nil && p.inFlight > 0 {
 		p.inFlight--
 	}
 }
 
-// Failed tells that a gateway could not be reached.
+// Failed records that a gateway could not be reached, so that it is skipped for a while.
 func (c *Chooser) Failed(now time.Time, id string) {
 	if p := c.byID[id]; p != nil {
 		p.avoidUntil = now.Add(avoidFor)
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -23,25 +23,25 @@
 	return c
 }
 
-// Work goes by strength: who is four times as strong has about four times as much.
+// Requests are spread in proportion to strength.
 func TestStrongerPeersGetMoreRequests(t *testing.T) {
 	c, rng := chooser(map[string]float64{"a": 0.2, "b": 0.8, "c": 0.2}), rand.New(rand.NewPCG(1, 2))
 	got := map[string]int{}
 	for range 1200 {
 		id, ok := c.Choose(start, rng.Float64)
 		if !ok {
-			t.Fatal("nobody to choose")
+			t.Fatal("Choose found no gateway")
 		}
 		c.Began(id)
 		got[id]++
 	}
 	if got["b"] < 760 || got["b"] > 840 || got["a"] < 160 || got["c"] < 160 {
-		t.Errorf("a, b and c, of which b is four times as strong, have %v", got)
+		t.Errorf("requests by gateway, b being four times as strong: %v, want about 200, 800, 200", got)
 	}
 }
 
-// Who answers slowly has more under way and gets less: only what both draws give it, a
-// quarter of all where there are two.
+// A gateway that answers slowly has more requests in flight and gets only those for which it is
+// drawn twice: a quarter of all if there are two gateways.
 func TestSlowPeerGetsFewerRequests(t *testing.T) {
 	c, rng := chooser(map[string]float64{"a": 0.2, "b": 0.2}), rand.New(rand.NewPCG(1, 2))
 	got := map[string]int{}
@@ -54,30 +54,29 @@
 		}
 	}
 	if got["b"] > 130 {
-		t.Errorf("b, which ends nothing, got %d of 400", got["b"])
+		t.Errorf("gateway b, which finishes nothing, got %d of 400 requests, want at most 130", got["b"])
 	}
 }
 
-// Who could not be reached is left out for a while; where that holds for all there is
-// nobody to choose.
+// Unreachable gateways are skipped for avoidFor, even if none remains.
 func TestUnreachablePeersAreSkipped(t *testing.T) {
 	c, rng := chooser(map[string]float64{"a": 0.2, "b": 0.2}), rand.New(rand.NewPCG(1, 2))
 	c.Failed(start, "a")
 	for range 50 {
 		if id, _ := c.Choose(start, rng.Float64); id != "b" {
-			t.Fatalf("chose %s", id)
+			t.Fatalf("chose %s, want b", id)
 		}
 	}
 	c.Failed(start, "b")
 	if _, ok := c.Choose(start, rng.Float64); ok || c.Available(start) {
-		t.Error("chose somebody that cannot be reached")
+		t.Error("chose an unreachable gateway")
 	}
 	if later := start.Add(avoidFor); !c.Available(later) {
-		t.Error("nobody is there after a while")
+		t.Error("no gateway is available after avoidFor")
 	}
 }
 
-// A new list keeps what is under way to those that stay, and forgets the others.
+// SetPeers keeps the in-flight counts of gateways that stay and drops the others.
 func TestSetPeersKeepsInFlightCounts(t *testing.T) {
 	c := chooser(map[string]float64{"a": 0.2, "b": 0.2})
 	for range 5 {
@@ -85,11 +84,11 @@
 		c.Began("b")
 	}
 	c.SetPeers([]Peer{{"b", 0.8}, {"c", 0.2}})
-	c.Ended("a") // it is not known any more
+	c.Ended("a") // no longer a peer
 	if c.byID["b"].inFlight != 5 || c.byID["b"].Strength != 0.8 || c.byID["c"].inFlight != 0 {
-		t.Errorf("%+v", c.byID)
+		t.Errorf("peers after SetPeers: %+v", c.byID)
 	}
 	if _, ok := New().Choose(start, rand.Float64); ok {
-		t.Error("chose somebody of nobody")
+		t.Error("chose a gateway without any peers")
 	}
 }
