--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package throttle refuses at the entry gateway what a scheduler would refuse
-// anyway. An account that floods is asked for no more than some multiple of
-// what it is given; the rest is refused at once, which costs neither messages
-// nor memory. The share refused follows the known rule of adaptive throttling:
-// (asked - factor x accepted) / (asked + slack).
+// Package throttle refuses requests at the entry gateway that a scheduler would refuse
+// anyway, which saves messages and memory. It uses client-side adaptive throttling: an
+// account's requests are refused with the probability
+//
+//	(requests - acceptFactor × accepts) / (requests + slack)
 package throttle
 
 import (
@@ -14,14 +14,13 @@
 )
 
 const (
-	// acceptFactor is how much more than what is accepted is asked for, so that an
-	// account gets more as soon as there is more.
+	// acceptFactor is how many requests are let through for each accepted one, so that an
+	// account gets more as soon as capacity is free.
 	acceptFactor = 2
-	// slack lets accounts that ask for little through.
-	slack = 40
-	// halfLife is the time in which what was counted fades to a halfLife.
+	// slack lets accounts with few requests through.
+	slack    = 40
 	halfLife = time.Second
-	// minRequests is the count below which an account is forgotten.
+	// minRequests is the decayed count below which an account is removed.
 	minRequests = 0.01
 )
 
@@ -39,14 +38,14 @@
 	}
 }
 
-// Throttle counts what each account of one gateway asks for and is given. It is
-// not safe for concurrent use.
+// Throttle counts the requests of each account at one gateway, and those that were accepted.
+// It is not safe for concurrent use.
 type Throttle struct {
 	accounts  map[string]*account
 	lastSweep time.Time
 }
 
-// New returns a throttle that has counted nothing.
+// New returns an empty throttle.
 func New() *Throttle { return &Throttle{accounts: map[string]*account{}} }
 
 func (t *Throttle) account(now time.Time, name string) *account {
@@ -59,27 +58,27 @@
 	return a
 }
 
-// Admit counts a request and tells whether a scheduler is to be asked; draw is
-// a random number between 0 and 1.
+// Admit counts a request and reports whether to ask a scheduler for it; draw is a random
+// number between 0 and 1.
 func (t *Throttle) Admit(now time.Time, name string, draw float64) bool {
 	t.sweep(now)
 	a := t.account(now, name)
-	refuse := (a.requests - acceptFactor*a.accepts) / (a.requests + slack)
+	refusal := (a.requests - acceptFactor*a.accepts) / (a.requests + slack)
 	a.requests++
-	return draw >= refuse
+	return draw >= refusal
 }
 
-// Accepted counts a request that was placed.
+// Accepted counts a request that a scheduler placed.
 func (t *Throttle) Accepted(now time.Time, name string) { t.account(now, name).accepts++ }
 
-// Disregard takes a counted request back that is refused for a reason of its own: it is no
-// demand that the account's other requests should pay for.
+// Disregard takes back a counted request that was refused for another reason, so that it
+// does not throttle the account's other requests.
 func (t *Throttle) Disregard(now time.Time, name string) {
 	a := t.account(now, name)
 	a.requests = max(a.requests-1, 0)
 }
 
-// sweep forgets accounts that have asked for nothing for long.
+// sweep removes idle accounts, whose counts have decayed.
 func (t *Throttle) sweep(now time.Time) {
 	if now.Sub(t.lastSweep) < 10*halfLife {
 		return
