--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,20 +1,20 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package limit adapts how many requests a target runs at once: additive
-// increase while answers are quick, multiplicative decrease when they are not.
+// Package limit adapts the concurrency limit of a target: additive increase while answers are
+// quick, multiplicative decrease when they are not.
 package limit
 
 import "time"
 
-// Config holds the goals and steps of a Limiter.
+// Config holds the bounds, latency goals and steps of a Limiter.
 type Config struct {
-	Ceiling        int           // Ceiling is the configured limit.
-	Floor          int           // Floor is the least limit, at least 1.
-	FirstTokenGoal time.Duration // FirstTokenGoal is the time to first token to stay under.
-	TokenGapGoal   time.Duration // TokenGapGoal is the time between tokens to stay under.
-	Backoff        float64       // Backoff multiplies the limit on overload.
-	Cooldown       time.Duration // Cooldown is the least time between two decreases.
+	Ceiling        int           // configured concurrency limit
+	Floor          int           // lowest limit, at least 1
+	FirstTokenGoal time.Duration // highest time to first token that is not overload; 0 is unlimited
+	TokenGapGoal   time.Duration // highest time between tokens that is not overload; 0 is unlimited
+	Backoff        float64       // factor applied to the limit on overload
+	Cooldown       time.Duration // least time between two decreases
 }
 
 // Defaults of Config for a model target.
@@ -25,14 +25,14 @@
 	DefaultCooldown       = 2 * time.Second
 )
 
-// Sample is what one request showed. Zero values are not judged.
+// Sample holds the latencies of a finished request. Zero values are ignored.
 type Sample struct {
 	FirstToken time.Duration
 	TokenGap   time.Duration
-	Failed     bool // Failed means that the target could not be reached or refused for load.
+	Failed     bool // target unreachable, or request refused for overload
 }
 
-// Limiter holds the current limit of one target.
+// Limiter holds the current concurrency limit of one target.
 type Limiter struct {
 	cfg          Config
 	limit        float64
@@ -53,7 +53,7 @@
 	return &Limiter{cfg: cfg, limit: float64(cfg.Ceiling)}
 }
 
-// Limit returns how many requests may run at once.
+// Limit returns the number of requests that may run at once.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
 // SetCeiling changes the configured limit.
@@ -68,7 +68,7 @@
 	l.limit = min(l.limit, float64(n))
 }
 
-// Observe takes the sample of one finished request.
+// Observe adjusts the limit to the sample of one finished request.
 func (l *Limiter) Observe(now time.Time, s Sample) {
 	if l.overloaded(s) {
 		l.decrease(now)
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -16,23 +16,23 @@
 		now = now.Add(DefaultCooldown)
 		l.Observe(now, s)
 		if l.Limit() >= before {
-			t.Errorf("%+v: the limit stays at %d", s, l.Limit())
+			t.Errorf("%+v: limit not decreased: got %d", s, l.Limit())
 		}
 	}
 	low := l.Limit()
 	l.Observe(now, Sample{Failed: true})
 	if l.Limit() != low {
-		t.Error("two decreases within the cooldown")
+		t.Error("limit decreased twice within the cooldown")
 	}
 	for range 200 {
 		l.Observe(now, Sample{FirstToken: time.Millisecond, TokenGap: time.Millisecond})
 	}
 	if l.Limit() != 10 {
-		t.Errorf("it came back to %d, not to the ceiling", l.Limit())
+		t.Errorf("limit after 200 quick answers: got %d, want 10", l.Limit())
 	}
 	l.SetCeiling(4)
 	if l.Limit() != 4 {
-		t.Errorf("over the new ceiling: %d", l.Limit())
+		t.Errorf("limit after SetCeiling(4): got %d, want 4", l.Limit())
 	}
 }
 
@@ -44,6 +44,6 @@
 		l.Observe(now, Sample{Failed: true})
 	}
 	if l.Limit() < 1 {
-		t.Errorf("limit %d", l.Limit())
+		t.Errorf("limit: got %d, want at least 1", l.Limit())
 	}
 }
