--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -1,12 +1,11 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package budget limits retries to a share of the first attempts, so that
-// retries never multiply an outage.
+// Package budget limits retries to a fraction of the first attempts, so that retries do not
+// multiply the load in an outage.
 package budget
 
-// Budget is a token bucket that first attempts fill and retries drain. Each
-// account and each pool has one.
+// Budget is a token bucket that first attempts fill and retries drain.
 type Budget struct {
 	tokens float64
 	ratio  float64
@@ -19,8 +18,8 @@
 	DefaultBurst = 10
 )
 
-// New returns a budget that allows ratio retries for each first attempt and
-// burst retries at once.
+// New returns a budget that allows ratio retries for each first attempt, and burst retries
+// at once.
 func New(ratio, burst float64) *Budget {
 	return &Budget{tokens: burst, ratio: ratio, max: burst}
 }
@@ -28,10 +27,10 @@
 // Attempt records a first attempt.
 func (b *Budget) Attempt() { b.tokens = min(b.tokens+b.ratio, b.max) }
 
-// Tokens returns how many retries are left.
+// Tokens returns the number of retries left.
 func (b *Budget) Tokens() float64 { return b.tokens }
 
-// Set holds budgets by name; the zero value is not usable.
+// Set holds a budget for each account and each pool; use NewSet.
 type Set struct {
 	ratio, burst float64
 	byName       map[string]*Budget
@@ -57,7 +56,8 @@
 	s.get("pool/" + pool).Attempt()
 }
 
-// Retry takes one retry from both budgets, or from neither.
+// Retry takes a retry from the budgets of both the account and the pool. It takes none and
+// returns false if either is empty.
 func (s *Set) Retry(account, pool string) bool {
 	a, p := s.get("account/"+account), s.get("pool/"+pool)
 	if a.tokens < 1 || p.tokens < 1 {
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -5,7 +5,7 @@
 
 import "testing"
 
-// In an outage every attempt fails: retries stay a share of first attempts.
+// Guards against retries multiplying the load when every attempt fails.
 func TestRetriesDoNotMultiplyAnOutage(t *testing.T) {
 	s := NewSet(0.2, 10)
 	retries := 0
@@ -18,13 +18,13 @@
 		}
 	}
 	if retries > 215 || retries < 190 {
-		t.Errorf("%d retries for 1000 first attempts", retries)
+		t.Errorf("%d retries for 1000 first attempts, want 190 to 215", retries)
 	}
-	// Another account of the pool is held back by the pool's budget too.
+	// The pool's budget also limits its other accounts.
 	if s.Retry("birch", "chat") {
-		t.Error("the pool's budget was passed over")
+		t.Error("retry allowed although the pool's budget is empty")
 	}
 	if !s.Retry("birch", "other") {
-		t.Error("another pool is held back")
+		t.Error("retry refused in a pool whose budget is full")
 	}
 }
--- a/core/budget/window.go
+++ b/core/budget/window.go
@@ -5,23 +5,23 @@
 
 import "time"
 
-// windowSlots is into how many pieces a window is divided.
+// windowSlots is the number of slots into which the length of a window is divided.
 const windowSlots = 20
 
-// Window limits repeats to a share of the first sends within any span of its
-// length, and a few more. Each gateway has a window of its own for each
-// service; the shares of all of them add up to what the fleet may do.
+// Window limits retries to a fraction of the first attempts, plus a few, within any span of
+// its length. Each gateway has one window per service; their limits add up to the limit of
+// the fleet.
 type Window struct {
 	ratio    float64
 	slot     time.Duration
 	start    time.Time
-	newest   int64 // at is the number of the newest slot.
+	newest   int64 // number of the newest slot, counted from start
 	attempts [windowSlots + 1]int
 	retries  [windowSlots + 1]int
 }
 
-// NewWindow returns a window of this length that allows ratio repeats for each
-// first send.
+// NewWindow returns a window of this length that allows ratio retries for each first
+// attempt.
 func NewWindow(length time.Duration, ratio float64) *Window {
 	return &Window{ratio: ratio, slot: length / windowSlots}
 }
@@ -42,19 +42,19 @@
 	return int(w.newest % (windowSlots + 1))
 }
 
-// Attempt records a first send.
+// Attempt records a first attempt.
 func (w *Window) Attempt(now time.Time) { w.attempts[w.advance(now)]++ }
 
-// Retry takes one repeat where the window allows it; extra is how many this
+// Retry takes a retry and returns true if the window allows it; extra is how many this
 // gateway may make beyond the ratio.
 func (w *Window) Retry(now time.Time, extra float64) bool {
 	i := w.advance(now)
-	first, again := 0, 0
+	attempts, retries := 0, 0
 	for j := range w.attempts {
-		first += w.attempts[j]
-		again += w.retries[j]
+		attempts += w.attempts[j]
+		retries += w.retries[j]
 	}
-	if float64(again+1) > w.ratio*float64(first)+extra {
+	if float64(retries+1) > w.ratio*float64(attempts)+extra {
 		return false
 	}
 	w.retries[i]++
