--- a/core/admit/ask.go
+++ b/core/admit/ask.go
@@ -17,9 +17,9 @@
 	q.hints[pool][scheduler] = hint{free, now}
 }
 
-// updateDemands keeps the schedulers' view of a queue good enough: a scheduler that has
-// granted all that it was told of hears of the rest, one that was asked for
-// requests that are gone hears so a little later.
+// updateDemands keeps the schedulers' view of a queue current: a scheduler that has granted
+// all that was demanded gets a new demand, and demands of an empty queue are withdrawn after
+// withdrawDelay.
 func (q *Queuer) updateDemands(now time.Time, qu *queue) {
 	if qu.tree.Len() == 0 {
 		q.withdrawDemands(now, qu)
@@ -68,8 +68,8 @@
 	}
 }
 
-// widen asks more schedulers, twice as many each time, until all of the pool
-// are asked. So a free slot anywhere finds the work that waits.
+// widen sends the demand to more schedulers, doubling their number each time until all of the
+// pool have it, so that a free slot anywhere is found.
 func (q *Queuer) widen(now time.Time, qu *queue) {
 	if !q.addSchedulers(now, qu, qu.widenBy) {
 		qu.widenAt = now.Add(widenMaxDelay)
@@ -79,11 +79,10 @@
 	qu.widenAt = now.Add(min(widenInitialDelay*time.Duration(qu.widenBy), widenMaxDelay))
 }
 
-// addSchedulers adds up to n schedulers. Those that were full by the last hint come
-// last; of the others those with the preferred targets come first, then this
-// router's own scheduler, which costs no message, then those known to have free
-// slots, the nearest, and the rest in rotation. It reports whether there was any
-// left to ask.
+// addSchedulers sends the demand to up to n more schedulers. Those that were full by the last
+// hint come last. Among the others, those with preferred targets come first, then this
+// router's own scheduler, which costs no message, then those known to have free slots, the
+// nearest, and the rest in rotation. It reports whether any scheduler was left.
 func (q *Queuer) addSchedulers(now time.Time, qu *queue, n int) bool {
 	candidates := q.candidates(now, qu)
 	for _, id := range candidates[:min(n, len(candidates))] {
@@ -147,8 +146,8 @@
 	return ids
 }
 
-// freeHint returns 1 where some slots were free, 0 where nothing is known and -1
-// where no slot was free, so that near schedulers come first among equals.
+// freeHint returns 1 if slots were free by the last hint, -1 if none was, and 0 if unknown.
+// The number of slots is left out so that distance decides between schedulers with free slots.
 func (q *Queuer) freeHint(now time.Time, pool, id string) int {
 	h, ok := q.hints[pool][id]
 	if !ok || now.Sub(h.at) > hintMaxAge {
--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -11,8 +11,8 @@
 	"madderway/core/message"
 )
 
-// BenchmarkRequest is the way of one request through the queue, by the targets
-// of its pool and the accounts that have queues.
+// BenchmarkRequest takes one request through the queue, for several numbers of targets and
+// accounts.
 func BenchmarkRequest(b *testing.B) {
 	for _, targets := range []int{9, 60, 600} {
 		for _, accounts := range []int{31, 310} {
--- a/core/admit/event.go
+++ b/core/admit/event.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package admit is the entry router's side of scheduling: it queues requests
-// by account and pool, asks schedulers for slots and decides which request
-// uses a grant. A Queuer is a pure state machine: Step(now, event) returns
-// actions.
+// Package admit is the entry router's side of scheduling: it queues requests by account and
+// pool, sends demands to schedulers and decides which request uses a grant. A Queuer is a pure
+// state machine: Step takes the time and an event and returns actions.
 package admit
 
 import (
@@ -15,55 +14,55 @@
 	"madderway/models/result"
 )
 
-// RequestID names a request inside one router process.
+// RequestID identifies a request within one router process.
 type RequestID uint64
 
-// Request is what a Queuer knows of a request.
+// Request is a request to be queued, with the limits of its account.
 type Request struct {
 	ID          RequestID
 	Account     string
 	Pool        string
-	Rank        int  // Rank orders the requests of an account, lowest first.
-	Interactive bool // Interactive work gets the pool's head start.
+	Rank        int  // lowest goes first within the account
+	Interactive bool // gets the pool's head start
 	Cost        float64
 	Bytes       int64
 	Deadline    time.Time
-	Deny        []string           // Deny names targets that may not serve it.
-	Prefer      map[string]float64 // Prefer scores targets by affinity.
-	Prefix      string             // Prefix names the prompt prefix, or is empty.
-	Weight      float64            // Weight is the account's share.
+	Deny        []string           // targets that may not serve it
+	Prefer      map[string]float64 // affinity score by target
+	Prefix      string             // ID of the prompt prefix, or empty
+	Weight      float64            // fair share of the account
 	MaxQueued   int
 	MaxBytes    int64
 }
 
-// GrantKey names a grant across schedulers.
+// GrantKey identifies a grant across schedulers.
 type GrantKey struct {
 	Scheduler string
 	ID        message.GrantID
 }
 
-// Event is something that a Queuer reacts to.
+// Event is an input of a Dispatcher.
 type Event interface{ isEvent() }
 
 // Arrived queues a request.
 type Arrived struct{ Request Request }
 
-// Canceled takes a waiting request out, because its caller has gone.
+// Canceled removes a waiting request whose caller has disconnected.
 type Canceled struct{ ID RequestID }
 
-// GrantSeen is a grant from a scheduler.
+// GrantSeen delivers a grant from a scheduler.
 type GrantSeen struct {
 	From  string
 	Grant message.Grant
 }
 
-// Progressed tells what a running request has cost so far, in service units.
+// Progressed reports the cost of a running request so far, in service units.
 type Progressed struct {
 	ID   RequestID
 	Cost float64
 }
 
-// Finished tells that a started request no longer uses its target.
+// Finished reports that a started request no longer uses its target.
 type Finished struct {
 	ID         RequestID
 	Cost       float64
@@ -72,24 +71,24 @@
 	Failed     bool
 }
 
-// Route is one target with the router that schedules it.
+// Route is a target with the scheduler that owns it.
 type Route struct {
 	Target    string
 	Scheduler fair.Reporter
-	Distance  int // Distance is 0 in the same data hall, 1 in the region, 2 elsewhere.
+	Distance  int // 0 in the same data hall, 1 in the same region, 2 elsewhere
 }
 
-// Routed replaces the targets and schedulers of all pools.
+// Routed replaces the routes of all pools.
 type Routed struct{ Pools map[string][]Route }
 
-// LoadSeen is a lagging load report; only the naive dispatcher heeds it.
+// LoadSeen delivers a delayed load report; only the naive dispatcher uses it.
 type LoadSeen struct {
 	Target  string
 	Running int
 	Slots   int
 }
 
-// Tick lets time pass.
+// Tick triggers what is due by time.
 type Tick struct{}
 
 func (Arrived) isEvent()    {}
@@ -101,14 +100,14 @@
 func (LoadSeen) isEvent()   {}
 func (Tick) isEvent()       {}
 
-// Action is something that the owner of a Queuer must do.
+// Action is an output that the caller of Step must carry out.
 type Action interface{ isAction() }
 
 // DemandOut sends a demand to a scheduler.
 type DemandOut struct {
 	To     string
 	Demand message.Demand
-	Lazy   bool // Lazy messages may wait for others to the same router.
+	Lazy   bool // may be batched with other messages to the same router
 }
 
 // ReportOut sends a report to a scheduler.
@@ -124,7 +123,7 @@
 	Inventory message.Inventory
 }
 
-// Start tells that a request runs at a target from now on.
+// Start starts a request at a target.
 type Start struct {
 	ID        RequestID
 	Target    string
@@ -148,22 +147,22 @@
 
 // Dispatcher decides when and where requests start.
 type Dispatcher interface {
-	// Step takes one event and returns what is to be done.
+	// Step handles one event and returns the actions to carry out.
 	Step(now time.Time, ev Event) []Action
-	// State returns what a dump shows.
+	// State returns the contents of a state dump.
 	State() State
 	// Queued returns the number of waiting requests.
 	Queued() int
 }
 
-// State is what a dump shows of a Dispatcher.
+// State is the state dump of a Dispatcher.
 type State struct {
 	Queues  []QueueState `json:"queues"`
 	Running int          `json:"running"`
 	Unused  uint64       `json:"grants_unused_total"`
 }
 
-// QueueState is one queue in a dump.
+// QueueState is the state dump of one queue.
 type QueueState struct {
 	Account string   `json:"account"`
 	Pool    string   `json:"pool"`
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -12,11 +12,10 @@
 
 const (
 	btreeDegree = 8
-	// scanLimit is how many waiting requests of the best rank are compared for
-	// their affinity to a granted target.
+	// scanLimit is the number of waiting requests of the best rank that are compared by their
+	// affinity to a granted target.
 	scanLimit = 8
-	// startIntervalWeight is the weight of the newest sample in the average time
-	// between two starts.
+	// startIntervalWeight is the weight of the newest sample in the average start interval.
 	startIntervalWeight = 0.2
 )
 
@@ -45,12 +44,12 @@
 	widenAt       time.Time
 	widenBy       int
 	lastStart     time.Time
-	startInterval time.Duration // pace is the average time between two starts.
+	startInterval time.Duration // moving average of the time between two starts
 }
 
-// demandState is what a scheduler has been told and has used of it.
+// demandState is the demand that one scheduler has from a queue.
 type demandState struct {
-	remaining   int // remaining is what the scheduler may still grant.
+	remaining   int // grants that the scheduler may still send for it
 	interactive bool
 	sentAt      time.Time
 	withdrawAt  time.Time
@@ -83,8 +82,8 @@
 	return w
 }
 
-// pick returns the request that suits the target best: the lowest rank first,
-// then among the oldest few of that rank the highest preference.
+// pick returns the request that suits the target best: the lowest rank first, then the
+// highest affinity among the oldest scanLimit of that rank.
 func (q *queue) pick(target string, interactiveOnly bool) *waiting {
 	var best *waiting
 	scanned := 0
@@ -112,8 +111,8 @@
 	q.lastStart = now
 }
 
-// retryAfter tells when the queue will have moved on by about half, which is
-// when a refused caller should come back.
+// retryAfter estimates when about half of the queue will have started, which is when a
+// refused caller should retry.
 func (q *queue) retryAfter() time.Duration {
 	d := q.startInterval * time.Duration(q.tree.Len()) / 2
 	return min(max(d, minRetryAfter), maxRetryAfter)
--- a/core/admit/queuer.go
+++ b/core/admit/queuer.go
@@ -11,19 +11,18 @@
 	"madderway/models/result"
 )
 
-// Times and sizes of the demand protocol.
 const (
 	minRetryAfter         = time.Second
 	maxRetryAfter         = time.Minute
-	widenInitialDelay     = 10 * time.Millisecond // after it a demand goes to more schedulers
+	widenInitialDelay     = 10 * time.Millisecond // before a demand goes to more schedulers
 	widenMaxDelay         = 500 * time.Millisecond
-	withdrawDelay         = 20 * time.Millisecond // demands that nothing waits for are taken back this late
-	demandRefreshInterval = 2 * time.Second       // a demand is told again, in case it was lost
-	maxDemandCount        = 8                     // a demand names at most so many requests
+	withdrawDelay         = 20 * time.Millisecond // before the demands of an empty queue are withdrawn
+	demandRefreshInterval = 2 * time.Second       // resends demands that may be lost
+	maxDemandCount        = 8                     // highest number of requests that a demand names
 	inventoryInterval     = 8 * time.Second
 	hintMaxAge            = time.Second
-	chargeAheadFactor     = 1.25 // a request that costs more than charged is charged so much more
-	minChargeAhead        = 16   // and at least so many units
+	chargeAheadFactor     = 1.25 // charged cost by true cost of a running request
+	minChargeAhead        = 16   // in service units
 	maxGrantReuse         = 2 * time.Second
 )
 
@@ -38,9 +37,9 @@
 	pool      string
 	target    string
 	charged   float64
-	base      float64 // base is the cost of earlier requests under the same grant.
+	base      float64 // cost of earlier requests under the same grant
 	quantum   float64
-	contended bool // busy tells that the scheduler had accounts waiting.
+	contended bool // other accounts wait at the scheduler
 	grantedAt time.Time
 	scheduler fair.Reporter
 }
@@ -52,7 +51,7 @@
 	byID          map[RequestID]*waiting
 	running       map[RequestID]*running
 	routes        map[string][]Route
-	hints         map[string]map[string]hint // pool, scheduler
+	hints         map[string]map[string]hint // by pool and scheduler
 	nextSeq       uint64
 	rotation      int
 	adoptSeq      message.GrantID
@@ -61,7 +60,7 @@
 	out           []Action
 }
 
-// New returns a Queuer of the router with this ID and incarnation.
+// New returns a Queuer for the router with this ID and incarnation.
 func New(self fair.Reporter) *Queuer {
 	return &Queuer{
 		self:    self.ID,
@@ -70,8 +69,8 @@
 		running: map[RequestID]*running{},
 		routes:  map[string][]Route{},
 		hints:   map[string]map[string]hint{},
-		// Adopted grants are named by the entry router. The top bit and a part
-		// of the incarnation keep them apart from the schedulers' own.
+		// The entry router assigns the IDs of adopted grants. The top bit and a part of its
+		// incarnation keep them apart from the schedulers' own.
 		adoptSeq: 1<<63 | message.GrantID(self.Incarnation%(1<<31))<<32,
 	}
 }
@@ -125,9 +124,9 @@
 	q.nextSeq++
 	w := &waiting{Request: r, seq: q.nextSeq, arrived: now}
 	q.byID[r.ID] = w
-	fresh := qu.tree.Len() == 0
+	wasEmpty := qu.tree.Len() == 0
 	qu.push(w)
-	if fresh {
+	if wasEmpty {
 		qu.widenBy, qu.widenAt = 1, now.Add(widenInitialDelay)
 	}
 	q.updateDemands(now, qu)
@@ -140,7 +139,7 @@
 	return r.MaxBytes > 0 && qu.bytes+r.Bytes > r.MaxBytes
 }
 
-// allowed returns the routes that the request's policy permits.
+// allowed returns the routes of the pool without the targets that the request denies.
 func (q *Queuer) allowed(r Request) []Route {
 	routes := q.routes[r.Pool]
 	if len(r.Deny) == 0 {
@@ -214,8 +213,8 @@
 	return Route{}, false
 }
 
-// progress charges ahead of the true cost, in growing steps, so that a long
-// answer needs only a few reports.
+// progress charges more than the cost so far, in growing steps, so that a long answer needs
+// few reports.
 func (q *Queuer) progress(e Progressed) {
 	r := q.running[e.ID]
 	if r == nil || r.base+e.Cost <= r.charged {
@@ -244,8 +243,8 @@
 	}})
 }
 
-// reuse starts the account's next request under the same grant while the
-// quantum lasts, which saves a round trip for short calls.
+// reuse starts the account's next request under the same grant while the quantum lasts, which
+// saves a round trip for short requests.
 func (q *Queuer) reuse(now time.Time, r *running, cost float64) bool {
 	if cost >= r.quantum || now.Sub(r.grantedAt) > maxGrantReuse {
 		return false
@@ -280,14 +279,14 @@
 }
 
 func (q *Queuer) expire(now time.Time, qu *queue) {
-	var late []*waiting
+	var expired []*waiting
 	qu.tree.Ascend(func(w *waiting) bool {
 		if !w.Deadline.IsZero() && !now.Before(w.Deadline) {
-			late = append(late, w)
+			expired = append(expired, w)
 		}
 		return true
 	})
-	for _, w := range late {
+	for _, w := range expired {
 		delete(q.byID, w.ID)
 		qu.remove(w)
 		q.emit(Refuse{w.ID, result.QueueTimeout, qu.retryAfter()})
--- a/core/admit/queuer_test.go
+++ b/core/admit/queuer_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// routesOf returns one target for each scheduler.
+// routesOf returns routes with one target for each scheduler.
 func routesOf(pool string, schedulers ...string) Routed {
 	routes := make([]Route, len(schedulers))
 	for i, id := range schedulers {
@@ -53,8 +53,7 @@
 	return q
 }
 
-// A request that waits for long asked for twice as many schedulers each time,
-// until the number overflowed and the router crashed.
+// Guards against an overflow of the doubled number of schedulers in a long wait.
 func TestLongWaitKeepsWidening(t *testing.T) {
 	q := newQueuer("a", "b", "c")
 	now := epoch
@@ -67,41 +66,40 @@
 		}
 	}
 	if len(asked) < 2 {
-		t.Fatalf("only %v were asked", asked)
+		t.Fatalf("only %v were asked, want more schedulers over time", asked)
 	}
 	if q.Queued() != 1 {
-		t.Fatalf("%d requests wait", q.Queued())
+		t.Fatalf("%d requests queued, want 1", q.Queued())
 	}
 }
 
 func TestDemandGoesToOneSchedulerFirst(t *testing.T) {
 	q := newQueuer("a", "b", "c", "d")
 	if got := demandsTo(q.Step(epoch, Arrived{request(1)})); len(got) != 1 {
-		t.Fatalf("asked %v at once", got)
+		t.Fatalf("asked %v on arrival, want one scheduler", got)
 	}
 	got := demandsTo(q.Step(epoch.Add(widenInitialDelay), Tick{}))
 	if len(got) != 1 {
-		t.Fatalf("then asked %v", got)
+		t.Fatalf("asked %v after widenInitialDelay, want one more scheduler", got)
 	}
 }
 
-// A router's own targets cost no message, so they are asked first unless they
-// are full or another one is preferred.
+// A router's own scheduler is asked first unless it is full or another target is preferred.
 func TestOwnSchedulerIsAskedFirst(t *testing.T) {
 	q := newQueuer("a", "entry", "b")
 	if got := demandsTo(q.Step(epoch, Arrived{request(1)})); got["entry"] != 1 || len(got) != 1 {
-		t.Fatalf("asked %v", got)
+		t.Fatalf("asked %v, want only entry", got)
 	}
 	q = newQueuer("a", "entry", "b")
 	q.setHint(epoch, "chat", "entry", 0)
 	if got := demandsTo(q.Step(epoch, Arrived{request(1)})); got["entry"] != 0 {
-		t.Fatalf("asked %v although it is full", got)
+		t.Fatalf("asked %v, want another scheduler than entry, which is full", got)
 	}
 	q = newQueuer("a", "entry", "b")
 	near := request(1)
 	near.Prefer = map[string]float64{"target-b": 1}
 	if got := demandsTo(q.Step(epoch, Arrived{near})); got["b"] != 1 {
-		t.Fatalf("asked %v, not the preferred target's scheduler", got)
+		t.Fatalf("asked %v, want b, the scheduler of the preferred target", got)
 	}
 }
 
@@ -110,12 +108,12 @@
 	actions := q.Step(epoch, GrantSeen{"a", message.Grant{ID: 7, Account: "alder", Pool: "chat", Target: "target-a"}})
 	r, ok := actions[0].(ReportOut)
 	if !ok || r.Report.Kind != message.ReportUnused || r.Report.Grant != 7 {
-		t.Fatalf("got %v", actions)
+		t.Fatalf("got %v, want a report that grant 7 is unused", actions)
 	}
-	// A grant of a router that does not schedule the target is not used.
+	// A grant from a router that does not schedule the target is not used.
 	q.Step(epoch, Arrived{request(1)})
 	if _, ok := startOf(q.Step(epoch, GrantSeen{"b", message.Grant{ID: 8, Account: "alder", Pool: "chat", Target: "target-a"}})); ok {
-		t.Fatal("started under a grant of the wrong scheduler")
+		t.Fatal("request started under a grant of the wrong scheduler")
 	}
 }
 
@@ -131,10 +129,10 @@
 			refuse, refused = actions[0].(Refuse)
 		}
 		if refused != (id == 4) {
-			t.Fatalf("request %d: %v", id, actions)
+			t.Fatalf("request %d: got %v, want only request 4 refused", id, actions)
 		}
 		if refused && (refuse.Code != result.QueueFull || refuse.RetryAfter < minRetryAfter) {
-			t.Fatalf("got %+v", refuse)
+			t.Fatalf("got %+v, want QueueFull with RetryAfter of at least %v", refuse, minRetryAfter)
 		}
 	}
 	r := request(9)
@@ -154,7 +152,7 @@
 			return
 		}
 	}
-	t.Fatal("not refused at its deadline")
+	t.Fatal("request not refused at its deadline")
 }
 
 func TestGrantGoesByRankThenAffinity(t *testing.T) {
@@ -168,7 +166,7 @@
 	for i, want := range []RequestID{3, 2, 1} {
 		s, ok := startOf(q.Step(epoch, GrantSeen{"a", message.Grant{ID: message.GrantID(i), Account: "alder", Pool: "chat", Target: "target-a"}}))
 		if !ok || s.ID != want {
-			t.Fatalf("grant %d started %v, want %d", i, s, want)
+			t.Fatalf("grant %d started %v, want request %d", i, s, want)
 		}
 	}
 }
@@ -185,16 +183,16 @@
 		}
 	}
 	if adopted.Target != "target-a" || adopted.Charged != 100 {
-		t.Fatalf("adopted %+v", adopted)
+		t.Fatalf("adopted %+v, want target-a with 100 charged", adopted)
 	}
 	done := q.Step(epoch, Finished{ID: 1, Cost: 120})
 	r, ok := done[0].(ReportOut)
 	if !ok || r.To != "b" || r.Report.Grant != adopted.Grant || r.Report.Cost != 120 {
-		t.Fatalf("reported %+v", done)
+		t.Fatalf("reported %+v, want cost 120 to scheduler b", done)
 	}
 }
 
-// A short call's slot is used again by the same account within the quantum.
+// The account's next short request reuses the grant within the quantum.
 func TestQuantumReusesTheGrant(t *testing.T) {
 	q := newQueuer("a")
 	for id := RequestID(1); id <= 3; id++ {
@@ -204,12 +202,12 @@
 	}
 	q.Step(epoch, GrantSeen{"a", message.Grant{ID: 1, Account: "alder", Pool: "chat", Target: "target-a", Charged: 20, Quantum: 50}})
 	if s, ok := startOf(q.Step(epoch, Finished{ID: 1, Cost: 20})); !ok || s.ID != 2 {
-		t.Fatalf("the second did not start: %v", s)
+		t.Fatalf("started %v, want request 2", s)
 	}
 	actions := q.Step(epoch, Finished{ID: 2, Cost: 20})
 	r, ok := actions[0].(ReportOut)
 	if !ok || r.Report.Kind != message.ReportDone || r.Report.Cost != 40 {
-		t.Fatalf("after the quantum: %v", actions)
+		t.Fatalf("after the quantum: got %v, want a report with cost 40", actions)
 	}
 }
 
@@ -222,17 +220,17 @@
 		for _, a := range q.Step(epoch, Progressed{1, cost}) {
 			r := a.(ReportOut).Report
 			if r.Cost < cost {
-				t.Fatalf("at cost %v only %v was charged", cost, r.Cost)
+				t.Fatalf("reported charge at cost %v: got %v", cost, r.Cost)
 			}
 			charged = r.Cost
 			reports++
 		}
 		if charged < cost {
-			t.Fatalf("at cost %v the charge is %v", cost, charged)
+			t.Fatalf("charge at cost %v: got %v", cost, charged)
 		}
 	}
 	if reports > 40 {
-		t.Fatalf("%d reports for one request", reports)
+		t.Fatalf("%d reports for one request, want at most 40", reports)
 	}
 }
 
--- a/core/admit/route.go
+++ b/core/admit/route.go
@@ -9,8 +9,8 @@
 	"madderway/core/message"
 )
 
-// setRoutes takes new targets and schedulers. Requests in flight whose target
-// has another scheduler now are handed to that one.
+// setRoutes replaces the routes. Running requests whose target has a new scheduler are handed
+// to it for adoption.
 func (q *Queuer) setRoutes(now time.Time, pools map[string][]Route) {
 	q.routes = pools
 	adopt := map[string][]message.Adoption{}
@@ -34,15 +34,15 @@
 	}
 }
 
-// resetDemands drops what was asked of routers that no longer schedule for
-// the pool, or that have restarted, and asks anew.
+// resetDemands drops the demands of routers that no longer schedule for the pool and sends the
+// others again, as their schedulers may have restarted.
 func (q *Queuer) resetDemands(now time.Time, qu *queue) {
-	alive := map[string]bool{}
+	schedulers := map[string]bool{}
 	for _, r := range q.routes[qu.key.pool] {
-		alive[r.Scheduler.ID] = true
+		schedulers[r.Scheduler.ID] = true
 	}
 	for id, a := range qu.demands {
-		if !alive[id] {
+		if !schedulers[id] {
 			delete(qu.demands, id)
 			continue
 		}
@@ -54,8 +54,7 @@
 	q.updateDemands(now, qu)
 }
 
-// sendInventories tells each scheduler which of its grants are still in use,
-// and hands over requests to new owners.
+// sendInventories sends each scheduler the grants that are still in use, and those to adopt.
 func (q *Queuer) sendInventories(adopt map[string][]message.Adoption) {
 	held := map[string][]message.GrantID{}
 	for id := range adopt {
