--- a/core/fair/bound.go
+++ b/core/fair/bound.go
@@ -8,21 +8,19 @@
 	"time"
 )
 
-// BoundParams are what the fairness bound depends on. Costs are in service
-// units.
+// BoundParams are the parameters of the fairness bound. Costs are in service units.
 type BoundParams struct {
-	Slots      int           // Slots are the concurrent requests of the pool.
-	MaxCost    float64       // MaxCost is the most that one request costs.
-	MaxCharge  float64       // MaxCharge is the highest estimate that is charged at the start.
-	Rate       float64       // Rate is the service of the whole pool in a second.
-	CounterAge time.Duration // CounterAge is how old the counters of other schedulers may be.
-	Lag        time.Duration // Lag is how late reports of entry routers are.
-	HeadStart  float64       // HeadStart is how far interactive work goes first.
+	Slots      int           // concurrent requests of the pool
+	MaxCost    float64       // highest cost of a request
+	MaxCharge  float64       // highest estimate that is charged at the start
+	Rate       float64       // service units per second of the whole pool
+	CounterAge time.Duration // of the other schedulers' counters
+	Lag        time.Duration // of reports from entry routers
+	HeadStart  float64       // of interactive requests
 }
 
-// Bound returns the largest difference of service, over any time, between two
-// accounts of equal weight that have work waiting without a break. It is
-// derived in docs/design/fairness.md:
+// Bound returns the largest difference in service, over any period, between two accounts of
+// equal weight that have requests waiting throughout. docs/design/fairness.md derives it:
 //
 //	2 × (HeadStart + Slots × max(MaxCost, MaxCharge) + Rate × (CounterAge + Lag))
 func Bound(p BoundParams) float64 {
--- a/core/fair/fair_test.go
+++ b/core/fair/fair_test.go
@@ -23,7 +23,7 @@
 	return p
 }
 
-// naiveMin is the O(n) queue: it looks at every account.
+// naiveMin is the reference for Queue.Min: it looks at every account.
 func naiveMin(keys map[string]float64) (lowest float64, ok bool) {
 	for _, k := range keys {
 		if !ok || k < lowest {
@@ -63,8 +63,8 @@
 	row  Row
 }
 
-// Reports that are lost, doubled and reordered lead to the plain sum once the
-// last report of each reporter has come.
+// Lost, duplicated and reordered reports converge to the plain sum once the last report of
+// each reporter has arrived.
 func TestMergeConvergesToPlainSum(t *testing.T) {
 	props := gopter.NewProperties(parameters())
 	props.Property("the ledger has the plain sum", prop.ForAll(func(seed int64) bool {
@@ -86,11 +86,11 @@
 			}
 		}
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		kept := append(all[:len(all)/2], all[:len(all)/4]...) // lost and doubled
+		kept := append(all[:len(all)/2], all[:len(all)/4]...) // lost and duplicated
 		for _, d := range append(kept, last...) {
 			l.Merge(d.from, d.seq, d.row)
 		}
-		for _, d := range kept { // and late
+		for _, d := range kept { // late reports change nothing
 			l.Merge(d.from, d.seq, d.row)
 		}
 		return math.Abs(l.VirtualService("alder")-want) < 1e-6
@@ -106,24 +106,23 @@
 	l.RaiseFloor(1000)
 	l.BeginWaiting(epoch, "idle")
 	if got := l.Level("idle"); got != 1000 {
-		t.Fatalf("the newcomer stands at %v", got)
+		t.Fatalf("level of the new account: got %v, want 1000", got)
 	}
 	l.Settle(epoch.Add(time.Minute), time.Second, noneRunning)
 	if got := l.VirtualService("idle"); got != 1000 {
-		t.Fatalf("after settling it stands at %v", got)
+		t.Fatalf("virtual service after Settle: got %v, want 1000", got)
 	}
 }
 
-// A lift from stale counters was too high for good: service that others had
-// given before came on top of it.
+// Guards against a lift computed from stale counters: service reported later came on top of it.
 func TestLiftDoesNotCountServiceTwice(t *testing.T) {
 	l := NewLedger(0)
 	l.RaiseFloor(1000)
-	l.BeginWaiting(epoch, "alder") // this scheduler has not heard of the others' 900 yet
+	l.BeginWaiting(epoch, "alder") // before the report of the other's 900 arrives
 	l.Merge(Reporter{"other", 1}, 1, Row{Account: "alder", Service: 900})
 	l.Settle(epoch.Add(time.Minute), time.Second, noneRunning)
 	if got := l.VirtualService("alder"); got != 1000 {
-		t.Fatalf("stands at %v, not at the floor", got)
+		t.Fatalf("virtual service: got %v, want the floor, 1000", got)
 	}
 }
 
@@ -134,7 +133,7 @@
 	l.BeginWaiting(epoch, "alder")
 	l.Settle(epoch.Add(time.Minute), time.Second, noneRunning)
 	if got := l.VirtualService("alder"); got != 500 {
-		t.Fatalf("stands at %v", got)
+		t.Fatalf("virtual service: got %v, want 500", got)
 	}
 }
 
@@ -144,12 +143,12 @@
 	l.Merge(Reporter{"far", 1}, 1, Row{Account: "alder", Service: 1e6})
 	l.BeginWaiting(epoch, "alder")
 	if got := l.VirtualService("alder"); got != 150 {
-		t.Fatalf("the debt is %v over the floor", got-50)
+		t.Fatalf("debt above the floor: got %v, want 100", got-50)
 	}
 	// The same service is not counted again.
 	l.Merge(Reporter{"far", 1}, 1, Row{Account: "alder", Service: 1e6})
 	if got := l.VirtualService("alder"); got != 150 {
-		t.Fatalf("counted twice: %v", got)
+		t.Fatalf("virtual service after a duplicate report: got %v, want 150", got)
 	}
 }
 
@@ -167,9 +166,9 @@
 	a, gainA := l.Key("here")
 	b, gainB := l.Key("everywhere")
 	if gainA != 1 || gainB >= 0.2 {
-		t.Fatalf("gains %v and %v", gainA, gainB)
+		t.Fatalf("gains: got %v and %v, want 1 and less than 0.2", gainA, gainB)
 	}
 	if a != b {
-		t.Fatalf("at the same level the keys are %v and %v", a, b)
+		t.Fatalf("keys of accounts at the same level: got %v and %v, want equal", a, b)
 	}
 }
--- a/core/fair/ledger.go
+++ b/core/fair/ledger.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package fair counts the service that client accounts receive in one pool
-// and orders the accounts that wait. It has no clock and no input or output.
+// Package fair counts the service that client accounts receive in one pool and orders the
+// accounts that wait. It has no clock and does no input or output.
 //
-// Service is counted in virtual units: weighted service units divided by the
-// weight of the account. Each reporter (a scheduler process) owns one row per
-// account and sends the row's cumulative value, so that reports may be lost,
-// doubled or reordered without harm. docs/design/fairness.md has the bound.
+// Service is counted in virtual units: weighted service units divided by the weight of the
+// account. Each reporter (a scheduler process) owns one row per account and sends the row's
+// cumulative value, so that reports may be lost, duplicated or reordered without harm.
+// docs/design/fairness.md derives the fairness bound.
 package fair
 
 import (
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// Reporter names one incarnation of a scheduler.
+// Reporter identifies one incarnation of a scheduler.
 type Reporter struct {
 	ID          string
 	Incarnation uint64
 }
 
-// Row is the cumulative virtual service of one account as one reporter gave
-// it, with the reporter's registers for the account.
+// Row is the cumulative virtual service that one reporter gave to an account, with the
+// corrections that it has applied to the account.
 type Row struct {
 	Account string
-	Service float64 // Service may fall when an estimate is settled.
-	Lift    float64 // Lift only grows.
-	Forgive float64 // Forgive only grows.
+	Service float64 // falls when a settled estimate was too high
+	Lift    float64 // raises an account that was idle to the floor; only grows
+	Forgive float64 // lowers the debt of an account; only grows
 }
 
-// foreignEntry is a row of another reporter.
+// foreignEntry is the service in the latest row of another reporter.
 type foreignEntry struct {
 	service float64
 	seq     uint64
@@ -38,44 +38,42 @@
 
 type account struct {
 	ownService     float64
-	foreignService float64 // others is the sum of the rows of other reporters.
+	foreignService float64 // sum of the rows of other reporters
 	rows           map[Reporter]foreignEntry
 	lift           float64
 	forgive        float64
-	changedAt      uint64 // dirty is the ledger's change counter at the last local change.
+	changedAt      uint64 // value of Ledger.changeSeq at the last local change
 
-	// roundBase is the own service at the start of the round that it belongs to.
+	// own service at the start of the given round
 	roundBase float64
 	round     uint64
 
-	// An account that starts to wait below the floor is pending for a while:
-	// tag orders it here, and the lift is fixed only once the counters of the
-	// other reporters have caught up. A lift from stale counters would be too
-	// high, for good, each time.
+	// An account that starts to wait below the floor is pending for a while. Until the counters
+	// of the other reporters have caught up, pendingTag orders it; only then is the lift fixed.
+	// A lift from stale counters would be too high permanently.
 	pending      bool
-	pendingFloor float64 // admitted is the floor at which it became pending.
+	pendingFloor float64 // floor at which it became pending
 	pendingAt    time.Time
 	pendingTag   float64
 }
 
 func (a *account) virtual() float64 { return a.ownService + a.foreignService + a.lift - a.forgive }
 
-// Ledger sums the service of the accounts of one pool.
+// Ledger sums the virtual service of the accounts of one pool.
 type Ledger struct {
 	accounts  map[string]*account
 	pending   map[string]*account
 	floor     float64
 	maxDebt   float64
 	changeSeq uint64
-	latestSeq map[Reporter]uint64 // reports holds the latest sequence number of each reporter.
+	latestSeq map[Reporter]uint64 // of the reports of each reporter
 	round     uint64
-	// reference is the level that keys are relative to.
+	// level that keys are relative to
 	reference float64
 }
 
-// NewLedger returns an empty ledger. maxDebt is how far an account may stand
-// above the floor after partitions rejoin, in virtual units; it must be larger
-// than the fairness bound.
+// NewLedger returns an empty ledger. maxDebt is how far an account may stand above the floor
+// after a partition heals, in virtual units; it must be larger than the fairness bound.
 func NewLedger(maxDebt float64) *Ledger {
 	return &Ledger{accounts: map[string]*account{}, pending: map[string]*account{}, latestSeq: map[Reporter]uint64{}, maxDebt: maxDebt}
 }
@@ -92,8 +90,7 @@
 	return a
 }
 
-// Charge adds delta to this process's own row; delta is negative when an
-// estimate turns out too high.
+// Charge adds delta to this process's own row; delta is negative if an estimate was too high.
 func (l *Ledger) Charge(name string, delta float64) {
 	if delta == 0 {
 		return
@@ -114,14 +111,13 @@
 	a.changedAt = l.changeSeq
 }
 
-// RecordReport tells that a report of another reporter came; its rows follow by Merge.
+// RecordReport records the number of another reporter's report; its rows follow by Merge.
 func (l *Ledger) RecordReport(from Reporter, seq uint64) {
 	l.latestSeq[from] = max(l.latestSeq[from], seq)
 }
 
-// Merge takes one row of another reporter. seq orders the reports of one
-// reporter; an older one changes nothing. It reports whether the account's
-// virtual service changed.
+// Merge takes one row of another reporter. seq orders the reports of one reporter; the service
+// of an older report is ignored. It reports whether the account's virtual service changed.
 func (l *Ledger) Merge(from Reporter, seq uint64, row Row) bool {
 	a := l.get(row.Account)
 	before := a.virtual()
@@ -147,14 +143,14 @@
 	return a.virtual()
 }
 
-// Floor returns the virtual time: a lower bound of the virtual service of all
-// accounts that wait anywhere in the fleet.
+// Floor returns the virtual time: a lower bound of the virtual service of all accounts that
+// wait anywhere in the fleet.
 func (l *Ledger) Floor() float64 { return l.floor }
 
-// RaiseFloor moves the floor up; a lower value changes nothing.
+// RaiseFloor raises the floor; a lower value is ignored.
 func (l *Ledger) RaiseFloor(f float64) { l.floor = math.Max(l.floor, f) }
 
-// Level returns an account's virtual service, or its tag while that is higher.
+// Level returns an account's virtual service, or its pending tag if that is higher.
 func (l *Ledger) Level(name string) float64 {
 	a, ok := l.accounts[name]
 	if !ok {
@@ -170,8 +166,8 @@
 	return a.virtual()
 }
 
-// NextRound starts a new round: what this scheduler gives from now on is told
-// apart from what the last report said.
+// NextRound starts a new round. The own service of a round is what this scheduler has given
+// since its last report.
 func (l *Ledger) NextRound() { l.round++ }
 
 // SetReference sets the reference of keys to the mean level of these accounts.
@@ -186,18 +182,16 @@
 	l.reference = sum / float64(len(waiting))
 }
 
-// Key returns what orders an account that waits here, and the gain in it.
+// Key returns the key that orders a waiting account here, and the gain in it.
 //
-// Each scheduler sees the others' counters as they were some time ago. If each
-// made good the whole of an account's arrears, all of them together would make
-// it good many times over before they hear of each other. So each makes good
-// its part: with the gain 1/n, where n schedulers serve the account, the key is
+// Each scheduler sees the others' counters with a delay. If each made up for the whole of an
+// account's arrears, all of them together would overshoot before they hear of each other. So
+// each makes up for its part: with the gain 1/n, where n schedulers serve the account, the key is
 //
 //	gain × (level − reference) + (1 − gain) × own service in this round.
 //
-// The reference is the mean level of what waits here, so that accounts with
-// different gains meet at the same level. An account that this scheduler alone
-// serves has the gain 1.
+// The reference is the mean level of the accounts waiting here, so that accounts with different
+// gains meet at the same level. An account that only this scheduler serves has the gain 1.
 func (l *Ledger) Key(name string) (key, gain float64) {
 	a, ok := l.accounts[name]
 	if !ok {
@@ -214,8 +208,8 @@
 	return a.ownService - a.roundBase
 }
 
-// servingSchedulers counts the schedulers that serve the account, this one included, by
-// the latest report of each.
+// servingSchedulers counts the schedulers that serve the account by the latest report of each,
+// this one included.
 func (l *Ledger) servingSchedulers(a *account) int {
 	n := 1
 	for from, c := range a.rows {
@@ -226,10 +220,9 @@
 	return n
 }
 
-// BeginWaiting prepares an account that starts to wait: below the floor it becomes
-// pending, so idle time earns no credit; a debt above the limit is forgiven.
-// An account that waits without a break stands above the floor, so nothing is
-// taken from it.
+// BeginWaiting prepares an account that starts to wait. Below the floor it becomes pending, so
+// that idle time earns no credit; debt above the limit is forgiven. An account that waits
+// continuously stands above the floor and loses nothing.
 func (l *Ledger) BeginWaiting(now time.Time, name string) {
 	a := l.get(name)
 	v := a.virtual()
@@ -247,11 +240,10 @@
 	}
 }
 
-// Settle fixes the lifts of the accounts that have been pending for at least
-// age, which must be longer than reports of others take. Service received
-// meanwhile only makes the lift smaller. Estimates charged for requests that
-// run do not: running returns them for this scheduler, and the others that
-// serve the account are taken to be alike.
+// Settle fixes the lifts of the accounts that have been pending for at least age, which must
+// exceed the delay of other reporters' reports. Service received meanwhile makes the lift
+// smaller, but estimates charged for running requests do not: running returns them for this
+// scheduler, and the other schedulers of the account are assumed to have as much.
 func (l *Ledger) Settle(now time.Time, age time.Duration, running func(account string) float64) {
 	for name, a := range l.pending {
 		if now.Sub(a.pendingAt) < age {
@@ -266,8 +258,8 @@
 	}
 }
 
-// Changed returns the own rows changed after the given change counter, and the
-// counter to pass next time. A counter of zero returns every row.
+// Changed returns the own rows changed after the given change number, and the number to pass
+// next time. Zero returns every row.
 func (l *Ledger) Changed(after uint64) ([]Row, uint64) {
 	var rows []Row
 	for name, a := range l.accounts {
@@ -285,8 +277,8 @@
 	Row  Row
 }
 
-// Foreign returns the rows of all other reporters, the dead ones included, so
-// that a scheduler that starts with no memory can be told of them.
+// Foreign returns the rows of all other reporters, dead ones included, for a scheduler that
+// starts without state.
 func (l *Ledger) Foreign() []ForeignRow {
 	var rows []ForeignRow
 	for name, a := range l.accounts {
--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -26,16 +26,16 @@
 	return a.name < b.name
 }
 
-// Queue holds the waiting accounts in ascending order of a key. Each operation
-// takes logarithmic time.
+// Queue holds the waiting accounts in ascending order of a key. Each operation takes
+// logarithmic time.
 type Queue struct {
 	salt string
 	tree *btree.BTreeG[item]
 	keys map[string]float64
 }
 
-// NewQueue returns an empty queue. The salt orders accounts with equal keys, so
-// that schedulers that know equally little do not all choose the same one.
+// NewQueue returns an empty queue. The salt orders accounts with equal keys, so that
+// schedulers without reports of each other do not all choose the same one.
 func NewQueue(salt string) *Queue {
 	return &Queue{salt: salt, tree: btree.NewG(queueDegree, lessItem), keys: map[string]float64{}}
 }
@@ -57,7 +57,7 @@
 	q.tree.ReplaceOrInsert(q.item(name, key))
 }
 
-// Remove takes the account out.
+// Remove removes the account.
 func (q *Queue) Remove(name string) {
 	old, ok := q.keys[name]
 	if !ok {
@@ -76,8 +76,7 @@
 // Len returns the number of queued accounts.
 func (q *Queue) Len() int { return len(q.keys) }
 
-// Ascend calls visit for each account from the lowest key on until it returns
-// false.
+// Ascend calls visit for each account in ascending order of keys until it returns false.
 func (q *Queue) Ascend(visit func(name string, key float64) bool) {
 	q.tree.Ascend(func(it item) bool { return visit(it.name, it.key) })
 }
