--- a/core/admit/queuer_test.go
+++ b/core/admit/queuer_test.go
@@ -132,7 +132,7 @@
 			t.Fatalf("request %d: got %v, want only request 4 refused", id, actions)
 		}
 		if refused && (refuse.Code != result.QueueFull || refuse.RetryAfter < minRetryAfter) {
-			t.Fatalf("got %+v, want QueueFull with RetryAfter of at least %v", refuse, minRetryAfter)
+			t.Fatalf("got %+v, want QueueFull with RetryAfter of at least minRetryAfter", refuse)
 		}
 	}
 	r := request(9)
