--- a/core/overload/collapse_test.go
+++ b/core/overload/collapse_test.go
@@ -25,25 +25,25 @@
 
 // workItem is a piece of work in the process's queue.
 type workItem struct {
-	due    time.Time
-	stream *stream // nil for requests and probes
-	parts  int     // of the stream, still to come
-	probe  bool
-	caller *callerRequest
+	due       time.Time
+	stream    *stream // nil for requests and probes
+	partsLeft int     // of the stream, still to come
+	probe     bool
+	caller    *callerRequest
 }
 
 // callerRequest is a caller's first request or its retry.
 type callerRequest struct {
-	account string
-	asked   time.Time
-	isRetry bool
+	account    string
+	firstAsked time.Time
+	isRetry    bool
 }
 
 type stream struct {
-	account string
-	asked   time.Time
-	first   time.Duration
-	work    time.Duration // total work of the stream
+	account        string
+	firstAsked     time.Time
+	firstPartAfter time.Duration
+	work           time.Duration // total work of the stream
 }
 
 // floodedProcess handles queued work in order. It measures its lateness by a probe that is
@@ -92,7 +92,7 @@
 			f.queue = append(f.queue, workItem{due: f.now, caller: &callerRequest{r.account, f.now, false}})
 		}
 	}
-	f.arrive()
+	f.queueDue()
 	for f.workDebt -= time.Duration(coreShare * float64(time.Millisecond)); f.workDebt < 0 && len(f.queue) > 0; {
 		next := f.queue[0]
 		f.queue = f.queue[1:]
@@ -101,7 +101,7 @@
 	f.workDebt = max(f.workDebt, -time.Duration(coreShare*float64(time.Millisecond)))
 }
 
-func (f *floodedProcess) arrive() {
+func (f *floodedProcess) queueDue() {
 	rest := f.scheduled[:0]
 	for _, p := range f.scheduled {
 		if p.due.After(f.now) {
@@ -126,33 +126,33 @@
 }
 
 func (f *floodedProcess) admit(v *callerRequest) {
-	s := &stream{account: v.account, asked: v.asked, work: streamWork}
+	s := &stream{account: v.account, firstAsked: v.firstAsked, work: streamWork}
 	switch f.Admit(f.now, v.account, f.rng.Float64(), true) {
 	case Refuse:
 		f.workDebt += f.refusal
 		if !v.isRetry {
-			f.scheduled = append(f.scheduled, workItem{due: f.now.Add(retryDelay), caller: &callerRequest{v.account, v.asked, true}})
+			f.scheduled = append(f.scheduled, workItem{due: f.now.Add(retryDelay), caller: &callerRequest{v.account, v.firstAsked, true}})
 		}
 		return
 	case HandOver:
 		s.work = handOverWork
 	}
 	f.workDebt += s.work / 2
-	f.scheduled = append(f.scheduled, workItem{due: f.now.Add(100 * time.Millisecond), stream: s, parts: streamParts})
+	f.scheduled = append(f.scheduled, workItem{due: f.now.Add(100 * time.Millisecond), stream: s, partsLeft: streamParts})
 }
 
 func (f *floodedProcess) sendPart(p workItem) {
 	f.workDebt += p.stream.work / 2 / streamParts
-	if p.stream.first == 0 {
-		p.stream.first = f.now.Sub(p.stream.asked)
-		if p.stream.first <= firstPartDeadline {
+	if p.stream.firstPartAfter == 0 {
+		p.stream.firstPartAfter = f.now.Sub(p.stream.firstAsked)
+		if p.stream.firstPartAfter <= firstPartDeadline {
 			add(f.served, f.second(f.now), p.stream.account)
 		} else {
 			add(f.late, f.second(f.now), p.stream.account)
 		}
 	}
-	if p.parts > 1 {
-		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(streamTime / streamParts), stream: p.stream, parts: p.parts - 1})
+	if p.partsLeft > 1 {
+		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(streamTime / streamParts), stream: p.stream, partsLeft: p.partsLeft - 1})
 	}
 }
 
--- a/core/overload/duties.go
+++ b/core/overload/duties.go
@@ -7,10 +7,10 @@
 
 const (
 	// A gateway stops scheduling for others when it has refused requests, or its link has been
-	// full, for dropAfter, and resumes when it has admitted everything for resumeAfter. Each
+	// full, for suspendAfter, and resumes when it has admitted everything for resumeAfter. Each
 	// move of a cell loses the state of its old scheduler.
-	dropAfter   = 700 * time.Millisecond
-	resumeAfter = 5 * time.Second
+	suspendAfter = 700 * time.Millisecond
+	resumeAfter  = 5 * time.Second
 )
 
 // Duties decides whether a gateway schedules for others while it is overloaded by its own
@@ -30,7 +30,7 @@
 	if d.disagreesSince.IsZero() {
 		d.disagreesSince = now
 	}
-	delay := dropAfter
+	delay := suspendAfter
 	if d.suspended {
 		delay = resumeAfter
 	}
--- a/core/overload/floods_test.go
+++ b/core/overload/floods_test.go
@@ -42,13 +42,13 @@
 	refusal    time.Duration
 	retries    int // of each caller after refusals
 	shape      shape
-	relief     bool
+	handOver   bool
 	seed       uint64
 }
 
 func (f flood) String() string {
 	return fmt.Sprintf("%.2f cores, load %.1f times the capacity, refusals of %v, %d retries, %s, hand-over %v, seed %d",
-		f.cores, f.loadFactor, f.refusal, f.retries, f.shape.name, f.relief, f.seed)
+		f.cores, f.loadFactor, f.refusal, f.retries, f.shape.name, f.handOver, f.seed)
 }
 
 // perSecond returns the offered rate of new requests in the flood.
@@ -57,7 +57,7 @@
 // capacity returns the highest rate that can be served in the flood with known costs, while
 // the other requests are refused at each of their attempts.
 func (f flood) capacity() float64 {
-	if f.relief {
+	if f.handOver {
 		return f.perSecond()
 	}
 	best := 0.0
@@ -79,13 +79,13 @@
 
 // attempt is a queued request, the stream that follows from it, or a probe.
 type attempt struct {
-	first time.Time // first attempt of the caller
-	tries int
-	part  int       // number of parts still to be sent
-	next  time.Time // time at which the target sends the next part
-	work  time.Duration
-	calm  bool
-	probe bool
+	first     time.Time // first attempt of the caller
+	tries     int
+	partsLeft int       // number of parts still to be sent
+	next      time.Time // time at which the target sends the next part
+	work      time.Duration
+	calm      bool
+	probe     bool
 }
 
 // floodRun simulates a flood on a process that handles queued work in order.
@@ -97,11 +97,11 @@
 	queue    []attempt
 	due      map[int64][]attempt // by the millisecond in which the work becomes due
 	workDebt time.Duration       // work done beyond the processor time available
-	probed   time.Time
+	probeDue time.Time
 	seconds  [floodTo + 4]second
 }
 
-func (r *floodRun) at(after time.Duration, a attempt) {
+func (r *floodRun) schedule(after time.Duration, a attempt) {
 	ms := r.now.Add(max(after, time.Millisecond)).Sub(epoch).Milliseconds()
 	r.due[ms] = append(r.due[ms], a)
 }
@@ -109,8 +109,8 @@
 // play simulates the flood and returns the run with its counts.
 func (f flood) play() *floodRun {
 	r := &floodRun{flood: f, Governor: New(), rng: rand.New(rand.NewPCG(f.seed, 9)), now: epoch, due: map[int64][]attempt{}}
-	r.SetHandOverAvailable(f.relief)
-	r.probed = epoch
+	r.SetHandOverAvailable(f.handOver)
+	r.probeDue = epoch
 	r.queue = append(r.queue, attempt{probe: true})
 	for range len(r.seconds) * 1000 {
 		r.step()
@@ -121,9 +121,9 @@
 // step simulates a millisecond.
 func (r *floodRun) step() {
 	r.now = r.now.Add(time.Millisecond)
-	r.ask("calm", calmRate*r.cores/streamWork.Seconds())
+	r.sendRequests("calm", calmRate*r.cores/streamWork.Seconds())
 	if s := r.second(r.now); s < floodTo && r.shape.active(s) {
-		r.ask("flood", r.perSecond())
+		r.sendRequests("flood", r.perSecond())
 	}
 	ms := r.now.Sub(epoch).Milliseconds()
 	r.queue = append(r.queue, r.due[ms]...)
@@ -138,7 +138,7 @@
 	r.workDebt = max(r.workDebt, -have)
 }
 
-func (r *floodRun) ask(account string, perSecond float64) {
+func (r *floodRun) sendRequests(account string, perSecond float64) {
 	for n := 2 * r.rng.Float64() * perSecond / 1000; n > 0; n-- {
 		if n < 1 && r.rng.Float64() > n {
 			return
@@ -155,10 +155,10 @@
 func (r *floodRun) handle(a attempt) {
 	switch {
 	case a.probe:
-		r.Observe(r.now, r.now.Sub(r.probed))
-		r.probed = r.now.Add(25 * time.Millisecond)
-		r.at(25*time.Millisecond, a)
-	case a.part > 0:
+		r.Observe(r.now, r.now.Sub(r.probeDue))
+		r.probeDue = r.now.Add(25 * time.Millisecond)
+		r.schedule(25*time.Millisecond, a)
+	case a.partsLeft > 0:
 		r.sendPart(a)
 	default:
 		r.admit(a)
@@ -174,7 +174,7 @@
 	case Refuse:
 		r.workDebt += r.refusal
 		if a.tries++; a.tries <= r.retries {
-			r.at(time.Duration(r.rng.IntN(100))*time.Millisecond, a)
+			r.schedule(time.Duration(r.rng.IntN(100))*time.Millisecond, a)
 		}
 		return
 	case HandOver:
@@ -183,23 +183,23 @@
 		a.work = streamWork
 	}
 	r.workDebt += a.work / 2
-	a.part, a.next = streamParts, r.now.Add(firstPartDelay)
-	r.at(firstPartDelay, a)
+	a.partsLeft, a.next = streamParts, r.now.Add(firstPartDelay)
+	r.schedule(firstPartDelay, a)
 }
 
 // sendPart handles a part of a streamed answer.
 func (r *floodRun) sendPart(a attempt) {
 	r.workDebt += a.work / 2 / streamParts
-	if s := r.second(a.first); a.part == streamParts && s < len(r.seconds) {
+	if s := r.second(a.first); a.partsLeft == streamParts && s < len(r.seconds) {
 		if r.now.Sub(a.first) <= firstPartDeadline {
 			r.seconds[s].inTime++
 		} else {
 			r.seconds[s].late++
 		}
 	}
-	if a.part--; a.part > 0 {
+	if a.partsLeft--; a.partsLeft > 0 {
 		a.next = a.next.Add(streamTime / streamParts)
-		r.at(a.next.Sub(r.now), a)
+		r.schedule(a.next.Sub(r.now), a)
 	}
 }
 
@@ -237,11 +237,11 @@
 			refusal:    time.Duration(40+rng.IntN(46)) * time.Microsecond,
 			retries:    returns,
 			shape:      []shape{lasting, ending, alternating}[rng.IntN(3)],
-			relief:     rng.IntN(4) == 0,
+			handOver:   rng.IntN(4) == 0,
 			seed:       rng.Uint64(),
 		}
 		leaves := f.capacity() >= 0.15*f.cores/streamWork.Seconds()
-		if f.relief {
+		if f.handOver {
 			leaves = f.loadFactor < 2
 		}
 		if leaves && f.loadFactor*f.cores < 2.5 {
