--- a/core/overload/floods_test.go
+++ b/core/overload/floods_test.go
@@ -79,13 +79,13 @@
 
 // attempt is a queued request, the stream that follows from it, or a probe.
 type attempt struct {
-	first     time.Time // first attempt of the caller
-	tries     int
-	partsLeft int       // number of parts still to be sent
-	next      time.Time // time at which the target sends the next part
-	work      time.Duration
-	calm      bool
-	probe     bool
+	firstAsked time.Time // first attempt of the caller
+	tries      int
+	partsLeft  int       // number of parts still to be sent
+	next       time.Time // time at which the target sends the next part
+	work       time.Duration
+	calm       bool
+	probe      bool
 }
 
 // floodRun simulates a flood on a process that handles queued work in order.
@@ -146,7 +146,7 @@
 		if s := r.second(r.now); s < len(r.seconds) {
 			r.seconds[s].asked++
 		}
-		r.queue = append(r.queue, attempt{first: r.now, calm: account == "calm"})
+		r.queue = append(r.queue, attempt{firstAsked: r.now, calm: account == "calm"})
 	}
 }
 
@@ -190,8 +190,8 @@
 // sendPart handles a part of a streamed answer.
 func (r *floodRun) sendPart(a attempt) {
 	r.workDebt += a.work / 2 / streamParts
-	if s := r.second(a.first); a.partsLeft == streamParts && s < len(r.seconds) {
-		if r.now.Sub(a.first) <= firstPartDeadline {
+	if s := r.second(a.firstAsked); a.partsLeft == streamParts && s < len(r.seconds) {
+		if r.now.Sub(a.firstAsked) <= firstPartDeadline {
 			r.seconds[s].inTime++
 		} else {
 			r.seconds[s].late++
