--- a/core/admit/ask.go
+++ b/core/admit/ask.go
@@ -29,20 +29,20 @@
 		q.addSchedulers(now, qu, 1)
 	}
 	interactive := qu.interactive > 0
-	for id, a := range qu.demands {
-		a.withdrawAt = time.Time{}
-		fresh := now.Sub(a.sentAt) < demandRefreshInterval
-		if a.remaining > 0 && a.interactive == interactive && fresh {
+	for id, d := range qu.demands {
+		d.withdrawAt = time.Time{}
+		fresh := now.Sub(d.sentAt) < demandRefreshInterval
+		if d.remaining > 0 && d.interactive == interactive && fresh {
 			continue
 		}
-		q.sendDemand(now, qu, id, a)
+		q.sendDemand(now, qu, id, d)
 	}
 }
 
-func (q *Queuer) sendDemand(now time.Time, qu *queue, id string, a *demandState) {
-	a.sentAt = now
+func (q *Queuer) sendDemand(now time.Time, qu *queue, id string, d *demandState) {
+	d.sentAt = now
 	count := min(qu.tree.Len(), maxDemandCount)
-	a.remaining, a.interactive = count, qu.interactive > 0
+	d.remaining, d.interactive = count, qu.interactive > 0
 	head := qu.head()
 	q.emit(DemandOut{To: id, Demand: message.Demand{
 		Account: qu.key.account, Pool: qu.key.pool, Count: count,
@@ -51,16 +51,16 @@
 }
 
 func (q *Queuer) withdrawDemands(now time.Time, qu *queue) {
-	for id, a := range qu.demands {
-		if a.remaining == 0 {
+	for id, d := range qu.demands {
+		if d.remaining == 0 {
 			delete(qu.demands, id)
 			continue
 		}
-		if a.withdrawAt.IsZero() {
-			a.withdrawAt = now.Add(withdrawDelay)
+		if d.withdrawAt.IsZero() {
+			d.withdrawAt = now.Add(withdrawDelay)
 			continue
 		}
-		if now.Before(a.withdrawAt) {
+		if now.Before(d.withdrawAt) {
 			continue
 		}
 		delete(qu.demands, id)
@@ -86,9 +86,9 @@
 func (q *Queuer) addSchedulers(now time.Time, qu *queue, n int) bool {
 	candidates := q.candidates(now, qu)
 	for _, id := range candidates[:min(n, len(candidates))] {
-		a := &demandState{}
-		qu.demands[id] = a
-		q.sendDemand(now, qu, id, a)
+		d := &demandState{}
+		qu.demands[id] = d
+		q.sendDemand(now, qu, id, d)
 	}
 	return len(candidates) > 0
 }
--- a/core/admit/queuer.go
+++ b/core/admit/queuer.go
@@ -21,16 +21,18 @@
 	maxDemandCount        = 8                     // highest number of requests that a demand names
 	inventoryInterval     = 8 * time.Second
 	hintMaxAge            = time.Second
-	chargeAheadFactor     = 1.25 // charged cost by true cost of a running request
-	minChargeAhead        = 16   // in service units
-	maxGrantReuse         = 2 * time.Second
+	chargeAheadFactor     = 1.25            // charged cost relative to the cost so far
+	minChargeAhead        = 16              // in service units
+	maxGrantReuse         = 2 * time.Second // after the grant was received
 )
 
+// hint is the number of free slots that a scheduler last reported.
 type hint struct {
 	free int
 	at   time.Time
 }
 
+// running is a started request with the grant that it uses.
 type running struct {
 	req       *waiting
 	key       GrantKey
@@ -38,8 +40,8 @@
 	target    string
 	charged   float64
 	base      float64 // cost of earlier requests under the same grant
-	quantum   float64
-	contended bool // other accounts wait at the scheduler
+	quantum   float64 // cost up to which the grant may be reused
+	contended bool    // other accounts wait at the scheduler
 	grantedAt time.Time
 	scheduler fair.Reporter
 }
@@ -177,8 +179,8 @@
 func (q *Queuer) grant(now time.Time, from string, g message.Grant) {
 	q.setHint(now, g.Pool, from, g.Free)
 	qu := q.queue(queueKey{g.Account, g.Pool})
-	if a := qu.demands[from]; a != nil && a.remaining > 0 {
-		a.remaining--
+	if d := qu.demands[from]; d != nil && d.remaining > 0 {
+		d.remaining--
 	}
 	route, ok := q.route(g.Pool, g.Target)
 	w := qu.pick(g.Target, g.InteractiveOnly)
--- a/core/admit/route.go
+++ b/core/admit/route.go
@@ -41,12 +41,12 @@
 	for _, r := range q.routes[qu.key.pool] {
 		schedulers[r.Scheduler.ID] = true
 	}
-	for id, a := range qu.demands {
+	for id, d := range qu.demands {
 		if !schedulers[id] {
 			delete(qu.demands, id)
 			continue
 		}
-		a.remaining = 0
+		d.remaining = 0
 	}
 	if qu.tree.Len() > 0 {
 		qu.widenBy, qu.widenAt = 1, now.Add(widenInitialDelay)
--- a/core/fair/bound.go
+++ b/core/fair/bound.go
@@ -14,9 +14,9 @@
 	MaxCost    float64       // highest cost of a request
 	MaxCharge  float64       // highest estimate that is charged at the start
 	Rate       float64       // service units per second of the whole pool
-	CounterAge time.Duration // of the other schedulers' counters
-	Lag        time.Duration // of reports from entry routers
-	HeadStart  float64       // of interactive requests
+	CounterAge time.Duration // age of the other schedulers' counters
+	Lag        time.Duration // delay of reports from entry routers
+	HeadStart  float64       // head start of interactive requests
 }
 
 // Bound returns the largest difference in service, over any period, between two accounts of
--- a/core/fair/ledger.go
+++ b/core/fair/ledger.go
@@ -44,7 +44,7 @@
 	forgive        float64
 	changedAt      uint64 // value of Ledger.changeSeq at the last local change
 
-	// own service at the start of the given round
+	// roundBase is ownService at the start of round.
 	roundBase float64
 	round     uint64
 
@@ -68,7 +68,7 @@
 	changeSeq uint64
 	latestSeq map[Reporter]uint64 // of the reports of each reporter
 	round     uint64
-	// level that keys are relative to
+	// reference is the level that keys are relative to.
 	reference float64
 }
 
@@ -111,7 +111,7 @@
 	a.changedAt = l.changeSeq
 }
 
-// RecordReport records the number of another reporter's report; its rows follow by Merge.
+// RecordReport records the sequence number of another reporter's report; its rows follow by Merge.
 func (l *Ledger) RecordReport(from Reporter, seq uint64) {
 	l.latestSeq[from] = max(l.latestSeq[from], seq)
 }
--- a/core/overload/collapse_test.go
+++ b/core/overload/collapse_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Processor time of the modelled gateway's work. A stream takes half of its work when it is
+// Processor time of the modeled gateway's work. A stream takes half of its work when it is
 // admitted and half spread over its parts.
 const (
 	streamWork        = 250 * time.Microsecond
@@ -20,14 +20,14 @@
 	streamParts       = 15
 	coreShare         = 0.19
 	retryDelay        = 50 * time.Millisecond // until the one retry of a refused request
-	firstPartDeadline = time.Second           // after the first visit of the caller
+	firstPartDeadline = time.Second           // after the first request of the caller
 )
 
 // workItem is a piece of work in the process's queue.
 type workItem struct {
 	due       time.Time
 	stream    *stream // nil for requests and probes
-	partsLeft int     // of the stream, still to come
+	partsLeft int     // number of parts of the stream still to be sent
 	probe     bool
 	caller    *callerRequest
 }
@@ -103,35 +103,35 @@
 
 func (f *floodedProcess) queueDue() {
 	rest := f.scheduled[:0]
-	for _, p := range f.scheduled {
-		if p.due.After(f.now) {
-			rest = append(rest, p)
+	for _, w := range f.scheduled {
+		if w.due.After(f.now) {
+			rest = append(rest, w)
 		} else {
-			f.queue = append(f.queue, p)
+			f.queue = append(f.queue, w)
 		}
 	}
 	f.scheduled = rest
 }
 
-func (f *floodedProcess) handle(p workItem) {
+func (f *floodedProcess) handle(w workItem) {
 	switch {
-	case p.probe:
-		f.Observe(f.now, f.now.Sub(p.due))
+	case w.probe:
+		f.Observe(f.now, f.now.Sub(w.due))
 		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(25 * time.Millisecond), probe: true})
-	case p.caller != nil:
-		f.admit(p.caller)
+	case w.caller != nil:
+		f.admit(w.caller)
 	default:
-		f.sendPart(p)
+		f.sendPart(w)
 	}
 }
 
-func (f *floodedProcess) admit(v *callerRequest) {
-	s := &stream{account: v.account, firstAsked: v.firstAsked, work: streamWork}
-	switch f.Admit(f.now, v.account, f.rng.Float64(), true) {
+func (f *floodedProcess) admit(c *callerRequest) {
+	s := &stream{account: c.account, firstAsked: c.firstAsked, work: streamWork}
+	switch f.Admit(f.now, c.account, f.rng.Float64(), true) {
 	case Refuse:
 		f.workDebt += f.refusal
-		if !v.isRetry {
-			f.scheduled = append(f.scheduled, workItem{due: f.now.Add(retryDelay), caller: &callerRequest{v.account, v.firstAsked, true}})
+		if !c.isRetry {
+			f.scheduled = append(f.scheduled, workItem{due: f.now.Add(retryDelay), caller: &callerRequest{c.account, c.firstAsked, true}})
 		}
 		return
 	case HandOver:
@@ -141,18 +141,18 @@
 	f.scheduled = append(f.scheduled, workItem{due: f.now.Add(100 * time.Millisecond), stream: s, partsLeft: streamParts})
 }
 
-func (f *floodedProcess) sendPart(p workItem) {
-	f.workDebt += p.stream.work / 2 / streamParts
-	if p.stream.firstPartAfter == 0 {
-		p.stream.firstPartAfter = f.now.Sub(p.stream.firstAsked)
-		if p.stream.firstPartAfter <= firstPartDeadline {
-			add(f.served, f.second(f.now), p.stream.account)
+func (f *floodedProcess) sendPart(w workItem) {
+	f.workDebt += w.stream.work / 2 / streamParts
+	if w.stream.firstPartAfter == 0 {
+		w.stream.firstPartAfter = f.now.Sub(w.stream.firstAsked)
+		if w.stream.firstPartAfter <= firstPartDeadline {
+			add(f.served, f.second(f.now), w.stream.account)
 		} else {
-			add(f.late, f.second(f.now), p.stream.account)
+			add(f.late, f.second(f.now), w.stream.account)
 		}
 	}
-	if p.partsLeft > 1 {
-		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(streamTime / streamParts), stream: p.stream, partsLeft: p.partsLeft - 1})
+	if w.partsLeft > 1 {
+		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(streamTime / streamParts), stream: w.stream, partsLeft: w.partsLeft - 1})
 	}
 }
 
@@ -173,12 +173,12 @@
 func sustainableRate(perSecond float64, refusal time.Duration) float64 {
 	served := 0.0
 	for p := 0.0; p < 1; p += 0.001 {
-		visits := perSecond * (2 - p)
-		busy := visits * (p*streamWork.Seconds() + (1-p)*refusal.Seconds())
-		if busy > coreShare {
+		attempts := perSecond * (2 - p)
+		work := attempts * (p*streamWork.Seconds() + (1-p)*refusal.Seconds())
+		if work > coreShare {
 			break
 		}
-		served = math.Max(served, visits*p)
+		served = math.Max(served, attempts*p)
 	}
 	return served
 }
@@ -191,12 +191,12 @@
 		const before, flood, settled = 5, 15, 3
 		f.play(before, rate{"flood", 30}, rate{"a", 10})
 		f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
-		can := sustainableRate(perSecond, refusalWork)
+		capacity := sustainableRate(perSecond, refusalWork)
 		for s := before + settled; s < before+flood; s++ {
 			served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-			t.Logf("%.0f requests/s, second %d: served %d of %.0f, late %d, accepted share %.2f", perSecond, s, served, can, late, f.AcceptedShare())
-			if float64(served) < 0.6*can {
-				t.Errorf("%.0f requests/s: served %d in second %d of the flood, capacity %.0f", perSecond, served, s-before, can)
+			t.Logf("%.0f requests/s, second %d: served %d of %.0f, late %d, accepted share %.2f", perSecond, s, served, capacity, late, f.AcceptedShare())
+			if float64(served) < 0.6*capacity {
+				t.Errorf("%.0f requests/s: served %d in second %d of the flood, capacity %.0f", perSecond, served, s-before, capacity)
 			}
 			if late > served/5 {
 				t.Errorf("%.0f requests/s: %d of %d late in second %d of the flood", perSecond, late, served+late, s-before)
@@ -214,12 +214,12 @@
 	const before, flood, settled = 5, 15, 5
 	f.play(before, rate{"flood", 30}, rate{"a", 10})
 	f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
-	can := sustainableRate(perSecond, refusal)
+	capacity := sustainableRate(perSecond, refusal)
 	for s := before + settled; s < before+flood; s++ {
 		served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-		t.Logf("second %d: served %d of %.0f, late %d, accepted share %.2f", s, served, can, late, f.AcceptedShare())
-		if float64(served) < 0.6*can {
-			t.Errorf("served %d in second %d of the flood, capacity %.0f", served, s-before, can)
+		t.Logf("second %d: served %d of %.0f, late %d, accepted share %.2f", s, served, capacity, late, f.AcceptedShare())
+		if float64(served) < 0.6*capacity {
+			t.Errorf("served %d in second %d of the flood, capacity %.0f", served, s-before, capacity)
 		}
 		if late > served/5 {
 			t.Errorf("%d of %d late in second %d of the flood", late, served+late, s-before)
--- a/core/overload/costs.go
+++ b/core/overload/costs.go
@@ -37,7 +37,7 @@
 	// For requests that are handed over or refused the limit is maxCostRatio of it.
 	maxCost      = 100 * time.Millisecond
 	maxCostRatio = 0.5
-	// as a fraction of the cost of serving
+	// minCostRatio is a fraction of the cost of serving.
 	minCostRatio = 0.02
 )
 
--- a/core/overload/floods_test.go
+++ b/core/overload/floods_test.go
@@ -35,7 +35,7 @@
 	firstPartDelay = 100 * time.Millisecond
 )
 
-// flood is a load on the gateway of a modelled machine.
+// flood is a load on the gateway of a modeled machine.
 type flood struct {
 	cores      float64
 	loadFactor float64 // offered load as a multiple of the capacity
@@ -62,13 +62,13 @@
 	}
 	best := 0.0
 	for p := 0.0; p <= 1; p += 0.002 {
-		visits, come := 0.0, f.perSecond()
+		attempts, arriving := 0.0, f.perSecond()
 		for range f.retries + 1 {
-			visits += come
-			come *= 1 - p
+			attempts += arriving
+			arriving *= 1 - p
 		}
-		if visits*(p*streamWork.Seconds()+(1-p)*f.refusal.Seconds()) <= f.cores {
-			best = math.Max(best, visits*p)
+		if attempts*(p*streamWork.Seconds()+(1-p)*f.refusal.Seconds()) <= f.cores {
+			best = math.Max(best, attempts*p)
 		}
 	}
 	return best
@@ -128,14 +128,14 @@
 	ms := r.now.Sub(epoch).Milliseconds()
 	r.queue = append(r.queue, r.due[ms]...)
 	delete(r.due, ms)
-	have := time.Duration(r.cores * float64(time.Millisecond))
-	r.workDebt -= have
+	available := time.Duration(r.cores * float64(time.Millisecond))
+	r.workDebt -= available
 	for r.workDebt < 0 && len(r.queue) > 0 {
 		next := r.queue[0]
 		r.queue = r.queue[1:]
 		r.handle(next)
 	}
-	r.workDebt = max(r.workDebt, -have)
+	r.workDebt = max(r.workDebt, -available)
 }
 
 func (r *floodRun) sendRequests(account string, perSecond float64) {
@@ -207,17 +207,17 @@
 // served in time, at most a fifth of the served requests may be late, and nothing may be refused
 // or handed over at the end.
 func (r *floodRun) failure() string {
-	can, inTime, late := 0.0, 0, 0
+	capacity, inTime, late := 0.0, 0, 0
 	for s := floodFrom + settled; s < floodTo; s++ {
 		if r.shape.active(s) {
-			can += math.Min(r.capacity(), float64(r.seconds[s].asked))
+			capacity += math.Min(r.capacity(), float64(r.seconds[s].asked))
 			inTime += r.seconds[s].inTime
 			late += r.seconds[s].late
 		}
 	}
 	switch {
-	case float64(inTime) < 0.6*can:
-		return fmt.Sprintf("served %d in time, capacity %.0f", inTime, can)
+	case float64(inTime) < 0.6*capacity:
+		return fmt.Sprintf("served %d in time, capacity %.0f", inTime, capacity)
 	case late > (inTime+late)/5:
 		return fmt.Sprintf("served %d late and %d in time", late, inTime)
 	case r.ServedShare() < 1:
@@ -229,33 +229,33 @@
 var floods = flag.Int("floods", 40, "number of floods that each test simulates")
 
 // drawFlood returns a random flood that leaves the process enough time to serve some of it.
-func drawFlood(rng *rand.Rand, returns int) flood {
+func drawFlood(rng *rand.Rand, retries int) flood {
 	for {
 		f := flood{
 			cores:      []float64{0.12, 0.19, 0.19, 0.4, 1}[rng.IntN(5)],
 			loadFactor: 1.1 + 4*rng.Float64()*rng.Float64(),
 			refusal:    time.Duration(40+rng.IntN(46)) * time.Microsecond,
-			retries:    returns,
+			retries:    retries,
 			shape:      []shape{lasting, ending, alternating}[rng.IntN(3)],
 			handOver:   rng.IntN(4) == 0,
 			seed:       rng.Uint64(),
 		}
-		leaves := f.capacity() >= 0.15*f.cores/streamWork.Seconds()
+		feasible := f.capacity() >= 0.15*f.cores/streamWork.Seconds()
 		if f.handOver {
-			leaves = f.loadFactor < 2
+			feasible = f.loadFactor < 2
 		}
-		if leaves && f.loadFactor*f.cores < 2.5 {
+		if feasible && f.loadFactor*f.cores < 2.5 {
 			return f
 		}
 	}
 }
 
-func playFloods(t *testing.T, returns ...int) {
+func playFloods(t *testing.T, retries ...int) {
 	rng := rand.New(rand.NewPCG(17, 4))
 	for i := range *floods {
-		f := drawFlood(rng, returns[i%len(returns)])
-		if wrong := f.play().failure(); wrong != "" {
-			t.Errorf("%v: %s", f, wrong)
+		f := drawFlood(rng, retries[i%len(retries)])
+		if failure := f.play().failure(); failure != "" {
+			t.Errorf("%v: %s", f, failure)
 		}
 	}
 }
--- a/core/overload/overload.go
+++ b/core/overload/overload.go
@@ -60,9 +60,12 @@
 	lastLateness time.Duration // mean lateness of the last window
 
 	servable float64 // share of the requests that can be served here
-	// lastInTime is when lateness was last below refuseLateness, or nothing could be handed over.
-	lastInTime    time.Time
-	smoothedShare float64 // accepted share, smoothed over retryTime: the share at the time of the refusals whose retries come now
+	// lastInTime is when lateness was last below refuseLateness, or nothing could be handed
+	// over.
+	lastInTime time.Time
+	// smoothedShare is the accepted share smoothed over retryTime. It estimates the share at
+	// the time of the refusals that are being retried now.
+	smoothedShare float64
 
 	demands     map[string]*demand
 	totalRate   float64 // requested, in requests per second
@@ -105,10 +108,10 @@
 	updated  time.Time
 }
 
-func (c *demand) decay(now time.Time) {
-	if since := now.Sub(c.updated); since > 0 {
-		c.requests *= math.Exp2(-float64(since) / float64(halfLife))
-		c.updated = now
+func (d *demand) decay(now time.Time) {
+	if since := now.Sub(d.updated); since > 0 {
+		d.requests *= math.Exp2(-float64(since) / float64(halfLife))
+		d.updated = now
 	}
 }
 
@@ -131,10 +134,10 @@
 		g.lastInTime = now
 	}
 	before := g.serveRate > 0
-	late := g.window.mean()
-	g.learn(now, late)
-	g.control(now, late)
-	g.window, g.handled, g.windowEnd, g.lastLateness = samples{}, verdictCounts{}, now, late
+	mean := g.window.mean()
+	g.learn(now, mean)
+	g.control(now, mean)
+	g.window, g.handled, g.windowEnd, g.lastLateness = samples{}, verdictCounts{}, now, mean
 	g.setLevels(now)
 	return before != (g.serveRate > 0)
 }
@@ -142,21 +145,21 @@
 // learn updates the costs and the arrival rate from a window. A process that is late
 // throughout was never idle, so its requests took the length of the window. They took
 // less if it was in time.
-func (g *Governor) learn(now time.Time, late time.Duration) {
+func (g *Governor) learn(now time.Time, lateness time.Duration) {
 	if g.windowEnd.IsZero() {
 		return
 	}
 	length := now.Sub(g.windowEnd)
 	done := g.workDone(length)
-	rise := late - g.lastLateness
+	rise := lateness - g.lastLateness
 	// A request waits before it is decided on, and the work that it causes waits again: between
 	// none and all of the rise in lateness is work of the handled requests.
 	g.arrivals.add(g.handled.sum(), max(length-rise/2, length/4))
 	took := length.Seconds()
 	switch {
-	case late >= busyLateness && g.lastLateness >= busyLateness:
+	case lateness >= busyLateness && g.lastLateness >= busyLateness:
 		g.costs.update(done, took+rise.Seconds()/2, rise.Seconds()/2)
-	case late >= busyLateness: // idle at the start of the window
+	case lateness >= busyLateness: // idle at the start of the window
 		if expected := g.costs.expect(done); expected < took {
 			g.costs.update(done, took, rise.Seconds()/2)
 		}
@@ -168,13 +171,13 @@
 // demandRate returns the requested rate in requests per second, and removes idle accounts.
 func (g *Governor) demandRate(now time.Time) float64 {
 	total := 0.0
-	for name, c := range g.demands {
-		c.decay(now)
-		if c.requests < minDemand {
+	for name, d := range g.demands {
+		d.decay(now)
+		if d.requests < minDemand {
 			delete(g.demands, name)
 			continue
 		}
-		total += c.requests
+		total += d.requests
 	}
 	return total * ratePerCount
 }
@@ -191,14 +194,14 @@
 }
 
 func (g *Governor) decide(now time.Time, account string, draw float64, movable bool) Verdict {
-	c := g.demands[account]
-	if c == nil {
-		c = &demand{updated: now}
-		g.demands[account] = c
+	d := g.demands[account]
+	if d == nil {
+		d = &demand{updated: now}
+		g.demands[account] = d
 	}
-	c.decay(now)
-	c.requests++
-	place := draw * c.requests
+	d.decay(now)
+	d.requests++
+	place := draw * d.requests
 	switch {
 	case place <= g.serveLevel, place <= g.acceptLevel && !movable:
 		return Serve
@@ -217,23 +220,23 @@
 	if g.serveRate <= 0 {
 		return
 	}
-	asked := make([]float64, 0, len(g.demands))
-	for _, c := range g.demands {
-		asked = append(asked, c.requests)
+	counts := make([]float64, 0, len(g.demands))
+	for _, d := range g.demands {
+		counts = append(counts, d.requests)
 	}
-	sort.Float64s(asked)
-	g.serveLevel = maxMinLevel(asked, g.serveRate/ratePerCount)
+	sort.Float64s(counts)
+	g.serveLevel = maxMinLevel(counts, g.serveRate/ratePerCount)
 	g.acceptLevel = g.serveLevel
 	if g.canHandOver {
-		g.acceptLevel = maxMinLevel(asked, g.acceptRate/ratePerCount)
+		g.acceptLevel = maxMinLevel(counts, g.acceptRate/ratePerCount)
 	}
 }
 
 // maxMinLevel returns the max-min fair limit for each of the accounts that together
-// may have capacity, infinite if it suffices for all; asked is in ascending order.
-func maxMinLevel(asked []float64, capacity float64) float64 {
-	for i, requests := range asked {
-		even := capacity / float64(len(asked)-i)
+// may have capacity, infinite if it suffices for all; counts is in ascending order.
+func maxMinLevel(counts []float64, capacity float64) float64 {
+	for i, requests := range counts {
+		even := capacity / float64(len(counts)-i)
 		if requests > even {
 			return even
 		}
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -24,18 +24,21 @@
 	// Requests that cannot be served here are all handed over until the process has been
 	// late by refuseLateness for refuseAfter: the onset of a flood makes it late for a second
 	// in any case, and a refused request would wait that long again. After that, requests are
-	// refused if handing them over would leave less than minDrainShare of the time for the backlog.
+	// refused if handing them over would leave less than minDrainShare of the time for the
+	// backlog.
 	refuseLateness = 400 * time.Millisecond
 	refuseAfter    = 1500 * time.Millisecond
 	minDrainShare  = 0.3
-	// minHandOverShare is the least share that is served or handed over if another gateway is available.
+	// minHandOverShare is the least share that is served or handed over if another gateway is
+	// available.
 	minHandOverShare = 0.1
 	// In each window the share served here rises at most by maxRiseFactor and riseStep. A pause
 	// of the process is longer than standingLateness, and the backlog that it leaves would be
 	// served late if the share rose at once to what there is time for.
 	maxRiseFactor = 1.08
 	riseStep      = 0.01
-	// retriesPerRefusal is the assumed number of retries after a refusal; most come within retryTime.
+	// retriesPerRefusal is the assumed number of retries after a refusal; most come within
+	// retryTime.
 	retriesPerRefusal = 1.0
 	retryTime         = 300 * time.Millisecond
 	// arrivalDecay is the time constant of the arrival rate.
@@ -44,7 +47,8 @@
 	// answer is streamed; it decays with the time constant deferredTime.
 	deferredWork = 0.5
 	deferredTime = time.Second
-	// minAcceptedShare is always admitted, so that the cost of serving can be learned.
+	// minAcceptedShare is the lower limit of the served and accepted shares: if nothing was
+	// served, the cost of serving could not be learned.
 	minAcceptedShare = 0.01
 	bisectionSteps   = 12
 )
@@ -52,9 +56,9 @@
 // arrivals measures the rate of requests, exponentially decayed.
 type arrivals struct{ requests, seconds float64 }
 
-func (a *arrivals) add(requests float64, in time.Duration) {
-	fade := math.Exp(-in.Seconds() / arrivalDecay.Seconds())
-	a.requests, a.seconds = a.requests*fade+requests, a.seconds*fade+in.Seconds()
+func (a *arrivals) add(requests float64, span time.Duration) {
+	decay := math.Exp(-span.Seconds() / arrivalDecay.Seconds())
+	a.requests, a.seconds = a.requests*decay+requests, a.seconds*decay+span.Seconds()
 }
 
 func (a *arrivals) rate() float64 {
@@ -67,50 +71,51 @@
 // workDone returns the requests whose work was done in a window of this length, counting
 // the deferred work of earlier ones.
 func (g *Governor) workDone(length time.Duration) verdictCounts {
-	part := 1 - math.Exp(-length.Seconds()/deferredTime.Seconds())
+	ending := 1 - math.Exp(-length.Seconds()/deferredTime.Seconds())
 	done := g.handled
 	for _, v := range []Verdict{Serve, HandOver} {
 		i := v - 1
-		later := deferredWork * g.handled[i]
-		ended := part * g.unfinished[i]
-		done[i] += ended - later
-		g.unfinished[i] += later - ended
+		deferred := deferredWork * g.handled[i]
+		ended := ending * g.unfinished[i]
+		done[i] += ended - deferred
+		g.unfinished[i] += deferred - ended
 	}
 	return done
 }
 
 // control sets the rates that can be served and accepted while the backlog is drained.
-func (g *Governor) control(now time.Time, late time.Duration) {
+func (g *Governor) control(now time.Time, lateness time.Duration) {
 	g.smoothedShare += (1 - math.Exp(-windowLength.Seconds()/retryTime.Seconds())) * (g.AcceptedShare() - g.smoothedShare)
 	g.totalRate = g.demandRate(now)
 	g.serveRate, g.acceptRate = 0, 0
 	if g.arrivals.rate() <= 0 {
 		return
 	}
-	backlog := late - standingLateness
-	own, accepted := g.sharesFor(1 - backlog.Seconds()/drainTime.Seconds())
-	if hold := rampDown(late, holdLateness, holdEndLateness); backlog > 0 {
-		ownHeld, acceptedHeld := g.sharesWithin(1, 1)
-		own, accepted = max(own, hold*min(ownHeld, maxHeldShare)), max(accepted, hold*min(acceptedHeld, maxHeldShare))
+	backlog := lateness - standingLateness
+	served, accepted := g.sharesFor(1 - backlog.Seconds()/drainTime.Seconds())
+	if hold := rampDown(lateness, holdLateness, holdEndLateness); backlog > 0 {
+		servedHeld, acceptedHeld := g.sharesWithin(1, 1)
+		served, accepted = max(served, hold*min(servedHeld, maxHeldShare)), max(accepted, hold*min(acceptedHeld, maxHeldShare))
 	}
 	if !g.canHandOver {
 		g.lastInTime = now
 	} else {
-		accepted = max(accepted, g.minAccepted(now, late))
-		own = min(own, g.servable*maxRiseFactor+riseStep)
+		accepted = max(accepted, g.minAccepted(now, lateness))
+		served = min(served, g.servable*maxRiseFactor+riseStep)
 	}
-	if g.servable = own; own >= 1 {
+	if g.servable = served; served >= 1 {
 		return
 	}
-	g.serveRate, g.acceptRate = max(own, minAcceptedShare)*g.totalRate, max(accepted, minAcceptedShare)*g.totalRate
+	g.serveRate, g.acceptRate = max(served, minAcceptedShare)*g.totalRate, max(accepted, minAcceptedShare)*g.totalRate
 	if accepted >= 1 {
 		g.acceptRate = math.Inf(1)
 	}
 }
 
-// minAccepted returns the least share that is served or handed over if another gateway is available.
-func (g *Governor) minAccepted(now time.Time, late time.Duration) float64 {
-	if late < refuseLateness {
+// minAccepted returns the least share that is served or handed over if another gateway is
+// available.
+func (g *Governor) minAccepted(now time.Time, lateness time.Duration) float64 {
+	if lateness < refuseLateness {
 		g.lastInTime = now
 	}
 	if now.Sub(g.lastInTime) < refuseAfter {
@@ -130,21 +135,21 @@
 // sharesFor returns the shares of the arriving requests that can be served here, and served
 // or handed over, within free seconds of work per second. They hold both in the long run and
 // with the deferred work that is due now.
-func (g *Governor) sharesFor(free float64) (own, accepted float64) {
-	owed := g.costs.expect(g.unfinished) / deferredTime.Seconds()
-	own, accepted = g.sharesWithin(free, 1)
-	ownNow, acceptedNow := g.sharesWithin(free-owed, 1-deferredWork)
-	return min(own, ownNow), min(accepted, acceptedNow)
+func (g *Governor) sharesFor(free float64) (served, accepted float64) {
+	due := g.costs.expect(g.unfinished) / deferredTime.Seconds()
+	served, accepted = g.sharesWithin(free, 1)
+	servedNow, acceptedNow := g.sharesWithin(free-due, 1-deferredWork)
+	return min(served, servedNow), min(accepted, acceptedNow)
 }
 
 // sharesWithin is sharesFor without deferred work, with only the fraction counted of the work
 // of each admitted request.
-func (g *Governor) sharesWithin(free, counted float64) (own, accepted float64) {
+func (g *Governor) sharesWithin(free, counted float64) (served, accepted float64) {
 	serve, handOver, refuse := counted*g.costs.of(Serve), counted*g.costs.of(HandOver), g.costs.of(Refuse)
 	arriving := g.arrivals.rate()
 	if !g.canHandOver {
-		own = g.largestShare(free, serve, refuse)
-		return own, own
+		served = g.largestShare(free, serve, refuse)
+		return served, served
 	}
 	if each := free / arriving; each >= handOver {
 		return fraction(each-handOver, serve-handOver), 1
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -93,14 +93,14 @@
 	return last
 }
 
-// Began counts a request that is handed over.
+// Began counts a request handed over to the gateway as in flight.
 func (c *Chooser) Began(id string) {
 	if p := c.byID[id]; p != nil {
 		p.inFlight++
 	}
 }
 
-// Ended counts the end of a request that was handed over.
+// Ended counts a request handed over to the gateway as finished.
 func (c *Chooser) Ended(id string) {
 	if p := c.byID[id]; p != nil && p.inFlight > 0 {
 		p.inFlight--
