--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -45,32 +45,32 @@
 
 // Cell is the scheduler of a few targets.
 type Cell struct {
-	targets    map[string]*target
-	sorted     []*target
-	gone       map[string]*target // gone holds targets that are no longer listed but still run something.
-	accounts   map[string]*account
-	waiting    map[requestKey]*waiter
-	runs       map[requestKey]*run
-	foreign    map[string]*foreign
-	swept      time.Time
-	speed      float64
-	prior      *batch.Prior // prior is how fast the engines here read, as far as any has shown.
-	siblings   int
-	transfer   *routing.Transfer
-	fairWindow time.Duration
-	coldRate   float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
-	coldShare  float64           // coldShare is the part of them that is placed here.
-	inHall     map[string]keeper // inHall is what keepers returns, kept for its memory.
-	counts     Counts
-	layout     uint64  // layout counts the changes of the list of targets.
-	most       float64 // most is the highest level of an account that waits.
-	best       float64 // best is the highest level of any account, as of bestAt.
-	bestAt     time.Time
-	views      []view     // views are the targets as one decision sees them, in the order of sorted.
-	unheard    []*waiter  // unheard are waiters that arrived since the last decision.
-	queued     []*account // queued is what order returns, kept for its memory.
-	scratch    []option
-	out        []Action
+	targets         map[string]*target
+	sorted          []*target
+	gone            map[string]*target // gone holds targets that are no longer listed but still run something.
+	accounts        map[string]*account
+	waiting         map[requestKey]*waiter
+	runs            map[requestKey]*run
+	foreign         map[string]*foreign
+	swept           time.Time
+	speed           float64
+	prior           *batch.Prior // prior is how fast the engines here read, as far as any has shown.
+	siblings        int
+	transfer        *routing.Transfer
+	fairWindow      time.Duration
+	coldRate        float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
+	coldShare       float64           // coldShare is the part of them that is placed here.
+	inHall          map[string]keeper // inHall is what keepers returns, kept for its memory.
+	counts          Counts
+	layout          uint64  // layout counts the changes of the list of targets.
+	maxWaitingLevel float64 // most is the highest level of an account that waits.
+	maxLevel        float64 // best is the highest level of any account, as of bestAt.
+	bestAt          time.Time
+	views           []view     // views are the targets as one decision sees them, in the order of sorted.
+	unheard         []*waiter  // unheard are waiters that arrived since the last decision.
+	waitingAccounts []*account // queued is what order returns, kept for its memory.
+	scratch         []option
+	out             []Action
 }
 
 // New returns a cell without targets.
@@ -92,7 +92,7 @@
 func (c *Cell) Take(now time.Time, ev Event) {
 	switch e := ev.(type) {
 	case AskSeen:
-		c.ask(now, e)
+		c.enqueue(now, e)
 	case WithdrawSeen:
 		c.withdraw(now, requestKey{e.Entry, e.ID})
 	case BeganSeen:
@@ -100,9 +100,9 @@
 			r.target.engine.Begin(now, r.model)
 		}
 	case EndedSeen:
-		c.end(now, requestKey{e.Entry, e.ID}, e.Outcome)
+		c.endRun(now, requestKey{e.Entry, e.ID}, e.Outcome)
 	case InventorySeen:
-		c.inventory(now, e)
+		c.reconcile(now, e)
 	case EntryGone:
 		c.entryGone(now, e.Entry)
 	case TargetsSeen:
@@ -112,9 +112,9 @@
 		c.coldShare = e.Share
 	case TallySeen:
 		c.takeTally(now, e)
-	case GivenSeen:
+	case SiblingTallySeen:
 		c.takeGiven(now, e.Rows)
-	case KeptSeen:
+	case CachedPartsSeen:
 		if t := c.targets[e.Target]; t != nil {
 			t.engine.Learn(e.At, e.Parts)
 		}
@@ -139,7 +139,7 @@
 
 func (c *Cell) emit(a Action) { c.out = append(c.out, a) }
 
-func (c *Cell) ask(now time.Time, e AskSeen) {
+func (c *Cell) enqueue(now time.Time, e AskSeen) {
 	key := requestKey{e.Entry, e.Ask.ID}
 	if c.waiting[key] != nil || c.runs[key] != nil {
 		return
@@ -160,7 +160,7 @@
 		c.drop(w)
 		return
 	}
-	c.end(now, key, batch.OutcomeCanceled)
+	c.endRun(now, key, batch.OutcomeCanceled)
 }
 
 func (c *Cell) drop(w *waiter) {
@@ -169,7 +169,7 @@
 	a.remove(w)
 }
 
-func (c *Cell) end(now time.Time, key requestKey, o batch.Outcome) {
+func (c *Cell) endRun(now time.Time, key requestKey, o batch.Outcome) {
 	r := c.runs[key]
 	if r == nil {
 		return
@@ -182,8 +182,8 @@
 	}
 }
 
-// inventory makes the runs of an entry gateway those that it tells.
-func (c *Cell) inventory(now time.Time, e InventorySeen) {
+// reconcile makes the runs of an entry gateway those that it tells.
+func (c *Cell) reconcile(now time.Time, e InventorySeen) {
 	told := map[RequestID]bool{}
 	for i := range e.Held {
 		h := &e.Held[i]
@@ -204,7 +204,7 @@
 	}
 	for key := range c.runs {
 		if key.entry == e.Entry && !told[key.id] {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -217,7 +217,7 @@
 	}
 	for key := range c.runs {
 		if key.entry == entry {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
 	p, t, x := w.ask.Prompt, c.views[o.at].target, o.transfer
 	anew := sharedOf(p, o.missing-x.tokens)
-	if anew > 0 && why == ReasonCheapest && !c.kept(p) {
+	if anew > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
 		why = ReasonUnseen
 	}
 	c.counts.Placed++
@@ -269,7 +269,7 @@
 	c.counts.Read += uint64(max(o.missing-x.tokens, 0))
 	c.counts.Anew[why] += uint64(anew)
 	c.account(w.ask.Account).placed++
-	c.start(now, w.key, w.ask.Account, t, p, x)
+	c.startRun(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
 		Account: w.ask.Account, Subject: p.Affinity(), Anew: anew, Copied: x.tokens, Why: why,
@@ -282,8 +282,8 @@
 	c.emit(placed)
 }
 
-// kept tells whether some engine of the cell keeps all the shared parts.
-func (c *Cell) kept(p *routing.Prompt) bool {
+// cachedInCell tells whether some engine of the cell keeps all the shared parts.
+func (c *Cell) cachedInCell(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
 		if sharedOf(p, t.engine.Missing(p)) == 0 {
 			return true
@@ -292,7 +292,7 @@
 	return false
 }
 
-func (c *Cell) start(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
+func (c *Cell) startRun(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
 	r := &run{key: key, account: account, target: t}
 	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.takes)
 	x.take(now, t)
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -55,7 +55,7 @@
 // time takes any target where it is still in time.
 func (c *Cell) choose(now time.Time, w *waiter) (option, Reason, bool) {
 	options := c.options(now, w)
-	best, ok := c.prefer(w, options)
+	best, ok := c.pickCheapest(w, options)
 	if !ok {
 		return option{}, ReasonCheapest, false
 	}
@@ -94,8 +94,8 @@
 	return max(reread, backlogLimit-o.transfer.cost())
 }
 
-// prefer returns the cheapest option, and notes that the request waits for it.
-func (c *Cell) prefer(w *waiter, options []option) (option, bool) {
+// pickCheapest returns the cheapest option, and notes that the request waits for it.
+func (c *Cell) pickCheapest(w *waiter, options []option) (option, bool) {
 	if len(options) == 0 {
 		w.best = nil
 		return option{}, false
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -65,10 +65,10 @@
 	}
 	open := c.look(now)
 	for _, w := range c.unheard {
-		c.prefer(w, c.options(now, w))
+		c.pickCheapest(w, c.options(now, w))
 	}
-	accounts := c.order(now)
-	c.most = accounts[len(accounts)-1].level
+	accounts := c.orderAccounts(now)
+	c.maxWaitingLevel = accounts[len(accounts)-1].level
 	all := slices.Clone(accounts)
 	for open && len(accounts) > 0 {
 		a := accounts[0]
--- a/models/conf/check.go
+++ b/models/conf/check.go
@@ -83,7 +83,7 @@
 		if err := checkKeys(field, a.KeySHA256, keys); err != nil {
 			return err
 		}
-		a.fill()
+		a.setDefaults()
 		if a.Weight < 0 || a.Weight > maxWeight {
 			return ErrInvalid{field + ".weight", "out of range"}
 		}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (a *ClientAccount) fill() {
+func (a *ClientAccount) setDefaults() {
 	setDefault(&a.Weight, 1)
 	setDefault(&a.MaxQueued, DefaultMaxQueued)
 	setDefault(&a.MaxQueuedBytes, DefaultMaxQueuedBytes)
@@ -137,7 +137,7 @@
 			}
 			models[m] = true
 		}
-		p.fill()
+		p.setDefaults()
 		if p.PromptWeight < 0 || p.OutputWeight < 0 || p.MilliWeight < 0 || p.MaxCost <= 0 || p.Quantum < 0 || p.HeadStart < 0 || p.TimeoutMS <= 0 {
 			return nil, ErrInvalid{field, "a weight, cost or time is out of range"}
 		}
@@ -145,7 +145,7 @@
 	return names, nil
 }
 
-func (p *Pool) fill() {
+func (p *Pool) setDefaults() {
 	setDefault(&p.TimeoutMS, DefaultTimeoutMS)
 	setDefault(&p.MaxCost, DefaultMaxCost)
 	if p.Kind == KindService {
--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -118,8 +118,8 @@
 	return due
 }
 
-// Waiting returns how many timers have not fired yet.
-func (f *Fake) Waiting() int {
+// PendingTimers returns how many timers have not fired yet.
+func (f *Fake) PendingTimers() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.timers)
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -32,14 +32,14 @@
 
 // Link sends to one peer. It dials when there is something to send.
 type Link struct {
-	t       *tomb.Tomb
-	auth    *Auth
-	meter   *Meter
-	id      string
-	timeout time.Duration
-	idle    time.Duration
-	frames  *ring.Ring[*wire.Frame]
-	renewal renewal
+	t           *tomb.Tomb
+	auth        *Auth
+	meter       *Meter
+	peerID      string
+	timeout     time.Duration
+	idleTimeout time.Duration
+	frames      *ring.Ring[*wire.Frame]
+	renewal     renewal
 
 	mu      sync.Mutex
 	address string
@@ -66,7 +66,7 @@
 // NewLink starts the goroutine that sends to a peer; it ends with the tomb.
 func NewLink(t *tomb.Tomb, o LinkOptions) *Link {
 	l := &Link{
-		t: t, auth: o.Auth, meter: o.Meter, id: o.PeerID, address: o.Address, timeout: o.DialTimeout, idle: o.Idle,
+		t: t, auth: o.Auth, meter: o.Meter, peerID: o.PeerID, address: o.Address, timeout: o.DialTimeout, idleTimeout: o.Idle,
 		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.Ring), backoff: redialFirst,
 	}
 	t.Go(l.run)
@@ -115,12 +115,12 @@
 		case f := <-l.frames.Out():
 			stream = l.deliver(stream, f)
 			used = now()
-			if unused == nil && l.idle > 0 {
-				unused = time.After(l.idle)
+			if unused == nil && l.idleTimeout > 0 {
+				unused = time.After(l.idleTimeout)
 			}
 		case <-unused:
 			unused = nil
-			if left := l.idle - now().Sub(used); left > 0 {
+			if left := l.idleTimeout - now().Sub(used); left > 0 {
 				unused = time.After(left)
 				continue
 			}
@@ -208,7 +208,7 @@
 func (l *Link) dial() (*yamux.Session, error) {
 	ctx, end := l.renewal.begin()
 	defer end()
-	conn, err := dialPeer(ctx, l.auth, l.meter, l.id, l.address, l.timeout)
+	conn, err := dialPeer(ctx, l.auth, l.meter, l.peerID, l.address, l.timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -123,7 +123,7 @@
 			return
 		default:
 		}
-		if f.clock.Waiting() > 0 {
+		if f.clock.PendingTimers() > 0 {
 			f.clock.Advance(100 * time.Millisecond)
 		}
 		runtime.Gosched()
