--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -12,12 +12,11 @@
 
 const (
 	btreeDegree = 8
-	// scanLimit is how many waiting requests of the best rank are compared for
-	// their affinity to a granted target.
+	// scanLimit is the number of waiting requests of the best rank that are compared by their
+	// affinity to a granted target.
 	scanLimit = 8
-	// paceWeight is the weight of the newest sample in the average time
-	// between two starts.
-	paceWeight = 0.2
+	// startIntervalWeight is the weight of the newest sample in the average start interval.
+	startIntervalWeight = 0.2
 )
 
 type waiting struct {
@@ -37,27 +36,27 @@
 
 // queue holds the waiting requests of one account for one pool.
 type queue struct {
-	key         queueKey
-	tree        *btree.BTreeG[*waiting]
-	bytes       int64
-	interactive int
-	asked       map[string]*asked
-	widenAt     time.Time
-	widenBy     int
-	lastStart   time.Time
-	pace        time.Duration // pace is the average time between two starts.
+	key           queueKey
+	tree          *btree.BTreeG[*waiting]
+	bytes         int64
+	interactive   int
+	demands       map[string]*demandState
+	widenAt       time.Time
+	widenBy       int
+	lastStart     time.Time
+	startInterval time.Duration // moving average of the time between two starts
 }
 
-// asked is what a scheduler has been told and has used of it.
-type asked struct {
-	remaining   int // remaining is what the scheduler may still grant.
+// demandState is the demand that one scheduler has from a queue.
+type demandState struct {
+	remaining   int // grants that the scheduler may still send for it
 	interactive bool
-	toldAt      time.Time
-	cleanupAt   time.Time
+	sentAt      time.Time
+	withdrawAt  time.Time
 }
 
 func newQueue(key queueKey) *queue {
-	return &queue{key: key, tree: btree.NewG(btreeDegree, lessWaiting), asked: map[string]*asked{}}
+	return &queue{key: key, tree: btree.NewG(btreeDegree, lessWaiting), demands: map[string]*demandState{}}
 }
 
 func (q *queue) push(w *waiting) {
@@ -83,8 +82,8 @@
 	return w
 }
 
-// pick returns the request that suits the target best: the lowest rank first,
-// then among the oldest few of that rank the highest preference.
+// pick returns the request that suits the target best: the lowest rank first, then the
+// highest affinity among the oldest scanLimit of that rank.
 func (q *queue) pick(target string, interactiveOnly bool) *waiting {
 	var best *waiting
 	scanned := 0
@@ -104,17 +103,17 @@
 	return best
 }
 
-func (q *queue) started(now time.Time) {
+func (q *queue) recordStart(now time.Time) {
 	if !q.lastStart.IsZero() {
 		gap := now.Sub(q.lastStart)
-		q.pace = time.Duration(paceWeight*float64(gap) + (1-paceWeight)*float64(q.pace))
+		q.startInterval = time.Duration(startIntervalWeight*float64(gap) + (1-startIntervalWeight)*float64(q.startInterval))
 	}
 	q.lastStart = now
 }
 
-// estimate tells when the queue will have moved on by about half, which is
-// when a refused caller should come back.
-func (q *queue) estimate() time.Duration {
-	d := q.pace * time.Duration(q.tree.Len()) / 2
+// retryAfter estimates when about half of the queue will have started, which is when a
+// refused caller should retry.
+func (q *queue) retryAfter() time.Duration {
+	d := q.startInterval * time.Duration(q.tree.Len()) / 2
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/core/admit/route.go
+++ b/core/admit/route.go
@@ -9,9 +9,9 @@
 	"madderway/core/message"
 )
 
-// reroute takes new targets and schedulers. Requests in flight whose target
-// has another scheduler now are handed to that one.
-func (q *Queuer) reroute(now time.Time, pools map[string][]Route) {
+// setRoutes replaces the routes. Running requests whose target has a new scheduler are handed
+// to it for adoption.
+func (q *Queuer) setRoutes(now time.Time, pools map[string][]Route) {
 	q.routes = pools
 	adopt := map[string][]message.Adoption{}
 	for _, r := range q.running {
@@ -30,32 +30,31 @@
 		q.sendInventories(adopt)
 	}
 	for _, qu := range q.queues {
-		q.forgetSchedulers(now, qu)
+		q.resetDemands(now, qu)
 	}
 }
 
-// forgetSchedulers drops what was asked of routers that no longer schedule for
-// the pool, or that have restarted, and asks anew.
-func (q *Queuer) forgetSchedulers(now time.Time, qu *queue) {
-	alive := map[string]bool{}
+// resetDemands drops the demands of routers that no longer schedule for the pool and sends the
+// others again, as their schedulers may have restarted.
+func (q *Queuer) resetDemands(now time.Time, qu *queue) {
+	schedulers := map[string]bool{}
 	for _, r := range q.routes[qu.key.pool] {
-		alive[r.Scheduler.ID] = true
+		schedulers[r.Scheduler.ID] = true
 	}
-	for id, a := range qu.asked {
-		if !alive[id] {
-			delete(qu.asked, id)
+	for id, d := range qu.demands {
+		if !schedulers[id] {
+			delete(qu.demands, id)
 			continue
 		}
-		a.remaining = 0
+		d.remaining = 0
 	}
 	if qu.tree.Len() > 0 {
-		qu.widenBy, qu.widenAt = 1, now.Add(widenFirst)
+		qu.widenBy, qu.widenAt = 1, now.Add(widenInitialDelay)
 	}
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
-// sendInventories tells each scheduler which of its grants are still in use,
-// and hands over requests to new owners.
+// sendInventories sends each scheduler the grants that are still in use, and those to adopt.
 func (q *Queuer) sendInventories(adopt map[string][]message.Adoption) {
 	held := map[string][]message.GrantID{}
 	for id := range adopt {
--- a/core/overload/collapse_test.go
+++ b/core/overload/collapse_test.go
@@ -10,65 +10,64 @@
 	"time"
 )
 
-// The work of the model below, as shares of a core: what was estimated from the seconds
-// of a gateway of 0.19 core under a flood. A stream costs half when it is admitted, half
-// until its end; a refusal costs a third of a stream.
+// Processor time of the modeled gateway's work. A stream takes half of its work when it is
+// admitted and half spread over its parts.
 const (
-	streamWork  = 250 * time.Microsecond
-	refusalWork = 85 * time.Microsecond
-	passWork    = 90 * time.Microsecond // passWork is that of passing a stream on to another gateway.
-	streamTime  = 1500 * time.Millisecond
-	streamParts = 15
-	coreShare   = 0.19
-	returnAfter = 50 * time.Millisecond // returnAfter is when a refused caller comes back, once.
-	firstAim    = time.Second           // firstAim is within what time a stream must have its first part.
+	streamWork        = 250 * time.Microsecond
+	refusalWork       = 85 * time.Microsecond
+	handOverWork      = 90 * time.Microsecond
+	streamTime        = 1500 * time.Millisecond
+	streamParts       = 15
+	coreShare         = 0.19
+	retryDelay        = 50 * time.Millisecond // until the one retry of a refused request
+	firstPartDeadline = time.Second           // after the first request of the caller
 )
 
-// piece is some work of the model's process.
-type piece struct {
-	due    time.Time
-	stream *stream // stream is nil for refusals and probes.
-	parts  int     // parts is how many parts of the stream follow.
-	probe  bool
-	caller *visit
+// workItem is a piece of work in the process's queue.
+type workItem struct {
+	due       time.Time
+	stream    *stream // nil for requests and probes
+	partsLeft int     // number of parts of the stream still to be sent
+	probe     bool
+	caller    *callerRequest
 }
 
-// visit is a caller's request, first or come back.
-type visit struct {
-	account string
-	asked   time.Time
-	again   bool
+// callerRequest is a caller's first request or its retry.
+type callerRequest struct {
+	account    string
+	firstAsked time.Time
+	isRetry    bool
 }
 
 type stream struct {
-	account string
-	asked   time.Time
-	first   time.Duration
-	work    time.Duration // work is that of all of it.
+	account        string
+	firstAsked     time.Time
+	firstPartAfter time.Duration
+	work           time.Duration // total work of the stream
 }
 
-// flooded is a process that works off what comes in order, and probes its own lateness by
-// a piece of work that is sent again only after it was read.
-type flooded struct {
+// floodedProcess handles queued work in order. It measures its lateness by a probe that is
+// queued again only after it was handled.
+type floodedProcess struct {
 	*Governor
-	refusal time.Duration // refusal is the work of a refusal.
-	t       *testing.T
-	now     time.Time
-	rng     *rand.Rand
-	later   []piece // later are pieces that are due in the future, in no order.
-	queue   []piece // queue is what is due, in order.
-	done    time.Duration
-	// served counts, for each second, the streams whose first part was in time, late those
-	// that were admitted and late, asked the first requests.
+	refusal   time.Duration // work of a refusal
+	t         *testing.T
+	now       time.Time
+	rng       *rand.Rand
+	scheduled []workItem // due in the future, in no order
+	queue     []workItem // due now, in order
+	workDebt  time.Duration
+	// Counts by second and account: streams whose first part was in time, streams whose first
+	// part was late, and first requests.
 	served, late, asked map[int]map[string]int
 }
 
-func newFlooded(t *testing.T) *flooded {
-	f := &flooded{
+func newFloodedProcess(t *testing.T) *floodedProcess {
+	f := &floodedProcess{
 		Governor: New(), refusal: refusalWork, t: t, now: epoch, rng: rand.New(rand.NewPCG(3, 4)),
 		served: map[int]map[string]int{}, late: map[int]map[string]int{}, asked: map[int]map[string]int{},
 	}
-	f.later = append(f.later, piece{due: epoch, probe: true})
+	f.scheduled = append(f.scheduled, workItem{due: epoch, probe: true})
 	return f
 }
 
@@ -79,10 +78,10 @@
 	m[second][account]++
 }
 
-func (f *flooded) second(at time.Time) int { return int(at.Sub(epoch) / time.Second) }
+func (f *floodedProcess) second(at time.Time) int { return int(at.Sub(epoch) / time.Second) }
 
-// step plays a millisecond in which these accounts ask at these rates a second.
-func (f *flooded) step(rates []rate) {
+// step simulates a millisecond with requests at these rates.
+func (f *floodedProcess) step(rates []rate) {
 	f.now = f.now.Add(time.Millisecond)
 	for _, r := range rates {
 		for n := 2 * f.rng.Float64() * r.perSecond / 1000; n > 0; n-- {
@@ -90,181 +89,172 @@
 				break
 			}
 			add(f.asked, f.second(f.now), r.account)
-			f.queue = append(f.queue, piece{due: f.now, caller: &visit{r.account, f.now, false}})
+			f.queue = append(f.queue, workItem{due: f.now, caller: &callerRequest{r.account, f.now, false}})
 		}
 	}
-	f.arrive()
-	for f.done -= time.Duration(coreShare * float64(time.Millisecond)); f.done < 0 && len(f.queue) > 0; {
+	f.queueDue()
+	for f.workDebt -= time.Duration(coreShare * float64(time.Millisecond)); f.workDebt < 0 && len(f.queue) > 0; {
 		next := f.queue[0]
 		f.queue = f.queue[1:]
-		f.work(next)
+		f.handle(next)
 	}
-	f.done = max(f.done, -time.Duration(coreShare*float64(time.Millisecond)))
+	f.workDebt = max(f.workDebt, -time.Duration(coreShare*float64(time.Millisecond)))
 }
 
-func (f *flooded) arrive() {
-	rest := f.later[:0]
-	for _, p := range f.later {
-		if p.due.After(f.now) {
-			rest = append(rest, p)
+func (f *floodedProcess) queueDue() {
+	rest := f.scheduled[:0]
+	for _, w := range f.scheduled {
+		if w.due.After(f.now) {
+			rest = append(rest, w)
 		} else {
-			f.queue = append(f.queue, p)
+			f.queue = append(f.queue, w)
 		}
 	}
-	f.later = rest
+	f.scheduled = rest
 }
 
-func (f *flooded) work(p piece) {
+func (f *floodedProcess) handle(w workItem) {
 	switch {
-	case p.probe:
-		f.Observe(f.now, f.now.Sub(p.due))
-		f.later = append(f.later, piece{due: f.now.Add(25 * time.Millisecond), probe: true})
-	case p.caller != nil:
-		f.take(p.caller)
+	case w.probe:
+		f.Observe(f.now, f.now.Sub(w.due))
+		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(25 * time.Millisecond), probe: true})
+	case w.caller != nil:
+		f.admit(w.caller)
 	default:
-		f.part(p)
+		f.sendPart(w)
 	}
 }
 
-func (f *flooded) take(v *visit) {
-	s := &stream{account: v.account, asked: v.asked, work: streamWork}
-	switch f.Admit(f.now, v.account, f.rng.Float64(), true) {
+func (f *floodedProcess) admit(c *callerRequest) {
+	s := &stream{account: c.account, firstAsked: c.firstAsked, work: streamWork}
+	switch f.Admit(f.now, c.account, f.rng.Float64(), true) {
 	case Refuse:
-		f.done += f.refusal
-		if !v.again {
-			f.later = append(f.later, piece{due: f.now.Add(returnAfter), caller: &visit{v.account, v.asked, true}})
+		f.workDebt += f.refusal
+		if !c.isRetry {
+			f.scheduled = append(f.scheduled, workItem{due: f.now.Add(retryDelay), caller: &callerRequest{c.account, c.firstAsked, true}})
 		}
 		return
 	case HandOver:
-		s.work = passWork
+		s.work = handOverWork
 	}
-	f.done += s.work / 2
-	f.later = append(f.later, piece{due: f.now.Add(100 * time.Millisecond), stream: s, parts: streamParts})
+	f.workDebt += s.work / 2
+	f.scheduled = append(f.scheduled, workItem{due: f.now.Add(100 * time.Millisecond), stream: s, partsLeft: streamParts})
 }
 
-func (f *flooded) part(p piece) {
-	f.done += p.stream.work / 2 / streamParts
-	if p.stream.first == 0 {
-		p.stream.first = f.now.Sub(p.stream.asked)
-		if p.stream.first <= firstAim {
-			add(f.served, f.second(f.now), p.stream.account)
+func (f *floodedProcess) sendPart(w workItem) {
+	f.workDebt += w.stream.work / 2 / streamParts
+	if w.stream.firstPartAfter == 0 {
+		w.stream.firstPartAfter = f.now.Sub(w.stream.firstAsked)
+		if w.stream.firstPartAfter <= firstPartDeadline {
+			add(f.served, f.second(f.now), w.stream.account)
 		} else {
-			add(f.late, f.second(f.now), p.stream.account)
+			add(f.late, f.second(f.now), w.stream.account)
 		}
 	}
-	if p.parts > 1 {
-		f.later = append(f.later, piece{due: f.now.Add(streamTime / streamParts), stream: p.stream, parts: p.parts - 1})
+	if w.partsLeft > 1 {
+		f.scheduled = append(f.scheduled, workItem{due: f.now.Add(streamTime / streamParts), stream: w.stream, partsLeft: w.partsLeft - 1})
 	}
 }
 
-// rate is how often an account asks in a second.
+// rate is the request rate of an account.
 type rate struct {
 	account   string
 	perSecond float64
 }
 
-func (f *flooded) play(seconds int, rates ...rate) {
+func (f *floodedProcess) play(seconds int, rates ...rate) {
 	for range seconds * 1000 {
 		f.step(rates)
 	}
 }
 
-// sustainable is how many streams a second the model's process can serve while it refuses
-// the rest of a flood twice.
-func sustainable(perSecond float64, refusal time.Duration) float64 {
+// sustainableRate returns how many streams a second the process can serve while it refuses
+// the other requests and their retries.
+func sustainableRate(perSecond float64, refusal time.Duration) float64 {
 	served := 0.0
 	for p := 0.0; p < 1; p += 0.001 {
-		visits := perSecond * (2 - p)
-		busy := visits * (p*streamWork.Seconds() + (1-p)*refusal.Seconds())
-		if busy > coreShare {
+		attempts := perSecond * (2 - p)
+		work := attempts * (p*streamWork.Seconds() + (1-p)*refusal.Seconds())
+		if work > coreShare {
 			break
 		}
-		served = math.Max(served, visits*p)
+		served = math.Max(served, attempts*p)
 	}
 	return served
 }
 
-// Under a flood for many seconds, whose refused requests come back and cost time, a process
-// goes on serving in each second most of what it can, nearly all of that in time.
+// Guards against a collapse of service under a lasting flood whose refused requests are
+// retried: most of the capacity must still be served in time.
 func TestFloodDoesNotCollapseService(t *testing.T) {
 	for _, perSecond := range []float64{600, 800, 1000} {
-		f := newFlooded(t)
+		f := newFloodedProcess(t)
 		const before, flood, settled = 5, 15, 3
 		f.play(before, rate{"flood", 30}, rate{"a", 10})
 		f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
-		can := sustainable(perSecond, refusalWork)
+		capacity := sustainableRate(perSecond, refusalWork)
 		for s := before + settled; s < before+flood; s++ {
 			served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-			t.Logf("%.0f a second, second %d: served %d of %.0f, late %d, share %.2f", perSecond, s, served, can, late, f.Share())
-			if float64(served) < 0.6*can {
-				t.Errorf("%.0f a second: %d served in second %d of the flood, it can serve %.0f", perSecond, served, s-before, can)
+			t.Logf("%.0f requests/s, second %d: served %d of %.0f, late %d, accepted share %.2f", perSecond, s, served, capacity, late, f.AcceptedShare())
+			if float64(served) < 0.6*capacity {
+				t.Errorf("%.0f requests/s: served %d in second %d of the flood, want at least 60%% of the capacity of %.0f", perSecond, served, s-before, capacity)
 			}
 			if late > served/5 {
-				t.Errorf("%.0f a second: %d of %d late in second %d of the flood", perSecond, late, served+late, s-before)
+				t.Errorf("%.0f requests/s: %d of %d late in second %d of the flood, want at most a sixth", perSecond, late, served+late, s-before)
 			}
 		}
 	}
 }
 
-// The same holds where refusals alone take nearly all of the processor: what is left of it
-// is for service in time, not for more service that is late.
-//
-// What happened: of 133 requests that can be served in a second 58 to 88 were, and 38 to 63 more
-// were late, for as long as the flood lasted. Why: the governor knew only how late the process
-// was. Refusals took 0.168 of 0.19 of a core; the first second of the flood left 0.3 s of work
-// behind, the later parts of what it had admitted among it, and refusing made what arrives double.
-// Nothing admits less than is worked off when the costs are not known: lateness stayed at 0.3 s,
-// so that first visits (two waits) were in time and those that came back (three) late. The
-// figures of each second showed it: share 0.03 to 0.05, lateness 0.28 to 0.33 s without a trend.
-func TestHeavyFloodLeavesTimeForService(t *testing.T) {
+// Guards against a standing backlog where refusals take nearly all processor time, which made
+// the answers to all retried requests late.
+func TestExpensiveRefusalsLeaveTimeForService(t *testing.T) {
 	const perSecond, refusal = 1450, 58 * time.Microsecond
-	f := newFlooded(t)
+	f := newFloodedProcess(t)
 	f.refusal = refusal
 	const before, flood, settled = 5, 15, 5
 	f.play(before, rate{"flood", 30}, rate{"a", 10})
 	f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
-	can := sustainable(perSecond, refusal)
+	capacity := sustainableRate(perSecond, refusal)
 	for s := before + settled; s < before+flood; s++ {
 		served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-		t.Logf("second %d: served %d of %.0f, late %d, share %.2f", s, served, can, late, f.Share())
-		if float64(served) < 0.6*can {
-			t.Errorf("%d served in second %d of the flood, it can serve %.0f", served, s-before, can)
+		t.Logf("second %d: served %d of %.0f, late %d, accepted share %.2f", s, served, capacity, late, f.AcceptedShare())
+		if float64(served) < 0.6*capacity {
+			t.Errorf("served %d in second %d of the flood, want at least 60%% of the capacity of %.0f", served, s-before, capacity)
 		}
 		if late > served/5 {
-			t.Errorf("%d of %d late in second %d of the flood", late, served+late, s-before)
+			t.Errorf("%d of %d late in second %d of the flood, want at most a sixth", late, served+late, s-before)
 		}
 	}
 }
 
-// Where other gateways of the data hall have time, a flood that is three times what a process
-// can serve is handed over: after a few seconds next to nothing is refused or late, while it
-// lasts and after it; then the process serves all by itself again.
+// Guards against refused or late requests in a flood while other gateways have capacity, and
+// against handing over long after it.
 func TestFloodIsHandedOver(t *testing.T) {
 	for _, perSecond := range []float64{800, 1600} {
-		f := newFlooded(t)
-		f.SetRelief(true)
+		f := newFloodedProcess(t)
+		f.SetHandOverAvailable(true)
 		const before, flood, after, settled = 5, 8, 10, 3
 		f.play(before, rate{"flood", 30}, rate{"a", 10})
 		f.play(flood, rate{"flood", perSecond - 10}, rate{"a", 10})
 		f.play(after, rate{"flood", 30}, rate{"a", 10})
 		for s := before + settled; s < before+flood; s++ {
 			served, late := f.served[s]["flood"]+f.served[s]["a"], f.late[s]["flood"]+f.late[s]["a"]
-			t.Logf("%.0f a second, second %d: served %d of %.0f, late %d", perSecond, s, served, perSecond, late)
+			t.Logf("%.0f requests/s, second %d: served %d of %.0f, late %d", perSecond, s, served, perSecond, late)
 			if float64(served) < 0.9*perSecond || late > served/10 {
-				t.Errorf("%.0f a second: %d served in second %d of the flood, %d late", perSecond, served, s-before, late)
+				t.Errorf("%.0f requests/s: served %d in second %d of the flood, %d late", perSecond, served, s-before, late)
 			}
 		}
-		if f.Own() < 1 {
-			t.Errorf("%.0f a second: still hands over ten seconds after the flood", perSecond)
+		if f.ServedShare() < 1 {
+			t.Errorf("%.0f requests/s: still hands over ten seconds after the flood", perSecond)
 		}
 	}
 }
 
-// What cannot be handed over is served while the rest is, and where the other gateways have no
-// time any more the governor refuses again.
-func TestWhatCannotBeMovedIsServed(t *testing.T) {
+// Unmovable requests are served while the others are handed over; without another gateway
+// the governor refuses again.
+func TestUnmovableRequestsAreServed(t *testing.T) {
 	g := New()
-	g.SetRelief(true)
+	g.SetHandOverAvailable(true)
 	now, counts := epoch, map[Verdict]int{}
 	flood := func(seconds int, movable bool) {
 		clear(counts)
@@ -276,14 +266,14 @@
 	}
 	flood(1, true)
 	if counts[Refuse] > 0 || counts[HandOver] < 500 {
-		t.Errorf("in the first second of a flood %v", counts)
+		t.Errorf("verdicts in the first second of a flood: %v, want no refusals and at least 500 handed over", counts)
 	}
 	if v := g.Admit(now, "flood", 0.99, false); v != Serve {
-		t.Errorf("what cannot be moved ends as %d", v)
+		t.Errorf("verdict on an unmovable request: got %d, want Serve", v)
 	}
-	g.SetRelief(false)
+	g.SetHandOverAvailable(false)
 	flood(1, true)
 	if counts[HandOver] > 150 || counts[Refuse] < 700 {
-		t.Errorf("without another gateway %v", counts)
+		t.Errorf("verdicts without another gateway: %v, want at most 150 handed over and at least 700 refused", counts)
 	}
 }
--- a/core/overload/costs.go
+++ b/core/overload/costs.go
@@ -5,96 +5,92 @@
 
 import "time"
 
-// verdicts is how many verdicts there are.
-const verdicts = 3
+const numVerdicts = 3
 
-// tally counts handled requests by what became of them; a verdict's place is its value less
-// one.
-type tally [verdicts]float64
+// verdictCounts counts requests by verdict, at index verdict-1.
+type verdictCounts [numVerdicts]float64
 
-func (n *tally) add(v Verdict) { n[v-1]++ }
+func (n *verdictCounts) add(v Verdict) { n[v-1]++ }
 
-func (n *tally) sum() float64 { return n[0] + n[1] + n[2] }
+func (n *verdictCounts) sum() float64 { return n[0] + n[1] + n[2] }
 
 const (
-	// Before anything was learned a request that is served takes firstCost, and one that is
-	// handed over or refused these parts of it. The first window of a flood corrects the
-	// former, whatever the machine; the latter hold until windows differ in their mix.
-	firstCost     = time.Millisecond
-	firstHandOver = 0.35
-	firstRefuse   = 0.25
-	// How far the first estimates may be off, as parts of them: all together, by the strength
-	// of the machine, and each for itself.
-	commonDoubt = 3.0
-	eachDoubt   = 0.4
-	// How far the costs may move in a second, as parts of them: all together, since what else
-	// runs on the machine changes, and each for itself.
+	// Initial costs. The first window of an overload corrects the cost of serving; the
+	// ratios of the others to it stay until windows differ in their mix of verdicts.
+	initialServeCost     = time.Millisecond
+	initialHandOverRatio = 0.35
+	initialRefuseRatio   = 0.25
+	// Standard deviation of the initial costs, relative to them: the error that they
+	// have in common because of the machine's speed, and the error of each one.
+	commonUncertainty = 3.0
+	ownUncertainty    = 0.4
+	// Drift of the costs in a second, relative to them: the drift that they have in
+	// common because of other load on the machine, and the drift of each one.
 	commonDrift = 0.3
-	eachDrift   = 0.1
-	// noise is how far the time of a window may differ from the work in it, as a part of the
-	// window.
-	noise = 0.15
-	// mostSurprise bounds how far the time of one window is believed to differ from what was
-	// expected, as a factor: a process that was stopped for a while handled nothing.
-	mostSurprise = 2.0
-	// mostCost is the most that a request is taken to cost: what else makes a process late says
-	// nothing of requests. mostPart is the part of that which one costs at most that is handed
-	// over or refused.
-	mostCost = 100 * time.Millisecond
-	mostPart = 0.5
-	// leastCost is the least that a request costs, as a part of one that is served.
-	leastCost = 0.02
+	ownDrift    = 0.1
+	// measurementNoise is the error of a window's measured work, as a fraction of its length.
+	measurementNoise = 0.15
+	// maxInnovation limits the factor between the measured and the expected time of a
+	// window: a process that was stopped for a while handled nothing meanwhile.
+	maxInnovation = 2.0
+	// maxCost limits the cost of a request, since other things make a process late too.
+	// For requests that are handed over or refused the limit is maxCostRatio of it.
+	maxCost      = 100 * time.Millisecond
+	maxCostRatio = 0.5
+	// minCostRatio is a fraction of the cost of serving.
+	minCostRatio = 0.02
 )
 
-// costs estimates how much time each kind of request takes of a process that is never idle,
-// in seconds of elapsed time. Each window gives one equation, the counts of the requests in it
-// and its length; a Kalman filter solves them, since the mix of a window says little about
-// each kind, and the costs move.
+// costs estimates the time that a request of each verdict takes, in seconds of elapsed
+// time of a process that is never idle. A single window says little about each verdict
+// and the costs drift, so a Kalman filter is updated with the counts and the length of
+// each window.
 type costs struct {
-	each tally
-	cov  [verdicts][verdicts]float64
+	perRequest verdictCounts
+	cov        [numVerdicts][numVerdicts]float64
 }
 
 func newCosts() costs {
-	c := costs{each: tally{Serve - 1: 1, HandOver - 1: firstHandOver, Refuse - 1: firstRefuse}}
-	for i := range c.each {
-		c.each[i] *= firstCost.Seconds()
+	c := costs{perRequest: verdictCounts{Serve - 1: 1, HandOver - 1: initialHandOverRatio, Refuse - 1: initialRefuseRatio}}
+	for i := range c.perRequest {
+		c.perRequest[i] *= initialServeCost.Seconds()
 	}
-	for i, a := range c.each {
-		for j, b := range c.each {
-			c.cov[i][j] = commonDoubt * commonDoubt * a * b
+	for i, a := range c.perRequest {
+		for j, b := range c.perRequest {
+			c.cov[i][j] = commonUncertainty * commonUncertainty * a * b
 		}
-		c.cov[i][i] += eachDoubt * eachDoubt * a * a
+		c.cov[i][i] += ownUncertainty * ownUncertainty * a * a
 	}
 	return c
 }
 
-func (c *costs) of(v Verdict) float64 { return c.each[v-1] }
+func (c *costs) of(v Verdict) float64 { return c.perRequest[v-1] }
 
-// expect returns how long so many requests take.
-func (c *costs) expect(n tally) float64 {
+// expect returns the expected time for these requests, in seconds.
+func (c *costs) expect(n verdictCounts) float64 {
 	sum := 0.0
-	for i, each := range c.each {
+	for i, each := range c.perRequest {
 		sum += n[i] * each
 	}
 	return sum
 }
 
-// learn takes that so many requests have taken a time.
-func (c *costs) learn(n tally, took, doubt float64) {
+// update corrects the estimate with the seconds that these requests took, known up to
+// the standard deviation stddev.
+func (c *costs) update(n verdictCounts, took, stddev float64) {
 	expected := c.expect(n)
 	if expected <= 0 || took <= 0 {
 		return
 	}
-	took = min(max(took, expected/mostSurprise), expected*mostSurprise)
-	for i, a := range c.each {
-		for j, b := range c.each {
+	took = min(max(took, expected/maxInnovation), expected*maxInnovation)
+	for i, a := range c.perRequest {
+		for j, b := range c.perRequest {
 			c.cov[i][j] += commonDrift * commonDrift * a * b * took
 		}
-		c.cov[i][i] += eachDrift * eachDrift * a * a * took
+		c.cov[i][i] += ownDrift * ownDrift * a * a * took
 	}
-	var gain tally
-	variance := noise*noise*took*took + doubt*doubt
+	var gain verdictCounts
+	variance := measurementNoise*measurementNoise*took*took + stddev*stddev
 	for i := range n {
 		for j := range n {
 			gain[i] += c.cov[i][j] * n[j]
@@ -102,22 +98,22 @@
 		variance += gain[i] * n[i]
 	}
 	for i := range n {
-		c.each[i] += gain[i] / variance * (took - expected)
+		c.perRequest[i] += gain[i] / variance * (took - expected)
 		for j := range n {
 			c.cov[i][j] -= gain[i] * gain[j] / variance
 		}
 	}
-	c.bound()
+	c.clamp()
 }
 
-// bound keeps the costs where they can be: none is nothing, and none is above serving.
-func (c *costs) bound() {
-	serve := min(max(c.each[Serve-1], c.each[Refuse-1], c.each[HandOver-1]), mostCost.Seconds())
-	for i := range c.each {
+// clamp keeps the costs positive and none of them above the cost of serving.
+func (c *costs) clamp() {
+	serve := min(max(c.perRequest[Serve-1], c.perRequest[Refuse-1], c.perRequest[HandOver-1]), maxCost.Seconds())
+	for i := range c.perRequest {
 		most := serve
 		if Verdict(i+1) != Serve {
-			most = min(serve, mostPart*mostCost.Seconds())
+			most = min(serve, maxCostRatio*maxCost.Seconds())
 		}
-		c.each[i] = min(max(c.each[i], leastCost*serve), most)
+		c.perRequest[i] = min(max(c.perRequest[i], minCostRatio*serve), most)
 	}
 }
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,40 +1,40 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package relay chooses which other gateway of the data hall serves a request
-// that this one has no time for. Of two that are drawn by their strength it takes
-// the one with fewer requests under way from here. A Chooser is a pure state
-// machine; it is not safe for concurrent use.
+// Package relay chooses the gateway of the data hall to which an overloaded gateway hands a
+// request over. It draws two gateways, weighted by strength, and takes the one with fewer
+// requests in flight from here per strength. A Chooser is a pure state machine; it is not
+// safe for concurrent use.
 package relay
 
 import "time"
 
-// avoidFor is how long a gateway that could not be reached is left out: as long as the
-// others need to find a silent member dead.
+// avoidFor is how long an unreachable gateway is skipped: about as long as the membership
+// protocol needs to declare a silent member dead.
 const avoidFor = 3 * time.Second
 
 // Peer is a gateway that may take requests over.
 type Peer struct {
 	ID       string
-	Strength float64 // Strength is what it has of a processor core; it must be above 0.
+	Strength float64 // in processor cores, above 0
 }
 
 type peer struct {
 	Peer
-	open  int // open is how many requests are under way there from here.
-	avoid time.Time
+	inFlight   int // handed over from here
+	avoidUntil time.Time
 }
 
-// Chooser knows the gateways that may take requests over.
+// Chooser chooses among the gateways that may take requests over.
 type Chooser struct {
 	peers []*peer
 	byID  map[string]*peer
 }
 
-// New returns a chooser that knows nobody.
+// New returns a chooser without gateways.
 func New() *Chooser { return &Chooser{byID: map[string]*peer{}} }
 
-// SetPeers replaces the gateways. What is under way to those that stay is kept.
+// SetPeers replaces the gateways. Those that stay keep their in-flight counts.
 func (c *Chooser) SetPeers(peers []Peer) {
 	known := c.byID
 	c.peers, c.byID = nil, map[string]*peer{}
@@ -49,40 +49,40 @@
 	}
 }
 
-// Available tells whether there is a gateway to choose.
+// Available reports whether there is a gateway to choose.
 func (c *Chooser) Available(now time.Time) bool {
 	for _, p := range c.peers {
-		if !now.Before(p.avoid) {
+		if !now.Before(p.avoidUntil) {
 			return true
 		}
 	}
 	return false
 }
 
-// Choose returns a gateway, and false where there is none; draw returns random numbers
+// Choose returns a gateway, or false if none is available; draw returns random numbers
 // between 0 and 1.
 func (c *Chooser) Choose(now time.Time, draw func() float64) (id string, ok bool) {
 	total := 0.0
 	for _, p := range c.peers {
-		if !now.Before(p.avoid) {
+		if !now.Before(p.avoidUntil) {
 			total += p.Strength
 		}
 	}
 	if total == 0 {
 		return "", false
 	}
-	first, second := c.at(now, draw()*total), c.at(now, draw()*total)
-	if float64(second.open)/second.Strength < float64(first.open)/first.Strength {
+	first, second := c.peerAt(now, draw()*total), c.peerAt(now, draw()*total)
+	if float64(second.inFlight)/second.Strength < float64(first.inFlight)/first.Strength {
 		first = second
 	}
 	return first.ID, true
 }
 
-// at returns the gateway at a point of the sum of all strengths.
-func (c *Chooser) at(now time.Time, point float64) *peer {
+// peerAt returns the available gateway at a point of the cumulative strengths.
+func (c *Chooser) peerAt(now time.Time, point float64) *peer {
 	var last *peer
 	for _, p := range c.peers {
-		if now.Before(p.avoid) {
+		if now.Before(p.avoidUntil) {
 			continue
 		}
 		last = p
@@ -93,23 +93,23 @@
 	return last
 }
 
-// Began counts a request that is handed over.
+// Began counts a request handed over to the gateway as in flight.
 func (c *Chooser) Began(id string) {
 	if p := c.byID[id]; p != nil {
-		p.open++
+		p.inFlight++
 	}
 }
 
-// Ended counts that a request which was handed over has ended.
+// Ended counts a request handed over to the gateway as finished.
 func (c *Chooser) Ended(id string) {
-	if p := c.byID[id]; p != nil && p.open > 0 {
-		p.open--
+	if p := c.byID[id]; p != nil && p.inFlight > 0 {
+		p.inFlight--
 	}
 }
 
-// Failed tells that a gateway could not be reached.
+// Failed records that a gateway could not be reached, so that it is skipped for a while.
 func (c *Chooser) Failed(now time.Time, id string) {
 	if p := c.byID[id]; p != nil {
-		p.avoid = now.Add(avoidFor)
+		p.avoidUntil = now.Add(avoidFor)
 	}
 }
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -157,7 +157,7 @@
 		return
 	}
 	if !p.queue.Has(account) {
-		p.ledger.Admit(now, account)
+		p.ledger.BeginWaiting(now, account)
 		p.waitingSince[account] = now
 	}
 	key, gain := p.ledger.Key(account)
--- a/core/sched/tally.go
+++ b/core/sched/tally.go
@@ -106,7 +106,7 @@
 	if peer := p.peers[from]; peer != nil {
 		peer.waiting, peer.floor, peer.lastTallyAt = t.Waiting, t.Floor, now
 	}
-	p.ledger.Heard(from, t.Seq)
+	p.ledger.RecordReport(from, t.Seq)
 	for _, row := range t.Rows {
 		if p.ledger.Merge(from, t.Seq, row) {
 			s.requeueWaiting(now, p, row.Account)
--- a/core/throttle/throttle.go
+++ b/core/throttle/throttle.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package throttle refuses at the entry gateway what a scheduler would refuse
-// anyway. An account that floods is asked for no more than some multiple of
-// what it is given; the rest is refused at once, which costs neither messages
-// nor memory. The share refused follows the known rule of adaptive throttling:
-// (asked - factor x accepted) / (asked + slack).
+// Package throttle refuses requests at the entry gateway that a scheduler would refuse
+// anyway, which saves messages and memory. It uses client-side adaptive throttling: an
+// account's requests are refused with the probability
+//
+//	(requests - acceptFactor × accepts) / (requests + slack)
 package throttle
 
 import (
@@ -14,80 +14,79 @@
 )
 
 const (
-	// factor is how much more than what is accepted is asked for, so that an
-	// account gets more as soon as there is more.
-	factor = 2
-	// slack lets accounts that ask for little through.
-	slack = 40
-	// half is the time in which what was counted fades to a half.
-	half = time.Second
-	// forget is the count below which an account is forgotten.
-	forget = 0.01
+	// acceptFactor is how many requests are let through for each accepted one, so that an
+	// account gets more as soon as capacity is free.
+	acceptFactor = 2
+	// slack lets accounts with few requests through.
+	slack    = 40
+	halfLife = time.Second
+	// minRequests is the decayed count below which an account is removed.
+	minRequests = 0.01
 )
 
 type account struct {
-	asked, accepted float64
-	at              time.Time
+	requests, accepts float64
+	updated           time.Time
 }
 
-func (a *account) fade(now time.Time) {
-	if since := now.Sub(a.at); since > 0 {
-		f := math.Exp2(-float64(since) / float64(half))
-		a.asked *= f
-		a.accepted *= f
-		a.at = now
+func (a *account) decay(now time.Time) {
+	if since := now.Sub(a.updated); since > 0 {
+		f := math.Exp2(-float64(since) / float64(halfLife))
+		a.requests *= f
+		a.accepts *= f
+		a.updated = now
 	}
 }
 
-// Throttle counts what each account of one gateway asks for and is given. It is
-// not safe for concurrent use.
+// Throttle counts the requests of each account at one gateway, and those that were accepted.
+// It is not safe for concurrent use.
 type Throttle struct {
-	accounts map[string]*account
-	swept    time.Time
+	accounts  map[string]*account
+	lastSweep time.Time
 }
 
-// New returns a throttle that has counted nothing.
+// New returns an empty throttle.
 func New() *Throttle { return &Throttle{accounts: map[string]*account{}} }
 
 func (t *Throttle) account(now time.Time, name string) *account {
 	a := t.accounts[name]
 	if a == nil {
-		a = &account{at: now}
+		a = &account{updated: now}
 		t.accounts[name] = a
 	}
-	a.fade(now)
+	a.decay(now)
 	return a
 }
 
-// Admit counts a request and tells whether a scheduler is to be asked; draw is
-// a random number between 0 and 1.
+// Admit counts a request and reports whether to ask a scheduler for it; draw is a random
+// number between 0 and 1.
 func (t *Throttle) Admit(now time.Time, name string, draw float64) bool {
 	t.sweep(now)
 	a := t.account(now, name)
-	refuse := (a.asked - factor*a.accepted) / (a.asked + slack)
-	a.asked++
-	return draw >= refuse
+	refusal := (a.requests - acceptFactor*a.accepts) / (a.requests + slack)
+	a.requests++
+	return draw >= refusal
 }
 
-// Accepted counts a request that was placed.
-func (t *Throttle) Accepted(now time.Time, name string) { t.account(now, name).accepted++ }
+// Accepted counts a request that a scheduler placed.
+func (t *Throttle) Accepted(now time.Time, name string) { t.account(now, name).accepts++ }
 
-// Disregard takes a counted request back that is refused for a reason of its own: it is no
-// demand that the account's other requests should pay for.
+// Disregard takes back a counted request that was refused for another reason, so that it
+// does not throttle the account's other requests.
 func (t *Throttle) Disregard(now time.Time, name string) {
 	a := t.account(now, name)
-	a.asked = max(a.asked-1, 0)
+	a.requests = max(a.requests-1, 0)
 }
 
-// sweep forgets accounts that have asked for nothing for long.
+// sweep removes idle accounts, whose counts have decayed.
 func (t *Throttle) sweep(now time.Time) {
-	if now.Sub(t.swept) < 10*half {
+	if now.Sub(t.lastSweep) < 10*halfLife {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for name, a := range t.accounts {
-		a.fade(now)
-		if a.asked < forget {
+		a.decay(now)
+		if a.requests < minRequests {
 			delete(t.accounts, name)
 		}
 	}
