--- a/core/entry/event.go
+++ b/core/entry/event.go
@@ -1,10 +1,12 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package entry is the entry gateway's side of scheduling: it asks the
-// scheduler of a cell for a target, notices when that scheduler is silent and
-// goes on with the next one, at last with itself. A Machine is a pure state
-// machine: Step(now, event) returns actions.
+// Package entry implements the entry gateway's side of scheduling. It asks the
+// scheduler of a cell for a target and fails over to the next scheduler when
+// there is no answer in time; the last resort is the gateway's own scheduler.
+//
+// A Machine does no I/O and reads no clock: Step takes an event and returns
+// the actions that the caller must perform.
 package entry
 
 import (
@@ -14,65 +16,65 @@
 	"madderway/core/cell"
 )
 
-// Event is something that a Machine reacts to.
+// Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
-// Submitted is a request that wants a target.
+// Submitted is a new request that needs a target.
 type Submitted struct {
 	Service string
 	Ask     cell.Ask
 }
 
-// Withdrawn takes a request back whose caller has gone or whose time is over.
+// Withdrawn cancels a request whose caller disconnected or whose deadline passed.
 type Withdrawn struct{ ID cell.RequestID }
 
-// Began tells that the first event of an answer came.
+// Began reports the first event of a response.
 type Began struct{ ID cell.RequestID }
 
-// Ended tells that a request is no longer at its target.
+// Ended reports that a request is no longer at its target.
 type Ended struct {
 	ID      cell.RequestID
 	Outcome batch.Outcome
 }
 
-// PlacementSeen is a scheduler's word where a request goes.
+// PlacementSeen is a scheduler's decision which target serves a request.
 type PlacementSeen struct {
 	From   string
 	Cell   cell.Key
 	ID     cell.RequestID
 	Target string
-	Source string // Source is the target to copy the beginning of the prompt from, or empty.
+	Source string // target to copy the beginning of the prompt from, or empty
 }
 
-// WaitSeen is a scheduler's word that a request waits.
+// WaitSeen is a scheduler's notice that it has queued a request.
 type WaitSeen struct {
 	From string
 	ID   cell.RequestID
 }
 
-// RefusalSeen is a scheduler's word that a request cannot be served in time.
+// RefusalSeen is a scheduler's notice that it cannot serve a request in time.
 type RefusalSeen struct {
 	From       string
 	ID         cell.RequestID
 	RetryAfter time.Duration
-	Elsewhere  bool // Elsewhere tells that another cell should be asked.
+	Elsewhere  bool // another cell may have capacity
 }
 
-// LayoutSeen replaces the cells.
+// LayoutSeen replaces the assignment of targets and schedulers to cells.
 type LayoutSeen struct{ Layout *cell.Layout }
 
-// PeerHeard tells that a gateway has sent anything.
+// PeerHeard reports that any message arrived from a gateway.
 type PeerHeard struct{ ID string }
 
-// PeerRestarted tells that a gateway has ended or begun a new life.
+// PeerRestarted reports that a gateway has died or has a new incarnation.
 type PeerRestarted struct{ ID string }
 
-// StrainSeen tells whether this gateway's link is full, so that what schedulers answer
-// is late here. A short processor is told by the lag of ticks.
+// StrainSeen reports whether this gateway's network link is saturated, so that
+// answers of schedulers arrive late. A lack of processor time shows as Tick.Lag instead.
 type StrainSeen struct{ Strained bool }
 
-// Tick lets time pass. Lag is how late it comes: in that time the gateway did
-// not hear what it was sent.
+// Tick drives timeouts and must come regularly. Lag is its delay, during which the
+// gateway did not process incoming messages.
 type Tick struct{ Lag time.Duration }
 
 func (Submitted) isEvent()     {}
@@ -88,17 +90,17 @@
 func (StrainSeen) isEvent()    {}
 func (Tick) isEvent()          {}
 
-// Action is something that the owner of a Machine must do.
+// Action is an output of Machine.Step that the caller must perform.
 type Action interface{ isAction() }
 
-// AskOut sends an ask to a scheduler.
+// AskOut asks a scheduler to place a request.
 type AskOut struct {
 	To   string
 	Cell cell.Key
 	Ask  cell.Ask
 }
 
-// ProgressOut tells a scheduler what became of a request.
+// ProgressOut reports a request's progress to a scheduler.
 type ProgressOut struct {
 	To      string
 	Cell    cell.Key
@@ -107,40 +109,40 @@
 	Outcome batch.Outcome
 }
 
-// Step is a step of a request at its target.
+// Step is a stage in the life of a request.
 type Step uint8
 
-// The steps.
+// Steps of a request.
 const (
 	StepBegan Step = iota + 1
 	StepEnded
 	StepWithdrawn
 )
 
-// InventoryOut tells a scheduler all that runs here in its cell.
+// InventoryOut lists for a scheduler all requests of its cell that this gateway runs.
 type InventoryOut struct {
 	To   string
 	Cell cell.Key
 	Held []cell.Held
 }
 
-// Start tells that a request goes to a target.
+// Start sends a request to a target.
 type Start struct {
 	ID        cell.RequestID
 	Target    string
-	Source    string // Source is the target to copy the beginning of the prompt from, or empty.
+	Source    string // target to copy the beginning of the prompt from, or empty
 	Scheduler string
 	Waited    time.Duration
 }
 
-// Refuse tells that a request is not served.
+// Refuse rejects a request.
 type Refuse struct {
 	ID         cell.RequestID
 	Scheduler  string
 	RetryAfter time.Duration
 }
 
-// Suspect tells that a scheduler has been silent.
+// Suspect reports that a scheduler did not answer and is avoided for a while.
 type Suspect struct {
 	ID   string
 	Cell cell.Key
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -11,15 +11,13 @@
 
 const (
 	inventoryEvery = 2 * time.Second
-	// emptyTold is how often a scheduler is told that nothing runs here: once more
-	// than needed, since a message may be lost. A gateway of a large fleet seldom has
-	// something in most cells.
+	// emptyTold limits repeated empty inventories, as most gateways of a large
+	// fleet run nothing in most cells. The second one covers a lost message.
 	emptyTold = 2
-	// moveShare is the part of the objective that a second cell may take.
+	// moveShare is the share of the objective that a request may wait in a second cell.
 	moveShare     = 0.15
 	noTargetRetry = 500 * time.Millisecond
-	// strainedRetry is when a caller may come back whom a strained gateway cannot
-	// place: at once, since that takes it to another gateway.
+	// strainedRetry is short because the retry reaches another gateway.
 	strainedRetry = 50 * time.Millisecond
 )
 
@@ -27,12 +25,12 @@
 	service string
 	ask     cell.Ask
 	cell    cell.Key
-	moved   bool // moved tells that another cell than its own is asked.
-	to      string
+	moved   bool   // already moved to a second cell
+	to      string // scheduler that was asked
 	arrived time.Time
 	askedAt time.Time
-	askedIn time.Duration // askedIn is the machine's lag when it was asked.
-	waits   bool          // waits tells that the scheduler has said that it waits.
+	askedIn time.Duration // Machine.lag at askedAt
+	waits   bool          // the scheduler has queued it
 	tried   map[string]bool
 }
 
@@ -41,14 +39,14 @@
 	cell cell.Key
 }
 
-// seat is what is known of the scheduler that is in use for a cell.
+// seat is the scheduler in use for a cell and the inventories sent to it.
 type seat struct {
 	scheduler string
-	toldAt    time.Time // toldAt is when it was last told all that runs here.
-	empty     int       // empty is how often in a row it was told that nothing does.
+	toldAt    time.Time // last inventory
+	empty     int       // consecutive empty inventories
 }
 
-// Machine is the entry side of one gateway.
+// Machine tracks the requests that entered through one gateway.
 type Machine struct {
 	self     string
 	layout   *cell.Layout
@@ -56,12 +54,12 @@
 	running  map[cell.RequestID]*running
 	seats    map[cell.Key]*seat
 	suspects map[string]*suspicion
-	lag      time.Duration // lag is how late all ticks came, together.
-	strained bool          // strained tells that this gateway's link is full.
+	lag      time.Duration // sum of the delays of all ticks
+	strained bool
 	out      []Action
 }
 
-// New returns a machine of the gateway with this ID.
+// New returns the machine of the gateway with this ID.
 func New(self string) *Machine {
 	return &Machine{
 		self: self, layout: &cell.Layout{}, pending: map[cell.RequestID]*pending{}, running: map[cell.RequestID]*running{},
@@ -69,7 +67,7 @@
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step processes one event and returns the resulting actions.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
 	m.out = nil
 	switch e := ev.(type) {
@@ -106,10 +104,10 @@
 
 func (m *Machine) emit(a Action) { m.out = append(m.out, a) }
 
-// Pending returns how many requests wait for a scheduler's word.
+// Pending returns the number of requests that wait for a scheduler's decision.
 func (m *Machine) Pending() int { return len(m.pending) }
 
-// Running returns how many requests are at targets.
+// Running returns the number of requests at targets.
 func (m *Machine) Running() int { return len(m.running) }
 
 func (m *Machine) submit(now time.Time, e Submitted) {
@@ -123,8 +121,8 @@
 	m.askNext(now, p)
 }
 
-// askNext asks the best scheduler that has not been tried and is not suspect;
-// this gateway itself is always the last choice.
+// askNext asks the best scheduler that has not been tried and is not suspected,
+// or this gateway itself if none is left.
 func (m *Machine) askNext(now time.Time, p *pending) {
 	p.to = m.self
 	if g := m.layout.Group(p.cell); g != nil {
@@ -145,7 +143,7 @@
 }
 
 // candidate returns the best scheduler of a cell that has not been tried for a request
-// and is not suspect, or "".
+// and is not suspected, or "".
 func (m *Machine) candidate(now time.Time, g *cell.Group, p *pending) string {
 	for _, id := range g.Schedulers() {
 		if !p.tried[id] && !m.suspected(now, id) {
@@ -155,22 +153,21 @@
 	return ""
 }
 
-// lastChoice tells whether only this gateway itself is left to schedule a request.
+// lastChoice reports whether only this gateway itself is left to schedule a request.
 func (m *Machine) lastChoice(now time.Time, p *pending) bool {
 	g := m.layout.Group(p.cell)
 	return g == nil || m.candidate(now, g, p) == ""
 }
 
-// giveUp refuses a request whose schedulers are silent at a strained gateway. The cause
-// is probably here, and to place it without knowing the engines' load would cost the
-// requests of all other gateways.
+// giveUp refuses a request whose schedulers do not answer while the link is saturated.
+// The link is the likely cause, and placing requests here without knowing the load of
+// the engines would overload them for all gateways.
 func (m *Machine) giveUp(p *pending) {
 	m.withdraw(p.ask.ID)
 	m.emit(Refuse{p.ask.ID, m.self, strainedRetry})
 }
 
-// sit makes a gateway the scheduler in use for a cell; a new one is told all
-// that runs here.
+// sit sets the scheduler in use for a cell and sends an inventory to a new one.
 func (m *Machine) sit(now time.Time, key cell.Key, scheduler string) {
 	s := m.seats[key]
 	if s == nil {
@@ -223,8 +220,8 @@
 	m.emit(Refuse{e.ID, e.From, e.RetryAfter})
 }
 
-// move asks another cell for a request of an account that is owed more than its
-// own cell can give, once.
+// move asks a second cell to place a request, once, for an account that is below its
+// fair share in the first cell.
 func (m *Machine) move(now time.Time, p *pending) bool {
 	other := m.layout.Other(p.service, p.ask.Prompt.Affinity(), p.cell)
 	if p.moved || other == nil || p.ask.Objective <= 0 {
@@ -268,7 +265,7 @@
 	return m.self
 }
 
-// forget makes the next ask tell a restarted scheduler what runs here.
+// forget makes the next ask send an inventory to a restarted scheduler.
 func (m *Machine) forget(id string) {
 	for _, s := range m.seats {
 		if s.scheduler == id {
@@ -309,7 +306,7 @@
 	return false
 }
 
-// Seats returns the scheduler that is in use for each cell.
+// Seats returns the scheduler in use for each cell.
 func (m *Machine) Seats() map[string]string {
 	out := map[string]string{}
 	for key, s := range m.seats {
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fixture is a machine in a fleet of five with one cell; first and second are
-// the schedulers of that cell, and the machine is neither.
+// fixture is a machine in a fleet of five gateways with one cell. The machine's
+// gateway is not among that cell's schedulers first and second.
 type fixture struct {
 	*Machine
 	t             *testing.T
@@ -56,7 +56,7 @@
 	return Submitted{Service: "s", Ask: cell.Ask{ID: id, Account: "a", Prompt: p, Hold: 200 * time.Millisecond, Objective: 800 * time.Millisecond}}
 }
 
-// asked returns to whom an ask went, "" where none did.
+// asked returns the scheduler that the first ask went to, or "".
 func asked(actions []Action) string {
 	for _, a := range actions {
 		if ask, ok := a.(AskOut); ok {
@@ -83,18 +83,17 @@
 	}
 	s, ok := find[Start](f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"}))
 	if !ok || s.Target != "t" || f.Pending() != 0 || f.Running() != 1 {
-		t.Fatalf("%+v %v", s, ok)
+		t.Fatalf("got start %+v (%v), want target t and one running request", s, ok)
 	}
 	if p, ok := find[ProgressOut](f.after(time.Millisecond, Began{1})); !ok || p.To != f.first || p.Step != StepBegan {
-		t.Errorf("%+v %v", p, ok)
+		t.Errorf("got progress %+v (%v), want StepBegan to %s", p, ok, f.first)
 	}
 	if p, ok := find[ProgressOut](f.after(time.Millisecond, Ended{1, batch.OutcomeDone})); !ok || p.Step != StepEnded || f.Running() != 0 {
-		t.Errorf("%+v %v", p, ok)
+		t.Errorf("got progress %+v (%v), %d running, want StepEnded and none running", p, ok, f.Running())
 	}
 }
 
-// A scheduler that says nothing is passed over within a fraction of a second,
-// and so are all asks that wait on it.
+// Requests stay with a scheduler that does not answer.
 func TestSilentSchedulerIsPassedOver(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -108,40 +107,36 @@
 		if ask, ok := a.(AskOut); ok {
 			n++
 			if ask.To != f.second || ask.Ask.Hold >= 200*time.Millisecond {
-				t.Errorf("asked %q with %v left", ask.To, ask.Ask.Hold)
+				t.Errorf("asked %q with a hold of %v, want %q with less than 200ms", ask.To, ask.Ask.Hold, f.second)
 			}
 		}
 	}
 	if _, ok := find[Suspect](actions); !ok || n != 2 {
-		t.Errorf("%d asks went on", n)
+		t.Errorf("%d asks went to the next scheduler, suspected: %v, want 2 and true", n, ok)
 	}
 	if to := asked(f.after(time.Millisecond, submit(3))); to != f.second {
-		t.Errorf("a new ask went to %q", to)
+		t.Errorf("a new ask went to %q, want %q", to, f.second)
 	}
-	// Any sign of life ends the suspicion.
+	// Any message from the scheduler ends the suspicion.
 	f.after(time.Millisecond, PeerHeard{f.first})
 	if to := asked(f.after(time.Millisecond, submit(4))); to != f.first {
-		t.Errorf("after a sign of life the ask went to %q", to)
+		t.Errorf("after a message from it the ask went to %q, want %q", to, f.first)
 	}
 }
 
-// Where nobody answers, the gateway schedules by itself: no request waits for
-// peers.
-// A gateway that comes to its work late finds the answers late: that says
-// nothing of the scheduler.
+// A scheduler is suspected because this process was late to read its answer.
 func TestOwnDelayIsNotSilence(t *testing.T) {
 	f := setUp(t)
 	f.Step(f.now, submit(1))
 	if actions := f.after(200*time.Millisecond, Tick{Lag: 180 * time.Millisecond}); len(actions) != 0 {
-		t.Fatalf("%#v after the gateway itself was late", actions)
+		t.Fatalf("got %#v after the gateway itself was late, want no actions", actions)
 	}
 	if to := asked(f.after(50*time.Millisecond, Tick{})); to != f.second {
 		t.Errorf("asked %q after 70 ms of silence, want %q", to, f.second)
 	}
 }
 
-// Where the schedulers of several cells seem silent at the same time, the cause
-// is likely here: they are given longer.
+// Many schedulers are suspected at once because this process is slow.
 func TestManySilentSchedulersAreOwnDelay(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8, CacheTokens: 1000}}}})
 	var targets routing.TargetSet
@@ -161,14 +156,14 @@
 		to[asked(m.Step(start, e))] = true
 	}
 	if len(to) < 3 {
-		t.Fatalf("only %d schedulers were asked", len(to))
+		t.Fatalf("%d schedulers were asked, want at least 3", len(to))
 	}
 	now := start.Add(silentAfter + 30*time.Millisecond)
 	if actions := m.Step(now, Tick{}); len(actions) != 0 {
-		t.Errorf("%d actions after all seemed silent for %v", len(actions), now.Sub(start))
+		t.Errorf("got %d actions after all schedulers were silent for %v, want none", len(actions), now.Sub(start))
 	}
 	if to := asked(m.Step(start.Add(ownDelayFactor*silentAfter+time.Millisecond), Tick{})); to == "" {
-		t.Error("silent schedulers are waited for without end")
+		t.Error("no other scheduler was asked after the longer timeout")
 	}
 }
 
@@ -185,47 +180,46 @@
 		}
 	}
 	if to != f.self {
-		t.Errorf("the last ask went to %q, want to itself", to)
+		t.Errorf("the last ask went to %q, want %q (itself)", to, f.self)
 	}
 	if f.now.Sub(start) > time.Second {
-		t.Error("took too long")
+		t.Errorf("took %v until it asked itself, want at most 1s", f.now.Sub(start))
 	}
 	if to := asked(f.after(time.Millisecond, submit(2))); to != f.self {
-		t.Errorf("the next ask went to %q while all are suspect", to)
+		t.Errorf("the next ask went to %q while all are suspected, want %q (itself)", to, f.self)
 	}
 }
 
-// A scheduler that has said "wait" is given until the wait is over.
+// A scheduler is suspected while it holds a request in its queue.
 func TestWaitIsNotSilence(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, WaitSeen{From: f.first, ID: 1})
 	if to := asked(f.after(150*time.Millisecond, Tick{})); to != "" {
-		t.Errorf("asked %q while the request waits", to)
+		t.Errorf("asked %q while the request is queued", to)
 	}
 	if to := asked(f.after(350*time.Millisecond, Tick{})); to != f.second {
-		t.Errorf("asked %q after the wait was over without a word", to)
+		t.Errorf("asked %q after the wait ended without a decision, want %q", to, f.second)
 	}
 }
 
-// The word of a scheduler that was given up must not start a request twice; its
-// place is given back.
+// A late placement by the previous scheduler starts a request twice or keeps its slot.
 func TestLatePlacementIsGivenBack(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(2*silentAfter, Tick{})
 	actions := f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
 	if _, ok := find[Start](actions); ok {
-		t.Fatal("a scheduler that was given up started the request")
+		t.Fatal("the previous scheduler's placement started the request")
 	}
 	if p, ok := find[ProgressOut](actions); !ok || p.To != f.first || p.Step != StepWithdrawn {
-		t.Errorf("its place was not given back: %+v", actions)
+		t.Errorf("the late placement was not withdrawn: %+v", actions)
 	}
 	if _, ok := find[Start](f.after(time.Millisecond, PlacementSeen{From: f.second, Cell: "s/0", ID: 1, Target: "t"})); !ok {
-		t.Error("the second scheduler's word did not start the request")
+		t.Error("the second scheduler's placement did not start the request")
 	}
 	if _, ok := find[Refuse](f.after(time.Millisecond, RefusalSeen{From: f.first, ID: 1})); ok {
-		t.Error("a late refusal reached a request that runs")
+		t.Error("a late refusal ended a running request")
 	}
 }
 
@@ -234,12 +228,11 @@
 	f.after(0, submit(1))
 	r, ok := find[Refuse](f.after(time.Millisecond, RefusalSeen{From: f.first, ID: 1, RetryAfter: time.Second}))
 	if !ok || r.RetryAfter != time.Second || f.Pending() != 0 {
-		t.Errorf("%+v %v", r, ok)
+		t.Errorf("got %+v (%v), %d pending, want a refusal with RetryAfter 1s", r, ok, f.Pending())
 	}
 }
 
-// A scheduler that takes over, or has been restarted, is told what runs here
-// before it is asked.
+// A new or restarted scheduler places requests before it knows what already runs.
 func TestNewSchedulerIsToldWhatRuns(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -248,24 +241,24 @@
 	actions := f.after(time.Millisecond, submit(2))
 	inv, ok := actions[0].(InventoryOut)
 	if !ok || inv.To != f.first || len(inv.Held) != 1 || inv.Held[0].Target != "t" {
-		t.Errorf("first action %+v", actions[0])
+		t.Errorf("first action %+v, want an inventory of one request for %s", actions[0], f.first)
 	}
 	if asked(actions) != f.first {
-		t.Errorf("%+v", actions)
+		t.Errorf("got %+v, want an ask to %s", actions, f.first)
 	}
 }
 
-// Lost messages are made good: what runs is told again now and then.
+// A lost inventory message is never repaired.
 func TestInventoryIsRepeated(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
 	if _, ok := find[InventoryOut](f.after(inventoryEvery+time.Millisecond, Tick{})); !ok {
-		t.Error("the scheduler is not told again")
+		t.Error("the inventory was not repeated")
 	}
 }
 
-// A scheduler is told twice that nothing runs here any more, not for ever.
+// Gateways with nothing to report send empty inventories forever.
 func TestEmptyInventoryIsNotRepeatedForEver(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -275,49 +268,48 @@
 			if inv, ok := find[InventoryOut](f.after(inventoryEvery, Tick{})); ok {
 				n++
 				if len(inv.Held) != f.Running() {
-					t.Errorf("told of %d, %d run", len(inv.Held), f.Running())
+					t.Errorf("the inventory lists %d requests, want %d", len(inv.Held), f.Running())
 				}
 			}
 		}
 		return n
 	}
 	if n := told(); n != 10 {
-		t.Errorf("told %d times of 10 while a request runs", n)
+		t.Errorf("%d inventories while a request runs, want 10", n)
 	}
 	f.after(time.Millisecond, Ended{1, batch.OutcomeDone})
 	if n := told(); n != emptyTold {
-		t.Errorf("told %d times that nothing runs", n)
+		t.Errorf("%d empty inventories, want %d", n, emptyTold)
 	}
 }
 
-// A gateway whose own link or processor is short waits longer for schedulers and places
-// nothing by itself: one on a full link placed a hundred requests a second on engines
-// whose load it did not know.
+// A gateway with a saturated link schedules by itself and overloads engines whose
+// load it does not know.
 func TestStrainedGatewayPlacesNothingItself(t *testing.T) {
 	f := setUp(t)
 	f.after(0, StrainSeen{true})
 	f.after(0, submit(1))
 	if actions := f.after(2*silentAfter, Tick{}); asked(actions) != "" {
-		t.Fatalf("asked another scheduler already: %+v", actions)
+		t.Fatalf("asked another scheduler too early: %+v", actions)
 	}
 	var last []Action
 	for f.Pending() > 0 {
 		last = f.after(strainedFactor*silentAfter, Tick{})
 		if to := asked(last); to == f.self {
-			t.Fatal("it schedules by itself")
+			t.Fatal("the gateway asked itself")
 		}
 	}
 	if r, ok := find[Refuse](last); !ok || r.RetryAfter != strainedRetry {
-		t.Errorf("%+v: want a refusal", last)
+		t.Errorf("got %+v, want a refusal with RetryAfter %v", last, strainedRetry)
 	}
 	if p, ok := find[ProgressOut](last); !ok || p.Step != StepWithdrawn {
-		t.Errorf("%+v: the scheduler is not told", last)
+		t.Errorf("got %+v, want the request withdrawn from its scheduler", last)
 	}
 	f.after(0, StrainSeen{false})
 	f.now = f.now.Add(suspectMax)
 	f.after(0, submit(2))
 	if to := asked(f.after(2*silentAfter, Tick{})); to != f.second {
-		t.Errorf("asked %q when it keeps up again", to)
+		t.Errorf("asked %q when the link is free again, want %q", to, f.second)
 	}
 }
 
@@ -326,7 +318,7 @@
 	f.after(0, submit(1))
 	p, ok := find[ProgressOut](f.after(time.Millisecond, Withdrawn{1}))
 	if !ok || p.Step != StepWithdrawn || f.Pending() != 0 {
-		t.Errorf("%+v %v", p, ok)
+		t.Errorf("got %+v (%v), %d pending, want StepWithdrawn and none pending", p, ok, f.Pending())
 	}
 	if _, ok := find[Start](f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})); ok {
 		t.Error("a withdrawn request was started")
@@ -336,12 +328,12 @@
 func TestNoCellIsRefused(t *testing.T) {
 	m := New("g")
 	if r, ok := find[Refuse](m.Step(start, submit(1))); !ok || r.RetryAfter <= 0 {
-		t.Errorf("%+v %v", r, ok)
+		t.Errorf("got %+v (%v), want a refusal with a RetryAfter", r, ok)
 	}
 }
 
-// A request that its own cell cannot place for a starved account goes to another
-// cell, once.
+// A starved account's request is refused though another cell has capacity, or moves
+// between cells more than once.
 func TestStarvedRequestGoesToAnotherCell(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8, CacheTokens: 1000}}}})
 	set := &routing.TargetSet{}
@@ -354,7 +346,7 @@
 	now := start.Add(180 * time.Millisecond)
 	second, ok := find[AskOut](m.Step(now, RefusalSeen{From: "g", ID: 1, Elsewhere: true}))
 	if !ok || second.Cell == first.Cell || second.Ask.Hold != 120*time.Millisecond {
-		t.Fatalf("first %+v, then %+v", first, second)
+		t.Fatalf("asked %+v, then %+v, want another cell with a hold of 120ms", first, second)
 	}
 	if _, ok := find[Refuse](m.Step(now.Add(time.Millisecond), RefusalSeen{From: "g", ID: 1, Elsewhere: true})); !ok || m.Pending() != 0 {
 		t.Error("a second refusal did not end the request")
@@ -365,13 +357,13 @@
 	}
 }
 
-// A scheduler is told of the targets of its own cell that may not be chosen, and of no others.
+// Asks list denied targets of other cells.
 func TestAskNamesDeniedTargetsOfTheCellOnly(t *testing.T) {
 	f := setUp(t)
 	ev := submit(1)
 	ev.Ask.Deny = []string{"elsewhere", f.layout.Group("s/0").Targets[0].ID}
 	ask, ok := find[AskOut](f.after(0, ev))
 	if !ok || len(ask.Ask.Deny) != 1 || ask.Ask.Deny[0] != ev.Ask.Deny[1] {
-		t.Errorf("%+v", ask.Ask.Deny)
+		t.Errorf("got denied targets %v, want only %q", ask.Ask.Deny, ev.Ask.Deny[1])
 	}
 }
--- a/core/entry/silence.go
+++ b/core/entry/silence.go
@@ -6,30 +6,28 @@
 import "time"
 
 const (
-	// silentAfter is how long a scheduler may leave an ask without any word.
+	// silentAfter is the timeout for a scheduler's first answer to an ask.
 	silentAfter = 60 * time.Millisecond
-	// ownDelayFactor is how many times longer that may be where most schedulers
-	// seem silent at once: the cause is likely in this process, which has not read
-	// what they sent.
+	// ownDelayFactor multiplies silentAfter while most schedulers seem silent:
+	// the likely cause is that this process is slow to read their answers.
 	ownDelayFactor = 3
-	// strainedFactor is the same at a gateway whose link is full. On
-	// small twins of the large days 1 was worse by 0.1 to 0.5 than 3, 5 or 8.
+	// strainedFactor multiplies silentAfter while the link is saturated.
 	strainedFactor = 5
-	// overHold is how long after the end of the wait a scheduler's word may come.
+	// overHold is the grace for a decision on a queued request after its wait ended.
 	overHold = 60 * time.Millisecond
-	// suspectFirst is how long a silent scheduler is passed over, twice as long
-	// each time that it stays silent.
+	// suspectFirst is the first period for which a silent scheduler is avoided;
+	// it doubles up to suspectMax while the scheduler stays silent.
 	suspectFirst = 500 * time.Millisecond
 	suspectMax   = 4 * time.Second
 )
 
-// suspicion is held against a scheduler that has been silent.
+// suspicion is the backoff of a silent scheduler.
 type suspicion struct {
 	until time.Time
 	span  time.Duration
 }
 
-// patience returns how long a scheduler may say nothing.
+// patience returns the current timeout for a scheduler's first answer.
 func (m *Machine) patience(now time.Time) time.Duration {
 	if m.strained {
 		return strainedFactor * silentAfter
@@ -50,8 +48,8 @@
 	return ownDelayFactor * silentAfter
 }
 
-// unheard returns how long a scheduler has said nothing of a request, less the
-// time in which this process did not run.
+// unheard returns the time since a request's scheduler was asked, less the lag of
+// this process since then.
 func (m *Machine) unheard(now time.Time, p *pending) time.Duration {
 	return now.Sub(p.askedAt) - (m.lag - p.askedIn)
 }
@@ -61,7 +59,7 @@
 		return false
 	}
 	if p.waits {
-		// A scheduler may let a request wait on that is next in line.
+		// A scheduler may keep a request beyond its hold if it is next in the queue.
 		late := m.lag - p.askedIn
 		return now.Sub(p.arrived)-late > max(p.ask.Hold, p.ask.Objective/2)+overHold
 	}
