--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	inventoryEvery = 2 * time.Second
-	// emptyTold limits repeated empty inventories, as most gateways of a large
+	inventoryInterval = 2 * time.Second
+	// maxEmptyInventories limits repeated empty inventories, as most gateways of a large
 	// fleet run nothing in most cells. The second one covers a lost message.
-	emptyTold = 2
-	// moveShare is the share of the objective that a request may wait in a second cell.
-	moveShare     = 0.15
-	noTargetRetry = 500 * time.Millisecond
-	// strainedRetry is short because the retry reaches another gateway.
-	strainedRetry = 50 * time.Millisecond
+	maxEmptyInventories = 2
+	// secondCellShare is the share of the objective that a request may wait in a second cell.
+	secondCellShare = 0.15
+	noTargetRetry   = 500 * time.Millisecond
+	// saturatedRetry is short because the retry reaches another gateway.
+	saturatedRetry = 50 * time.Millisecond
 )
 
 type pending struct {
-	service string
-	ask     cell.Ask
-	cell    cell.Key
-	moved   bool   // already moved to a second cell
-	to      string // scheduler that was asked
-	arrived time.Time
-	askedAt time.Time
-	askedIn time.Duration // Machine.lag at askedAt
-	waits   bool          // the scheduler has queued it
-	tried   map[string]bool
+	service   string
+	ask       cell.Ask
+	cell      cell.Key
+	moved     bool   // already moved to a second cell
+	scheduler string // scheduler that was asked
+	arrived   time.Time
+	askedAt   time.Time
+	lagAtAsk  time.Duration // Machine.lag at askedAt
+	queued    bool          // the scheduler has queued it
+	tried     map[string]bool
 }
 
 type running struct {
@@ -39,37 +39,37 @@
 	cell cell.Key
 }
 
-// seat is the scheduler in use for a cell and the inventories sent to it.
-type seat struct {
-	scheduler string
-	toldAt    time.Time // last inventory
-	empty     int       // consecutive empty inventories
+// schedulerState is the scheduler in use for a cell and the inventories sent to it.
+type schedulerState struct {
+	scheduler        string
+	inventoryAt      time.Time // last inventory
+	emptyInventories int       // consecutive empty inventories
 }
 
 // Machine tracks the requests that entered through one gateway.
 type Machine struct {
-	self     string
-	layout   *cell.Layout
-	pending  map[cell.RequestID]*pending
-	running  map[cell.RequestID]*running
-	seats    map[cell.Key]*seat
-	suspects map[string]*suspicion
-	lag      time.Duration // sum of the delays of all ticks
-	strained bool
-	out      []Action
+	self          string
+	layout        *cell.Layout
+	pending       map[cell.RequestID]*pending
+	running       map[cell.RequestID]*running
+	schedulers    map[cell.Key]*schedulerState
+	suspects      map[string]*suspectBackoff
+	lag           time.Duration // sum of the delays of all ticks
+	linkSaturated bool
+	actions       []Action
 }
 
 // New returns the machine of the gateway with this ID.
 func New(self string) *Machine {
 	return &Machine{
 		self: self, layout: &cell.Layout{}, pending: map[cell.RequestID]*pending{}, running: map[cell.RequestID]*running{},
-		seats: map[cell.Key]*seat{}, suspects: map[string]*suspicion{},
+		schedulers: map[cell.Key]*schedulerState{}, suspects: map[string]*suspectBackoff{},
 	}
 }
 
 // Step processes one event and returns the resulting actions.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
-	m.out = nil
+	m.actions = nil
 	switch e := ev.(type) {
 	case Submitted:
 		m.submit(now, e)
@@ -82,8 +82,8 @@
 	case PlacementSeen:
 		m.placed(now, e)
 	case WaitSeen:
-		if p := m.pending[e.ID]; p != nil && p.to == e.From {
-			p.waits = true
+		if p := m.pending[e.ID]; p != nil && p.scheduler == e.From {
+			p.queued = true
 		}
 	case RefusalSeen:
 		m.refused(now, e)
@@ -92,17 +92,17 @@
 	case PeerHeard:
 		delete(m.suspects, e.ID)
 	case PeerRestarted:
-		m.forget(e.ID)
+		m.schedulerRestarted(e.ID)
 	case StrainSeen:
-		m.strained = e.Strained
+		m.linkSaturated = e.Strained
 	case Tick:
 		m.lag += e.Lag
 		m.tick(now)
 	}
-	return m.out
+	return m.actions
 }
 
-func (m *Machine) emit(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
 // Pending returns the number of requests that wait for a scheduler's decision.
 func (m *Machine) Pending() int { return len(m.pending) }
@@ -124,22 +124,22 @@
 // askNext asks the best scheduler that has not been tried and is not suspected,
 // or this gateway itself if none is left.
 func (m *Machine) askNext(now time.Time, p *pending) {
-	p.to = m.self
+	p.scheduler = m.self
 	if g := m.layout.Group(p.cell); g != nil {
 		if id := m.candidate(now, g, p); id != "" {
-			p.to = id
+			p.scheduler = id
 		}
 	}
-	p.tried[p.to] = true
-	p.askedAt, p.askedIn, p.waits = now, m.lag, false
-	m.sit(now, p.cell, p.to)
+	p.tried[p.scheduler] = true
+	p.askedAt, p.lagAtAsk, p.queued = now, m.lag, false
+	m.useScheduler(now, p.cell, p.scheduler)
 	ask := p.ask
 	ask.Deny = m.layout.Group(p.cell).Members(ask.Deny)
 	ask.Hold = max(p.ask.Hold-now.Sub(p.arrived), 0)
 	if ask.Objective > 0 {
 		ask.Objective = max(p.ask.Objective-now.Sub(p.arrived), time.Millisecond)
 	}
-	m.emit(AskOut{p.to, p.cell, ask})
+	m.emit(AskOut{p.scheduler, p.cell, ask})
 }
 
 // candidate returns the best scheduler of a cell that has not been tried for a request
@@ -153,35 +153,35 @@
 	return ""
 }
 
-// lastChoice reports whether only this gateway itself is left to schedule a request.
-func (m *Machine) lastChoice(now time.Time, p *pending) bool {
+// onlySelfLeft reports whether only this gateway itself is left to schedule a request.
+func (m *Machine) onlySelfLeft(now time.Time, p *pending) bool {
 	g := m.layout.Group(p.cell)
 	return g == nil || m.candidate(now, g, p) == ""
 }
 
-// giveUp refuses a request whose schedulers do not answer while the link is saturated.
+// refuseSaturated refuses a request whose schedulers do not answer while the link is saturated.
 // The link is the likely cause, and placing requests here without knowing the load of
 // the engines would overload them for all gateways.
-func (m *Machine) giveUp(p *pending) {
+func (m *Machine) refuseSaturated(p *pending) {
 	m.withdraw(p.ask.ID)
-	m.emit(Refuse{p.ask.ID, m.self, strainedRetry})
+	m.emit(Refuse{p.ask.ID, m.self, saturatedRetry})
 }
 
-// sit sets the scheduler in use for a cell and sends an inventory to a new one.
-func (m *Machine) sit(now time.Time, key cell.Key, scheduler string) {
-	s := m.seats[key]
+// useScheduler sets the scheduler in use for a cell and sends an inventory to a new one.
+func (m *Machine) useScheduler(now time.Time, key cell.Key, scheduler string) {
+	s := m.schedulers[key]
 	if s == nil {
-		s = &seat{}
-		m.seats[key] = s
+		s = &schedulerState{}
+		m.schedulers[key] = s
 	}
 	if s.scheduler == scheduler {
 		return
 	}
-	s.scheduler, s.toldAt, s.empty = scheduler, now, 0
-	m.tell(key, s)
+	s.scheduler, s.inventoryAt, s.emptyInventories = scheduler, now, 0
+	m.sendInventory(key, s)
 }
 
-func (m *Machine) tell(key cell.Key, s *seat) {
+func (m *Machine) sendInventory(key cell.Key, s *schedulerState) {
 	out := InventoryOut{To: s.scheduler, Cell: key}
 	for _, r := range m.running {
 		if r.cell == key {
@@ -189,16 +189,16 @@
 		}
 	}
 	if len(out.Held) > 0 {
-		s.empty = 0
+		s.emptyInventories = 0
 	} else {
-		s.empty++
+		s.emptyInventories++
 	}
 	m.emit(out)
 }
 
 func (m *Machine) placed(now time.Time, e PlacementSeen) {
 	p := m.pending[e.ID]
-	if p == nil || p.to != e.From {
+	if p == nil || p.scheduler != e.From {
 		if r := m.running[e.ID]; r == nil || r.held.Target != e.Target {
 			m.emit(ProgressOut{To: e.From, Cell: e.Cell, ID: e.ID, Step: StepWithdrawn})
 		}
@@ -213,7 +213,7 @@
 
 func (m *Machine) refused(now time.Time, e RefusalSeen) {
 	p := m.pending[e.ID]
-	if p == nil || p.to != e.From || e.Elsewhere && m.move(now, p) {
+	if p == nil || p.scheduler != e.From || e.Elsewhere && m.move(now, p) {
 		return
 	}
 	delete(m.pending, e.ID)
@@ -228,7 +228,7 @@
 		return false
 	}
 	p.moved, p.cell, p.tried = true, other.Key, map[string]bool{}
-	p.ask.Hold = now.Sub(p.arrived) + time.Duration(moveShare*float64(p.ask.Objective))
+	p.ask.Hold = now.Sub(p.arrived) + time.Duration(secondCellShare*float64(p.ask.Objective))
 	m.askNext(now, p)
 	return true
 }
@@ -236,7 +236,7 @@
 func (m *Machine) withdraw(id cell.RequestID) {
 	if p := m.pending[id]; p != nil {
 		delete(m.pending, id)
-		m.emit(ProgressOut{To: p.to, Cell: p.cell, ID: id, Step: StepWithdrawn})
+		m.emit(ProgressOut{To: p.scheduler, Cell: p.cell, ID: id, Step: StepWithdrawn})
 	}
 }
 
@@ -259,15 +259,15 @@
 }
 
 func (m *Machine) schedulerOf(key cell.Key) string {
-	if s := m.seats[key]; s != nil {
+	if s := m.schedulers[key]; s != nil {
 		return s.scheduler
 	}
 	return m.self
 }
 
-// forget makes the next ask send an inventory to a restarted scheduler.
-func (m *Machine) forget(id string) {
-	for _, s := range m.seats {
+// schedulerRestarted makes the next ask send an inventory to a restarted scheduler.
+func (m *Machine) schedulerRestarted(id string) {
+	for _, s := range m.schedulers {
 		if s.scheduler == id {
 			s.scheduler = ""
 		}
@@ -275,24 +275,24 @@
 }
 
 func (m *Machine) tick(now time.Time) {
-	patience := m.patience(now)
+	patience := m.silenceTimeout(now)
 	for _, p := range m.pending {
 		switch {
 		case !m.silent(now, p, patience):
-		case m.strained && m.lastChoice(now, p):
-			m.giveUp(p)
+		case m.linkSaturated && m.onlySelfLeft(now, p):
+			m.refuseSaturated(p)
 		default:
 			m.suspect(now, p)
 			m.askNext(now, p)
 		}
 	}
-	for key, s := range m.seats {
-		if s.scheduler == "" || now.Sub(s.toldAt) < inventoryEvery {
+	for key, s := range m.schedulers {
+		if s.scheduler == "" || now.Sub(s.inventoryAt) < inventoryInterval {
 			continue
 		}
-		s.toldAt = now
-		if s.empty < emptyTold || m.runsIn(key) {
-			m.tell(key, s)
+		s.inventoryAt = now
+		if s.emptyInventories < maxEmptyInventories || m.runsIn(key) {
+			m.sendInventory(key, s)
 		}
 	}
 }
@@ -309,7 +309,7 @@
 // Seats returns the scheduler in use for each cell.
 func (m *Machine) Seats() map[string]string {
 	out := map[string]string{}
-	for key, s := range m.seats {
+	for key, s := range m.schedulers {
 		out[string(key)] = s.scheduler
 	}
 	return out
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -98,10 +98,10 @@
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(0, submit(2))
-	if to := asked(f.after(silentAfter/2, Tick{})); to != "" {
+	if to := asked(f.after(answerTimeout/2, Tick{})); to != "" {
 		t.Fatalf("asked %q too early", to)
 	}
-	actions := f.after(silentAfter, Tick{})
+	actions := f.after(answerTimeout, Tick{})
 	n := 0
 	for _, a := range actions {
 		if ask, ok := a.(AskOut); ok {
@@ -158,11 +158,11 @@
 	if len(to) < 3 {
 		t.Fatalf("%d schedulers were asked, want at least 3", len(to))
 	}
-	now := start.Add(silentAfter + 30*time.Millisecond)
+	now := start.Add(answerTimeout + 30*time.Millisecond)
 	if actions := m.Step(now, Tick{}); len(actions) != 0 {
 		t.Errorf("got %d actions after all schedulers were silent for %v, want none", len(actions), now.Sub(start))
 	}
-	if to := asked(m.Step(start.Add(ownDelayFactor*silentAfter+time.Millisecond), Tick{})); to == "" {
+	if to := asked(m.Step(start.Add(ownDelayFactor*answerTimeout+time.Millisecond), Tick{})); to == "" {
 		t.Error("no other scheduler was asked after the longer timeout")
 	}
 }
@@ -207,7 +207,7 @@
 func TestLatePlacementIsGivenBack(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
-	f.after(2*silentAfter, Tick{})
+	f.after(2*answerTimeout, Tick{})
 	actions := f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
 	if _, ok := find[Start](actions); ok {
 		t.Fatal("the previous scheduler's placement started the request")
@@ -253,7 +253,7 @@
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
-	if _, ok := find[InventoryOut](f.after(inventoryEvery+time.Millisecond, Tick{})); !ok {
+	if _, ok := find[InventoryOut](f.after(inventoryInterval+time.Millisecond, Tick{})); !ok {
 		t.Error("the inventory was not repeated")
 	}
 }
@@ -265,7 +265,7 @@
 	f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
 	told := func() (n int) {
 		for range 10 {
-			if inv, ok := find[InventoryOut](f.after(inventoryEvery, Tick{})); ok {
+			if inv, ok := find[InventoryOut](f.after(inventoryInterval, Tick{})); ok {
 				n++
 				if len(inv.Held) != f.Running() {
 					t.Errorf("the inventory lists %d requests, want %d", len(inv.Held), f.Running())
@@ -278,8 +278,8 @@
 		t.Errorf("%d inventories while a request runs, want 10", n)
 	}
 	f.after(time.Millisecond, Ended{1, batch.OutcomeDone})
-	if n := told(); n != emptyTold {
-		t.Errorf("%d empty inventories, want %d", n, emptyTold)
+	if n := told(); n != maxEmptyInventories {
+		t.Errorf("%d empty inventories, want %d", n, maxEmptyInventories)
 	}
 }
 
@@ -289,18 +289,18 @@
 	f := setUp(t)
 	f.after(0, StrainSeen{true})
 	f.after(0, submit(1))
-	if actions := f.after(2*silentAfter, Tick{}); asked(actions) != "" {
+	if actions := f.after(2*answerTimeout, Tick{}); asked(actions) != "" {
 		t.Fatalf("asked another scheduler too early: %+v", actions)
 	}
 	var last []Action
 	for f.Pending() > 0 {
-		last = f.after(strainedFactor*silentAfter, Tick{})
+		last = f.after(saturatedFactor*answerTimeout, Tick{})
 		if to := asked(last); to == f.self {
 			t.Fatal("the gateway asked itself")
 		}
 	}
-	if r, ok := find[Refuse](last); !ok || r.RetryAfter != strainedRetry {
-		t.Errorf("got %+v, want a refusal with RetryAfter %v", last, strainedRetry)
+	if r, ok := find[Refuse](last); !ok || r.RetryAfter != saturatedRetry {
+		t.Errorf("got %+v, want a refusal with RetryAfter %v", last, saturatedRetry)
 	}
 	if p, ok := find[ProgressOut](last); !ok || p.Step != StepWithdrawn {
 		t.Errorf("got %+v, want the request withdrawn from its scheduler", last)
@@ -308,7 +308,7 @@
 	f.after(0, StrainSeen{false})
 	f.now = f.now.Add(suspectMax)
 	f.after(0, submit(2))
-	if to := asked(f.after(2*silentAfter, Tick{})); to != f.second {
+	if to := asked(f.after(2*answerTimeout, Tick{})); to != f.second {
 		t.Errorf("asked %q when the link is free again, want %q", to, f.second)
 	}
 }
