--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -94,7 +94,7 @@
 }
 
 // Requests stay with a scheduler that does not answer.
-func TestSilentSchedulerIsPassedOver(t *testing.T) {
+func TestSilentSchedulerLosesItsAsks(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(0, submit(2))
@@ -125,7 +125,7 @@
 }
 
 // A scheduler is suspected because this process was late to read its answer.
-func TestOwnDelayIsNotSilence(t *testing.T) {
+func TestOwnLagDoesNotSuspectScheduler(t *testing.T) {
 	f := setUp(t)
 	f.Step(f.now, submit(1))
 	if actions := f.after(200*time.Millisecond, Tick{Lag: 180 * time.Millisecond}); len(actions) != 0 {
@@ -137,7 +137,7 @@
 }
 
 // Many schedulers are suspected at once because this process is slow.
-func TestManySilentSchedulersAreOwnDelay(t *testing.T) {
+func TestManySilentSchedulersGetLongerTimeout(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8, CacheTokens: 1000}}}})
 	var targets routing.TargetSet
 	for i := range 60 {
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestAloneItSchedulesItself(t *testing.T) {
+func TestSchedulesItselfWithoutPeers(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	to := ""
@@ -191,7 +191,7 @@
 }
 
 // A scheduler is suspected while it holds a request in its queue.
-func TestWaitIsNotSilence(t *testing.T) {
+func TestQueuedRequestDoesNotSuspectScheduler(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, WaitSeen{From: f.first, ID: 1})
@@ -204,7 +204,7 @@
 }
 
 // A late placement by the previous scheduler starts a request twice or keeps its slot.
-func TestLatePlacementIsGivenBack(t *testing.T) {
+func TestLatePlacementIsWithdrawn(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(2*answerTimeout, Tick{})
@@ -233,7 +233,7 @@
 }
 
 // A new or restarted scheduler places requests before it knows what already runs.
-func TestNewSchedulerIsToldWhatRuns(t *testing.T) {
+func TestNewSchedulerGetsInventory(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
@@ -259,7 +259,7 @@
 }
 
 // Gateways with nothing to report send empty inventories forever.
-func TestEmptyInventoryIsNotRepeatedForEver(t *testing.T) {
+func TestEmptyInventoryStopsRepeating(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
@@ -285,7 +285,7 @@
 
 // A gateway with a saturated link schedules by itself and overloads engines whose
 // load it does not know.
-func TestStrainedGatewayPlacesNothingItself(t *testing.T) {
+func TestSaturatedGatewayRefusesInsteadOfSchedulingItself(t *testing.T) {
 	f := setUp(t)
 	f.after(0, StrainSeen{true})
 	f.after(0, submit(1))
@@ -313,7 +313,7 @@
 	}
 }
 
-func TestWithdrawnAskIsTakenBack(t *testing.T) {
+func TestWithdrawnRequestIsCanceledAtScheduler(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
 	p, ok := find[ProgressOut](f.after(time.Millisecond, Withdrawn{1}))
@@ -325,7 +325,7 @@
 	}
 }
 
-func TestNoCellIsRefused(t *testing.T) {
+func TestRequestWithoutCellIsRefused(t *testing.T) {
 	m := New("g")
 	if r, ok := find[Refuse](m.Step(start, submit(1))); !ok || r.RetryAfter <= 0 {
 		t.Errorf("got %+v (found %v), want a refusal with a RetryAfter", r, ok)
@@ -334,7 +334,7 @@
 
 // A starved account's request is refused though another cell has capacity, or moves
 // between cells more than once.
-func TestStarvedRequestGoesToAnotherCell(t *testing.T) {
+func TestStarvedRequestMovesToAnotherCellOnce(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8, CacheTokens: 1000}}}})
 	set := &routing.TargetSet{}
 	for i := range 20 {
@@ -358,7 +358,7 @@
 }
 
 // Asks list denied targets of other cells.
-func TestAskNamesDeniedTargetsOfTheCellOnly(t *testing.T) {
+func TestAskListsOnlyDeniedTargetsOfItsCell(t *testing.T) {
 	f := setUp(t)
 	ev := submit(1)
 	ev.Ask.Deny = []string{"elsewhere", f.layout.Group("s/0").Targets[0].ID}
