--- a/core/entry/event.go
+++ b/core/entry/event.go
@@ -69,9 +69,9 @@
 // PeerRestarted reports that a gateway has died or has a new incarnation.
 type PeerRestarted struct{ ID string }
 
-// StrainSeen reports whether this gateway's network link is saturated, so that
+// LinkStateSeen reports whether this gateway's network link is saturated, so that
 // answers of schedulers arrive late. A lack of processor time shows as Tick.Lag instead.
-type StrainSeen struct{ Strained bool }
+type LinkStateSeen struct{ Saturated bool }
 
 // Tick drives timeouts and must come regularly. Lag is its delay, during which the
 // gateway did not process incoming messages.
@@ -87,7 +87,7 @@
 func (LayoutSeen) isEvent()    {}
 func (PeerHeard) isEvent()     {}
 func (PeerRestarted) isEvent() {}
-func (StrainSeen) isEvent()    {}
+func (LinkStateSeen) isEvent() {}
 func (Tick) isEvent()          {}
 
 // Action is an output of Machine.Step that the caller must perform.
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -93,8 +93,8 @@
 		delete(m.suspects, e.ID)
 	case PeerRestarted:
 		m.schedulerRestarted(e.ID)
-	case StrainSeen:
-		m.linkSaturated = e.Strained
+	case LinkStateSeen:
+		m.linkSaturated = e.Saturated
 	case Tick:
 		m.lag += e.Lag
 		m.tick(now)
@@ -306,8 +306,8 @@
 	return false
 }
 
-// Seats returns the scheduler in use for each cell.
-func (m *Machine) Seats() map[string]string {
+// Schedulers returns the scheduler in use for each cell.
+func (m *Machine) Schedulers() map[string]string {
 	out := map[string]string{}
 	for key, s := range m.schedulers {
 		out[string(key)] = s.scheduler
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -287,7 +287,7 @@
 // load it does not know.
 func TestSaturatedGatewayRefusesInsteadOfSchedulingItself(t *testing.T) {
 	f := setUp(t)
-	f.after(0, StrainSeen{true})
+	f.after(0, LinkStateSeen{true})
 	f.after(0, submit(1))
 	if actions := f.after(2*answerTimeout, Tick{}); asked(actions) != "" {
 		t.Fatalf("asked another scheduler too early: %+v", actions)
@@ -305,7 +305,7 @@
 	if p, ok := find[ProgressOut](last); !ok || p.Step != StepWithdrawn {
 		t.Errorf("got %+v, want the request withdrawn from its scheduler", last)
 	}
-	f.after(0, StrainSeen{false})
+	f.after(0, LinkStateSeen{false})
 	f.now = f.now.Add(suspectMax)
 	f.after(0, submit(2))
 	if to := asked(f.after(2*answerTimeout, Tick{})); to != f.second {
--- a/services/mesh/state.go
+++ b/services/mesh/state.go
@@ -39,7 +39,7 @@
 			st.Members = append(st.Members, MemberState{ID: m.ID, State: m.State.String(), DataHall: m.DataHall})
 		}
 		st.Pending, st.Running = l.entry.Pending(), l.entry.Running()
-		st.Seats = l.entry.Seats()
+		st.Seats = l.entry.Schedulers()
 		for key, s := range l.cells {
 			state := s.cell.State(now)
 			state.Key = key
