--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -275,10 +275,10 @@
 }
 
 func (m *Machine) tick(now time.Time) {
-	patience := m.silenceTimeout(now)
+	timeout := m.silenceTimeout(now)
 	for _, p := range m.pending {
 		switch {
-		case !m.silent(now, p, patience):
+		case !m.silent(now, p, timeout):
 		case m.linkSaturated && m.onlySelfLeft(now, p):
 			m.refuseSaturated(p)
 		default:
--- a/core/entry/silence.go
+++ b/core/entry/silence.go
@@ -54,7 +54,7 @@
 	return now.Sub(p.askedAt) - (m.lag - p.lagAtAsk)
 }
 
-func (m *Machine) silent(now time.Time, p *pending, patience time.Duration) bool {
+func (m *Machine) silent(now time.Time, p *pending, timeout time.Duration) bool {
 	if p.scheduler == m.self {
 		return false
 	}
@@ -63,7 +63,7 @@
 		late := m.lag - p.lagAtAsk
 		return now.Sub(p.arrived)-late > max(p.ask.Hold, p.ask.Objective/2)+decisionGrace
 	}
-	return m.silentFor(now, p) > patience
+	return m.silentFor(now, p) > timeout
 }
 
 func (m *Machine) suspect(now time.Time, p *pending) {
