--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -26,7 +26,7 @@
 	ask       cell.Ask
 	cell      cell.Key
 	moved     bool   // already moved to a second cell
-	scheduler string // scheduler that was asked
+	scheduler string // asked last
 	arrived   time.Time
 	askedAt   time.Time
 	lagAtAsk  time.Duration // Machine.lag at askedAt
--- a/core/entry/silence.go
+++ b/core/entry/silence.go
@@ -8,10 +8,10 @@
 const (
 	// answerTimeout is the timeout for a scheduler's first answer to an ask.
 	answerTimeout = 60 * time.Millisecond
-	// ownDelayFactor multiplies silentAfter while most schedulers seem silent:
+	// ownDelayFactor multiplies answerTimeout while most schedulers seem silent:
 	// the likely cause is that this process is slow to read their answers.
 	ownDelayFactor = 3
-	// saturatedFactor multiplies silentAfter while the link is saturated.
+	// saturatedFactor multiplies answerTimeout while the link is saturated.
 	saturatedFactor = 5
 	// decisionGrace is the grace for a decision on a queued request after its wait ended.
 	decisionGrace = 60 * time.Millisecond
