--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,9 +1,12 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package claim decides, by conditional writes to the platform's table alone,
-// which router may send a call that must not be repeated. A Claim is a pure
-// state machine; it trusts no clock and no lease. spec/claim.pml is its model.
+// Package claim ensures that a call that must not be repeated is sent by at most
+// one router. The only arbiter are conditional writes to the platform's table;
+// neither clocks nor leases are trusted.
+//
+// A Claim does no I/O: Step takes an event and returns the actions that the caller
+// must perform. spec/claim.pml models the protocol.
 package claim
 
 import "time"
@@ -11,7 +14,7 @@
 // State is the state of a row.
 type State string
 
-// The states of a row. Done and Unknown are final.
+// States of a row. StateDone and StateUnknown are final.
 const (
 	StateClaimed  State = "claimed"
 	StateReleased State = "released"
@@ -19,7 +22,7 @@
 	StateUnknown  State = "unknown"
 )
 
-// Row is what the table holds for one (account, idempotency key).
+// Row is the table's record of one (account, idempotency key).
 type Row struct {
 	State       State     `json:"state"`
 	Attempt     string    `json:"attempt"`
@@ -30,59 +33,58 @@
 	Status      int       `json:"status,omitempty"`
 	ContentType string    `json:"content_type,omitempty"`
 	Body        []byte    `json:"body,omitempty"`
-	Object      string    `json:"object,omitempty"` // Object names the answer in the object store where it is large.
+	Object      string    `json:"object,omitempty"` // key in the object store of an answer too large for Body
 	Expires     time.Time `json:"expires"`
 }
 
-// Versioned is a row with its version; version 0 means that it is absent.
+// Versioned is a row with its version; version 0 means that the row is absent.
 type Versioned struct {
 	Row     Row
 	Version uint64
 }
 
-// Result is the table's word on a conditional write.
+// Result is the outcome of a conditional write.
 type Result uint8
 
-// The results of a write.
+// Results of a conditional write.
 const (
 	ResultOK          Result = iota + 1
-	ResultConflict           // the condition did not hold; the row follows
-	ResultUnknown            // the write may have taken effect, or may do so later
+	ResultConflict           // the condition did not hold; Written.Current is the row
+	ResultUnknown            // the write may have taken effect or may still do so
 	ResultUnavailable        // the write did not and will not take effect
 )
 
-// Event is something that a Claim reacts to.
+// Event is an input of Claim.Step.
 type Event interface{ isEvent() }
 
 // Begin starts the claim.
 type Begin struct{}
 
-// Written is the answer to a Write.
+// Written is the result of a Write.
 type Written struct {
 	Result  Result
-	Current Versioned // Current is the row after ResultOK or at ResultConflict.
+	Current Versioned // the row, after ResultOK and ResultConflict only
 }
 
-// Read is the answer to a ReadRow.
+// Read is the result of a ReadRow.
 type Read struct {
 	OK      bool
 	Current Versioned
 }
 
-// Waited tells that the time asked for by Wait has passed.
+// Waited reports that the time of a Wait has passed.
 type Waited struct{}
 
-// Deadline tells that the caller will not wait any longer.
+// Deadline reports that the caller's deadline has passed.
 type Deadline struct{}
 
-// HolderGone tells that the router that holds another attempt is dead.
+// HolderGone reports that the router of the attempt that holds the row is dead.
 type HolderGone struct{}
 
-// Ended tells what became of the call after Send. Ran is false only where the
-// call provably did not run.
+// Ended reports the outcome of the call after Send, as the row to record.
 type Ended struct{ Row Row }
 
-// NotRun tells that the call provably did not run and will not be sent again.
+// NotRun reports that the call provably did not run and will not be sent again.
 type NotRun struct{}
 
 func (Begin) isEvent()      {}
@@ -94,43 +96,43 @@
 func (Ended) isEvent()      {}
 func (NotRun) isEvent()     {}
 
-// Action is something that the owner of a Claim must do.
+// Action is an output of Claim.Step that the caller must perform.
 type Action interface{ isAction() }
 
-// Write puts a row if the current version is the given one.
+// Write writes a row if its current version equals IfVersion.
 type Write struct {
 	Row       Row
-	IfVersion uint64 // 0: only where the row is absent
+	IfVersion uint64 // 0: only if the row is absent
 }
 
 // ReadRow reads the row.
 type ReadRow struct{}
 
-// Wait asks for Waited after a while.
+// Wait requests a Waited event after a delay.
 type Wait struct{ For time.Duration }
 
-// Send allows the call to be sent, once.
+// Send permits sending the call once.
 type Send struct{}
 
-// Verdict tells what the caller is to be told instead of sending.
+// Verdict is the reason for answering a request without sending the call.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts.
 const (
-	VerdictRecorded    Verdict = iota + 1 // the recorded answer
-	VerdictKeyReused                      // the key came with another body
-	VerdictInProgress                     // another attempt still runs
+	VerdictRecorded    Verdict = iota + 1 // an answer is recorded
+	VerdictKeyReused                      // the idempotency key was used with another body
+	VerdictInProgress                     // another attempt is in progress
 	VerdictUnknown                        // another attempt may have run
-	VerdictUnavailable                    // not run, and never will be
+	VerdictUnavailable                    // the call did not run and never will
 )
 
-// Reply ends the caller's part; the claim may go on writing.
+// Reply answers the caller. The claim may continue to write.
 type Reply struct {
 	Verdict Verdict
 	Row     Row
 }
 
-// Finish tells that nothing is left to do.
+// Finish reports that the claim needs no more events.
 type Finish struct{}
 
 func (Write) isAction()   {}
@@ -143,40 +145,40 @@
 type phase uint8
 
 const (
-	phaseClaiming  phase = iota + 1 // a write of the claim is on its way
-	phaseReading                    // the outcome of that write is being read back
+	phaseClaiming  phase = iota + 1 // the write of the claim is in flight
+	phaseReading                    // the result of that write is unknown and being read
 	phaseWaiting                    // another attempt holds the row
 	phaseSending                    // the call may be sent
 	phaseRecording                  // the outcome is being written
-	phaseReleasing                  // the claim is being given up
+	phaseReleasing                  // the claim is being released
 	phaseFinished
 )
 
-// Times between two tries.
+// Backoff between retries.
 const (
 	firstWait = 25 * time.Millisecond
 	maxWait   = time.Second
 )
 
-// Claim is the claim of one attempt. It must be stepped by one goroutine.
+// Claim is the claim of one attempt. It is not safe for concurrent use.
 type Claim struct {
 	mine      Row
 	phase     phase
-	condition uint64 // condition is the version that the last write of the claim named.
-	version   uint64 // version is the version of the own row.
+	condition uint64 // IfVersion of the last write of the claim
+	version   uint64 // version of mine in the table
 	backoff   time.Duration
-	other     Row
-	final     Row
+	other     Row // row of the attempt that is waited for
+	final     Row // row to write when closing the claim
 	out       []Action
 }
 
-// New returns a claim for the row, whose State is ignored.
+// New returns a claim for the row. Its State is ignored.
 func New(mine Row) *Claim {
 	mine.State = StateClaimed
 	return &Claim{mine: mine, backoff: firstWait}
 }
 
-// Step takes one event and returns what is to be done.
+// Step processes one event and returns the resulting actions.
 func (c *Claim) Step(ev Event) []Action {
 	c.out = nil
 	switch e := ev.(type) {
@@ -200,7 +202,7 @@
 	return c.out
 }
 
-// Holder returns the router that holds another attempt, while it is waited for.
+// Holder returns the router whose attempt holds the row, while the claim waits for it.
 func (c *Claim) Holder() (router string, incarnation uint64, waiting bool) {
 	return c.other.Router, c.other.Incarnation, c.phase == phaseWaiting
 }
@@ -245,8 +247,7 @@
 	c.emit(Send{})
 }
 
-// inspect looks at the row that is there. Only a row with the own attempt
-// allows sending.
+// inspect acts on the current row. Only a row of the own attempt permits sending.
 func (c *Claim) inspect(v Versioned) {
 	switch {
 	case v.Version == 0:
@@ -297,7 +298,7 @@
 	}
 }
 
-// onDeadline decides, once and in memory, never to send.
+// onDeadline gives up the claim before it has sent. The decision is final.
 func (c *Claim) onDeadline() {
 	switch c.phase {
 	case phaseClaiming, phaseReading:
@@ -329,8 +330,8 @@
 	}
 }
 
-// release gives the attempt up. The write also takes effect where the row is
-// absent, so that a delayed write of the claim fails afterwards.
+// release gives up the attempt. It also writes an absent row, so that a delayed
+// write of the claim fails afterwards.
 func (c *Claim) release() {
 	c.phase, c.backoff = phaseReleasing, firstWait
 	c.final = c.mine
@@ -341,7 +342,7 @@
 func (c *Claim) closingWritten(e Written) {
 	switch e.Result {
 	case ResultOK:
-		// The answer to the write of the claim itself may come this late.
+		// This may be the late result of the write of the claim itself.
 		c.closingRead(e.Current)
 	case ResultConflict:
 		c.closingRead(e.Current)
@@ -350,9 +351,9 @@
 	}
 }
 
-// closingRead decides, from the row that is there, what is left to write. A
-// row of another attempt is overwritten only where it is released, which moves
-// its version on and so defeats a delayed write of the own claim.
+// closingRead writes the final row if the current row still requires it. A row of
+// another attempt is overwritten only if it is released: the new version makes a
+// delayed write of the own claim fail.
 func (c *Claim) closingRead(v Versioned) {
 	mine := v.Version != 0 && v.Row.Attempt == c.mine.Attempt
 	switch {
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -12,14 +12,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// fakeTable is one row, with writes that may be delayed and answers that may
-// be lost.
+// fakeTable holds one row. It may delay writes and lose their results.
 type fakeTable struct {
 	rng     *rand.Rand
 	row     Versioned
 	next    uint64
 	delayed []Write
-	faults  int // faults is how many percent of the calls go wrong.
+	faults  int // percentage of failing calls
 }
 
 func (f *fakeTable) apply(w Write) bool {
@@ -31,7 +30,7 @@
 	return true
 }
 
-// flush lets one delayed write take effect, or fail on its condition.
+// flush applies the oldest delayed write if its condition holds.
 func (f *fakeTable) flush() {
 	if len(f.delayed) == 0 {
 		return
@@ -81,7 +80,7 @@
 	}
 }
 
-// step lets the caller take one event and carries its actions out.
+// step passes the next event to the machine and performs its actions.
 func (c *caller) step(f *fakeTable, now int64) {
 	if c.start == 0 {
 		c.start = now
@@ -109,16 +108,15 @@
 	}
 }
 
-// claimInput and claimOutput are what porcupine's model sees: an attempt asks
-// for the right to send and gets it, gets the outcome of the one that did, or
-// is refused as not run.
+// claimOutput is the result of an attempt in the porcupine model: it sent the call,
+// got the recorded outcome of another attempt, or was refused as not run.
 type claimOutput struct {
 	sent    bool
 	verdict Verdict
 	status  int
 }
 
-// The sequential object: nothing sent yet, or the status of the one that was.
+// The state is 0 until a call was sent, then the status of its answer.
 var claimModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
@@ -134,8 +132,8 @@
 	},
 }
 
-// Racing attempts over a table that loses answers and delays writes: the call
-// is sent at most once, and each history is linearisable.
+// Racing attempts over a faulty table send the call twice or see results that no
+// sequential order explains.
 func TestHistoriesAgainstSingleMap(t *testing.T) {
 	for seed := range int64(3000) {
 		rng := rand.New(rand.NewSource(seed))
@@ -150,7 +148,7 @@
 				continue
 			}
 			if rng.Intn(100) == 0 {
-				c.dead = true // the router dies, or is paused for good
+				c.dead = true // the router crashes or hangs forever
 				continue
 			}
 			if rng.Intn(60) == 0 {
@@ -181,7 +179,7 @@
 			t.Fatalf("seed %d: sent %d times", seed, sent)
 		}
 		if sent == 1 && !anyDead(callers) && !porcupine.CheckOperations(claimModel, history) {
-			t.Fatalf("seed %d: no order explains %+v", seed, history)
+			t.Fatalf("seed %d: history is not linearizable: %+v", seed, history)
 		}
 	}
 }
@@ -207,9 +205,7 @@
 	return want
 }
 
-// The answer to the insert is lost and the store stays silent: the call is
-// refused at the deadline, and the late insert cannot take effect after the
-// release.
+// A delayed insert takes effect after its call was refused as not run.
 func TestReleaseWinsOverLateInsert(t *testing.T) {
 	f := &fakeTable{rng: rand.New(rand.NewSource(1))}
 	c := New(Row{Attempt: "mine", Digest: "d"})
@@ -227,12 +223,11 @@
 	}
 	firstOf[Finish](t, c.Step(Written{ResultOK, f.row}))
 	if f.row.Row.State != StateReleased {
-		t.Fatalf("the row is %s", f.row.Row.State)
+		t.Fatalf("got row state %s, want released", f.row.Row.State)
 	}
 }
 
-// The answer to the claim's own write comes after the deadline: the claim must
-// still be given up, not taken for released.
+// The late result of the insert is mistaken for the result of the release.
 func TestLateAnswerToInsertIsNotARelease(t *testing.T) {
 	f := &fakeTable{rng: rand.New(rand.NewSource(1))}
 	c := New(Row{Attempt: "mine", Digest: "d"})
@@ -241,7 +236,7 @@
 	f.apply(insert)
 	release := firstOf[Write](t, c.Step(Written{ResultOK, f.row}))
 	if release.Row.State != StateReleased || !f.apply(release) {
-		t.Fatalf("got %+v", release)
+		t.Fatalf("got %+v, want a release of the current row", release)
 	}
 }
 
@@ -250,7 +245,7 @@
 	holder, other := New(Row{Attempt: "a", Digest: "d", Router: "r1", Incarnation: 1}), New(Row{Attempt: "b", Digest: "d"})
 	f.apply(firstOf[Write](t, holder.Step(Begin{})))
 	firstOf[Send](t, holder.Step(Written{ResultOK, f.row}))
-	// The holder sleeps. However long, the other never sends.
+	// The holder stays paused; the other attempt must keep waiting.
 	other.Step(Begin{})
 	actions := other.Step(Written{ResultConflict, f.row})
 	firstOf[Wait](t, actions)
@@ -258,12 +253,12 @@
 		other.Step(Waited{})
 		for _, a := range other.Step(Read{OK: true, Current: f.row}) {
 			if _, ok := a.(Send); ok {
-				t.Fatal("sent beside a paused holder")
+				t.Fatal("sent while a paused holder may send")
 			}
 		}
 	}
 	if router, inc, waiting := other.Holder(); router != "r1" || inc != 1 || !waiting {
-		t.Fatal("the holder is not known")
+		t.Fatal("Holder does not return the waiting attempt's holder, r1 with incarnation 1")
 	}
 	if r := firstOf[Reply](t, other.Step(HolderGone{})); r.Verdict != VerdictUnknown {
 		t.Fatalf("verdict %d", r.Verdict)
@@ -289,7 +284,7 @@
 	m := New(Row{Attempt: "mine", Digest: "d"})
 	m.Step(Begin{})
 	if w := firstOf[Write](t, m.Step(Written{ResultConflict, Versioned{Row{State: StateReleased, Attempt: "x"}, 3}})); w.IfVersion != 3 {
-		t.Errorf("a released row is claimed under version %d", w.IfVersion)
+		t.Errorf("a released row is claimed with IfVersion %d, want 3", w.IfVersion)
 	}
 }
 
@@ -300,7 +295,7 @@
 	for range 12 {
 		w := firstOf[Wait](t, m.Step(Written{Result: ResultUnavailable}))
 		if w.For < last || w.For > maxWait {
-			t.Fatalf("waits %v after %v", w.For, last)
+			t.Fatalf("got a wait of %v after %v, want no shorter one and at most maxWait", w.For, last)
 		}
 		last = w.For
 		m.Step(Waited{})
