--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,15 +1,17 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package lease decides when a router may give an order to an engine. Engines
-// that check orders are fenced by an epoch; for those that don't, an order is
-// given only well inside a lease that was waited for. A Lease is a pure state
-// machine; it compares no clocks of different machines.
+// Package lease decides when a router may send an order to an engine. An engine that
+// checks orders rejects those of an older epoch (fencing). For an engine that does
+// not, a router sends orders only within a lease, after any earlier lease has expired.
+//
+// A Lease does no I/O and never compares clocks of different machines. Its methods
+// return the next action that the caller must perform.
 package lease
 
 import "time"
 
-// Row is the lease of one target in the platform's table.
+// Row is the lease of a target as stored in the platform's table.
 type Row struct {
 	Holder      string `json:"holder"`
 	Incarnation uint64 `json:"incarnation"`
@@ -19,35 +21,35 @@
 
 // Config holds the times of a lease.
 type Config struct {
-	Duration time.Duration // Duration is how long a lease lasts after the write that took it was sent.
-	Grace    time.Duration // Grace is waited in addition after a change of holder.
-	MaxSend  time.Duration // MaxSend is the longest that an order may take to arrive.
+	Duration time.Duration // validity of a lease, from the time its write was sent
+	Grace    time.Duration // added to Duration before another router may take the lease
+	MaxSend  time.Duration // upper bound of an order's time to arrive
 }
 
-// DefaultConfig returns the times in use.
+// DefaultConfig returns the times for production use.
 func DefaultConfig() Config {
 	return Config{Duration: 10 * time.Second, Grace: 3 * time.Second, MaxSend: 2 * time.Second}
 }
 
-// Action is what the owner of a Lease must do next.
+// Action is the next step that the caller of a Lease must perform.
 type Action interface{ isAction() }
 
-// ReadRow asks for OnRead after a while.
+// ReadRow reads the row after a delay; the result goes to OnRead.
 type ReadRow struct{ After time.Duration }
 
-// WriteRow asks for OnWritten.
+// WriteRow writes the row if its version equals IfVersion; the result goes to OnWritten.
 type WriteRow struct {
 	Row       Row
 	IfVersion uint64
 }
 
-// GiveOrder allows one order under the epoch, to be sent before Until.
+// GiveOrder permits one order with this epoch, to be sent before Until.
 type GiveOrder struct {
 	Epoch uint64
 	Until time.Time
 }
 
-// GiveUp ends the lease without an order.
+// GiveUp ends the attempt without an order.
 type GiveUp struct{ Reason string }
 
 func (ReadRow) isAction()   {}
@@ -55,10 +57,10 @@
 func (GiveOrder) isAction() {}
 func (GiveUp) isAction()    {}
 
-// Result is the table's word on a write.
+// Result is the outcome of a conditional write.
 type Result uint8
 
-// The results of a write.
+// Results of a conditional write.
 const (
 	ResultOK Result = iota + 1
 	ResultConflict
@@ -68,21 +70,21 @@
 
 const readAgain = 250 * time.Millisecond
 
-// Lease is the way to one order.
+// Lease acquires the lease of a target for one order.
 type Lease struct {
 	cfg    Config
 	me     Row
-	checks bool // checks tells that the target refuses lower epochs itself.
+	checks bool // the target rejects older epochs
 
 	seen      Row
 	seenVer   uint64
-	seenAt    time.Time // seenAt is when the row was first seen unchanged.
+	seenAt    time.Time // first read of this version
 	sentAt    time.Time
 	written   Row
-	mayBeMine bool
+	mayBeMine bool // the result of the write is unknown
 }
 
-// New returns the lease of a router for one order to a target.
+// New returns a lease for one order; checks reports whether the target rejects older epochs.
 func New(cfg Config, holder string, incarnation uint64, checks bool) *Lease {
 	return &Lease{cfg: cfg, me: Row{Holder: holder, Incarnation: incarnation}, checks: checks}
 }
@@ -90,14 +92,14 @@
 // Begin returns the first action.
 func (l *Lease) Begin() Action { return ReadRow{} }
 
-// OnRead takes the row; ok is false where it could not be read, version is 0
-// where it is absent.
+// OnRead processes a read of the row. ok is false if the read failed; version is 0
+// if the row is absent.
 func (l *Lease) OnRead(now time.Time, ok bool, row Row, version uint64) Action {
 	if !ok {
 		return ReadRow{readAgain}
 	}
 	if l.mayBeMine && row == l.written {
-		// The answer to the write was lost, but it took effect.
+		// The write took effect, but its result was lost.
 		return l.order(now, row.Epoch)
 	}
 	if l.seenAt.IsZero() || version != l.seenVer {
@@ -111,8 +113,8 @@
 	return l.write(now, row.Epoch+1, version)
 }
 
-// foreign tells whether another holder, or an earlier life of this one, may
-// still believe that it holds the lease.
+// foreign reports whether another router, or an earlier incarnation of this one, may
+// still hold the lease.
 func (l *Lease) foreign(row Row, version uint64) bool {
 	return version != 0 && !row.Released
 }
@@ -124,7 +126,7 @@
 	return WriteRow{l.written, version}
 }
 
-// OnWritten takes the table's word on the write.
+// OnWritten processes the result of a write.
 func (l *Lease) OnWritten(now time.Time, r Result) Action {
 	switch r {
 	case ResultOK:
@@ -139,25 +141,25 @@
 	}
 }
 
-// order allows the order if enough of the lease is left. The lease counts from
-// when the write was sent, so a pause of this process only shortens it.
+// order permits the order if enough of the lease is left. The lease starts when the
+// write was sent, so a pause of this process can only shorten it.
 func (l *Lease) order(now time.Time, epoch uint64) Action {
 	until := l.sentAt.Add(l.cfg.Duration)
 	if l.checks {
 		return GiveOrder{epoch, now.Add(l.cfg.MaxSend)}
 	}
 	if now.Add(l.cfg.MaxSend).After(until) {
-		return GiveUp{"too little of the lease was left"}
+		return GiveUp{"lease expires too soon to send the order"}
 	}
 	return GiveOrder{epoch, until}
 }
 
-// MaySend tells, right before the order goes out, whether it still may.
+// MaySend reports whether the order may still be sent. Call it right before sending.
 func (l *Lease) MaySend(now time.Time, g GiveOrder) bool {
 	return l.checks || !now.Add(l.cfg.MaxSend).After(g.Until)
 }
 
-// Release returns the row that gives the lease back.
+// Release returns the row that releases the lease.
 func (l *Lease) Release() Row {
 	r := l.written
 	r.Released = true
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -14,15 +14,14 @@
 	l := New(DefaultConfig(), "r1", 1, false)
 	w, ok := l.OnRead(epoch, true, Row{}, 0).(WriteRow)
 	if !ok || w.Row.Epoch != 1 || w.IfVersion != 0 {
-		t.Fatalf("got %+v", w)
+		t.Fatalf("got %+v, want a write of epoch 1 if absent", w)
 	}
 	if g, ok := l.OnWritten(epoch, ResultOK).(GiveOrder); !ok || g.Epoch != 1 {
-		t.Fatal("no order under a confirmed lease")
+		t.Fatal("no order after the lease was written")
 	}
 }
 
-// A target that does not check gets no order of a new holder before the lease
-// of the old one and the grace have passed.
+// A target that does not check epochs gets orders from two holders at once.
 func TestNewHolderWaitsOutTheOld(t *testing.T) {
 	cfg := DefaultConfig()
 	old := Row{Holder: "r1", Incarnation: 1, Epoch: 4}
@@ -35,11 +34,11 @@
 		now = now.Add(readAgain)
 	}
 	if w, ok := l.OnRead(now, true, old, 9).(WriteRow); !ok || w.Row.Epoch != 5 || w.IfVersion != 9 {
-		t.Fatal("did not take the lapsed lease")
+		t.Fatal("did not take the expired lease")
 	}
-	// The same for the holder's own former life.
+	// The same holds for the holder's own earlier incarnation.
 	if _, waits := New(cfg, "r1", 2, false).OnRead(epoch, true, old, 9).(ReadRow); !waits {
-		t.Fatal("a restarted holder trusted the lease of its former life")
+		t.Fatal("a restarted holder did not wait for the lease of its earlier incarnation")
 	}
 }
 
@@ -47,27 +46,27 @@
 	l := New(DefaultConfig(), "r2", 1, true)
 	w, ok := l.OnRead(epoch, true, Row{Holder: "r1", Epoch: 4}, 9).(WriteRow)
 	if !ok || w.Row.Epoch != 5 {
-		t.Fatalf("got %+v", w)
+		t.Fatalf("got %+v, want an immediate write of epoch 5", w)
 	}
 }
 
-// The holder is paused after it took the lease and wakes after it lapsed.
+// A holder that was paused sends an order after its lease expired.
 func TestPausedHolderGivesNoOrder(t *testing.T) {
 	cfg := DefaultConfig()
 	l := New(cfg, "r1", 1, false)
 	l.OnRead(epoch, true, Row{}, 0)
 	late := epoch.Add(cfg.Duration)
 	if _, ok := l.OnWritten(late, ResultOK).(GiveUp); !ok {
-		t.Fatal("an order was allowed after a pause")
+		t.Fatal("an order was permitted after a pause as long as the lease")
 	}
 	l = New(cfg, "r1", 1, false)
 	l.OnRead(epoch, true, Row{}, 0)
 	g, ok := l.OnWritten(epoch, ResultOK).(GiveOrder)
 	if !ok || !l.MaySend(epoch, g) {
-		t.Fatal("no order right after the lease was taken")
+		t.Fatal("no order permitted right after the lease was taken")
 	}
 	if l.MaySend(late, g) {
-		t.Fatal("an order may be sent after the lease has lapsed")
+		t.Fatal("MaySend permits an order after the lease expired")
 	}
 }
 
@@ -75,9 +74,9 @@
 	l := New(DefaultConfig(), "r1", 1, false)
 	w := l.OnRead(epoch, true, Row{}, 0).(WriteRow)
 	if _, ok := l.OnWritten(epoch, ResultUnknown).(ReadRow); !ok {
-		t.Fatal("an unknown write was not read back")
+		t.Fatal("no read after a write with unknown result")
 	}
 	if _, ok := l.OnRead(epoch, true, w.Row, 1).(GiveOrder); !ok {
-		t.Fatal("the own row was not recognised")
+		t.Fatal("the own row did not permit the order")
 	}
 }
