--- a/core/head/follow.go
+++ b/core/head/follow.go
@@ -5,36 +5,36 @@
 
 import "time"
 
-// Version names a configuration.
+// Version identifies a configuration.
 type Version struct {
 	Number uint64
 	Hash   string
 }
 
-// FollowEvent is something that a Follower reacts to.
+// FollowEvent is an input of Follower.Step.
 type FollowEvent interface{ isFollowEvent() }
 
-// HeadSeen is a read of the head row. Exists is false where no configuration
+// HeadSeen is a successful read of the head row. Exists is false if no configuration
 // was ever accepted.
 type HeadSeen struct {
 	Version Version
 	Exists  bool
 }
 
-// PeerSeen is the version that a peer has in force.
+// PeerSeen is the current version of a peer.
 type PeerSeen struct {
 	Peer    string
 	Version Version
 }
 
-// Loaded tells that content with this version was fetched, verified by hash
-// and checked.
+// Loaded reports that the content of a version was fetched, verified by hash and
+// validated.
 type Loaded struct{ Version Version }
 
-// LoadFailed tells that the content could not be fetched now.
+// LoadFailed reports that the content of a version could not be fetched.
 type LoadFailed struct{ Version Version }
 
-// FollowTick lets time pass.
+// FollowTick drives timeouts and must come regularly.
 type FollowTick struct{}
 
 func (HeadSeen) isFollowEvent()   {}
@@ -43,16 +43,16 @@
 func (LoadFailed) isFollowEvent() {}
 func (FollowTick) isFollowEvent() {}
 
-// FollowAction is something that the owner of a Follower must do.
+// FollowAction is an output of Follower.Step that the caller must perform.
 type FollowAction interface{ isFollowAction() }
 
-// Fetch asks for the content of a version, from these peers or the store.
+// Fetch loads the content of a version from one of the peers or from the store.
 type Fetch struct {
 	Version Version
 	Peers   []string
 }
 
-// Adopt puts a loaded version in force.
+// Adopt activates a loaded version.
 type Adopt struct{ Version Version }
 
 func (Fetch) isFollowAction() {}
@@ -60,29 +60,29 @@
 
 const (
 	fetchTimeout = 2 * time.Second
-	agreement    = 2 // peers that must agree while the head cannot be read
+	agreement    = 2 // peers that must agree while the head row cannot be read
 )
 
-// Follower tracks which version is in force at one router. It never goes back.
+// Follower tracks the current version of one router. The version never decreases.
 type Follower struct {
 	isolation time.Duration
 	force     Version
 	adopted   bool
-	confirmed bool // confirmed tells that the head or two peers vouched for a version since the start.
-	empty     bool // empty tells that the head was read and holds nothing.
+	confirmed bool // the head row was read or a quorum of peers agreed since the start
+	empty     bool // the head row does not exist
 	wanted    Version
-	fetching  time.Time
+	fetching  time.Time // start of the current fetch, or zero
 	peers     map[string]Version
-	contact   time.Time
+	contact   time.Time // last contact with the store or a peer
 }
 
-// NewFollower returns a follower with no memory. isolation is how long it may
-// reach neither the store nor a peer before it stops admitting.
+// NewFollower returns a follower without a version. It stops admitting requests after
+// it has reached neither the store nor a peer for the isolation time.
 func NewFollower(now time.Time, isolation time.Duration) *Follower {
 	return &Follower{isolation: isolation, peers: map[string]Version{}, contact: now}
 }
 
-// Step takes one event and returns what is to be done.
+// Step processes one event and returns the resulting actions.
 func (f *Follower) Step(now time.Time, ev FollowEvent) []FollowAction {
 	switch e := ev.(type) {
 	case HeadSeen:
@@ -107,8 +107,8 @@
 	return f.fetch(now)
 }
 
-// heedPeer follows a peer's higher version. A router with no memory heeds only
-// what two peers agree on, unless it has read the head.
+// heedPeer follows a peer's higher version. Before the first read of the head row it
+// requires a quorum of peers, as one peer alone may be wrong.
 func (f *Follower) heedPeer(v Version) {
 	if v.Number == 0 {
 		return
@@ -161,10 +161,10 @@
 	return []FollowAction{Adopt{v}}
 }
 
-// Version returns the version in force, zero before the first.
+// Version returns the current version, zero before the first.
 func (f *Follower) Version() Version { return f.force }
 
-// Wanted returns the highest version that is known of.
+// Wanted returns the highest known version.
 func (f *Follower) Wanted() Version {
 	if f.wanted.Number > f.force.Number {
 		return f.wanted
@@ -172,7 +172,7 @@
 	return f.force
 }
 
-// Admits tells whether requests may be admitted: a version is in force and the
+// Admits reports whether requests may be admitted: there is a current version, and the
 // store or a peer was reached within the isolation time.
 func (f *Follower) Admits(now time.Time) bool {
 	return f.adopted && now.Sub(f.contact) <= f.isolation
--- a/core/head/head_test.go
+++ b/core/head/head_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// store is the head row and the operations' rows.
+// store is a fake table of the head row and the operations' rows.
 type store struct {
 	head    Row
 	version uint64
@@ -41,7 +41,7 @@
 	return o
 }
 
-// write loses answers and delays writes at random.
+// write commits, delays or drops a transaction and loses results, at random.
 func (s *store) write(rng *rand.Rand, w WriteHead) Result {
 	switch rng.Intn(5) {
 	case 0:
@@ -59,8 +59,8 @@
 	return ResultConflict
 }
 
-// Operators race with lost answers and late writes: each operation takes
-// effect at most once, and what the operator is told is the truth.
+// An operation takes effect twice, or the operator gets a wrong outcome, when
+// transactions are delayed and their results lost.
 func TestRacingOperators(t *testing.T) {
 	for seed := range int64(3000) {
 		rng := rand.New(rand.NewSource(seed))
@@ -94,7 +94,7 @@
 				}
 			case Conflict:
 				if s.applied[op] != 0 {
-					t.Fatalf("seed %d: %s was told of a conflict and took effect", seed, op)
+					t.Fatalf("seed %d: %s took effect despite a conflict", seed, op)
 				}
 			}
 			if s.applied[op] > 1 {
@@ -119,7 +119,7 @@
 	f.Step(epoch, Loaded{Version{5, "h5"}})
 	for _, ev := range []FollowEvent{HeadSeen{Version{4, "h4"}, true}, PeerSeen{"p", Version{3, "h3"}}, Loaded{Version{4, "h4"}}} {
 		if _, ok := fetched(f.Step(epoch, ev)); ok || f.Version().Number != 5 {
-			t.Fatalf("%+v: went to %+v", ev, f.Version())
+			t.Fatalf("%+v: got version %+v or a fetch, want 5", ev, f.Version())
 		}
 	}
 	if v, ok := fetched(f.Step(epoch, PeerSeen{"p", Version{6, "h6"}})); !ok || v.Number != 6 {
@@ -130,20 +130,20 @@
 func TestStartWithNoMemoryWhileStoreIsDown(t *testing.T) {
 	f := NewFollower(epoch, time.Minute)
 	if _, ok := fetched(f.Step(epoch, PeerSeen{"p1", Version{7, "h7"}})); ok {
-		t.Fatal("one peer alone was believed")
+		t.Fatal("followed a single peer")
 	}
 	if _, ok := fetched(f.Step(epoch, PeerSeen{"p2", Version{6, "h6"}})); ok {
-		t.Fatal("two peers that disagree were believed")
+		t.Fatal("followed two peers that disagree")
 	}
 	if f.Admits(epoch) {
 		t.Fatal("admits without a configuration")
 	}
 	if v, ok := fetched(f.Step(epoch, PeerSeen{"p2", Version{7, "h7"}})); !ok || v.Number != 7 {
-		t.Fatal("two peers that agree were not believed")
+		t.Fatal("did not follow two peers that agree")
 	}
 	f.Step(epoch, Loaded{Version{7, "h7"}})
 	if !f.Admits(epoch) {
-		t.Fatal("does not admit with a configuration in force")
+		t.Fatal("does not admit with a current configuration")
 	}
 }
 
@@ -152,14 +152,14 @@
 	f.Step(epoch, HeadSeen{Version{1, "h"}, true})
 	f.Step(epoch, Loaded{Version{1, "h"}})
 	if !f.Admits(epoch.Add(10 * time.Second)) {
-		t.Fatal("stopped too early")
+		t.Fatal("stopped admitting before the isolation time")
 	}
 	if f.Admits(epoch.Add(11 * time.Second)) {
-		t.Fatal("admits without store and peers")
+		t.Fatal("admits after the isolation time without store and peers")
 	}
 	f.Step(epoch.Add(12*time.Second), PeerSeen{"p", Version{1, "h"}})
 	if !f.Admits(epoch.Add(12 * time.Second)) {
-		t.Fatal("a peer was reached, but nothing is admitted")
+		t.Fatal("does not admit after contact with a peer")
 	}
 }
 
@@ -167,10 +167,10 @@
 	f := NewFollower(epoch, time.Minute)
 	f.Step(epoch, HeadSeen{Version{1, "h"}, true})
 	if _, ok := fetched(f.Step(epoch, FollowTick{})); ok {
-		t.Fatal("fetched twice at once")
+		t.Fatal("fetched again while a fetch is in progress")
 	}
 	f.Step(epoch, LoadFailed{Version{1, "h"}})
 	if _, ok := fetched(f.Step(epoch, FollowTick{})); !ok {
-		t.Fatal("not fetched again after a failure")
+		t.Fatal("did not fetch again after a failure")
 	}
 }
--- a/core/head/submit.go
+++ b/core/head/submit.go
@@ -1,14 +1,17 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package head decides how the configuration moves on: one head row, changed
-// by conditional writes, and followers that never go back. Its machines are
-// pure; spec/head.pml is their model.
+// Package head decides which version of the configuration is current. Operators
+// submit a version through conditional writes of a single head row (Submission), and
+// each router follows that row without ever going back to an older one (Follower).
+//
+// Both types do no I/O: their methods return the actions that the caller must
+// perform. spec/head.pml models the protocol.
 package head
 
 import "time"
 
-// Row is the head row of the configuration.
+// Row is the head row, which names the current version of the configuration.
 type Row struct {
 	Version   uint64    `json:"version"`
 	Hash      string    `json:"hash"`
@@ -17,24 +20,24 @@
 	At        time.Time `json:"at"`
 }
 
-// Operation is the row that a submission leaves under its operation ID, in the
-// same transaction as the head.
+// Operation is the row that a submission writes under its operation ID, in the same
+// transaction as the head row. It makes submissions idempotent.
 type Operation struct {
 	Version uint64 `json:"version"`
 	Hash    string `json:"hash"`
 }
 
-// Observed is what a read of the head and of the operation's row gave.
+// Observed is the result of reading the head row and the operation's row.
 type Observed struct {
 	Head        Row
-	HeadVersion uint64 // HeadVersion is the table's version of the head row, 0 where absent.
-	Done        *Operation
+	HeadVersion uint64     // the table's version of the head row, 0 if absent
+	Done        *Operation // nil if the operation has not taken effect
 }
 
-// Result is the table's word on the transaction.
+// Result is the outcome of the transaction.
 type Result uint8
 
-// The results of the transaction.
+// Results of the transaction.
 const (
 	ResultOK Result = iota + 1
 	ResultConflict
@@ -42,27 +45,27 @@
 	ResultUnavailable
 )
 
-// SubmitAction is what the owner of a Submission must do next.
+// SubmitAction is the next step that the caller of a Submission must perform.
 type SubmitAction interface{ isSubmitAction() }
 
-// ReadHead asks for an Observed.
+// ReadHead reads the head and the operation's row after a delay; the result goes to OnRead.
 type ReadHead struct{ After time.Duration }
 
-// WriteHead asks for the transaction: the head row if its table version is
-// IfVersion, and the operation's row if it is absent.
+// WriteHead writes, in one transaction, the head row if its table version is IfVersion
+// and the operation's row if it is absent. The result goes to OnWritten.
 type WriteHead struct {
 	Head      Row
 	IfVersion uint64
 }
 
-// Accepted ends a submission whose version is in the table.
+// Accepted ends a submission that has become the given version.
 type Accepted struct{ Version uint64 }
 
-// Conflict ends a submission that another one came before.
+// Conflict ends a submission that lost to another one.
 type Conflict struct{ Base, Current Row }
 
-// Undecided ends a submission whose outcome is not known; the same operation
-// ID may be submitted again.
+// Undecided ends a submission whose outcome is unknown. It may be retried under the
+// same operation ID.
 type Undecided struct{ MayHaveHappened bool }
 
 func (ReadHead) isSubmitAction()  {}
@@ -81,18 +84,18 @@
 	hash      string
 	author    string
 	operation string
-	base      uint64 // base is the version the operator started from; AnyBase accepts the current one.
+	base      uint64 // version that the operator edited, or AnyBase
 	at        time.Time
 	backoff   time.Duration
-	written   bool // written tells that a transaction may have taken effect.
-	condition uint64
-	started   Row
+	written   bool   // a transaction may have taken effect
+	condition uint64 // IfVersion of the last transaction
+	started   Row    // head row that the last transaction replaces
 }
 
-// AnyBase submits on top of whatever version is current.
+// AnyBase accepts any current version as the base of a submission.
 const AnyBase = ^uint64(0)
 
-// NewSubmission returns the submission of a document by its hash.
+// NewSubmission returns the submission of the document with this hash.
 func NewSubmission(hash, author, operation string, base uint64, at time.Time) *Submission {
 	return &Submission{hash: hash, author: author, operation: operation, base: base, at: at, backoff: submitBackoff}
 }
@@ -100,7 +103,7 @@
 // Begin returns the first action.
 func (s *Submission) Begin() SubmitAction { return ReadHead{} }
 
-// OnRead takes what the table holds. ok is false where it could not be read.
+// OnRead processes a read. ok is false if the read failed.
 func (s *Submission) OnRead(ok bool, o Observed) SubmitAction {
 	if !ok {
 		return s.readLater()
@@ -108,8 +111,7 @@
 	if o.Done != nil {
 		return Accepted{o.Done.Version}
 	}
-	// The transaction names a table version, so once the head has moved on, a
-	// delayed one can no longer take effect.
+	// A delayed transaction fails once the head row has another table version.
 	if s.written && o.HeadVersion != s.condition {
 		return Conflict{Base: s.started, Current: o.Head}
 	}
@@ -123,7 +125,7 @@
 	}
 }
 
-// OnWritten takes the table's word on the transaction.
+// OnWritten processes the result of the transaction.
 func (s *Submission) OnWritten(r Result) SubmitAction {
 	switch r {
 	case ResultOK:
@@ -132,8 +134,8 @@
 		s.written = true
 		return ReadHead{}
 	case ResultConflict:
-		// Either this operation took effect before or another one came first;
-		// only a read tells. A conflict ends the write that was conditional.
+		// An earlier transaction of this operation or another operation was first.
+		// The next read shows which.
 		s.written = true
 		return ReadHead{}
 	default:
