--- a/core/place/bench_test.go
+++ b/core/place/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// BenchmarkOwner finds the scheduler of one target, by the number of routers.
+// BenchmarkOwner measures finding the owner of a target among n routers.
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range []int{9, 80, 320} {
 		b.Run(fmt.Sprintf("routers=%d", n), func(b *testing.B) {
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -28,24 +28,24 @@
 			t.Fatalf("%s is owned by %+v", site.Name, owner)
 		}
 		owned[owner.ID]++
-		after, _ := Owner(all[1:], site) // r0 goes
+		after, _ := Owner(all[1:], site) // without r0
 		if owner.ID != "r0" && after != owner {
 			moved++
 		}
 		if owner.ID == "r0" && Distance(after, site) != 0 {
-			t.Errorf("%s left its hall with r0", site.Name)
+			t.Errorf("%s moved out of its hall when r0 was removed", site.Name)
 		}
 	}
 	if moved != 0 {
-		t.Errorf("%d targets moved that r0 did not own", moved)
+		t.Errorf("%d targets that r0 did not own moved when it was removed, want 0", moved)
 	}
 	for id, n := range owned {
 		if n > 70 {
-			t.Errorf("%s owns %d of 400", id, n)
+			t.Errorf("%s owns %d of 400 targets, want at most 70", id, n)
 		}
 	}
 	if _, ok := Owner(nil, Site{}); ok {
-		t.Error("an owner without nodes")
+		t.Error("got an owner without nodes")
 	}
 }
 
@@ -56,25 +56,25 @@
 	m.Apply(now, CacheEvent{2, "b", true})
 	m.Apply(now, CacheEvent{2, "b", false}) // repeated
 	if !m.Holds(now, "a") || !m.Holds(now, "b") {
-		t.Fatal("not held")
+		t.Fatal("stored prefixes are not held")
 	}
 	m.Apply(now, CacheEvent{4, "c", true})
 	if m.Holds(now, "a") || !m.Holds(now, "c") || m.Gaps != 1 {
-		t.Fatal("the gap was passed over")
+		t.Fatal("the gap did not clear the map")
 	}
 	if m.Holds(now.Add(2*time.Minute), "c") {
-		t.Fatal("an old hint is heeded")
+		t.Fatal("an entry older than the maximum age is held")
 	}
 	for i := range 10 {
 		m.Note(now, fmt.Sprint(i))
 	}
 	if m.Len() != 3 {
-		t.Fatalf("%d hints", m.Len())
+		t.Fatalf("got %d entries, want 3", m.Len())
 	}
 }
 
-// Strong nodes get nearly all of the work that weak ones should not get; equal ones get
-// even parts, and a node that leaves moves nothing but its own.
+// Weak nodes get keys while strong ones exist, equal nodes get unequal parts, or
+// removing a node moves the keys of others.
 func TestStrongNodesAreDrawnFirst(t *testing.T) {
 	var fleet []Node
 	for i := range 300 {
@@ -97,7 +97,7 @@
 		}
 	}
 	if strong < keys*3/4 || moved != 0 {
-		t.Errorf("%d of %d keys on strong nodes, %d moved", strong, keys, moved)
+		t.Errorf("%d of %d keys on strong nodes, want at least 3/4; %d moved, want 0", strong, keys, moved)
 	}
 	drawn := map[string]int{}
 	for i := range keys {
--- a/core/place/prefix.go
+++ b/core/place/prefix.go
@@ -5,32 +5,31 @@
 
 import "time"
 
-// CacheEvent is an engine's late word that it holds or has dropped a prefix.
+// CacheEvent is an engine's delayed notice that it has stored or evicted a prefix.
 type CacheEvent struct {
 	Seq    uint64
 	Prefix string
 	Stored bool
 }
 
-// PrefixMap is what one target is thought to hold in its prefix cache. It is
-// a hint with an age: a wrong one costs time, never correctness.
+// PrefixMap estimates the contents of a target's prefix cache. A wrong entry costs
+// time, never correctness.
 type PrefixMap struct {
 	held    map[string]time.Time
 	nextSeq uint64
 	maxAge  time.Duration
 	maxSize int
-	Gaps    int // Gaps counts the breaks in the sequence numbers.
+	Gaps    int // gaps in the sequence numbers so far
 }
 
-// NewPrefixMap returns an empty map that forgets hints older than maxAge and
-// holds at most maxSize of them.
+// NewPrefixMap returns an empty map that ignores entries older than maxAge and holds
+// at most maxSize of them.
 func NewPrefixMap(maxAge time.Duration, maxSize int) *PrefixMap {
 	return &PrefixMap{held: map[string]time.Time{}, maxAge: maxAge, maxSize: maxSize}
 }
 
-// Apply takes one event. A gap in the sequence drops all that the target is
-// thought to hold; the map then fills again from the events after the gap. A
-// repeated event changes nothing.
+// Apply processes one event. A gap in the sequence numbers clears the map, which then
+// fills again from later events. Duplicate events are ignored.
 func (m *PrefixMap) Apply(now time.Time, e CacheEvent) {
 	if e.Seq < m.nextSeq {
 		return
@@ -47,7 +46,7 @@
 	m.note(now, e.Prefix)
 }
 
-// Note records that a request with this prefix was just sent to the target.
+// Note records that a request with this prefix was sent to the target.
 func (m *PrefixMap) Note(now time.Time, prefix string) { m.note(now, prefix) }
 
 func (m *PrefixMap) note(now time.Time, prefix string) {
@@ -67,14 +66,14 @@
 	delete(m.held, oldest)
 }
 
-// Holds reports whether the target is thought to hold the prefix.
+// Holds reports whether the target probably holds the prefix.
 func (m *PrefixMap) Holds(now time.Time, prefix string) bool {
 	t, ok := m.held[prefix]
 	return ok && now.Sub(t) <= m.maxAge
 }
 
-// Next returns the sequence number to ask the target for.
+// Next returns the sequence number of the next event to request from the target.
 func (m *PrefixMap) Next() uint64 { return m.nextSeq }
 
-// Len returns the number of hints.
+// Len returns the number of entries.
 func (m *PrefixMap) Len() int { return len(m.held) }
--- a/core/place/rendezvous.go
+++ b/core/place/rendezvous.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package place computes, without agreement, which router schedules a target
-// and which target or request suits a free slot.
+// Package place assigns keys to nodes by rendezvous hashing: all routers that know the
+// same nodes compute the same assignment without coordination. It also tracks the
+// prefixes that a target probably caches.
 package place
 
 import (
@@ -12,25 +13,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is a router that may take a role.
+// Node is a router that keys can be assigned to.
 type Node struct {
 	ID       string
 	DataHall string
 	Region   string
-	// Strength is how much of a processor core the router has to give, in percent; 0
-	// counts as a whole core.
+	// Strength is the processor time that the router can spare for scheduling, in
+	// percent of a core. 0 counts as a whole core.
 	Strength uint32
 }
 
-// Site is where a target stands.
+// Site is the location of a target.
 type Site struct {
 	Name     string
 	DataHall string
 	Region   string
 }
 
-// Distance is how far a node is from a site: 0 in the same data hall, 1 in the
-// same region, 2 elsewhere.
+// Distance returns 0 for a node in the site's data hall, 1 in its region, 2 elsewhere.
 func Distance(n Node, s Site) int {
 	switch {
 	case n.DataHall == s.DataHall:
@@ -42,9 +42,8 @@
 	}
 }
 
-// Owner returns the node that schedules the target: among the nearest nodes
-// the one with the highest hash (rendezvous hashing). It reports false where
-// there is no node.
+// Owner returns the node that schedules the target: the one with the highest hash
+// among the nearest nodes. It returns false if there are no nodes.
 func Owner(nodes []Node, target Site) (Node, bool) {
 	best, bestDistance, bestHash := -1, 0, uint64(0)
 	for i, n := range nodes {
@@ -64,13 +63,12 @@
 	return top(nodes, k, func(n Node) float64 { return unit(hash(n.ID, key)) })
 }
 
-// strengthPower makes a node with four times the processor time 64 times as likely to
-// be drawn, so that few weak nodes are among the first while strong ones are there,
-// and all are drawn evenly where they are equal.
+// strengthPower is the exponent of a node's weight. At 3, a node with four times the
+// processor time is 64 times as likely to be chosen, which keeps weak nodes out of the
+// top places while strong ones exist.
 const strengthPower = 3
 
-// TopByStrength is Top for work that weak nodes should not get: each node has as many
-// chances as its strength gives it (weighted rendezvous hashing).
+// TopByStrength is like Top, but prefers strong nodes by weighted rendezvous hashing.
 func TopByStrength(nodes []Node, key string, k int) []string {
 	return top(nodes, k, func(n Node) float64 {
 		strength := float64(n.Strength) / wholeCore
@@ -83,7 +81,7 @@
 
 const wholeCore = 100 // percent
 
-// unit maps a hash to a number between 0 and 1, neither included.
+// unit maps a hash to the open interval (0, 1).
 func unit(hash uint64) float64 { return (float64(hash>>11) + 0.5) / (1 << 53) }
 
 // top returns the IDs of the k nodes with the highest score.
@@ -123,8 +121,8 @@
 	return d.Sum64()
 }
 
-// Score returns the weight of a node for a numbered key; the highest is the
-// key's home.
+// Score returns the rendezvous hash of a node for a numeric key. The key belongs to
+// the node with the highest score.
 func Score(node string, key uint64) uint64 {
 	var d xxhash.Digest
 	d.Reset()
