--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -164,11 +164,11 @@
 type Claim struct {
 	mine      Row
 	phase     phase
-	condition uint64 // IfVersion of the last write of the claim
+	ifVersion uint64 // IfVersion of the last write of the claim
 	version   uint64 // version of mine in the table
 	backoff   time.Duration
-	other     Row // row of the attempt that is waited for
-	final     Row // row to write when closing the claim
+	holder    Row // row of the attempt that is waited for
+	finalRow  Row // row to write when closing the claim
 	out       []Action
 }
 
@@ -193,7 +193,7 @@
 	case Deadline:
 		c.onDeadline()
 	case HolderGone:
-		c.onHolderGone()
+		c.onHolderDead()
 	case Ended:
 		c.onEnded(e.Row)
 	case NotRun:
@@ -204,7 +204,7 @@
 
 // Holder returns the router whose attempt holds the row, while the claim waits for it.
 func (c *Claim) Holder() (router string, incarnation uint64, waiting bool) {
-	return c.other.Router, c.other.Incarnation, c.phase == phaseWaiting
+	return c.holder.Router, c.holder.Incarnation, c.phase == phaseWaiting
 }
 
 func (c *Claim) emit(a Action) { c.out = append(c.out, a) }
@@ -215,7 +215,7 @@
 }
 
 func (c *Claim) claim(version uint64) {
-	c.phase, c.condition = phaseClaiming, version
+	c.phase, c.ifVersion = phaseClaiming, version
 	c.emit(Write{c.mine, version})
 }
 
@@ -263,7 +263,7 @@
 	case v.Row.State == StateUnknown:
 		c.finish(VerdictUnknown, v.Row)
 	default:
-		c.phase, c.other = phaseWaiting, v.Row
+		c.phase, c.holder = phaseWaiting, v.Row
 		c.wait()
 	}
 }
@@ -292,7 +292,7 @@
 func (c *Claim) onWaited() {
 	switch c.phase {
 	case phaseClaiming:
-		c.emit(Write{c.mine, c.condition})
+		c.emit(Write{c.mine, c.ifVersion})
 	case phaseReading, phaseWaiting, phaseRecording, phaseReleasing:
 		c.emit(ReadRow{})
 	}
@@ -305,13 +305,13 @@
 		c.emit(Reply{Verdict: VerdictUnavailable})
 		c.release()
 	case phaseWaiting:
-		c.finish(VerdictInProgress, c.other)
+		c.finish(VerdictInProgress, c.holder)
 	}
 }
 
-func (c *Claim) onHolderGone() {
+func (c *Claim) onHolderDead() {
 	if c.phase == phaseWaiting {
-		c.finish(VerdictUnknown, c.other)
+		c.finish(VerdictUnknown, c.holder)
 	}
 }
 
@@ -320,7 +320,7 @@
 		return
 	}
 	c.phase = phaseRecording
-	c.final = row
+	c.finalRow = row
 	c.emit(Write{row, c.version})
 }
 
@@ -334,8 +334,8 @@
 // write of the claim fails afterwards.
 func (c *Claim) release() {
 	c.phase, c.backoff = phaseReleasing, firstWait
-	c.final = c.mine
-	c.final.State = StateReleased
+	c.finalRow = c.mine
+	c.finalRow.State = StateReleased
 	c.emit(ReadRow{})
 }
 
@@ -357,18 +357,18 @@
 func (c *Claim) closingRead(v Versioned) {
 	mine := v.Version != 0 && v.Row.Attempt == c.mine.Attempt
 	switch {
-	case mine && v.Row.State == c.final.State:
-		c.closed()
+	case mine && v.Row.State == c.finalRow.State:
+		c.markFinished()
 	case mine && v.Row.State == StateClaimed:
-		c.emit(Write{c.final, v.Version})
+		c.emit(Write{c.finalRow, v.Version})
 	case c.phase == phaseReleasing && (v.Version == 0 || v.Row.State == StateReleased):
-		c.emit(Write{c.final, v.Version})
+		c.emit(Write{c.finalRow, v.Version})
 	default:
-		c.closed()
+		c.markFinished()
 	}
 }
 
-func (c *Claim) closed() {
+func (c *Claim) markFinished() {
 	c.phase = phaseFinished
 	c.emit(Finish{})
 }
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -14,11 +14,11 @@
 
 // fakeTable holds one row. It may delay writes and lose their results.
 type fakeTable struct {
-	rng     *rand.Rand
-	row     Versioned
-	next    uint64
-	delayed []Write
-	faults  int // percentage of failing calls
+	rng          *rand.Rand
+	row          Versioned
+	next         uint64
+	delayed      []Write
+	faultPercent int // percentage of failing calls
 }
 
 func (f *fakeTable) apply(w Write) bool {
@@ -41,7 +41,7 @@
 }
 
 func (f *fakeTable) write(w Write) Written {
-	if f.rng.Intn(100) < f.faults {
+	if f.rng.Intn(100) < f.faultPercent {
 		switch f.rng.Intn(3) {
 		case 0:
 			return Written{Result: ResultUnavailable}
@@ -92,7 +92,7 @@
 		case Write:
 			c.todo = append(c.todo, f.write(a))
 		case ReadRow:
-			c.todo = append(c.todo, Read{OK: f.rng.Intn(100) >= f.faults/2, Current: f.row})
+			c.todo = append(c.todo, Read{OK: f.rng.Intn(100) >= f.faultPercent/2, Current: f.row})
 		case Wait:
 			c.todo = append(c.todo, Waited{})
 		case Send:
@@ -134,10 +134,10 @@
 
 // Racing attempts over a faulty table send the call twice or see results that no
 // sequential order explains.
-func TestHistoriesAgainstSingleMap(t *testing.T) {
+func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := range int64(3000) {
 		rng := rand.New(rand.NewSource(seed))
-		f := &fakeTable{rng: rng, faults: 40}
+		f := &fakeTable{rng: rng, faultPercent: 40}
 		callers := []*caller{newCaller(0), newCaller(1), newCaller(2)}
 		for now := int64(1); now < 400; now++ {
 			c := callers[rng.Intn(len(callers))]
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestHolderPausedBetweenClaimAndSend(t *testing.T) {
+func TestNoSendWhileHolderIsPaused(t *testing.T) {
 	f := &fakeTable{rng: rand.New(rand.NewSource(1))}
 	holder, other := New(Row{Attempt: "a", Digest: "d", Router: "r1", Incarnation: 1}), New(Row{Attempt: "b", Digest: "d"})
 	f.apply(firstOf[Write](t, holder.Step(Begin{})))
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestVerdictFollowsCurrentRow(t *testing.T) {
 	for _, c := range []struct {
 		row  Row
 		want Verdict
@@ -288,7 +288,7 @@
 	}
 }
 
-func TestWaitsGrow(t *testing.T) {
+func TestBackoffGrowsToMax(t *testing.T) {
 	m := New(Row{Attempt: "mine"})
 	m.Step(Begin{})
 	last := time.Duration(0)
