--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -68,25 +68,25 @@
 	ResultUnavailable
 )
 
-const readAgain = 250 * time.Millisecond
+const readRetryDelay = 250 * time.Millisecond
 
 // Lease acquires the lease of a target for one order.
 type Lease struct {
-	cfg    Config
-	me     Row
-	checks bool // the target rejects older epochs
-
-	seen      Row
-	seenVer   uint64
-	seenAt    time.Time // first read of this version
-	sentAt    time.Time
-	written   Row
-	mayBeMine bool // the result of the write is unknown
+	cfg         Config
+	self        Row
+	checksEpoch bool // the target rejects older epochs
+
+	seen         Row
+	seenVersion  uint64
+	seenAt       time.Time // first read of this version
+	sentAt       time.Time
+	written      Row
+	writeUnknown bool // the result of the write is unknown
 }
 
 // New returns a lease for one order; checks reports whether the target rejects older epochs.
-func New(cfg Config, holder string, incarnation uint64, checks bool) *Lease {
-	return &Lease{cfg: cfg, me: Row{Holder: holder, Incarnation: incarnation}, checks: checks}
+func New(cfg Config, holder string, incarnation uint64, checksEpoch bool) *Lease {
+	return &Lease{cfg: cfg, self: Row{Holder: holder, Incarnation: incarnation}, checksEpoch: checksEpoch}
 }
 
 // Begin returns the first action.
@@ -96,31 +96,31 @@
 // if the row is absent.
 func (l *Lease) OnRead(now time.Time, ok bool, row Row, version uint64) Action {
 	if !ok {
-		return ReadRow{readAgain}
+		return ReadRow{readRetryDelay}
 	}
-	if l.mayBeMine && row == l.written {
+	if l.writeUnknown && row == l.written {
 		// The write took effect, but its result was lost.
-		return l.order(now, row.Epoch)
+		return l.permitOrder(now, row.Epoch)
 	}
-	if l.seenAt.IsZero() || version != l.seenVer {
-		l.seen, l.seenVer, l.seenAt = row, version, now
+	if l.seenAt.IsZero() || version != l.seenVersion {
+		l.seen, l.seenVersion, l.seenAt = row, version, now
 	}
-	if !l.checks && l.foreign(row, version) {
+	if !l.checksEpoch && l.mayBeHeld(row, version) {
 		if left := l.cfg.Duration + l.cfg.Grace - now.Sub(l.seenAt); left > 0 {
-			return ReadRow{min(left, readAgain)}
+			return ReadRow{min(left, readRetryDelay)}
 		}
 	}
 	return l.write(now, row.Epoch+1, version)
 }
 
-// foreign reports whether another router, or an earlier incarnation of this one, may
+// mayBeHeld reports whether another router, or an earlier incarnation of this one, may
 // still hold the lease.
-func (l *Lease) foreign(row Row, version uint64) bool {
+func (l *Lease) mayBeHeld(row Row, version uint64) bool {
 	return version != 0 && !row.Released
 }
 
 func (l *Lease) write(now time.Time, epoch, version uint64) Action {
-	l.written = l.me
+	l.written = l.self
 	l.written.Epoch = epoch
 	l.sentAt = now
 	return WriteRow{l.written, version}
@@ -130,22 +130,22 @@
 func (l *Lease) OnWritten(now time.Time, r Result) Action {
 	switch r {
 	case ResultOK:
-		return l.order(now, l.written.Epoch)
+		return l.permitOrder(now, l.written.Epoch)
 	case ResultUnknown:
-		l.mayBeMine = true
+		l.writeUnknown = true
 		return ReadRow{}
 	case ResultConflict:
 		return ReadRow{}
 	default:
-		return ReadRow{readAgain}
+		return ReadRow{readRetryDelay}
 	}
 }
 
-// order permits the order if enough of the lease is left. The lease starts when the
+// permitOrder permits the permitOrder if enough of the lease is left. The lease starts when the
 // write was sent, so a pause of this process can only shorten it.
-func (l *Lease) order(now time.Time, epoch uint64) Action {
+func (l *Lease) permitOrder(now time.Time, epoch uint64) Action {
 	until := l.sentAt.Add(l.cfg.Duration)
-	if l.checks {
+	if l.checksEpoch {
 		return GiveOrder{epoch, now.Add(l.cfg.MaxSend)}
 	}
 	if now.Add(l.cfg.MaxSend).After(until) {
@@ -156,7 +156,7 @@
 
 // MaySend reports whether the order may still be sent. Call it right before sending.
 func (l *Lease) MaySend(now time.Time, g GiveOrder) bool {
-	return l.checks || !now.Add(l.cfg.MaxSend).After(g.Until)
+	return l.checksEpoch || !now.Add(l.cfg.MaxSend).After(g.Until)
 }
 
 // Release returns the row that releases the lease.
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -22,7 +22,7 @@
 }
 
 // A target that does not check epochs gets orders from two holders at once.
-func TestNewHolderWaitsOutTheOld(t *testing.T) {
+func TestNewHolderWaitsForOldLease(t *testing.T) {
 	cfg := DefaultConfig()
 	old := Row{Holder: "r1", Incarnation: 1, Epoch: 4}
 	l := New(cfg, "r2", 1, false)
@@ -31,7 +31,7 @@
 		if _, waits := l.OnRead(now, true, old, 9).(ReadRow); !waits {
 			t.Fatalf("did not wait after %v", now.Sub(epoch))
 		}
-		now = now.Add(readAgain)
+		now = now.Add(readRetryDelay)
 	}
 	if w, ok := l.OnRead(now, true, old, 9).(WriteRow); !ok || w.Row.Epoch != 5 || w.IfVersion != 9 {
 		t.Fatal("did not take the expired lease")
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestLostAnswerIsReadBack(t *testing.T) {
+func TestLostWriteResultIsRead(t *testing.T) {
 	l := New(DefaultConfig(), "r1", 1, false)
 	w := l.OnRead(epoch, true, Row{}, 0).(WriteRow)
 	if _, ok := l.OnWritten(epoch, ResultUnknown).(ReadRow); !ok {
