--- a/core/head/follow.go
+++ b/core/head/follow.go
@@ -60,56 +60,56 @@
 
 const (
 	fetchTimeout = 2 * time.Second
-	agreement    = 2 // peers that must agree while the head row cannot be read
+	peerQuorum   = 2 // peers that must agree while the head row cannot be read
 )
 
 // Follower tracks the current version of one router. The version never decreases.
 type Follower struct {
-	isolation time.Duration
-	force     Version
-	adopted   bool
-	confirmed bool // the head row was read or a quorum of peers agreed since the start
-	empty     bool // the head row does not exist
-	wanted    Version
-	fetching  time.Time // start of the current fetch, or zero
-	peers     map[string]Version
-	contact   time.Time // last contact with the store or a peer
+	isolation    time.Duration
+	current      Version
+	adopted      bool
+	confirmed    bool // the head row was read or a quorum of peers agreed since the start
+	empty        bool // the head row does not exist
+	wanted       Version
+	fetchStarted time.Time // start of the current fetch, or zero
+	peers        map[string]Version
+	lastContact  time.Time // last contact with the store or a peer
 }
 
 // NewFollower returns a follower without a version. It stops admitting requests after
 // it has reached neither the store nor a peer for the isolation time.
 func NewFollower(now time.Time, isolation time.Duration) *Follower {
-	return &Follower{isolation: isolation, peers: map[string]Version{}, contact: now}
+	return &Follower{isolation: isolation, peers: map[string]Version{}, lastContact: now}
 }
 
 // Step processes one event and returns the resulting actions.
 func (f *Follower) Step(now time.Time, ev FollowEvent) []FollowAction {
 	switch e := ev.(type) {
 	case HeadSeen:
-		f.contact = now
+		f.lastContact = now
 		f.confirmed = true
 		f.empty = !e.Exists
 		if e.Exists {
 			f.want(e.Version)
 		}
 	case PeerSeen:
-		f.contact = now
+		f.lastContact = now
 		f.peers[e.Peer] = e.Version
-		f.heedPeer(e.Version)
+		f.followPeer(e.Version)
 	case Loaded:
 		return f.loaded(e.Version)
 	case LoadFailed:
 		if e.Version == f.wanted {
-			f.fetching = time.Time{}
+			f.fetchStarted = time.Time{}
 		}
 		return nil
 	}
 	return f.fetch(now)
 }
 
-// heedPeer follows a peer's higher version. Before the first read of the head row it
+// followPeer follows a peer's higher version. Before the first read of the head row it
 // requires a quorum of peers, as one peer alone may be wrong.
-func (f *Follower) heedPeer(v Version) {
+func (f *Follower) followPeer(v Version) {
 	if v.Number == 0 {
 		return
 	}
@@ -123,27 +123,27 @@
 			same++
 		}
 	}
-	if same >= agreement {
+	if same >= peerQuorum {
 		f.confirmed = true
 		f.want(v)
 	}
 }
 
 func (f *Follower) want(v Version) {
-	if v.Number > f.force.Number && v.Number > f.wanted.Number {
+	if v.Number > f.current.Number && v.Number > f.wanted.Number {
 		f.wanted = v
-		f.fetching = time.Time{}
+		f.fetchStarted = time.Time{}
 	}
 }
 
 func (f *Follower) fetch(now time.Time) []FollowAction {
-	if f.wanted.Number <= f.force.Number {
+	if f.wanted.Number <= f.current.Number {
 		return nil
 	}
-	if !f.fetching.IsZero() && now.Sub(f.fetching) < fetchTimeout {
+	if !f.fetchStarted.IsZero() && now.Sub(f.fetchStarted) < fetchTimeout {
 		return nil
 	}
-	f.fetching = now
+	f.fetchStarted = now
 	var holders []string
 	for peer, v := range f.peers {
 		if v == f.wanted {
@@ -154,26 +154,26 @@
 }
 
 func (f *Follower) loaded(v Version) []FollowAction {
-	if v.Number <= f.force.Number {
+	if v.Number <= f.current.Number {
 		return nil
 	}
-	f.force, f.adopted = v, true
+	f.current, f.adopted = v, true
 	return []FollowAction{Adopt{v}}
 }
 
 // Version returns the current version, zero before the first.
-func (f *Follower) Version() Version { return f.force }
+func (f *Follower) Version() Version { return f.current }
 
 // Wanted returns the highest known version.
 func (f *Follower) Wanted() Version {
-	if f.wanted.Number > f.force.Number {
+	if f.wanted.Number > f.current.Number {
 		return f.wanted
 	}
-	return f.force
+	return f.current
 }
 
 // Admits reports whether requests may be admitted: there is a current version, and the
 // store or a peer was reached within the isolation time.
 func (f *Follower) Admits(now time.Time) bool {
-	return f.adopted && now.Sub(f.contact) <= f.isolation
+	return f.adopted && now.Sub(f.lastContact) <= f.isolation
 }
--- a/core/head/head_test.go
+++ b/core/head/head_test.go
@@ -61,7 +61,7 @@
 
 // An operation takes effect twice, or the operator gets a wrong outcome, when
 // transactions are delayed and their results lost.
-func TestRacingOperators(t *testing.T) {
+func TestRacingOperationsApplyOnce(t *testing.T) {
 	for seed := range int64(3000) {
 		rng := rand.New(rand.NewSource(seed))
 		s := newStore()
@@ -113,7 +113,7 @@
 	return Version{}, false
 }
 
-func TestNeverGoesBack(t *testing.T) {
+func TestVersionNeverDecreases(t *testing.T) {
 	f := NewFollower(epoch, time.Minute)
 	f.Step(epoch, HeadSeen{Version{5, "h5"}, true})
 	f.Step(epoch, Loaded{Version{5, "h5"}})
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestStartWithNoMemoryWhileStoreIsDown(t *testing.T) {
+func TestStartWithoutStoreNeedsPeerQuorum(t *testing.T) {
 	f := NewFollower(epoch, time.Minute)
 	if _, ok := fetched(f.Step(epoch, PeerSeen{"p1", Version{7, "h7"}})); ok {
 		t.Fatal("followed a single peer")
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestFetchIsTriedAgain(t *testing.T) {
+func TestFailedFetchIsRetried(t *testing.T) {
 	f := NewFollower(epoch, time.Minute)
 	f.Step(epoch, HeadSeen{Version{1, "h"}, true})
 	if _, ok := fetched(f.Step(epoch, FollowTick{})); ok {
--- a/core/head/submit.go
+++ b/core/head/submit.go
@@ -81,15 +81,15 @@
 
 // Submission is one operator's change.
 type Submission struct {
-	hash      string
-	author    string
-	operation string
-	base      uint64 // version that the operator edited, or AnyBase
-	at        time.Time
-	backoff   time.Duration
-	written   bool   // a transaction may have taken effect
-	condition uint64 // IfVersion of the last transaction
-	started   Row    // head row that the last transaction replaces
+	hash         string
+	author       string
+	operation    string
+	base         uint64 // version that the operator edited, or AnyBase
+	at           time.Time
+	backoff      time.Duration
+	mayBeWritten bool   // a transaction may have taken effect
+	ifVersion    uint64 // IfVersion of the last transaction
+	baseRow      Row    // head row that the last transaction replaces
 }
 
 // AnyBase accepts any current version as the base of a submission.
@@ -112,13 +112,13 @@
 		return Accepted{o.Done.Version}
 	}
 	// A delayed transaction fails once the head row has another table version.
-	if s.written && o.HeadVersion != s.condition {
-		return Conflict{Base: s.started, Current: o.Head}
+	if s.mayBeWritten && o.HeadVersion != s.ifVersion {
+		return Conflict{Base: s.baseRow, Current: o.Head}
 	}
 	if s.base != AnyBase && o.Head.Version != s.base {
 		return Conflict{Base: Row{Version: s.base}, Current: o.Head}
 	}
-	s.condition, s.started = o.HeadVersion, o.Head
+	s.ifVersion, s.baseRow = o.HeadVersion, o.Head
 	return WriteHead{
 		Head:      Row{Version: o.Head.Version + 1, Hash: s.hash, Author: s.author, Operation: s.operation, At: s.at},
 		IfVersion: o.HeadVersion,
@@ -129,14 +129,14 @@
 func (s *Submission) OnWritten(r Result) SubmitAction {
 	switch r {
 	case ResultOK:
-		return Accepted{s.started.Version + 1}
+		return Accepted{s.baseRow.Version + 1}
 	case ResultUnknown:
-		s.written = true
+		s.mayBeWritten = true
 		return ReadHead{}
 	case ResultConflict:
 		// An earlier transaction of this operation or another operation was first.
 		// The next read shows which.
-		s.written = true
+		s.mayBeWritten = true
 		return ReadHead{}
 	default:
 		return s.readLater()
@@ -144,7 +144,7 @@
 }
 
 // OnDeadline ends the submission without a decision.
-func (s *Submission) OnDeadline() SubmitAction { return Undecided{MayHaveHappened: s.written} }
+func (s *Submission) OnDeadline() SubmitAction { return Undecided{MayHaveHappened: s.mayBeWritten} }
 
 func (s *Submission) readLater() SubmitAction {
 	d := s.backoff
