--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestPrefixGapDropsAll(t *testing.T) {
+func TestPrefixMapClearsOnGap(t *testing.T) {
 	now := time.Unix(0, 0)
 	m := NewPrefixMap(time.Minute, 3)
 	m.Apply(now, CacheEvent{1, "a", true})
@@ -75,7 +75,7 @@
 
 // Weak nodes get keys while strong ones exist, equal nodes get unequal parts, or
 // removing a node moves the keys of others.
-func TestStrongNodesAreDrawnFirst(t *testing.T) {
+func TestTopByStrengthPrefersStrongNodes(t *testing.T) {
 	var fleet []Node
 	for i := range 300 {
 		n := Node{ID: fmt.Sprintf("g%03d", i), Strength: 19}
