--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -78,8 +78,8 @@
 // Deadline reports that the caller's deadline has passed.
 type Deadline struct{}
 
-// HolderGone reports that the router of the attempt that holds the row is dead.
-type HolderGone struct{}
+// HolderDead reports that the router of the attempt that holds the row is dead.
+type HolderDead struct{}
 
 // Ended reports the outcome of the call after Send, as the row to record.
 type Ended struct{ Row Row }
@@ -92,7 +92,7 @@
 func (Read) isEvent()       {}
 func (Waited) isEvent()     {}
 func (Deadline) isEvent()   {}
-func (HolderGone) isEvent() {}
+func (HolderDead) isEvent() {}
 func (Ended) isEvent()      {}
 func (NotRun) isEvent()     {}
 
@@ -192,7 +192,7 @@
 		c.onWaited()
 	case Deadline:
 		c.onDeadline()
-	case HolderGone:
+	case HolderDead:
 		c.onHolderDead()
 	case Ended:
 		c.onEnded(e.Row)
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -260,7 +260,7 @@
 	if router, inc, waiting := other.Holder(); router != "r1" || inc != 1 || !waiting {
 		t.Fatal("Holder does not return the waiting attempt's holder, r1 with incarnation 1")
 	}
-	if r := firstOf[Reply](t, other.Step(HolderGone{})); r.Verdict != VerdictUnknown {
+	if r := firstOf[Reply](t, other.Step(HolderDead{})); r.Verdict != VerdictUnknown {
 		t.Fatalf("verdict %d", r.Verdict)
 	}
 }
