--- a/core/head/follow.go
+++ b/core/head/follow.go
@@ -21,8 +21,8 @@
 	Exists  bool
 }
 
-// PeerSeen is the current version of a peer.
-type PeerSeen struct {
+// PeerVersionSeen is the current version of a peer.
+type PeerVersionSeen struct {
 	Peer    string
 	Version Version
 }
@@ -37,11 +37,11 @@
 // FollowTick drives timeouts and must come regularly.
 type FollowTick struct{}
 
-func (HeadSeen) isFollowEvent()   {}
-func (PeerSeen) isFollowEvent()   {}
-func (Loaded) isFollowEvent()     {}
-func (LoadFailed) isFollowEvent() {}
-func (FollowTick) isFollowEvent() {}
+func (HeadSeen) isFollowEvent()        {}
+func (PeerVersionSeen) isFollowEvent() {}
+func (Loaded) isFollowEvent()          {}
+func (LoadFailed) isFollowEvent()      {}
+func (FollowTick) isFollowEvent()      {}
 
 // FollowAction is an output of Follower.Step that the caller must perform.
 type FollowAction interface{ isFollowAction() }
@@ -92,7 +92,7 @@
 		if e.Exists {
 			f.want(e.Version)
 		}
-	case PeerSeen:
+	case PeerVersionSeen:
 		f.lastContact = now
 		f.peers[e.Peer] = e.Version
 		f.followPeer(e.Version)
--- a/core/head/submit.go
+++ b/core/head/submit.go
@@ -66,7 +66,7 @@
 
 // Undecided ends a submission whose outcome is unknown. It may be retried under the
 // same operation ID.
-type Undecided struct{ MayHaveHappened bool }
+type Undecided struct{ MayHaveCommitted bool }
 
 func (ReadHead) isSubmitAction()  {}
 func (WriteHead) isSubmitAction() {}
@@ -144,7 +144,7 @@
 }
 
 // OnDeadline ends the submission without a decision.
-func (s *Submission) OnDeadline() SubmitAction { return Undecided{MayHaveHappened: s.mayBeWritten} }
+func (s *Submission) OnDeadline() SubmitAction { return Undecided{MayHaveCommitted: s.mayBeWritten} }
 
 func (s *Submission) readLater() SubmitAction {
 	d := s.backoff
--- a/services/config/submit.go
+++ b/services/config/submit.go
@@ -95,7 +95,7 @@
 			return 0, result.New(result.ConfigConflict, "your change was made for version %d; version %d (%.12s by %s) is in its place",
 				a.Base.Version, a.Current.Version, a.Current.Hash, a.Current.Author)
 		case head.Undecided:
-			if !a.MayHaveHappened {
+			if !a.MayHaveCommitted {
 				return 0, result.New(result.PlatformDown, "the platform's table gave no answer").After(time.Second)
 			}
 			return 0, result.New(result.ConfigUnknown, "submit again with operation ID %s", c.Operation).After(time.Second)
