--- a/core/batch/cache.go
+++ b/core/batch/cache.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package batch models one engine that runs requests in batches: the parts of
-// prompts that it probably keeps, the tokens that it still has to read, the
-// memory in use and how fast and how sound it shows itself. The model is built
-// from what was sent there and what came of it; it never asks the engine.
+// Package batch estimates the state of an engine that serves requests in batches: its
+// prefix cache, its prefill backlog, its memory in use, its speed and its health.
+//
+// The estimates rest on the requests sent to the engine, their outcomes and the cache
+// contents that it reports. The package does no I/O.
 package batch
 
 import (
@@ -14,33 +15,32 @@
 	"madderway/models/routing"
 )
 
-// kept is one part of a prompt in the engine's memory. A part counts only
-// together with all parts before it; its name is its own, as engines tell it.
+// kept is a prompt part in the engine's memory. It is a cache hit only if all parts
+// before it in the prompt are cached, too.
 type kept struct {
 	id     uint64
 	tokens int
-	pins   int  // pins counts the running requests that use it.
-	read   bool // read tells that it is in memory; else a request is still to read it.
+	pins   int  // running requests that use it
+	read   bool // false while a request still has to prefill it
 	usedAt time.Time
 	at     *list.Element
 }
 
-// cache is what the engine probably keeps, the least recently used part first
-// in the list.
+// cache estimates the engine's prefix cache, with LRU eviction.
 type cache struct {
 	capacity int
 	used     int // tokens of all parts
 	pinned   int // tokens of the parts in use
-	outputs  int // tokens that running requests may make
+	outputs  int // tokens that running requests may generate
 	parts    map[uint64]*kept
-	order    *list.List
+	order    *list.List // least recently used first
 }
 
 func newCache(capacity int) *cache {
 	return &cache{capacity: capacity, parts: map[uint64]*kept{}, order: list.New()}
 }
 
-// hit returns the tokens at the beginning of the prompt that are kept.
+// hit returns the tokens at the beginning of the prompt that are cached.
 func (c *cache) hit(parts []routing.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
@@ -52,8 +52,8 @@
 	return tokens
 }
 
-// ready returns the tokens at the beginning of the prompt that have been read, so
-// that another engine can copy them.
+// ready returns the tokens at the beginning of the prompt that are prefilled, so that
+// another engine can copy them.
 func (c *cache) ready(parts []routing.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
@@ -66,7 +66,7 @@
 	return tokens
 }
 
-// markRead notes that the parts of a request have been read.
+// markRead marks the parts of a request as prefilled.
 func (c *cache) markRead(parts []routing.PromptPart) {
 	for _, p := range parts {
 		if k, ok := c.parts[p.ID]; ok {
@@ -75,7 +75,7 @@
 	}
 }
 
-// forgetUnread drops the parts that only a request which has ended was to read.
+// forgetUnread drops unused parts that were never prefilled.
 func (c *cache) forgetUnread(parts []routing.PromptPart) {
 	for _, p := range parts {
 		if k, ok := c.parts[p.ID]; ok && !k.read && k.pins == 0 {
@@ -84,7 +84,7 @@
 	}
 }
 
-// pin marks the parts of a request that begins as in use and kept.
+// pin adds the parts of a starting request to the cache and marks them as in use.
 func (c *cache) pin(now time.Time, parts []routing.PromptPart) {
 	for _, p := range parts {
 		k, ok := c.parts[p.ID]
@@ -104,7 +104,7 @@
 	c.evict()
 }
 
-// unpin marks the parts of a request that ended as no longer in use.
+// unpin releases the parts of a request that ended.
 func (c *cache) unpin(now time.Time, parts []routing.PromptPart) {
 	for _, p := range parts {
 		k, ok := c.parts[p.ID]
@@ -120,7 +120,7 @@
 	c.evict()
 }
 
-// evict drops the parts unused longest until all fits.
+// evict drops the least recently used parts that are not pinned until the rest fits.
 func (c *cache) evict() {
 	for at := c.order.Front(); at != nil && c.used+c.outputs > c.capacity; {
 		k, next := at.Value.(*kept), at.Next()
@@ -131,9 +131,9 @@
 	}
 }
 
-// learn makes the parts those that the engine says it keeps, as of a time. Parts
-// in use, or used since, stay; new ones count as used longest ago: when they were
-// used the engine does not say.
+// learn replaces the cached parts by those that the engine reported at a time. Parts
+// that are pinned or were used since stay. New parts count as least recently used,
+// since the engine does not report when it used them.
 func (c *cache) learn(at time.Time, parts []routing.PromptPart) {
 	told := make(map[uint64]bool, len(parts))
 	for _, p := range parts {
@@ -163,5 +163,5 @@
 	c.used -= k.tokens
 }
 
-// room returns the tokens that are free or can be made free.
+// room returns the tokens that are free or evictable.
 func (c *cache) room() int { return c.capacity - c.pinned - c.outputs }
--- a/core/batch/cache_test.go
+++ b/core/batch/cache_test.go
@@ -10,22 +10,22 @@
 	"madderway/models/routing"
 )
 
-// What an engine says it keeps replaces what is thought, but for what is in use
-// or was used after it was asked.
+// A report of the engine drops parts that are in use or were used after it, or stale
+// estimates outlive it.
 func TestLearnedPartsReplaceGuesses(t *testing.T) {
 	e := NewEngine(64, 100_000, 40_000)
 	ask := start.Add(10 * time.Second)
 	done := func(at time.Time, id uint64) {
 		e.End(at, e.Start(at, prompt(id, 1000), 10), OutcomeDone)
 	}
-	done(start, 1)                      // forgotten by the engine
-	done(start, 2)                      // still kept
-	e.Start(start, prompt(3, 1000), 10) // in use, not read yet
-	done(ask.Add(time.Millisecond), 4)  // used while the answer was under way
+	done(start, 1)                      // evicted by the engine
+	done(start, 2)                      // still cached
+	e.Start(start, prompt(3, 1000), 10) // in use, not prefilled yet
+	done(ask.Add(time.Millisecond), 4)  // used while the report was in flight
 	e.Learn(ask, []routing.PromptPart{{ID: 2, Tokens: 1000}, {ID: 5, Tokens: 1000}, {ID: 6, Tokens: -4}})
 	for id, kept := range map[uint64]bool{1: false, 2: true, 3: true, 4: true, 5: true, 6: false} {
 		if got := e.Missing(prompt(id, 1000)) == 1; got != kept {
-			t.Errorf("part %d kept: %v, want %v", id, got, kept)
+			t.Errorf("part %d cached: %v, want %v", id, got, kept)
 		}
 	}
 	if e.cache.used != 4000 {
@@ -33,51 +33,49 @@
 	}
 }
 
-// What a run was to read can be copied once its first event came, and is gone
-// where the run ended before.
+// Parts are offered for copying before they were prefilled, or stay cached though
+// their run ended before.
 func TestOnlyWhatWasReadCanBeCopied(t *testing.T) {
 	e := NewEngine(64, 100_000, 40_000)
 	one, two := prompt(1, 1000), prompt(2, 2000)
 	a, b := e.Start(start, one, 10), e.Start(start, two, 10)
 	if e.Ready(one) != 0 || e.Missing(one) != 1 {
-		t.Fatalf("before it was read: ready %d, missing %d", e.Ready(one), e.Missing(one))
+		t.Fatalf("before the first event: %d copyable tokens, want 0; %d uncached, want 1", e.Ready(one), e.Missing(one))
 	}
 	e.Begin(start.Add(100*time.Millisecond), a)
 	e.End(start.Add(200*time.Millisecond), b, OutcomeBroken)
 	if e.Ready(one) != 1000 {
-		t.Errorf("%d tokens ready after the first event", e.Ready(one))
+		t.Errorf("%d copyable tokens after the first event, want 1000", e.Ready(one))
 	}
 	if e.Ready(two) != 0 || e.Missing(two) != 2000 {
-		t.Errorf("ready %d, missing %d of what no run has read", e.Ready(two), e.Missing(two))
+		t.Errorf("after a broken run: %d copyable tokens, want 0; %d uncached, want 2000", e.Ready(two), e.Missing(two))
 	}
 	e.Learn(start.Add(300*time.Millisecond), []routing.PromptPart{{ID: 3, Tokens: 500}})
 	if e.Ready(prompt(3, 500)) != 500 {
-		t.Error("what the engine says it keeps cannot be copied")
+		t.Error("a part that the engine reported is not copyable")
 	}
 }
 
-// While a copy is under way the engine reads other prompts: the run with the copy
-// is late, what comes after it is not.
+// A copy delays the prefill of other prompts, or makes the engine look silent.
 func TestCopyDelaysOnlyItsOwnRun(t *testing.T) {
 	const copying = 500 * time.Millisecond
 	e := NewEngine(64, 1_000_000, 40_000)
 	r := e.StartCopy(start, prompt(1, 9000), 10, 8000, copying)
 	if r.Read != 1000 {
-		t.Fatalf("%d tokens to read beside a copy of 8000 of 9000", r.Read)
+		t.Fatalf("%d tokens to prefill after a copy of 8000 of 9000, want 1000", r.Read)
 	}
 	if due := r.dueAt.Sub(start); due < copying {
-		t.Errorf("due after %v, before the copy is there", due)
+		t.Errorf("first event due after %v, want no earlier than the copy", due)
 	}
 	if b := e.Backlog(start); b > 30*time.Millisecond {
-		t.Errorf("%v behind, though 1000 tokens are to be read", b)
+		t.Errorf("got a backlog of %v for 1000 tokens, want at most 30ms", b)
 	}
 	if !e.Usable(start.Add(copying + 200*time.Millisecond)) {
-		t.Error("passed over while a copy is under way")
+		t.Error("not usable while a copy is in progress")
 	}
 }
 
-// A list longer than the memory takes no more than there is, and what is in use
-// stays.
+// A report longer than the memory exceeds the capacity or evicts parts in use.
 func TestLearningKeepsTheBound(t *testing.T) {
 	e := NewEngine(64, 10_000, 40_000)
 	e.Start(start, prompt(1, 4000), 100)
@@ -87,6 +85,6 @@
 	}
 	e.Learn(start.Add(time.Second), parts)
 	if e.cache.used > 10_000 || e.Missing(prompt(1, 4000)) != 1 {
-		t.Errorf("%d tokens in memory, missing %d of what runs", e.cache.used, e.Missing(prompt(1, 4000)))
+		t.Errorf("%d tokens in memory, want at most 10000; %d uncached tokens of a running prompt, want 1", e.cache.used, e.Missing(prompt(1, 4000)))
 	}
 }
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -10,87 +10,85 @@
 	"madderway/models/routing"
 )
 
-// Outcome is how a run at an engine ended.
+// Outcome is the result of a run at an engine.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a run.
 const (
-	OutcomeDone     Outcome = iota + 1 // a whole answer
-	OutcomeCanceled                    // the caller has gone
-	OutcomeNotSent                     // no connection could be had
-	OutcomeFull                        // the engine did not execute the request
-	OutcomeMoved                       // another target has the address
-	OutcomeFailed                      // the engine answered with a failure
-	OutcomeBroken                      // the answer was cut or was no answer
-	OutcomeExpired                     // nothing came in time
-	OutcomeUnlisted                    // the entry gateway sent nothing: it does not list the target, or that leaves or wants rest
+	OutcomeDone     Outcome = iota + 1 // complete response
+	OutcomeCanceled                    // the caller disconnected
+	OutcomeNotSent                     // no connection to the engine
+	OutcomeFull                        // the engine rejected the request without executing it
+	OutcomeMoved                       // the address belongs to another target now
+	OutcomeFailed                      // the engine answered with an error
+	OutcomeBroken                      // the response broke off or was invalid
+	OutcomeExpired                     // no response in time
+	OutcomeUnlisted                    // the entry gateway did not send: the target is unknown to it, leaving or asked for a pause
 )
 
 // Run is one request at the engine.
 type Run struct {
 	Prompt  *routing.Prompt
-	Output  int // tokens that are thought to be made
-	Read    int // tokens that were thought to be read anew
+	Output  int // expected output tokens
+	Read    int // prompt tokens that the engine has to prefill
 	granted time.Time
-	copied  time.Time // copied is when what is copied from another engine will be there.
-	dueAt   time.Time // dueAt is when the first event is expected.
+	copied  time.Time // expected end of the copy from another engine
+	dueAt   time.Time // expected time of the first event
 	begun   bool
 }
 
-// Begun tells whether the first event of the run came.
+// Begun reports whether the first event of the run has come.
 func (r *Run) Begun() bool { return r.begun }
 
-// Engine is the model of one target. It is not safe for concurrent use.
+// Engine estimates the state of one target. It is not safe for concurrent use.
 type Engine struct {
 	slots int
 	cache *cache
 	runs  map[*Run]struct{}
-	queue []*Run // queue holds the runs without a first event, in the order of their grants.
+	queue []*Run // runs without a first event, in the order of their start
 	pace  pace
 	state health
 }
 
-// NewEngine returns the model of an idle engine that is thought to read this
-// many tokens a second.
+// NewEngine returns the model of an idle engine with an assumed prefill speed.
 func NewEngine(slots, cacheTokens int, tokensPerSecond float64) *Engine {
 	return NewEngineLike(slots, cacheTokens, NewPrior(tokensPerSecond))
 }
 
-// NewEngineLike returns an engine that is expected to be as fast as others of its kind.
+// NewEngineLike returns the model of an idle engine that shares a Prior with others of its kind.
 func NewEngineLike(slots, cacheTokens int, p *Prior) *Engine {
 	return &Engine{
 		slots: max(slots, 1), cache: newCache(cacheTokens), runs: map[*Run]struct{}{}, pace: pace{prior: p},
 	}
 }
 
-// Speed returns how many tokens of prompts the engine reads in a second.
+// Speed returns the prefill speed in prompt tokens per second.
 func (e *Engine) Speed() float64 { return e.pace.speed() }
 
 // Running returns the number of requests at the engine.
 func (e *Engine) Running() int { return len(e.runs) }
 
-// Empty tells whether nothing runs at the engine.
+// Empty reports whether no request is at the engine.
 func (e *Engine) Empty() bool { return len(e.runs) == 0 }
 
-// Missing returns the tokens of the prompt that the engine has to read.
+// Missing returns the prompt tokens that the engine would have to prefill, at least 1.
 func (e *Engine) Missing(p *routing.Prompt) int { return max(p.Tokens-e.cache.hit(p.Parts), 1) }
 
-// ReadingTime returns how long the engine has been reading until now, since it is
-// known. One that owes a first event is taken to read on.
+// ReadingTime returns the total time that the engine has spent on prefill. An engine
+// whose first event is overdue counts as busy.
 func (e *Engine) ReadingTime(now time.Time) time.Duration {
 	e.pace.count(now, e.queue)
 	return e.pace.done
 }
 
-// Ready returns the tokens at the beginning of the prompt that another engine can
-// copy from this one.
+// Ready returns the tokens at the beginning of the prompt that another engine can copy
+// from this one.
 func (e *Engine) Ready(p *routing.Prompt) int { return min(e.cache.ready(p.Parts), p.Tokens) }
 
-// Fits tells whether the engine has memory for a request.
+// Fits reports whether the engine has memory for a request.
 func (e *Engine) Fits(missing, output int) bool { return missing+output <= e.cache.room() }
 
-// SlotWait returns how long it will probably take until a slot is free, 0 where
-// one is.
+// SlotWait returns the expected time until a slot is free.
 func (e *Engine) SlotWait() time.Duration {
 	if len(e.runs) < e.slots {
 		return 0
@@ -98,8 +96,8 @@
 	return max(e.pace.stream/time.Duration(e.slots), leastSlotWait)
 }
 
-// Backlog returns how long the engine will be reading what was sent to it. An
-// engine that owes a first event is taken to be as far behind with all the rest.
+// Backlog returns the expected time until the engine has prefilled all its requests.
+// The delay of an overdue first event is added, as it delays all later ones.
 func (e *Engine) Backlog(now time.Time) time.Duration {
 	late := time.Duration(0)
 	if len(e.queue) > 0 {
@@ -108,19 +106,19 @@
 	return max(e.pace.clearAt.Sub(now), 0) + late
 }
 
-// Booked returns how long the engine's time for reading is given away; nothing
-// more should be sent while that is long.
+// Booked returns the backlog, stretched by the time that is left to decoding. Schedulers
+// should send nothing more while it is long.
 func (e *Engine) Booked(now time.Time) time.Duration {
 	return max(e.Backlog(now), e.pace.bookedTo.Sub(now))
 }
 
-// Start puts a request onto the engine, which reads all that it does not keep.
+// Start adds a request, whose uncached tokens the engine prefills.
 func (e *Engine) Start(now time.Time, p *routing.Prompt, output int) *Run {
 	return e.StartCopy(now, p, output, 0, 0)
 }
 
-// StartCopy puts a request onto the engine, which first copies so many tokens of
-// the prompt from another engine; that takes so long.
+// StartCopy adds a request for which the engine copies tokens of the prompt from
+// another engine. The copy takes the given time.
 func (e *Engine) StartCopy(now time.Time, p *routing.Prompt, output, tokens int, takes time.Duration) *Run {
 	e.pace.count(now, e.queue)
 	r := &Run{Prompt: p, Output: output, Read: max(e.Missing(p)-tokens, 1), granted: now, copied: now.Add(takes)}
@@ -132,7 +130,7 @@
 	return r
 }
 
-// Begin tells that the first event of a run came.
+// Begin records the first event of a run.
 func (e *Engine) Begin(now time.Time, r *Run) {
 	if r.begun {
 		return
@@ -145,9 +143,9 @@
 	e.pace.resume(now, e.queue)
 }
 
-// Adopt puts a request onto the engine that another scheduler sent there. One
-// that has begun has been read; of another only the own part is to be read, since
-// that scheduler chose a target that keeps the rest.
+// Adopt adds a request that another scheduler sent to the engine. If it has not begun,
+// only its last part counts as uncached, since that scheduler chose a target with the
+// shared parts in its cache.
 func (e *Engine) Adopt(now time.Time, p *routing.Prompt, output int, begun bool) *Run {
 	r := &Run{Prompt: p, Output: output, granted: now, copied: now, begun: begun}
 	e.runs[r] = struct{}{}
@@ -164,7 +162,7 @@
 	return r
 }
 
-// Learn takes the parts of prompts that the engine itself says it kept at a time.
+// Learn replaces the estimated cache by the parts that the engine reported at a time.
 func (e *Engine) Learn(at time.Time, parts []routing.PromptPart) { e.cache.learn(at, parts) }
 
 func (e *Engine) unqueue(r *Run) {
@@ -174,7 +172,7 @@
 	}
 }
 
-// End takes a request off the engine.
+// End removes a request and records its outcome.
 func (e *Engine) End(now time.Time, r *Run, o Outcome) {
 	if _, ok := e.runs[r]; !ok {
 		return
@@ -197,14 +195,14 @@
 	e.cache.forgetUnread(r.Prompt.Parts)
 }
 
-// Usable tells whether new work may be sent to the engine.
+// Usable reports whether new requests may be sent to the engine.
 func (e *Engine) Usable(now time.Time) bool { return e.state.usable(now) && !e.silent(now) }
 
-// Errors returns the share of runs that failed lately.
+// Errors returns the decayed share of failed runs.
 func (e *Engine) Errors(now time.Time) float64 { return e.state.share(now) }
 
-// silent tells whether the engine owes a first event for far too long and has
-// given no other sign since.
+// silent reports whether a first event is long overdue and no other run has begun
+// since.
 func (e *Engine) silent(now time.Time) bool {
 	if len(e.queue) == 0 {
 		return false
--- a/core/batch/engine_test.go
+++ b/core/batch/engine_test.go
@@ -12,10 +12,10 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fakeEngine reads prompts one after the other at its true speed and gives the
-// first event a fixed time after a prompt was read.
+// fakeEngine prefills prompts one after the other at a fixed speed. Each first event
+// follows its prefill after a fixed latency.
 type fakeEngine struct {
-	speed   float64 // tokens a second
+	speed   float64 // tokens per second
 	first   time.Duration
 	clearAt time.Time
 	due     []dueRun
@@ -36,7 +36,7 @@
 
 func (f *fakeEngine) backlog(now time.Time) time.Duration { return max(f.clearAt.Sub(now), 0) }
 
-// tell begins the runs that are due in the model.
+// tell reports the first events that are due to the model.
 func (f *fakeEngine) tell(now time.Time, e *Engine) {
 	for len(f.due) > 0 && !f.due[0].at.After(now) {
 		e.Begin(now, f.due[0].run)
@@ -48,8 +48,7 @@
 	return &routing.Prompt{Tokens: tokens, MaxOutput: 10, Parts: []routing.PromptPart{{ID: id, Tokens: tokens}}}
 }
 
-// An engine that reads at half the speed first thought of must not be taken for
-// clear while it is a second behind: the model has to follow what it sees.
+// An engine that is slower than its prior builds up a backlog that the model misses.
 func TestBacklogFollowsASlowEngine(t *testing.T) {
 	for _, speed := range []float64{12_000, 20_000, 40_000, 80_000} {
 		e := NewEngine(64, 1_000_000, 40_000)
@@ -68,11 +67,11 @@
 				worst = max(worst, f.backlog(now))
 			}
 		}
-		// The largest prompt is granted on top of the limit, and the model hears
-		// of its reading only when it is over.
+		// The largest prompt may start just below the limit, and the model learns of its
+		// prefill only at its end.
 		bound := limit + 2*time.Duration(6500/speed*float64(time.Second)) + 250*time.Millisecond
 		if worst > bound {
-			t.Errorf("at %.0f tokens a second the engine was %v behind, want at most %v", speed, worst, bound)
+			t.Errorf("at %.0f tokens per second the backlog reached %v, want at most %v", speed, worst, bound)
 		}
 	}
 }
@@ -98,21 +97,21 @@
 	one := &routing.Prompt{Tokens: 4500, Parts: []routing.PromptPart{shared, {ID: 2, Tokens: 500}}}
 	two := &routing.Prompt{Tokens: 4300, Parts: []routing.PromptPart{shared, {ID: 3, Tokens: 300}}}
 	if got := e.Missing(one); got != 4500 {
-		t.Fatalf("missing %d of a new prompt", got)
+		t.Fatalf("%d uncached tokens of a new prompt, want 4500", got)
 	}
 	r := e.Start(start, one, 100)
 	if got := e.Missing(two); got != 300 {
-		t.Errorf("missing %d, want the own 300", got)
+		t.Errorf("%d uncached tokens, want only the own 300", got)
 	}
 	e.Begin(start.Add(time.Second), r)
 	e.End(start.Add(2*time.Second), r, OutcomeDone)
-	// Others push out what was unused longest.
+	// Other prompts evict the least recently used part.
 	for id := uint64(10); id < 13; id++ {
 		r := e.Start(start.Add(3*time.Second), prompt(id, 3000), 100)
 		e.End(start.Add(4*time.Second), r, OutcomeDone)
 	}
 	if got := e.Missing(two); got != 4300 {
-		t.Errorf("missing %d after the shared part gave way, want 4300", got)
+		t.Errorf("%d uncached tokens after the shared part was evicted, want 4300", got)
 	}
 }
 
@@ -127,12 +126,11 @@
 	e.End(start, r, OutcomeDone)
 	e.Start(start, prompt(4, 3000), 100)
 	if got := e.Missing(running); got != 1 {
-		t.Errorf("a part in use gave way: missing %d", got)
+		t.Errorf("%d uncached tokens of a running prompt, want 1", got)
 	}
 }
 
-// Many streams that break at the same moment, as when connections are reset,
-// say little of the engine: it must not be passed over for seconds.
+// A connection reset that breaks many streams at once makes the engine unusable.
 func TestResetOfManyStreamsIsOneFailure(t *testing.T) {
 	e := NewEngine(64, 1_000_000, 40_000)
 	var runs []*Run
@@ -146,17 +144,16 @@
 		e.End(now, r, OutcomeBroken)
 	}
 	if !e.Usable(now.Add(50 * time.Millisecond)) {
-		t.Error("the engine is passed over after its streams were reset")
+		t.Error("the engine is not usable after its streams were reset")
 	}
 }
 
-// An engine that nobody can connect to is passed over, longer each time, and
-// tried again.
+// An unreachable engine is tried too often, or its backoff grows without bound.
 func TestUnreachableEngineBacksOff(t *testing.T) {
 	e := NewEngine(64, 1_000_000, 40_000)
 	now, last := start, time.Duration(0)
 	for range 6 {
-		for range 5 { // several gateways find out at once
+		for range 5 { // several gateways fail at once
 			r := e.Start(now, prompt(1, 100), 10)
 			e.End(now, r, OutcomeNotSent)
 		}
@@ -165,18 +162,17 @@
 			pause += 10 * time.Millisecond
 		}
 		if pause < last || pause > avoidMax+10*time.Millisecond {
-			t.Fatalf("passed over for %v after %v", pause, last)
+			t.Fatalf("got a backoff of %v after %v, want no shorter one and at most avoidMax", pause, last)
 		}
 		last = pause
 		now = now.Add(pause)
 	}
 	if last < time.Second {
-		t.Errorf("passed over for %v only after six failures in a row", last)
+		t.Errorf("got a backoff of %v after six failures in a row, want at least 1s", last)
 	}
 }
 
-// That an entry gateway does not know a target yet is no fault of the target: a new
-// engine serves those that know it.
+// A new engine is avoided because some entry gateway does not know it yet.
 func TestUnlistedEngineIsNotAvoided(t *testing.T) {
 	for outcome, usable := range map[Outcome]bool{OutcomeUnlisted: true, OutcomeMoved: false} {
 		e := NewEngine(64, 1_000_000, 40_000)
@@ -185,7 +181,7 @@
 			t.Errorf("outcome %d: usable %v, want %v", outcome, got, usable)
 		}
 		if e.Missing(prompt(1, 1000)) != 1000 {
-			t.Errorf("outcome %d: what was never sent is thought to be kept", outcome)
+			t.Errorf("outcome %d: a prompt that was never sent counts as cached", outcome)
 		}
 	}
 }
@@ -194,15 +190,14 @@
 	e := NewEngine(64, 1_000_000, 40_000)
 	e.Start(start, prompt(1, 1000), 10)
 	if !e.Usable(start.Add(100 * time.Millisecond)) {
-		t.Error("an engine is passed over before its first event is due")
+		t.Error("an engine is not usable before its first event is due")
 	}
 	if e.Usable(start.Add(2 * time.Second)) {
-		t.Error("an engine that gives no sign for two seconds gets new work")
+		t.Error("an engine without a first event for two seconds is usable")
 	}
 }
 
-// Reading may not take all of an engine's time, the less the more streams run:
-// each of their tokens waits for a piece of a prompt while it reads.
+// Prefill takes so much of the engine's time that running streams starve.
 func TestReadingLeavesTimeForTokens(t *testing.T) {
 	for _, streams := range []int{0, 20, 40, 200} {
 		e := NewEngine(1000, 10_000_000, 40_000)
@@ -233,10 +228,10 @@
 		}
 		got, want := float64(read)/(f.speed*length.Seconds()), shareFor(streams)
 		if got > want+0.03 || got < want-0.1 {
-			t.Errorf("beside %d streams reading took %.2f of the time, want about %.2f", streams, got, want)
+			t.Errorf("with %d streams prefill took %.2f of the time, want about %.2f", streams, got, want)
 		}
 	}
 	if shareFor(0) <= shareFor(40) || shareFor(1000) != readShareLeast {
-		t.Error("the share does not fall with the streams that run")
+		t.Error("the prefill share does not fall to its minimum as streams are added")
 	}
 }
--- a/core/batch/health.go
+++ b/core/batch/health.go
@@ -8,12 +8,11 @@
 	"time"
 )
 
-// Times and weights of what is believed of an engine's health.
 const (
-	errorGain = 0.15
-	errorHalf = 2 * time.Second // time in which the share of failures fades to a half
-	// lateFactor and lateSlack tell when an engine that owes a first event is
-	// taken for silent.
+	errorGain = 0.15            // weight of a new outcome in the error rate
+	errorHalf = 2 * time.Second // half-life of the error rate without new outcomes
+	// An engine is silent once a first event takes lateFactor times the expected time
+	// plus lateSlack.
 	lateFactor = 3
 	lateSlack  = 400 * time.Millisecond
 
@@ -24,18 +23,18 @@
 	movedPause   = 10 * time.Second
 )
 
-// health is what the outcomes say of an engine.
+// health tracks failures of an engine and the backoff after them.
 type health struct {
-	errors     float64 // share of runs that failed, lately
+	errors     float64 // error rate at errorsAt
 	errorsAt   time.Time
-	failures   int // failures counts the pauses without a sign of life between them.
+	failures   int // consecutive backoffs without a success
 	avoidUntil time.Time
 }
 
 func (h *health) usable(now time.Time) bool { return !now.Before(h.avoidUntil) }
 
-// share returns the share of failed runs; without news it fades, so that an
-// engine that was passed over for it is tried again.
+// share returns the error rate. It decays over time, so that an engine that gets no
+// requests because of it is tried again.
 func (h *health) share(now time.Time) float64 {
 	since := now.Sub(h.errorsAt)
 	if since <= 0 {
@@ -48,9 +47,9 @@
 
 func (h *health) begun() { h.failures = 0 }
 
-// ended takes the outcome of a run. A stream that breaks after it has begun
-// tells of connections as much as of the engine, and many break at once: it
-// counts to the share of failures, but no engine is passed over for it.
+// ended records the outcome of a run. A broken or failed run counts toward the error
+// rate only before its first event: later breaks often come from connections, many at
+// a time. Neither avoids the engine.
 func (h *health) ended(now time.Time, r *Run, o Outcome, silent bool) {
 	switch o {
 	case OutcomeDone:
@@ -73,8 +72,8 @@
 	}
 }
 
-// avoid passes the engine over for a while, twice as long each time. Runs that
-// were granted before the pause began say nothing new.
+// avoid backs off from the engine, twice as long each time. Failures of runs that
+// started before the last backoff ended are ignored.
 func (h *health) avoid(now time.Time, r *Run) {
 	if now.Before(h.avoidUntil) || r.granted.Before(h.avoidUntil) && h.failures > 0 {
 		return
--- a/core/batch/pace.go
+++ b/core/batch/pace.go
@@ -5,60 +5,54 @@
 
 import "time"
 
-// Weights of what is measured.
 const (
-	// priorSeconds is how many seconds of reading the first guess of the speed
-	// weighs against what is measured.
-	priorSeconds = 0.5
-	speedDecay   = 0.97 // of the weight of older measurements, for each new one
-	minRead      = 256  // tokens below which a request says nothing of the speed
-	firstGain    = 0.1
-	// mostFaster is how many times faster than the estimate one prompt may show an
-	// engine to be that reads nothing else.
+	priorSeconds = 0.5  // weight of the prior speed, in seconds of prefill
+	speedDecay   = 0.97 // weight that older samples keep with each new one
+	minRead      = 256  // tokens from which a sample makes older ones decay
+	firstGain    = 0.1  // weight of a new sample of a latency
+	// mostFaster bounds the speedup over the estimate that one prompt can show, since
+	// the prompt may have been cached.
 	mostFaster = 2
-	// leastFirst is the time before which no engine gives a first event of a prompt that
-	// it has to read: a step of a batch and the way there and back take longer.
-	leastFirst = 10 * time.Millisecond
-	// leastSlotWait is what a full engine is waited for at least.
+	// leastFirst is less than any engine's time to the first event of a prompt that it
+	// has to prefill. Faster ones were cached.
+	leastFirst    = 10 * time.Millisecond
 	leastSlotWait = 30 * time.Millisecond
-	// readShare is the part of an engine's time that is given to reading where
-	// nothing runs there, readSharePerRun what each running stream takes off it.
-	// While an engine reads, a token of all its streams takes a whole piece of a
-	// prompt; in the rest of the time tokens come ten times faster.
+	// readShare is the part of an idle engine's time that may be booked for prefill.
+	// Each running request takes off readSharePerRun, down to readShareLeast, since
+	// prefill slows down decoding for all of them.
 	readShare       = 1.0
 	readSharePerRun = 0.01
 	readShareLeast  = 0.6
 )
 
-// pace is how fast an engine reads, and how far it is with what it has. Engines
-// read prompts in the order in which they arrive, so each first event tells how
-// much is left.
+// pace estimates the prefill speed and backlog of an engine. Engines prefill prompts
+// in the order of their arrival, so each first event shows how much is left.
 type pace struct {
-	clearAt   time.Time     // clearAt is when all that was sent will have been read.
-	bookedTo  time.Time     // bookedTo is until when the time for reading is given away.
-	read      float64       // tokens read while busy, older ones weigh less
-	busy      float64       // the seconds that this took
-	done      time.Duration // done is how long the engine has been reading until countedAt.
+	clearAt   time.Time     // expected end of the prefill of all requests
+	bookedTo  time.Time     // end of the booked prefill time
+	read      float64       // prefilled tokens in the speed samples, decayed
+	busy      float64       // seconds in the speed samples, decayed
+	done      time.Duration // total prefill time until countedAt
 	countedAt time.Time
 	prior     *Prior
-	first     time.Duration
-	stream    time.Duration // stream is how long a request usually keeps its slot.
-	lastBegan time.Time
+	first     time.Duration // latency of a first event beyond prefill
+	stream    time.Duration // average time that a request occupies its slot
+	lastBegan time.Time     // last first event
 }
 
 func (p *pace) speed() float64 {
 	return (p.prior.speed()*priorSeconds + p.read) / (priorSeconds + p.busy)
 }
 
-// Prior is how fast engines of one kind read, as far as any of them has shown: what is
-// expected of one that has shown nothing yet.
+// Prior is the prefill speed of engines of one kind, estimated from the samples of all
+// of them. It is the initial estimate for a new engine.
 type Prior struct {
-	guess float64 // tokens a second, before anything was measured
-	read  float64 // tokens read while busy, older ones weigh less
-	busy  float64 // the seconds that this took
+	guess float64 // tokens per second, without samples
+	read  float64 // prefilled tokens in the samples, decayed
+	busy  float64 // seconds in the samples, decayed
 }
 
-// NewPrior returns a prior of engines that are guessed to read so many tokens a second.
+// NewPrior returns a prior without samples.
 func NewPrior(tokensPerSecond float64) *Prior { return &Prior{guess: tokensPerSecond} }
 
 func (p *Prior) speed() float64 { return (p.guess*priorSeconds + p.read) / (priorSeconds + p.busy) }
@@ -67,9 +61,9 @@
 	return time.Duration(float64(tokens) / p.speed() * float64(time.Second))
 }
 
-// count adds the time since the last call in which the engine was reading. It does
-// not hang on first events: where none come, the engine still reads, or the process
-// that should hear of them is cut off.
+// count adds the time since the last call in which the engine was busy with prefill.
+// An engine whose first event is overdue counts as busy: it still prefills, or this
+// process is cut off from its events.
 func (p *pace) count(now time.Time, queue []*Run) {
 	until := p.clearAt
 	if len(queue) > 0 && now.After(queue[0].dueAt) || until.After(now) {
@@ -81,14 +75,13 @@
 	p.countedAt = later(p.countedAt, now)
 }
 
-// shareFor returns the part of the time for reading beside so many streams.
+// shareFor returns the share of time that may be booked for prefill beside running requests.
 func shareFor(running int) float64 {
 	return max(readShare-readSharePerRun*float64(running), readShareLeast)
 }
 
-// add puts a run to the end of what is to be read beside so many streams, and
-// returns when its first event is due. While a run waits for its copy the engine
-// reads others, so that a copy takes none of its time.
+// add appends a run to the backlog and returns the expected time of its first event.
+// A copy takes no prefill time, since the engine prefills other prompts meanwhile.
 func (p *pace) add(now time.Time, r *Run, running int) time.Time {
 	read := p.readTime(r.Read)
 	begins := later(later(p.clearAt, now), r.copied)
@@ -97,8 +90,8 @@
 	return begins.Add(read + p.first)
 }
 
-// resume makes the backlog what the queue holds, as of a first event that has
-// just come: what was read by then was read the time of a first event ago.
+// resume recomputes the backlog from the queue after a first event, whose prompt was
+// prefilled one first-event latency ago.
 func (p *pace) resume(now time.Time, queue []*Run) {
 	at := now.Add(-p.first)
 	for _, r := range queue {
@@ -109,13 +102,13 @@
 	p.clearAt = at
 }
 
-// learn measures the speed where this prompt had to wait for the one before it
-// to be read, and the time to the first event where the engine was idle.
+// learn samples the speed if this prompt waited for the prefill of the one before it,
+// and the first-event latency if the engine was idle.
 func (p *pace) learn(now time.Time, r *Run) {
 	defer func() { p.lastBegan = now }()
-	before := p.lastBegan.Add(-p.first) // when the prompt before was read
+	before := p.lastBegan.Add(-p.first) // end of the prefill of the prompt before
 	if r.copied.After(before) && r.copied.After(r.granted) {
-		return // the copy may have taken the time
+		return // the copy may account for the time
 	}
 	if before.After(r.granted) {
 		p.measure(r.Read, now.Sub(p.lastBegan))
@@ -124,8 +117,7 @@
 	took := now.Sub(r.granted)
 	spent := p.readTime(r.Read)
 	if took < spent && took >= leastFirst {
-		// Faster than it reads by the estimate, whatever else the time went into. What
-		// it was thought not to keep it may have kept, so one prompt proves little.
+		// Faster than the estimate. The prompt may have been cached, so the sample is bounded.
 		p.measure(r.Read, max(took, spent/mostFaster))
 		return
 	}
@@ -141,7 +133,7 @@
 	p.first += time.Duration(firstGain * float64(over-p.first))
 }
 
-// ended takes how long a request kept its slot.
+// ended samples the time that a request occupied its slot.
 func (p *pace) ended(took time.Duration) {
 	if p.stream == 0 {
 		p.stream = took
--- a/core/batch/pace_test.go
+++ b/core/batch/pace_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// An engine that is never asked for two prompts at a time shows its speed, too: where the
-// first guess is far too low, requests would be refused beside idle engines for ever.
+// A speed estimate that is far too low never rises on an engine with one prompt at a
+// time, so that requests are refused beside idle engines.
 func TestIdleEngineShowsItsSpeed(t *testing.T) {
 	const first = 47 * time.Millisecond
 	speed := 51_000.0
@@ -26,18 +26,18 @@
 	}
 }
 
-// One prompt that was kept, though it was thought not to be, does not make an engine fast.
+// A single prompt that was cached unexpectedly inflates the speed estimate.
 func TestOneKeptPromptProvesLittle(t *testing.T) {
 	e := NewEngine(32, 500_000, 40_000)
 	r := e.Start(start, prompt(1, 30_000), 10)
 	e.Begin(start.Add(20*time.Millisecond), r)
 	if s := e.Speed(); s > 1.8*40_000 {
-		t.Errorf("speed %.0f after one prompt", s)
+		t.Errorf("speed %.0f after one fast prompt, want at most 72000", s)
 	}
 	before := e.Speed()
 	r = e.Start(start.Add(time.Second), prompt(2, 30_000), 10)
 	e.Begin(start.Add(time.Second+time.Millisecond), r)
 	if s := e.Speed(); s != before {
-		t.Errorf("speed %.0f after a prompt that nobody can have read, %.0f before", s, before)
+		t.Errorf("speed %.0f after a prompt that must have been cached, want %.0f as before it", s, before)
 	}
 }
