--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package balance chooses targets of plain services from what this gateway
-// itself has seen of them: how much is under way, how long answers take, what
-// failed. It is a pure state machine without a goroutine of its own.
+// Package balance chooses targets of plain services by the requests in flight,
+// latencies and failures that this gateway has observed. Other gateways are not
+// consulted.
 package balance
 
 import (
@@ -16,52 +16,50 @@
 )
 
 const (
-	timeGain    = 0.1
-	errorGain   = 0.1
-	errorWeight = 3
-	firstGuess  = 20 * time.Millisecond // before any target has answered
+	timeGain    = 0.1                   // weight of a new sample in the latency
+	errorGain   = 0.1                   // weight of a new outcome in the error rate
+	errorWeight = 3                     // of the error rate in the cost of a target
+	firstGuess  = 20 * time.Millisecond // latency before any target has answered
 	avoidFirst  = 200 * time.Millisecond
 	avoidMax    = 4 * time.Second
-	// stuckFactor is how many usual times the oldest request may take before
-	// its target is taken for stuck.
+	// A target is stuck once a request takes stuckFactor times its usual latency, and
+	// at least stuckLeast.
 	stuckFactor = 8
 	stuckLeast  = 150 * time.Millisecond
-	otherHall   = 1.1 // weight of a target in another data hall
+	otherHall   = 1.1 // cost factor of a target in another data hall
 )
 
 type state struct {
 	underWay map[uint64]time.Time
-	usual    time.Duration // usual is 0 before the first answer.
-	errors   float64
-	failures int
+	usual    time.Duration // 0 before the first answer
+	errors   float64       // error rate
+	failures int           // consecutive failures
 	avoid    time.Time
-	cold     cold.Pacer // cold paces what it gets while it is cold.
+	cold     cold.Pacer // limits requests while the target is cold
 }
 
-// Balancer chooses targets.
+// Balancer chooses targets. It is not safe for concurrent use.
 type Balancer struct {
 	dataHall string
 	states   map[string]*state
-	usual    time.Duration // of all targets, for those that have not answered yet
+	usual    time.Duration // of all targets, used for those without an answer
 	next     uint64
 	draw     func() float64
 }
 
-// New returns a balancer of a gateway in a data hall; draw returns random numbers
-// between 0 and 1.
+// New returns the balancer of a gateway in a data hall. draw must return random numbers
+// in [0, 1).
 func New(dataHall string, draw func() float64) *Balancer {
 	return &Balancer{dataHall: dataHall, states: map[string]*state{}, usual: firstGuess, draw: draw}
 }
 
-// Limits bound what targets get beside their load.
+// Limits bound the requests to cold targets.
 type Limits struct {
-	// ColdRate is how many requests a second a cold target bears, 0 for any number,
-	// ColdShare the part of them that this gateway may send.
-	ColdRate  float64
-	ColdShare float64
+	ColdRate  float64 // requests per second that a cold target can serve, 0 for no limit
+	ColdShare float64 // this gateway's share of ColdRate
 }
 
-// Pick is a chosen target with the number by which its end is told.
+// Pick is a request in flight at its chosen target. Pass it to Done, Canceled or Failed.
 type Pick struct {
 	Target *routing.Target
 	number uint64
@@ -76,10 +74,9 @@
 	return s
 }
 
-// Choose returns the target where an answer is expected soonest, or nil where
-// there is none. It prefers targets that are not denied and not avoided, but
-// takes an avoided one rather than none. A cold one that has had what it bears is
-// not taken.
+// Choose returns the target with the lowest expected latency, or nil if there is none.
+// Denied targets and cold ones at their limit are never chosen, avoided ones only if
+// there is no other.
 func (b *Balancer) Choose(now time.Time, targets []*routing.Target, deny []string, l Limits) *Pick {
 	var best *routing.Target
 	bestAvoided, bestCost := true, 0.0
@@ -113,16 +110,15 @@
 	return &Pick{best, b.next}
 }
 
-// cold tells whether a target gets no more than a cold one bears. Each gateway begins a
-// cold period with a part of a request that is drawn, so that they do not all send their
-// first one at once.
+// cold reports whether the limit for cold targets applies to a target. Each gateway
+// starts a cold period with a random credit, so that their first requests are spread out.
 func (l Limits) cold(now time.Time, t *routing.Target) bool { return l.ColdRate > 0 && t.Cold(now) }
 
 func (b *Balancer) cost(s *state) float64 {
 	return float64(len(s.underWay)+1) * b.usualOf(s).Seconds() * (1 + errorWeight*s.errors)
 }
 
-// stuck tells whether the oldest request has been under way for far too long.
+// stuck reports whether any request has been in flight for far too long.
 func (b *Balancer) stuck(now time.Time, s *state) bool {
 	for _, since := range s.underWay {
 		if now.Sub(since) > max(stuckFactor*b.usualOf(s), stuckLeast) {
@@ -132,7 +128,7 @@
 	return false
 }
 
-// Usual returns how long an answer of a target usually takes.
+// Usual returns the average latency of a target.
 func (b *Balancer) Usual(id string) time.Duration { return b.usualOf(b.state(id)) }
 
 func (b *Balancer) usualOf(s *state) time.Duration {
@@ -142,7 +138,7 @@
 	return s.usual
 }
 
-// Done tells that a target answered.
+// Done records a successful answer.
 func (b *Balancer) Done(now time.Time, p *Pick) {
 	s := b.state(p.Target.ID)
 	took := now.Sub(s.underWay[p.number])
@@ -156,10 +152,10 @@
 	s.failures = 0
 }
 
-// Canceled tells that the caller has gone.
+// Canceled records that the caller disconnected.
 func (b *Balancer) Canceled(p *Pick) { delete(b.state(p.Target.ID).underWay, p.number) }
 
-// Failed tells that an attempt came to nothing.
+// Failed records a failed attempt.
 func (b *Balancer) Failed(now time.Time, p *Pick, o attempt.Outcome) {
 	s := b.state(p.Target.ID)
 	delete(s.underWay, p.number)
@@ -174,7 +170,7 @@
 	}
 }
 
-// Keep forgets all targets but those.
+// Keep removes the state of all targets that are not in the set.
 func (b *Balancer) Keep(targets *routing.TargetSet) {
 	for id := range b.states {
 		if targets.Find(id) == nil {
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// newBalancer returns a balancer whose draws are all a half.
+// newBalancer returns a balancer whose random numbers are all 0.5.
 func newBalancer(hall string) *Balancer { return New(hall, func() float64 { return 0.5 }) }
 
 func TestLeastBusyIsChosen(t *testing.T) {
@@ -32,7 +32,7 @@
 	}
 	for id, n := range seen {
 		if n != 3 {
-			t.Errorf("%s was chosen %d times of 9 with nothing ending", id, n)
+			t.Errorf("%s was chosen %d times of 9 while no request ends, want 3", id, n)
 		}
 	}
 }
@@ -43,11 +43,11 @@
 	targets[0].Leaving = true
 	for range 10 {
 		if p := b.Choose(start, targets, []string{"b"}, Limits{}); p == nil || p.Target.ID != "c" {
-			t.Fatalf("chose %+v", p)
+			t.Fatalf("chose %+v, want c", p)
 		}
 	}
 	if p := b.Choose(start, targets, []string{"b", "c"}, Limits{}); p != nil {
-		t.Errorf("chose %s with nothing left", p.Target.ID)
+		t.Errorf("chose %s, want none", p.Target.ID)
 	}
 }
 
@@ -65,7 +65,7 @@
 		now = now.Add(25 * time.Millisecond)
 	}
 	if tried < 1 || tried > 12 {
-		t.Errorf("an unreachable target was tried %d times in ten seconds beside two idle ones, want once to twelve times", tried)
+		t.Errorf("an unreachable target was tried %d times in ten seconds, want 1 to 12", tried)
 	}
 }
 
@@ -82,7 +82,7 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	if stuck > 8 {
-		t.Errorf("%d requests went to a target that never answers", stuck)
+		t.Errorf("%d requests went to a target that never answers, want at most 8", stuck)
 	}
 }
 
@@ -92,7 +92,7 @@
 	p := b.Choose(start, one, nil, Limits{})
 	b.Failed(start, p, attempt.NotSent)
 	if b.Choose(start, one, nil, Limits{}) == nil {
-		t.Error("the only target is not tried again")
+		t.Error("the only target is not chosen while it is avoided")
 	}
 }
 
@@ -110,7 +110,7 @@
 		now = now.Add(30 * time.Millisecond)
 	}
 	if failing > 60 {
-		t.Errorf("%d of 300 requests went to the failing one of three targets", failing)
+		t.Errorf("%d of 300 requests went to the failing one of three targets, want at most 60", failing)
 	}
 }
 
@@ -119,12 +119,12 @@
 	b.Choose(start, three(), nil, Limits{})
 	b.Keep((&routing.TargetSet{Targets: []routing.Target{{ID: "a"}}}).Build())
 	if len(b.states) > 1 {
-		t.Errorf("%d targets remembered, one is left", len(b.states))
+		t.Errorf("got the states of %d targets, want at most 1", len(b.states))
 	}
 }
 
-// A target that has started again is another one: what was under way, how it failed and how
-// fast it was is forgotten.
+// A restarted target inherits the requests in flight, failures and latency of its
+// earlier incarnation.
 func TestAnotherLifeIsAnotherTarget(t *testing.T) {
 	b := newBalancer("h1")
 	life := func(born int64) []*routing.Target {
@@ -137,28 +137,27 @@
 	b.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)[0]}}).Build())
 	b.Choose(start, life(2), nil, Limits{})
 	if len(b.states) != 1 || len(b.state(life(2)[0].ID).underWay) != 1 || b.Usual(life(2)[0].ID) != New("h1", nil).Usual("w") {
-		t.Errorf("the new life begins with %+v", b.state(life(2)[0].ID))
+		t.Errorf("the new incarnation starts with %+v, want only one request in flight", b.state(life(2)[0].ID))
 	}
 }
 
-// What an operator has evacuated gets nothing, not even where nothing else is there.
+// An evacuated target is chosen if there is no other.
 func TestEvacuatedIsNotChosen(t *testing.T) {
 	b := newBalancer("h1")
 	targets := three()
 	targets[0].Evacuated, targets[1].Evacuated = true, true
 	for range 10 {
 		if p := b.Choose(start, targets, nil, Limits{}); p == nil || p.Target.ID != "c" {
-			t.Fatalf("chose %+v", p)
+			t.Fatalf("chose %+v, want c", p)
 		}
 	}
 	targets[2].Evacuated = true
 	if p := b.Choose(start, targets, nil, Limits{}); p != nil {
-		t.Errorf("chose %s though all halls are evacuated", p.Target.ID)
+		t.Errorf("chose %s though all targets are evacuated", p.Target.ID)
 	}
 }
 
-// Gateways that choose by themselves send a cold target no more than it bears, all
-// together, and are back to the usual once it is warm.
+// Gateways together overload a cold target, or keep limiting it once it is warm.
 func TestColdTargetGetsWhatItBears(t *testing.T) {
 	const gateways, bears = 60, 6.0
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -173,11 +172,11 @@
 	after := 0
 	for step := range 5000 {
 		now := start.Add(time.Duration(step) * time.Millisecond)
-		for range 2 { // two thousand requests a second
+		for range 2 { // 2000 requests per second
 			b := fleet[rng.IntN(gateways)]
 			p := b.Choose(now, []*routing.Target{cold, warm}, nil, limits)
 			if p == nil {
-				t.Fatal("nothing is chosen though a warm target is there")
+				t.Fatal("no target is chosen though a warm one exists")
 			}
 			if p.Target == cold && cold.Cold(now) {
 				got = append(got, now)
@@ -193,10 +192,10 @@
 			n++
 		}
 		if n > bears*1.5+5 {
-			t.Fatalf("%d requests within a second", n)
+			t.Fatalf("%d requests to a cold target within a second, want at most 14", n)
 		}
 	}
 	if len(got) < bears || after == 0 {
-		t.Errorf("%d requests while cold, %d after it", len(got), after)
+		t.Errorf("%d requests while cold, want at least 6; %d once warm, want some", len(got), after)
 	}
 }
