--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -1,28 +1,29 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package attempt decides what follows an attempt at a target: another one, a
-// final answer, or the end of the connection. It is where "not run" is kept a
-// promise: once a target may have executed a request that must not be repeated,
-// nothing but the truth is left to tell.
+// Package attempt decides what follows an attempt to serve a request at a target:
+// another attempt, a final answer or the end of the connection.
+//
+// It guarantees that a request that must not be repeated is not sent again once a
+// target may have executed it, and that the caller never gets "not run" for it then.
 package attempt
 
 import (
 	"madderway/models/routing"
 )
 
-// Outcome is what is known after an attempt.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
 	NotSent  Outcome = iota + 1 // no byte was written to the target
-	NotRun                      // the target says that it did not execute the request
-	Unknown                     // the request was written; no usable answer came
-	Failed                      // the target executed it and answered with a failure
-	Cut                         // the answer broke off after its head was accepted
-	Expired                     // the time was over
-	Withheld                    // no byte was written, since the target leaves or wants rest
+	NotRun                      // the target rejected the request without executing it
+	Unknown                     // the request was written, but no usable answer came
+	Failed                      // the target executed the request and answered with an error
+	Cut                         // the answer broke off after its head
+	Expired                     // the deadline passed
+	Withheld                    // no byte was written, since the target is leaving or asked for a pause
 )
 
 // String returns the name of the outcome.
@@ -30,40 +31,40 @@
 	return [...]string{"none", "not_sent", "not_run", "unknown", "failed", "cut", "expired", "withheld"}[o]
 }
 
-// Next is what to do.
+// Next is the action after an attempt.
 type Next uint8
 
-// What to do next.
+// Actions after an attempt.
 const (
 	Again    Next = iota + 1 // try another target
-	Resume                   // go on at another target after the last event
-	Deliver                  // pass the target's failure on
-	Refuse                   // answer "not run" and when to come back
-	Unclear                  // answer that the outcome is not known
-	TimedOut                 // answer that the time is over
-	Abort                    // end the connection: a part of the answer is out
+	Resume                   // continue the stream at another target after the last event
+	Deliver                  // forward the target's error to the caller
+	Refuse                   // answer "not run" with a retry time
+	Unclear                  // answer that the outcome is unknown
+	TimedOut                 // answer that the deadline passed
+	Abort                    // close the connection, as part of the answer was forwarded
 )
 
-// String returns the name of what is done next.
+// String returns the name of the action.
 func (n Next) String() string {
 	return [...]string{"none", "again", "resume", "deliver", "refuse", "unclear", "timed_out", "abort"}[n]
 }
 
-// maxUnsent bounds how many targets are tried that cannot even be reached.
+// maxUnsent limits the targets tried without writing the request to them.
 const maxUnsent = 4
 
-// History is what has happened to a request so far.
+// History is the state of a request after an attempt.
 type History struct {
 	Route     *routing.Route
-	Sent      int  // targets that the request was written to, this attempt included
-	Unsent    int  // targets that could not be reached, this attempt included
-	MayHave   bool // MayHave tells that some target may have executed it.
-	HeadOut   bool // HeadOut tells that the head of an answer was passed on.
-	EventsOut bool // EventsOut tells that whole events were passed on.
+	Sent      int  // attempts that wrote the request, this one included
+	Unsent    int  // attempts that wrote nothing, this one included
+	MayHave   bool // some target may have executed the request
+	HeadOut   bool // the head of an answer was forwarded to the caller
+	EventsOut bool // complete events were forwarded to the caller
 }
 
-// Decide returns what follows an outcome. Budget tells whether another send to
-// a target is within the retry budget; it is asked only where it matters.
+// Decide returns the action after an outcome. budget reports whether the retry budget
+// permits another send; it is called only if the decision depends on it.
 func Decide(o Outcome, h History, budget func() bool) Next {
 	switch o {
 	case NotSent, Withheld:
@@ -104,7 +105,7 @@
 	return Abort
 }
 
-// giveUp ends a request that will not be tried again.
+// giveUp returns the final answer of a request that is not retried.
 func giveUp(h History) Next {
 	switch {
 	case h.HeadOut:
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -30,10 +30,10 @@
 		{"withheld everywhere", Withheld, History{Route: once, Unsent: maxUnsent}, true, Refuse},
 		{"withheld after one that may have run", Withheld, History{Route: once, Sent: 1, Unsent: maxUnsent, MayHave: true}, true, Unclear},
 		{"stream withheld from another target", Withheld, History{Route: resumable, Sent: 1, Unsent: 1, MayHave: true, HeadOut: true}, false, Resume},
-		{"turned away, another target", NotRun, History{Route: once, Sent: 1}, true, Again},
-		{"turned away, no budget", NotRun, History{Route: once, Sent: 1}, false, Refuse},
-		{"turned away by as many as allowed", NotRun, History{Route: once, Sent: 2}, true, Refuse},
-		{"turned away after one that may have run", NotRun, History{Route: safe, Sent: 2, MayHave: true}, true, Unclear},
+		{"rejected, another target", NotRun, History{Route: once, Sent: 1}, true, Again},
+		{"rejected, no budget", NotRun, History{Route: once, Sent: 1}, false, Refuse},
+		{"rejected by as many as allowed", NotRun, History{Route: once, Sent: 2}, true, Refuse},
+		{"rejected after one that may have run", NotRun, History{Route: safe, Sent: 2, MayHave: true}, true, Unclear},
 		{"may have run, once only", Unknown, History{Route: once, Sent: 1, MayHave: true}, true, Unclear},
 		{"may have run, safe", Unknown, History{Route: safe, Sent: 1, MayHave: true}, true, Again},
 		{"may have run, safe, no budget", Unknown, History{Route: safe, Sent: 1, MayHave: true}, false, Unclear},
@@ -45,20 +45,19 @@
 		{"resumable stream cut", Cut, History{Route: resumable, Sent: 1, MayHave: true, HeadOut: true}, true, Resume},
 		{"resumable stream cut before its head", Cut, History{Route: resumable, Sent: 1, MayHave: true}, true, Again},
 		{"resumable stream cut, no budget", Cut, History{Route: resumable, Sent: 1, MayHave: true, HeadOut: true}, false, Abort},
-		{"resuming refused", NotRun, History{Route: resumable, Sent: 2, MayHave: true, HeadOut: true}, true, Abort},
-		{"time over, sent", Expired, History{Route: once, Sent: 1, MayHave: true}, true, TimedOut},
-		{"time over, never sent", Expired, History{Route: once}, true, Refuse},
-		{"time over in a stream", Expired, History{Route: resumable, Sent: 1, MayHave: true, HeadOut: true}, true, Abort},
+		{"resumption rejected", NotRun, History{Route: resumable, Sent: 2, MayHave: true, HeadOut: true}, true, Abort},
+		{"deadline passed, sent", Expired, History{Route: once, Sent: 1, MayHave: true}, true, TimedOut},
+		{"deadline passed, never sent", Expired, History{Route: once}, true, Refuse},
+		{"deadline passed in a stream", Expired, History{Route: resumable, Sent: 1, MayHave: true, HeadOut: true}, true, Abort},
 	} {
 		if got := Decide(c.outcome, c.history, func() bool { return c.budget }); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// Whatever happens, a request that may have run and must not be repeated is
-// neither sent again nor called "not run", and a begun answer gets no second
-// head.
+// A request that may have run is repeated or reported as not run, or the caller gets a
+// second response head.
 func TestPromisesHoldInEveryState(t *testing.T) {
 	for _, route := range []*routing.Route{once, safe, stream, resumable} {
 		for outcome := NotSent; outcome <= Withheld; outcome++ {
@@ -73,13 +72,13 @@
 				}
 				ran := outcome == Unknown || outcome == Cut || outcome == Failed || outcome == Expired
 				if ran && !route.MayRepeat() && (next == Again || next == Resume) {
-					t.Errorf("outcome %d, %+v: sent again", outcome, h)
+					t.Errorf("outcome %d, %+v: sent again though it may have run", outcome, h)
 				}
 				if h.HeadOut && next != Abort && next != Resume {
-					t.Errorf("outcome %d, %+v: a second head would go out (%d)", outcome, h, next)
+					t.Errorf("outcome %d, %+v: got action %d, which sends a second head", outcome, h, next)
 				}
 				if next == Resume && !route.Resumable {
-					t.Errorf("outcome %d, %+v: resumed", outcome, h)
+					t.Errorf("outcome %d, %+v: resumed on a route that is not resumable", outcome, h)
 				}
 			}
 		}
