--- a/core/policy/call.go
+++ b/core/policy/call.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// call runs a function of the program; ok is false where it has none.
+// call runs a function of the program. ok is false if the program does not define it.
 func (p *Program) call(name string, args ...starlark.Value) (v starlark.Value, ok bool, err error) {
 	if p == nil || p.globals[name] == nil {
 		return nil, false, nil
@@ -78,8 +78,9 @@
 	return ErrPolicy{p.name, line, column, fmt.Sprintf("%s returned %s, not %s", name, got.Type(), want)}
 }
 
-// Order runs order(request, account). It returns a dict with any of the keys
-// class (string), rank (int), interactive (bool) and keep (bool).
+// Order runs order(request, account), which returns a dict with any of the keys class
+// (string), rank (int), interactive (bool) and keep (bool). Missing keys, a missing
+// function and errors fall back to DefaultOrder.
 func (p *Program) Order(r Request, a Account) (Order, error) {
 	o := DefaultOrder(r)
 	v, ok, err := p.call("order", r.value(), a.value())
@@ -124,9 +125,8 @@
 	return nil
 }
 
-// Retry runs retry(request, attempt), which returns whether the request may be
-// sent again after that attempt. The safe default is to repeat only what
-// provably did not run.
+// Retry runs retry(request, attempt), which returns whether the request may be sent
+// again after that attempt. By default only a request that provably did not run may.
 func (p *Program) Retry(r Request, a Attempt) (bool, error) {
 	safe := a.Outcome == "not_run"
 	v, ok, err := p.call("retry", r.value(), a.value())
@@ -140,8 +140,8 @@
 	return bool(b), nil
 }
 
-// Place runs place(request, target), which returns None where the request may
-// not go to the target, else a number; more is better.
+// Place runs place(request, target), which returns None if the request must not go to
+// the target, else a score; higher is better. By default all targets are allowed.
 func (p *Program) Place(r Request, t Target) (Placement, error) {
 	open := Placement{Allowed: true}
 	v, ok, err := p.call("place", r.value(), t.value())
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package policy compiles and runs the operators' Starlark programs. A program
-// may define order(request, account), retry(request, attempt) and
-// place(request, target); what it leaves out keeps the safe default.
+// Package policy compiles and runs the operators' Starlark programs. A program may
+// define order(request, account), retry(request, attempt) and place(request, target).
+// A function that is missing or fails is replaced by a safe default.
 package policy
 
 import (
@@ -15,13 +15,13 @@
 	"go.starlark.net/syntax"
 )
 
-// StepLimit is how many Starlark steps one call may take.
+// StepLimit is the maximum number of Starlark steps of one call.
 const StepLimit = 20_000
 
-// ErrBadPolicy is the general kind of all errors of this package.
+// ErrBadPolicy is wrapped by all errors of this package.
 var ErrBadPolicy = errors.New("bad policy")
 
-// ErrPolicy tells where and why a policy failed.
+// ErrPolicy is a compile or run error of a policy with its position.
 type ErrPolicy struct {
 	Policy string
 	Line   int
@@ -43,14 +43,14 @@
 	return errors.As(err, &e)
 }
 
-// Request is what a policy sees of a request.
+// Request holds the request attributes that policies can read.
 type Request struct {
 	Account   string
 	Pool      string
 	Model     string
 	Method    string
 	Path      string
-	Class     string // Class is what the caller asked for, or "".
+	Class     string // requested class, or ""
 	Bytes     int
 	MaxTokens int
 	Stream    bool
@@ -58,21 +58,21 @@
 	DataHall  string
 }
 
-// Account is what a policy sees of a client account.
+// Account holds the client account attributes that policies can read.
 type Account struct {
 	Name   string
 	Weight float64
 	Queued int
 }
 
-// Attempt is what a policy sees of an attempt that did not succeed.
+// Attempt describes a failed attempt to a policy.
 type Attempt struct {
 	Number  int
-	Outcome string // Outcome is "not_run", "failed" or "unknown".
+	Outcome string // "not_run", "failed" or "unknown"
 	Status  int
 }
 
-// Target is what a policy sees of a target.
+// Target holds the target attributes that policies can read.
 type Target struct {
 	Name     string
 	Pool     string
@@ -81,31 +81,31 @@
 	SameHall bool
 }
 
-// Order is a policy's decision of who goes first.
+// Order is a policy's decision on the priority of a request.
 type Order struct {
 	Class       string
-	Rank        int  // Rank orders the requests of one account, lowest first.
-	Interactive bool // Interactive requests get the pool's head start.
-	Keep        bool // Keep stores the answer when the caller has gone.
+	Rank        int  // orders the requests of one account, lowest first
+	Interactive bool // gets the pool's head start
+	Keep        bool // store the answer if the caller disconnected
 }
 
-// Placement is a policy's decision of where work may go.
+// Placement is a policy's decision on a request and a target.
 type Placement struct {
 	Allowed bool
 	Score   float64
 }
 
-// The classes of the default order.
+// Classes of the default order.
 const (
 	ClassInteractive = "interactive"
 	ClassLong        = "long"
 )
 
-// LongTokens is from how many output tokens on the default order calls a
-// request long.
+// LongTokens is the number of output tokens from which DefaultOrder classifies a
+// request as long.
 const LongTokens = 512
 
-// DefaultOrder is the order where a policy is absent or fails.
+// DefaultOrder returns the order of a request without a policy.
 func DefaultOrder(r Request) Order {
 	if r.Class == ClassLong || r.Class == "" && r.MaxTokens >= LongTokens {
 		return Order{Class: ClassLong, Rank: 10, Keep: true}
@@ -113,13 +113,13 @@
 	return Order{Class: ClassInteractive, Interactive: true}
 }
 
-// Program is a compiled policy. It may be used by several goroutines.
+// Program is a compiled policy. It is safe for concurrent use. A nil Program has the defaults.
 type Program struct {
 	name    string
 	globals starlark.StringDict
 }
 
-// Compile parses and initialises a policy and runs it against samples.
+// Compile parses and initializes a policy and checks it against Samples.
 func Compile(name, source string) (*Program, error) {
 	thread := newThread(name)
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{Set: true}, thread, name+".star", source, nil)
@@ -157,8 +157,8 @@
 	return ErrPolicy{Policy: name, Reason: err.Error()}
 }
 
-// lastPosition is the innermost position that lies in the program's text;
-// built-in functions have none.
+// lastPosition returns the innermost position in the program's text. Built-in
+// functions have no position.
 func lastPosition(stack starlark.CallStack) syntax.Position {
 	for i := len(stack) - 1; i >= 0; i-- {
 		if stack[i].Pos.Line > 0 {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// Samples are the requests that a policy must handle to be accepted.
+// Samples returns requests that a policy must handle without an error to be accepted.
 func Samples() []Request {
 	return []Request{
 		{Account: "sample", Pool: "chat", Model: "model", Method: "POST", Path: "/v1/chat/completions", Class: ClassLong, Bytes: 4096, MaxTokens: 4096, Stream: true, DataHall: "hall"},
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -26,7 +26,7 @@
 		}
 		p := compile(t, string(source))
 		if ok, err := p.Retry(Request{Pool: map[string]string{"core-logging": "samples", "haddad": "booking"}[name], Method: "POST"}, Attempt{Number: 1, Outcome: "unknown"}); ok || err != nil {
-			t.Errorf("%s would repeat a submission that may have run: %v", name, err)
+			t.Errorf("%s allows to repeat a submission that may have run: %v", name, err)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 		_, err := Compile("p", c.source)
 		var e ErrPolicy
 		if !errors.As(err, &e) || e.Line != c.line || c.column != 0 && e.Column != c.column {
-			t.Errorf("%q: got %v", c.source, err)
+			t.Errorf("%q: got %v, want an error at the position of the test case", c.source, err)
 		}
 	}
 }
@@ -56,30 +56,30 @@
 	var none *Program
 	r := Request{MaxTokens: 4096}
 	if o, err := none.Order(r, Account{}); err != nil || o != DefaultOrder(r) || !o.Keep {
-		t.Errorf("order %+v, %v", o, err)
+		t.Errorf("got order %+v, %v, want the default", o, err)
 	}
 	for outcome, want := range map[string]bool{"not_run": true, "failed": false, "unknown": false} {
 		if ok, err := none.Retry(r, Attempt{Outcome: outcome}); err != nil || ok != want {
-			t.Errorf("retry after %s: %t, %v", outcome, ok, err)
+			t.Errorf("retry after %s: got %t, %v, want only after not_run", outcome, ok, err)
 		}
 	}
 	if p, err := none.Place(r, Target{}); err != nil || !p.Allowed {
-		t.Errorf("place %+v, %v", p, err)
+		t.Errorf("got placement %+v, %v, want allowed", p, err)
 	}
-	// A policy that fails for one request falls back for that request.
+	// A policy that fails for one request falls back to the default for it.
 	p := compile(t, "def retry(request, attempt):\n  if request.model == 'bad': fail('no')\n  return True\n")
 	if ok, err := p.Retry(Request{Model: "bad"}, Attempt{Outcome: "unknown"}); err == nil || ok {
-		t.Errorf("a failed policy allowed a retry: %t, %v", ok, err)
+		t.Errorf("got retry %t and error %v of a failed policy, want false and an error", ok, err)
 	}
 }
 
 func TestPlaceForbids(t *testing.T) {
 	p := compile(t, "def place(request, target):\n  return None if target.region == 'far' else 2\n")
 	if got, err := p.Place(Request{}, Target{Region: "far"}); err != nil || got.Allowed {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("far target: got %+v, %v, want not allowed", got, err)
 	}
 	if got, err := p.Place(Request{}, Target{Region: "near"}); err != nil || !got.Allowed || got.Score != 2 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("near target: got %+v, %v, want allowed with score 2", got, err)
 	}
 }
 
@@ -92,10 +92,10 @@
 		if err != nil {
 			return
 		}
-		// What was accepted handles the samples.
+		// An accepted policy must handle the samples again.
 		for _, r := range Samples() {
 			if _, err := p.Order(r, Account{Name: "sample", Weight: 1}); err != nil {
-				t.Errorf("accepted, then failed: %v", err)
+				t.Errorf("an accepted policy failed on a sample: %v", err)
 			}
 		}
 	})
