--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package naive is the baseline to compare with: each router decides alone
-// from the targets' lagging load reports. It shares the interface of the
-// fleet's dispatcher and stays runnable.
+// Package naive implements a baseline dispatcher for comparisons: each router decides
+// alone, from load reports of the targets that may be out of date.
 package naive
 
 import (
@@ -19,7 +18,7 @@
 type target struct {
 	reported int
 	slots    int
-	sent     int // sent counts own starts since the last report.
+	sent     int // own starts since the last report
 }
 
 type job struct {
@@ -29,8 +28,8 @@
 
 type key struct{ account, pool string }
 
-// Dispatcher sends each request at once to the target with the least reported
-// load, in the order of the service that this router alone has given.
+// Dispatcher sends requests to the target with the lowest reported load. Accounts take
+// turns by the service that this router has given them.
 type Dispatcher struct {
 	queues  map[key][]job
 	ledgers map[string]*fair.Ledger
@@ -159,8 +158,8 @@
 	return out
 }
 
-// leastLoaded returns the target with the lowest reported share of busy slots
-// that has, as far as this router knows, a free one.
+// leastLoaded returns the target with the lowest known share of busy slots, or "" if
+// none has a free slot.
 func (d *Dispatcher) leastLoaded(pool string) string {
 	best, bestLoad := "", 1.0
 	for _, r := range d.routes[pool] {
