--- a/core/batch/cache.go
+++ b/core/batch/cache.go
@@ -15,33 +15,33 @@
 	"madderway/models/routing"
 )
 
-// kept is a prompt part in the engine's memory. It is a cache hit only if all parts
+// cachedPart is a prompt part in the engine's memory. It is a cache hit only if all parts
 // before it in the prompt are cached, too.
-type kept struct {
-	id     uint64
-	tokens int
-	pins   int  // running requests that use it
-	read   bool // false while a request still has to prefill it
-	usedAt time.Time
-	at     *list.Element
+type cachedPart struct {
+	id        uint64
+	tokens    int
+	pins      int  // running requests that use it
+	prefilled bool // false while a request still has to prefill it
+	usedAt    time.Time
+	elem      *list.Element
 }
 
 // cache estimates the engine's prefix cache, with LRU eviction.
 type cache struct {
-	capacity int
-	used     int // tokens of all parts
-	pinned   int // tokens of the parts in use
-	outputs  int // tokens that running requests may generate
-	parts    map[uint64]*kept
-	order    *list.List // least recently used first
+	capacity     int
+	usedTokens   int // tokens of all parts
+	pinnedTokens int // tokens of the parts in use
+	outputTokens int // tokens that running requests may generate
+	parts        map[uint64]*cachedPart
+	lru          *list.List // least recently used first
 }
 
 func newCache(capacity int) *cache {
-	return &cache{capacity: capacity, parts: map[uint64]*kept{}, order: list.New()}
+	return &cache{capacity: capacity, parts: map[uint64]*cachedPart{}, lru: list.New()}
 }
 
-// hit returns the tokens at the beginning of the prompt that are cached.
-func (c *cache) hit(parts []routing.PromptPart) int {
+// hitTokens returns the tokens at the beginning of the prompt that are cached.
+func (c *cache) hitTokens(parts []routing.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		if _, ok := c.parts[p.ID]; !ok {
@@ -52,13 +52,13 @@
 	return tokens
 }
 
-// ready returns the tokens at the beginning of the prompt that are prefilled, so that
+// copyableTokens returns the tokens at the beginning of the prompt that are prefilled, so that
 // another engine can copy them.
-func (c *cache) ready(parts []routing.PromptPart) int {
+func (c *cache) copyableTokens(parts []routing.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		k, ok := c.parts[p.ID]
-		if !ok || !k.read {
+		if !ok || !k.prefilled {
 			break
 		}
 		tokens += p.Tokens
@@ -66,19 +66,19 @@
 	return tokens
 }
 
-// markRead marks the parts of a request as prefilled.
-func (c *cache) markRead(parts []routing.PromptPart) {
+// markPrefilled marks the parts of a request as prefilled.
+func (c *cache) markPrefilled(parts []routing.PromptPart) {
 	for _, p := range parts {
 		if k, ok := c.parts[p.ID]; ok {
-			k.read = true
+			k.prefilled = true
 		}
 	}
 }
 
-// forgetUnread drops unused parts that were never prefilled.
-func (c *cache) forgetUnread(parts []routing.PromptPart) {
+// dropNotPrefilled drops unused parts that were never prefilled.
+func (c *cache) dropNotPrefilled(parts []routing.PromptPart) {
 	for _, p := range parts {
-		if k, ok := c.parts[p.ID]; ok && !k.read && k.pins == 0 {
+		if k, ok := c.parts[p.ID]; ok && !k.prefilled && k.pins == 0 {
 			c.drop(k)
 		}
 	}
@@ -89,15 +89,15 @@
 	for _, p := range parts {
 		k, ok := c.parts[p.ID]
 		if !ok {
-			k = &kept{id: p.ID, tokens: p.Tokens}
-			k.at = c.order.PushBack(k)
+			k = &cachedPart{id: p.ID, tokens: p.Tokens}
+			k.elem = c.lru.PushBack(k)
 			c.parts[p.ID] = k
-			c.used += p.Tokens
+			c.usedTokens += p.Tokens
 		}
-		c.order.MoveToBack(k.at)
+		c.lru.MoveToBack(k.elem)
 		k.usedAt = now
 		if k.pins == 0 {
-			c.pinned += k.tokens
+			c.pinnedTokens += k.tokens
 		}
 		k.pins++
 	}
@@ -114,7 +114,7 @@
 		k.pins--
 		k.usedAt = now
 		if k.pins == 0 {
-			c.pinned -= k.tokens
+			c.pinnedTokens -= k.tokens
 		}
 	}
 	c.evict()
@@ -122,8 +122,8 @@
 
 // evict drops the least recently used parts that are not pinned until the rest fits.
 func (c *cache) evict() {
-	for at := c.order.Front(); at != nil && c.used+c.outputs > c.capacity; {
-		k, next := at.Value.(*kept), at.Next()
+	for at := c.lru.Front(); at != nil && c.usedTokens+c.outputTokens > c.capacity; {
+		k, next := at.Value.(*cachedPart), at.Next()
 		if k.pins == 0 {
 			c.drop(k)
 		}
@@ -131,23 +131,23 @@
 	}
 }
 
-// learn replaces the cached parts by those that the engine reported at a time. Parts
+// sync replaces the cached parts by those that the engine reported at a time. Parts
 // that are pinned or were used since stay. New parts count as least recently used,
 // since the engine does not report when it used them.
-func (c *cache) learn(at time.Time, parts []routing.PromptPart) {
+func (c *cache) sync(at time.Time, parts []routing.PromptPart) {
 	told := make(map[uint64]bool, len(parts))
 	for _, p := range parts {
 		told[p.ID] = true
 		if k, ok := c.parts[p.ID]; ok || p.Tokens <= 0 {
 			if ok {
-				k.read = true
+				k.prefilled = true
 			}
 			continue
 		}
-		k := &kept{id: p.ID, tokens: p.Tokens, read: true, usedAt: at}
-		k.at = c.order.PushFront(k)
+		k := &cachedPart{id: p.ID, tokens: p.Tokens, prefilled: true, usedAt: at}
+		k.elem = c.lru.PushFront(k)
 		c.parts[p.ID] = k
-		c.used += p.Tokens
+		c.usedTokens += p.Tokens
 	}
 	for _, k := range c.parts {
 		if !told[k.id] && k.pins == 0 && k.usedAt.Before(at) {
@@ -157,11 +157,11 @@
 	c.evict()
 }
 
-func (c *cache) drop(k *kept) {
-	c.order.Remove(k.at)
+func (c *cache) drop(k *cachedPart) {
+	c.lru.Remove(k.elem)
 	delete(c.parts, k.id)
-	c.used -= k.tokens
+	c.usedTokens -= k.tokens
 }
 
-// room returns the tokens that are free or evictable.
-func (c *cache) room() int { return c.capacity - c.pinned - c.outputs }
+// available returns the tokens that are free or evictable.
+func (c *cache) available() int { return c.capacity - c.pinnedTokens - c.outputTokens }
--- a/core/batch/cache_test.go
+++ b/core/batch/cache_test.go
@@ -28,8 +28,8 @@
 			t.Errorf("part %d cached: %v, want %v", id, got, kept)
 		}
 	}
-	if e.cache.used != 4000 {
-		t.Errorf("%d tokens in memory, want 4000", e.cache.used)
+	if e.cache.usedTokens != 4000 {
+		t.Errorf("%d tokens in memory, want 4000", e.cache.usedTokens)
 	}
 }
 
@@ -84,7 +84,7 @@
 		parts = append(parts, routing.PromptPart{ID: id, Tokens: 1000})
 	}
 	e.Learn(start.Add(time.Second), parts)
-	if e.cache.used > 10_000 || e.Missing(prompt(1, 4000)) != 1 {
-		t.Errorf("%d tokens in memory, want at most 10000; %d uncached tokens of a running prompt, want 1", e.cache.used, e.Missing(prompt(1, 4000)))
+	if e.cache.usedTokens > 10_000 || e.Missing(prompt(1, 4000)) != 1 {
+		t.Errorf("%d tokens in memory, want at most 10000; %d uncached tokens of a running prompt, want 1", e.cache.usedTokens, e.Missing(prompt(1, 4000)))
 	}
 }
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -28,13 +28,13 @@
 
 // Run is one request at the engine.
 type Run struct {
-	Prompt  *routing.Prompt
-	Output  int // expected output tokens
-	Read    int // prompt tokens that the engine has to prefill
-	granted time.Time
-	copied  time.Time // expected end of the copy from another engine
-	dueAt   time.Time // expected time of the first event
-	begun   bool
+	Prompt     *routing.Prompt
+	Output     int // expected output tokens
+	Read       int // prompt tokens that the engine has to prefill
+	startedAt  time.Time
+	copyDoneAt time.Time // expected end of the copy from another engine
+	dueAt      time.Time // expected time of the first event
+	begun      bool
 }
 
 // Begun reports whether the first event of the run has come.
@@ -42,12 +42,12 @@
 
 // Engine estimates the state of one target. It is not safe for concurrent use.
 type Engine struct {
-	slots int
-	cache *cache
-	runs  map[*Run]struct{}
-	queue []*Run // runs without a first event, in the order of their start
-	pace  pace
-	state health
+	slots        int
+	cache        *cache
+	runs         map[*Run]struct{}
+	prefillQueue []*Run // runs without a first event, in the order of their start
+	pace         pace
+	health       health
 }
 
 // NewEngine returns the model of an idle engine with an assumed prefill speed.
@@ -72,21 +72,21 @@
 func (e *Engine) Empty() bool { return len(e.runs) == 0 }
 
 // Missing returns the prompt tokens that the engine would have to prefill, at least 1.
-func (e *Engine) Missing(p *routing.Prompt) int { return max(p.Tokens-e.cache.hit(p.Parts), 1) }
+func (e *Engine) Missing(p *routing.Prompt) int { return max(p.Tokens-e.cache.hitTokens(p.Parts), 1) }
 
 // ReadingTime returns the total time that the engine has spent on prefill. An engine
 // whose first event is overdue counts as busy.
 func (e *Engine) ReadingTime(now time.Time) time.Duration {
-	e.pace.count(now, e.queue)
+	e.pace.count(now, e.prefillQueue)
 	return e.pace.done
 }
 
 // Ready returns the tokens at the beginning of the prompt that another engine can copy
 // from this one.
-func (e *Engine) Ready(p *routing.Prompt) int { return min(e.cache.ready(p.Parts), p.Tokens) }
+func (e *Engine) Ready(p *routing.Prompt) int { return min(e.cache.copyableTokens(p.Parts), p.Tokens) }
 
 // Fits reports whether the engine has memory for a request.
-func (e *Engine) Fits(missing, output int) bool { return missing+output <= e.cache.room() }
+func (e *Engine) Fits(missing, output int) bool { return missing+output <= e.cache.available() }
 
 // SlotWait returns the expected time until a slot is free.
 func (e *Engine) SlotWait() time.Duration {
@@ -100,8 +100,8 @@
 // The delay of an overdue first event is added, as it delays all later ones.
 func (e *Engine) Backlog(now time.Time) time.Duration {
 	late := time.Duration(0)
-	if len(e.queue) > 0 {
-		late = max(now.Sub(e.queue[0].dueAt), 0)
+	if len(e.prefillQueue) > 0 {
+		late = max(now.Sub(e.prefillQueue[0].dueAt), 0)
 	}
 	return max(e.pace.clearAt.Sub(now), 0) + late
 }
@@ -120,11 +120,11 @@
 // StartCopy adds a request for which the engine copies tokens of the prompt from
 // another engine. The copy takes the given time.
 func (e *Engine) StartCopy(now time.Time, p *routing.Prompt, output, tokens int, takes time.Duration) *Run {
-	e.pace.count(now, e.queue)
-	r := &Run{Prompt: p, Output: output, Read: max(e.Missing(p)-tokens, 1), granted: now, copied: now.Add(takes)}
+	e.pace.count(now, e.prefillQueue)
+	r := &Run{Prompt: p, Output: output, Read: max(e.Missing(p)-tokens, 1), startedAt: now, copyDoneAt: now.Add(takes)}
 	e.runs[r] = struct{}{}
-	e.queue = append(e.queue, r)
-	e.cache.outputs += output
+	e.prefillQueue = append(e.prefillQueue, r)
+	e.cache.outputTokens += output
 	e.cache.pin(now, p.Parts)
 	r.dueAt = e.pace.add(now, r, len(e.runs))
 	return r
@@ -135,40 +135,40 @@
 	if r.begun {
 		return
 	}
-	e.pace.count(now, e.queue)
-	e.unqueue(r)
-	e.cache.markRead(r.Prompt.Parts)
-	e.state.begun()
+	e.pace.count(now, e.prefillQueue)
+	e.dequeue(r)
+	e.cache.markPrefilled(r.Prompt.Parts)
+	e.health.begun()
 	e.pace.learn(now, r)
-	e.pace.resume(now, e.queue)
+	e.pace.resume(now, e.prefillQueue)
 }
 
 // Adopt adds a request that another scheduler sent to the engine. If it has not begun,
 // only its last part counts as uncached, since that scheduler chose a target with the
 // shared parts in its cache.
 func (e *Engine) Adopt(now time.Time, p *routing.Prompt, output int, begun bool) *Run {
-	r := &Run{Prompt: p, Output: output, granted: now, copied: now, begun: begun}
+	r := &Run{Prompt: p, Output: output, startedAt: now, copyDoneAt: now, begun: begun}
 	e.runs[r] = struct{}{}
-	e.cache.outputs += output
+	e.cache.outputTokens += output
 	e.cache.pin(now, p.Parts)
 	if begun {
-		e.cache.markRead(p.Parts)
+		e.cache.markPrefilled(p.Parts)
 		return r
 	}
-	e.pace.count(now, e.queue)
+	e.pace.count(now, e.prefillQueue)
 	r.Read = min(p.Own(), p.Tokens)
-	e.queue = append(e.queue, r)
+	e.prefillQueue = append(e.prefillQueue, r)
 	r.dueAt = e.pace.add(now, r, len(e.runs))
 	return r
 }
 
 // Learn replaces the estimated cache by the parts that the engine reported at a time.
-func (e *Engine) Learn(at time.Time, parts []routing.PromptPart) { e.cache.learn(at, parts) }
+func (e *Engine) Learn(at time.Time, parts []routing.PromptPart) { e.cache.sync(at, parts) }
 
-func (e *Engine) unqueue(r *Run) {
+func (e *Engine) dequeue(r *Run) {
 	r.begun = true
-	if i := slices.Index(e.queue, r); i >= 0 {
-		e.queue = slices.Delete(e.queue, i, i+1)
+	if i := slices.Index(e.prefillQueue, r); i >= 0 {
+		e.prefillQueue = slices.Delete(e.prefillQueue, i, i+1)
 	}
 }
 
@@ -179,34 +179,34 @@
 	}
 	delete(e.runs, r)
 	if r.begun && o == OutcomeDone {
-		e.pace.ended(now.Sub(r.granted))
+		e.pace.ended(now.Sub(r.startedAt))
 	}
-	e.state.ended(now, r, o, e.silent(now))
+	e.health.recordOutcome(now, r, o, e.silent(now))
 	if !r.begun {
-		e.pace.count(now, e.queue)
-		e.unqueue(r)
-		e.pace.resume(now, e.queue)
+		e.pace.count(now, e.prefillQueue)
+		e.dequeue(r)
+		e.pace.resume(now, e.prefillQueue)
 	}
-	e.cache.outputs -= r.Output
+	e.cache.outputTokens -= r.Output
 	if o == OutcomeDone {
-		e.cache.markRead(r.Prompt.Parts)
+		e.cache.markPrefilled(r.Prompt.Parts)
 	}
 	e.cache.unpin(now, r.Prompt.Parts)
-	e.cache.forgetUnread(r.Prompt.Parts)
+	e.cache.dropNotPrefilled(r.Prompt.Parts)
 }
 
 // Usable reports whether new requests may be sent to the engine.
-func (e *Engine) Usable(now time.Time) bool { return e.state.usable(now) && !e.silent(now) }
+func (e *Engine) Usable(now time.Time) bool { return e.health.usable(now) && !e.silent(now) }
 
 // Errors returns the decayed share of failed runs.
-func (e *Engine) Errors(now time.Time) float64 { return e.state.share(now) }
+func (e *Engine) Errors(now time.Time) float64 { return e.health.errorRate(now) }
 
 // silent reports whether a first event is long overdue and no other run has begun
 // since.
 func (e *Engine) silent(now time.Time) bool {
-	if len(e.queue) == 0 {
+	if len(e.prefillQueue) == 0 {
 		return false
 	}
-	r := e.queue[0]
-	return r.granted.After(e.pace.lastBegan) && now.Sub(r.granted) > lateFactor*r.dueAt.Sub(r.granted)+lateSlack
+	r := e.prefillQueue[0]
+	return r.startedAt.After(e.pace.lastBegan) && now.Sub(r.startedAt) > silentFactor*r.dueAt.Sub(r.startedAt)+silentSlack
 }
--- a/core/batch/health.go
+++ b/core/batch/health.go
@@ -9,54 +9,54 @@
 )
 
 const (
-	errorGain = 0.15            // weight of a new outcome in the error rate
-	errorHalf = 2 * time.Second // half-life of the error rate without new outcomes
-	// An engine is silent once a first event takes lateFactor times the expected time
+	errorGain     = 0.15            // weight of a new outcome in the error rate
+	errorHalfLife = 2 * time.Second // half-life of the error rate without new outcomes
+	// An engine is silent once a first event takes silentFactor times the expected time
 	// plus lateSlack.
-	lateFactor = 3
-	lateSlack  = 400 * time.Millisecond
+	silentFactor = 3
+	silentSlack  = 400 * time.Millisecond
 
-	avoidFirst   = 250 * time.Millisecond
-	avoidMax     = 4 * time.Second
-	maxDoublings = 4
-	fullPause    = 120 * time.Millisecond
-	movedPause   = 10 * time.Second
+	avoidFirst    = 250 * time.Millisecond
+	avoidMax      = 4 * time.Second
+	maxDoublings  = 4
+	rejectedPause = 120 * time.Millisecond
+	movedPause    = 10 * time.Second
 )
 
 // health tracks failures of an engine and the backoff after them.
 type health struct {
-	errors     float64 // error rate at errorsAt
-	errorsAt   time.Time
+	rate       float64 // error rate at errorsAt
+	rateAt     time.Time
 	failures   int // consecutive backoffs without a success
 	avoidUntil time.Time
 }
 
 func (h *health) usable(now time.Time) bool { return !now.Before(h.avoidUntil) }
 
-// share returns the error rate. It decays over time, so that an engine that gets no
+// errorRate returns the error rate. It decays over time, so that an engine that gets no
 // requests because of it is tried again.
-func (h *health) share(now time.Time) float64 {
-	since := now.Sub(h.errorsAt)
+func (h *health) errorRate(now time.Time) float64 {
+	since := now.Sub(h.rateAt)
 	if since <= 0 {
-		return h.errors
+		return h.rate
 	}
-	return h.errors * math.Exp2(-float64(since)/float64(errorHalf))
+	return h.rate * math.Exp2(-float64(since)/float64(errorHalfLife))
 }
 
-func (h *health) set(now time.Time, errors float64) { h.errors, h.errorsAt = errors, now }
+func (h *health) setErrorRate(now time.Time, errors float64) { h.rate, h.rateAt = errors, now }
 
 func (h *health) begun() { h.failures = 0 }
 
-// ended records the outcome of a run. A broken or failed run counts toward the error
+// recordOutcome records the outcome of a run. A broken or failed run counts toward the error
 // rate only before its first event: later breaks often come from connections, many at
 // a time. Neither avoids the engine.
-func (h *health) ended(now time.Time, r *Run, o Outcome, silent bool) {
+func (h *health) recordOutcome(now time.Time, r *Run, o Outcome, silent bool) {
 	switch o {
 	case OutcomeDone:
-		h.set(now, (1-errorGain)*h.share(now))
+		h.setErrorRate(now, (1-errorGain)*h.errorRate(now))
 		h.failures = 0
 	case OutcomeFull:
-		h.avoidUntil = later(h.avoidUntil, now.Add(fullPause))
+		h.avoidUntil = later(h.avoidUntil, now.Add(rejectedPause))
 	case OutcomeMoved:
 		h.avoidUntil = later(h.avoidUntil, now.Add(movedPause))
 	case OutcomeNotSent:
@@ -67,7 +67,7 @@
 		}
 	case OutcomeBroken, OutcomeFailed:
 		if !r.begun {
-			h.set(now, h.share(now)+errorGain*(1-h.share(now)))
+			h.setErrorRate(now, h.errorRate(now)+errorGain*(1-h.errorRate(now)))
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // avoid backs off from the engine, twice as long each time. Failures of runs that
 // started before the last backoff ended are ignored.
 func (h *health) avoid(now time.Time, r *Run) {
-	if now.Before(h.avoidUntil) || r.granted.Before(h.avoidUntil) && h.failures > 0 {
+	if now.Before(h.avoidUntil) || r.startedAt.Before(h.avoidUntil) && h.failures > 0 {
 		return
 	}
 	pause := min(avoidFirst<<min(h.failures, maxDoublings), avoidMax)
--- a/core/batch/pace.go
+++ b/core/batch/pace.go
@@ -84,7 +84,7 @@
 // A copy takes no prefill time, since the engine prefills other prompts meanwhile.
 func (p *pace) add(now time.Time, r *Run, running int) time.Time {
 	read := p.readTime(r.Read)
-	begins := later(later(p.clearAt, now), r.copied)
+	begins := later(later(p.clearAt, now), r.copyDoneAt)
 	p.clearAt = later(p.clearAt, now).Add(read)
 	p.bookedTo = later(p.bookedTo, now).Add(time.Duration(float64(read) / shareFor(running)))
 	return begins.Add(read + p.first)
@@ -96,8 +96,8 @@
 	at := now.Add(-p.first)
 	for _, r := range queue {
 		read := p.readTime(r.Read)
-		r.dueAt = later(later(at, r.granted), r.copied).Add(read + p.first)
-		at = later(at, r.granted).Add(read)
+		r.dueAt = later(later(at, r.startedAt), r.copyDoneAt).Add(read + p.first)
+		at = later(at, r.startedAt).Add(read)
 	}
 	p.clearAt = at
 }
@@ -107,14 +107,14 @@
 func (p *pace) learn(now time.Time, r *Run) {
 	defer func() { p.lastBegan = now }()
 	before := p.lastBegan.Add(-p.first) // end of the prefill of the prompt before
-	if r.copied.After(before) && r.copied.After(r.granted) {
+	if r.copyDoneAt.After(before) && r.copyDoneAt.After(r.startedAt) {
 		return // the copy may account for the time
 	}
-	if before.After(r.granted) {
+	if before.After(r.startedAt) {
 		p.measure(r.Read, now.Sub(p.lastBegan))
 		return
 	}
-	took := now.Sub(r.granted)
+	took := now.Sub(r.startedAt)
 	spent := p.readTime(r.Read)
 	if took < spent && took >= leastFirst {
 		// Faster than the estimate. The prompt may have been cached, so the sample is bounded.
