--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -46,7 +46,7 @@
 	cache        *cache
 	runs         map[*Run]struct{}
 	prefillQueue []*Run // runs without a first event, in the order of their start
-	pace         pace
+	prefill      prefillEstimator
 	health       health
 }
 
@@ -58,12 +58,12 @@
 // NewEngineLike returns the model of an idle engine that shares a Prior with others of its kind.
 func NewEngineLike(slots, cacheTokens int, p *Prior) *Engine {
 	return &Engine{
-		slots: max(slots, 1), cache: newCache(cacheTokens), runs: map[*Run]struct{}{}, pace: pace{prior: p},
+		slots: max(slots, 1), cache: newCache(cacheTokens), runs: map[*Run]struct{}{}, prefill: prefillEstimator{prior: p},
 	}
 }
 
 // Speed returns the prefill speed in prompt tokens per second.
-func (e *Engine) Speed() float64 { return e.pace.speed() }
+func (e *Engine) Speed() float64 { return e.prefill.speed() }
 
 // Running returns the number of requests at the engine.
 func (e *Engine) Running() int { return len(e.runs) }
@@ -77,8 +77,8 @@
 // ReadingTime returns the total time that the engine has spent on prefill. An engine
 // whose first event is overdue counts as busy.
 func (e *Engine) ReadingTime(now time.Time) time.Duration {
-	e.pace.count(now, e.prefillQueue)
-	return e.pace.done
+	e.prefill.countBusyTime(now, e.prefillQueue)
+	return e.prefill.busyTime
 }
 
 // Ready returns the tokens at the beginning of the prompt that another engine can copy
@@ -93,7 +93,7 @@
 	if len(e.runs) < e.slots {
 		return 0
 	}
-	return max(e.pace.stream/time.Duration(e.slots), leastSlotWait)
+	return max(e.prefill.slotTime/time.Duration(e.slots), minSlotWait)
 }
 
 // Backlog returns the expected time until the engine has prefilled all its requests.
@@ -103,13 +103,13 @@
 	if len(e.prefillQueue) > 0 {
 		late = max(now.Sub(e.prefillQueue[0].dueAt), 0)
 	}
-	return max(e.pace.clearAt.Sub(now), 0) + late
+	return max(e.prefill.doneAt.Sub(now), 0) + late
 }
 
 // Booked returns the backlog, stretched by the time that is left to decoding. Schedulers
 // should send nothing more while it is long.
 func (e *Engine) Booked(now time.Time) time.Duration {
-	return max(e.Backlog(now), e.pace.bookedTo.Sub(now))
+	return max(e.Backlog(now), e.prefill.bookedUntil.Sub(now))
 }
 
 // Start adds a request, whose uncached tokens the engine prefills.
@@ -120,13 +120,13 @@
 // StartCopy adds a request for which the engine copies tokens of the prompt from
 // another engine. The copy takes the given time.
 func (e *Engine) StartCopy(now time.Time, p *routing.Prompt, output, tokens int, takes time.Duration) *Run {
-	e.pace.count(now, e.prefillQueue)
+	e.prefill.countBusyTime(now, e.prefillQueue)
 	r := &Run{Prompt: p, Output: output, Read: max(e.Missing(p)-tokens, 1), startedAt: now, copyDoneAt: now.Add(takes)}
 	e.runs[r] = struct{}{}
 	e.prefillQueue = append(e.prefillQueue, r)
 	e.cache.outputTokens += output
 	e.cache.pin(now, p.Parts)
-	r.dueAt = e.pace.add(now, r, len(e.runs))
+	r.dueAt = e.prefill.enqueue(now, r, len(e.runs))
 	return r
 }
 
@@ -135,12 +135,12 @@
 	if r.begun {
 		return
 	}
-	e.pace.count(now, e.prefillQueue)
+	e.prefill.countBusyTime(now, e.prefillQueue)
 	e.dequeue(r)
 	e.cache.markPrefilled(r.Prompt.Parts)
 	e.health.begun()
-	e.pace.learn(now, r)
-	e.pace.resume(now, e.prefillQueue)
+	e.prefill.observe(now, r)
+	e.prefill.resetBacklog(now, e.prefillQueue)
 }
 
 // Adopt adds a request that another scheduler sent to the engine. If it has not begun,
@@ -155,10 +155,10 @@
 		e.cache.markPrefilled(p.Parts)
 		return r
 	}
-	e.pace.count(now, e.prefillQueue)
+	e.prefill.countBusyTime(now, e.prefillQueue)
 	r.Read = min(p.Own(), p.Tokens)
 	e.prefillQueue = append(e.prefillQueue, r)
-	r.dueAt = e.pace.add(now, r, len(e.runs))
+	r.dueAt = e.prefill.enqueue(now, r, len(e.runs))
 	return r
 }
 
@@ -179,13 +179,13 @@
 	}
 	delete(e.runs, r)
 	if r.begun && o == OutcomeDone {
-		e.pace.ended(now.Sub(r.startedAt))
+		e.prefill.observeSlotTime(now.Sub(r.startedAt))
 	}
 	e.health.recordOutcome(now, r, o, e.silent(now))
 	if !r.begun {
-		e.pace.count(now, e.prefillQueue)
+		e.prefill.countBusyTime(now, e.prefillQueue)
 		e.dequeue(r)
-		e.pace.resume(now, e.prefillQueue)
+		e.prefill.resetBacklog(now, e.prefillQueue)
 	}
 	e.cache.outputTokens -= r.Output
 	if o == OutcomeDone {
@@ -208,5 +208,5 @@
 		return false
 	}
 	r := e.prefillQueue[0]
-	return r.startedAt.After(e.pace.lastBegan) && now.Sub(r.startedAt) > silentFactor*r.dueAt.Sub(r.startedAt)+silentSlack
+	return r.startedAt.After(e.prefill.lastFirstEvent) && now.Sub(r.startedAt) > silentFactor*r.dueAt.Sub(r.startedAt)+silentSlack
 }
--- a/core/batch/engine_test.go
+++ b/core/batch/engine_test.go
@@ -226,12 +226,12 @@
 				read += r.Read
 			}
 		}
-		got, want := float64(read)/(f.speed*length.Seconds()), shareFor(streams)
+		got, want := float64(read)/(f.speed*length.Seconds()), prefillShare(streams)
 		if got > want+0.03 || got < want-0.1 {
 			t.Errorf("with %d streams prefill took %.2f of the time, want about %.2f", streams, got, want)
 		}
 	}
-	if shareFor(0) <= shareFor(40) || shareFor(1000) != readShareLeast {
+	if prefillShare(0) <= prefillShare(40) || prefillShare(1000) != minPrefillShare {
 		t.Error("the prefill share does not fall to its minimum as streams are added")
 	}
 }
--- a/core/batch/pace.go
+++ b/core/batch/pace.go
@@ -6,150 +6,152 @@
 import "time"
 
 const (
-	priorSeconds = 0.5  // weight of the prior speed, in seconds of prefill
-	speedDecay   = 0.97 // weight that older samples keep with each new one
-	minRead      = 256  // tokens from which a sample makes older ones decay
-	firstGain    = 0.1  // weight of a new sample of a latency
-	// mostFaster bounds the speedup over the estimate that one prompt can show, since
+	priorSeconds   = 0.5  // weight of the prior speed, in seconds of prefill
+	speedDecay     = 0.97 // weight that older samples keep with each new one
+	minDecayTokens = 256  // tokens from which a sample makes older ones decay
+	latencyGain    = 0.1  // weight of a new sample of a latency
+	// maxSpeedup bounds the speedup over the estimate that one prompt can show, since
 	// the prompt may have been cached.
-	mostFaster = 2
-	// leastFirst is less than any engine's time to the first event of a prompt that it
+	maxSpeedup = 2
+	// minFirstLatency is less than any engine's time to the first event of a prompt that it
 	// has to prefill. Faster ones were cached.
-	leastFirst    = 10 * time.Millisecond
-	leastSlotWait = 30 * time.Millisecond
-	// readShare is the part of an idle engine's time that may be booked for prefill.
+	minFirstLatency = 10 * time.Millisecond
+	minSlotWait     = 30 * time.Millisecond
+	// maxPrefillShare is the part of an idle engine's time that may be booked for prefill.
 	// Each running request takes off readSharePerRun, down to readShareLeast, since
 	// prefill slows down decoding for all of them.
-	readShare       = 1.0
-	readSharePerRun = 0.01
-	readShareLeast  = 0.6
+	maxPrefillShare    = 1.0
+	prefillSharePerRun = 0.01
+	minPrefillShare    = 0.6
 )
 
-// pace estimates the prefill speed and backlog of an engine. Engines prefill prompts
+// prefillEstimator estimates the prefill speed and backlog of an engine. Engines prefill prompts
 // in the order of their arrival, so each first event shows how much is left.
-type pace struct {
-	clearAt   time.Time     // expected end of the prefill of all requests
-	bookedTo  time.Time     // end of the booked prefill time
-	read      float64       // prefilled tokens in the speed samples, decayed
-	busy      float64       // seconds in the speed samples, decayed
-	done      time.Duration // total prefill time until countedAt
-	countedAt time.Time
-	prior     *Prior
-	first     time.Duration // latency of a first event beyond prefill
-	stream    time.Duration // average time that a request occupies its slot
-	lastBegan time.Time     // last first event
+type prefillEstimator struct {
+	doneAt         time.Time     // expected end of the prefill of all requests
+	bookedUntil    time.Time     // end of the booked prefill time
+	sampleTokens   float64       // prefilled tokens in the speed samples, decayed
+	sampleSeconds  float64       // seconds in the speed samples, decayed
+	busyTime       time.Duration // total prefill time until countedAt
+	countedAt      time.Time
+	prior          *Prior
+	firstLatency   time.Duration // latency of a first event beyond prefill
+	slotTime       time.Duration // average time that a request occupies its slot
+	lastFirstEvent time.Time     // last first event
 }
 
-func (p *pace) speed() float64 {
-	return (p.prior.speed()*priorSeconds + p.read) / (priorSeconds + p.busy)
+func (p *prefillEstimator) speed() float64 {
+	return (p.prior.speed()*priorSeconds + p.sampleTokens) / (priorSeconds + p.sampleSeconds)
 }
 
 // Prior is the prefill speed of engines of one kind, estimated from the samples of all
 // of them. It is the initial estimate for a new engine.
 type Prior struct {
-	guess float64 // tokens per second, without samples
-	read  float64 // prefilled tokens in the samples, decayed
-	busy  float64 // seconds in the samples, decayed
+	initialSpeed  float64 // tokens per second, without samples
+	sampleTokens  float64 // prefilled tokens in the samples, decayed
+	sampleSeconds float64 // seconds in the samples, decayed
 }
 
 // NewPrior returns a prior without samples.
-func NewPrior(tokensPerSecond float64) *Prior { return &Prior{guess: tokensPerSecond} }
+func NewPrior(tokensPerSecond float64) *Prior { return &Prior{initialSpeed: tokensPerSecond} }
 
-func (p *Prior) speed() float64 { return (p.guess*priorSeconds + p.read) / (priorSeconds + p.busy) }
+func (p *Prior) speed() float64 {
+	return (p.initialSpeed*priorSeconds + p.sampleTokens) / (priorSeconds + p.sampleSeconds)
+}
 
-func (p *pace) readTime(tokens int) time.Duration {
+func (p *prefillEstimator) durationFor(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / p.speed() * float64(time.Second))
 }
 
-// count adds the time since the last call in which the engine was busy with prefill.
+// countBusyTime adds the time since the last call in which the engine was busy with prefill.
 // An engine whose first event is overdue counts as busy: it still prefills, or this
 // process is cut off from its events.
-func (p *pace) count(now time.Time, queue []*Run) {
-	until := p.clearAt
+func (p *prefillEstimator) countBusyTime(now time.Time, queue []*Run) {
+	until := p.doneAt
 	if len(queue) > 0 && now.After(queue[0].dueAt) || until.After(now) {
 		until = now
 	}
 	if !p.countedAt.IsZero() && until.After(p.countedAt) {
-		p.done += until.Sub(p.countedAt)
+		p.busyTime += until.Sub(p.countedAt)
 	}
 	p.countedAt = later(p.countedAt, now)
 }
 
-// shareFor returns the share of time that may be booked for prefill beside running requests.
-func shareFor(running int) float64 {
-	return max(readShare-readSharePerRun*float64(running), readShareLeast)
+// prefillShare returns the share of time that may be booked for prefill beside running requests.
+func prefillShare(running int) float64 {
+	return max(maxPrefillShare-prefillSharePerRun*float64(running), minPrefillShare)
 }
 
-// add appends a run to the backlog and returns the expected time of its first event.
+// enqueue appends a run to the backlog and returns the expected time of its first event.
 // A copy takes no prefill time, since the engine prefills other prompts meanwhile.
-func (p *pace) add(now time.Time, r *Run, running int) time.Time {
-	read := p.readTime(r.Read)
-	begins := later(later(p.clearAt, now), r.copyDoneAt)
-	p.clearAt = later(p.clearAt, now).Add(read)
-	p.bookedTo = later(p.bookedTo, now).Add(time.Duration(float64(read) / shareFor(running)))
-	return begins.Add(read + p.first)
+func (p *prefillEstimator) enqueue(now time.Time, r *Run, running int) time.Time {
+	read := p.durationFor(r.Read)
+	begins := later(later(p.doneAt, now), r.copyDoneAt)
+	p.doneAt = later(p.doneAt, now).Add(read)
+	p.bookedUntil = later(p.bookedUntil, now).Add(time.Duration(float64(read) / prefillShare(running)))
+	return begins.Add(read + p.firstLatency)
 }
 
-// resume recomputes the backlog from the queue after a first event, whose prompt was
+// resetBacklog recomputes the backlog from the queue after a first event, whose prompt was
 // prefilled one first-event latency ago.
-func (p *pace) resume(now time.Time, queue []*Run) {
-	at := now.Add(-p.first)
+func (p *prefillEstimator) resetBacklog(now time.Time, queue []*Run) {
+	at := now.Add(-p.firstLatency)
 	for _, r := range queue {
-		read := p.readTime(r.Read)
-		r.dueAt = later(later(at, r.startedAt), r.copyDoneAt).Add(read + p.first)
+		read := p.durationFor(r.Read)
+		r.dueAt = later(later(at, r.startedAt), r.copyDoneAt).Add(read + p.firstLatency)
 		at = later(at, r.startedAt).Add(read)
 	}
-	p.clearAt = at
+	p.doneAt = at
 }
 
-// learn samples the speed if this prompt waited for the prefill of the one before it,
+// observe samples the speed if this prompt waited for the prefill of the one before it,
 // and the first-event latency if the engine was idle.
-func (p *pace) learn(now time.Time, r *Run) {
-	defer func() { p.lastBegan = now }()
-	before := p.lastBegan.Add(-p.first) // end of the prefill of the prompt before
+func (p *prefillEstimator) observe(now time.Time, r *Run) {
+	defer func() { p.lastFirstEvent = now }()
+	before := p.lastFirstEvent.Add(-p.firstLatency) // end of the prefill of the prompt before
 	if r.copyDoneAt.After(before) && r.copyDoneAt.After(r.startedAt) {
 		return // the copy may account for the time
 	}
 	if before.After(r.startedAt) {
-		p.measure(r.Read, now.Sub(p.lastBegan))
+		p.addSpeedSample(r.Read, now.Sub(p.lastFirstEvent))
 		return
 	}
 	took := now.Sub(r.startedAt)
-	spent := p.readTime(r.Read)
-	if took < spent && took >= leastFirst {
+	spent := p.durationFor(r.Read)
+	if took < spent && took >= minFirstLatency {
 		// Faster than the estimate. The prompt may have been cached, so the sample is bounded.
-		p.measure(r.Read, max(took, spent/mostFaster))
+		p.addSpeedSample(r.Read, max(took, spent/maxSpeedup))
 		return
 	}
-	if p.first > 0 && took > 2*(spent+p.first) {
-		p.measure(r.Read, took-p.first)
+	if p.firstLatency > 0 && took > 2*(spent+p.firstLatency) {
+		p.addSpeedSample(r.Read, took-p.firstLatency)
 		return
 	}
 	over := max(took-spent, 0)
-	if p.first == 0 {
-		p.first = over
+	if p.firstLatency == 0 {
+		p.firstLatency = over
 		return
 	}
-	p.first += time.Duration(firstGain * float64(over-p.first))
+	p.firstLatency += time.Duration(latencyGain * float64(over-p.firstLatency))
 }
 
-// ended samples the time that a request occupied its slot.
-func (p *pace) ended(took time.Duration) {
-	if p.stream == 0 {
-		p.stream = took
+// observeSlotTime samples the time that a request occupied its slot.
+func (p *prefillEstimator) observeSlotTime(took time.Duration) {
+	if p.slotTime == 0 {
+		p.slotTime = took
 	}
-	p.stream += time.Duration(firstGain * float64(took-p.stream))
+	p.slotTime += time.Duration(latencyGain * float64(took-p.slotTime))
 }
 
-func (p *pace) measure(tokens int, took time.Duration) {
+func (p *prefillEstimator) addSpeedSample(tokens int, took time.Duration) {
 	decay := speedDecay
-	if tokens < minRead {
+	if tokens < minDecayTokens {
 		decay = 1
 	}
-	p.read = p.read*decay + float64(tokens)
-	p.busy = p.busy*decay + took.Seconds()
-	p.prior.read = p.prior.read*decay + float64(tokens)
-	p.prior.busy = p.prior.busy*decay + took.Seconds()
+	p.sampleTokens = p.sampleTokens*decay + float64(tokens)
+	p.sampleSeconds = p.sampleSeconds*decay + took.Seconds()
+	p.prior.sampleTokens = p.prior.sampleTokens*decay + float64(tokens)
+	p.prior.sampleSeconds = p.prior.sampleSeconds*decay + took.Seconds()
 }
 
 func later(a, b time.Time) time.Time {
