--- a/core/batch/cache_test.go
+++ b/core/batch/cache_test.go
@@ -12,7 +12,7 @@
 
 // A report of the engine drops parts that are in use or were used after it, or stale
 // estimates outlive it.
-func TestLearnedPartsReplaceGuesses(t *testing.T) {
+func TestReportedPartsReplaceEstimates(t *testing.T) {
 	e := NewEngine(64, 100_000, 40_000)
 	ask := start.Add(10 * time.Second)
 	done := func(at time.Time, id uint64) {
@@ -35,7 +35,7 @@
 
 // Parts are offered for copying before they were prefilled, or stay cached though
 // their run ended before.
-func TestOnlyWhatWasReadCanBeCopied(t *testing.T) {
+func TestOnlyPrefilledPartsAreCopyable(t *testing.T) {
 	e := NewEngine(64, 100_000, 40_000)
 	one, two := prompt(1, 1000), prompt(2, 2000)
 	a, b := e.Start(start, one, 10), e.Start(start, two, 10)
@@ -76,7 +76,7 @@
 }
 
 // A report longer than the memory exceeds the capacity or evicts parts in use.
-func TestLearningKeepsTheBound(t *testing.T) {
+func TestReportedPartsRespectCapacity(t *testing.T) {
 	e := NewEngine(64, 10_000, 40_000)
 	e.Start(start, prompt(1, 4000), 100)
 	var parts []routing.PromptPart
--- a/core/batch/engine_test.go
+++ b/core/batch/engine_test.go
@@ -15,10 +15,10 @@
 // fakeEngine prefills prompts one after the other at a fixed speed. Each first event
 // follows its prefill after a fixed latency.
 type fakeEngine struct {
-	speed   float64 // tokens per second
-	first   time.Duration
-	clearAt time.Time
-	due     []dueRun
+	speed        float64 // tokens per second
+	firstLatency time.Duration
+	doneAt       time.Time
+	due          []dueRun
 }
 
 type dueRun struct {
@@ -26,18 +26,18 @@
 	at  time.Time
 }
 
-func (f *fakeEngine) take(now time.Time, r *Run) {
-	if f.clearAt.Before(now) {
-		f.clearAt = now
+func (f *fakeEngine) accept(now time.Time, r *Run) {
+	if f.doneAt.Before(now) {
+		f.doneAt = now
 	}
-	f.clearAt = f.clearAt.Add(time.Duration(float64(r.Read) / f.speed * float64(time.Second)))
-	f.due = append(f.due, dueRun{r, f.clearAt.Add(f.first)})
+	f.doneAt = f.doneAt.Add(time.Duration(float64(r.Read) / f.speed * float64(time.Second)))
+	f.due = append(f.due, dueRun{r, f.doneAt.Add(f.firstLatency)})
 }
 
-func (f *fakeEngine) backlog(now time.Time) time.Duration { return max(f.clearAt.Sub(now), 0) }
+func (f *fakeEngine) backlog(now time.Time) time.Duration { return max(f.doneAt.Sub(now), 0) }
 
-// tell reports the first events that are due to the model.
-func (f *fakeEngine) tell(now time.Time, e *Engine) {
+// reportFirstEvents reports the first events that are due to the model.
+func (f *fakeEngine) reportFirstEvents(now time.Time, e *Engine) {
 	for len(f.due) > 0 && !f.due[0].at.After(now) {
 		e.Begin(now, f.due[0].run)
 		f.due = f.due[1:]
@@ -49,19 +49,19 @@
 }
 
 // An engine that is slower than its prior builds up a backlog that the model misses.
-func TestBacklogFollowsASlowEngine(t *testing.T) {
+func TestBacklogFollowsEngineSpeed(t *testing.T) {
 	for _, speed := range []float64{12_000, 20_000, 40_000, 80_000} {
 		e := NewEngine(64, 1_000_000, 40_000)
-		f := &fakeEngine{speed: speed, first: 50 * time.Millisecond}
+		f := &fakeEngine{speed: speed, firstLatency: 50 * time.Millisecond}
 		const limit = 120 * time.Millisecond
 		id, worst := uint64(0), time.Duration(0)
 		for step := range 2000 {
 			now := start.Add(time.Duration(step) * 5 * time.Millisecond)
-			f.tell(now, e)
+			f.reportFirstEvents(now, e)
 			for e.Backlog(now) < limit {
 				id++
 				r := e.Start(now, prompt(id, 500+int(id*7919%6000)), 10)
-				f.take(now, r)
+				f.accept(now, r)
 			}
 			if step > 200 {
 				worst = max(worst, f.backlog(now))
@@ -76,14 +76,14 @@
 	}
 }
 
-func TestSpeedIsLearned(t *testing.T) {
+func TestSpeedConverges(t *testing.T) {
 	e := NewEngine(64, 1_000_000, 40_000)
-	f := &fakeEngine{speed: 10_000, first: 50 * time.Millisecond}
+	f := &fakeEngine{speed: 10_000, firstLatency: 50 * time.Millisecond}
 	for step := range 4000 {
 		now := start.Add(time.Duration(step) * 5 * time.Millisecond)
-		f.tell(now, e)
+		f.reportFirstEvents(now, e)
 		if e.Backlog(now) < 100*time.Millisecond {
-			f.take(now, e.Start(now, prompt(uint64(step), 2000), 10))
+			f.accept(now, e.Start(now, prompt(uint64(step), 2000), 10))
 		}
 	}
 	if s := e.Speed(); s < 8_000 || s > 13_000 {
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestKeptPartsAreNotReadAgain(t *testing.T) {
+func TestCachedPartsAreNotPrefilledAgain(t *testing.T) {
 	e := NewEngine(64, 10_000, 40_000)
 	shared := routing.PromptPart{ID: 1, Tokens: 4000}
 	one := &routing.Prompt{Tokens: 4500, Parts: []routing.PromptPart{shared, {ID: 2, Tokens: 500}}}
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestPinnedPartsStay(t *testing.T) {
+func TestPinnedPartsAreNotEvicted(t *testing.T) {
 	e := NewEngine(64, 10_000, 40_000)
 	running := prompt(1, 6000)
 	e.Start(start, running, 100)
@@ -131,7 +131,7 @@
 }
 
 // A connection reset that breaks many streams at once makes the engine unusable.
-func TestResetOfManyStreamsIsOneFailure(t *testing.T) {
+func TestConnectionResetKeepsEngineUsable(t *testing.T) {
 	e := NewEngine(64, 1_000_000, 40_000)
 	var runs []*Run
 	for i := range 20 {
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestSilentEngineGetsNothingNew(t *testing.T) {
+func TestSilentEngineIsNotUsable(t *testing.T) {
 	e := NewEngine(64, 1_000_000, 40_000)
 	e.Start(start, prompt(1, 1000), 10)
 	if !e.Usable(start.Add(100 * time.Millisecond)) {
@@ -198,10 +198,10 @@
 }
 
 // Prefill takes so much of the engine's time that running streams starve.
-func TestReadingLeavesTimeForTokens(t *testing.T) {
+func TestPrefillLeavesTimeForDecoding(t *testing.T) {
 	for _, streams := range []int{0, 20, 40, 200} {
 		e := NewEngine(1000, 10_000_000, 40_000)
-		f := &fakeEngine{speed: 40_000, first: 50 * time.Millisecond}
+		f := &fakeEngine{speed: 40_000, firstLatency: 50 * time.Millisecond}
 		for i := range streams {
 			e.Adopt(start, prompt(1<<32+uint64(i), 100), 10, true)
 		}
@@ -215,14 +215,14 @@
 					done = append(done, d.run)
 				}
 			}
-			f.tell(now, e)
+			f.reportFirstEvents(now, e)
 			for _, r := range done {
 				e.End(now, r, OutcomeDone)
 			}
 			done = done[:0]
 			for e.Booked(now) < 120*time.Millisecond {
 				r := e.Start(now, prompt(uint64(step), 3000), 10)
-				f.take(now, r)
+				f.accept(now, r)
 				read += r.Read
 			}
 		}
--- a/core/batch/pace_test.go
+++ b/core/batch/pace_test.go
@@ -10,7 +10,7 @@
 
 // A speed estimate that is far too low never rises on an engine with one prompt at a
 // time, so that requests are refused beside idle engines.
-func TestIdleEngineShowsItsSpeed(t *testing.T) {
+func TestSpeedIsLearnedFromSinglePrompts(t *testing.T) {
 	const first = 47 * time.Millisecond
 	speed := 51_000.0
 	e := NewEngine(32, 500_000, 3_700)
@@ -27,7 +27,7 @@
 }
 
 // A single prompt that was cached unexpectedly inflates the speed estimate.
-func TestOneKeptPromptProvesLittle(t *testing.T) {
+func TestSingleCachedPromptChangesSpeedLittle(t *testing.T) {
 	e := NewEngine(32, 500_000, 40_000)
 	r := e.Start(start, prompt(1, 30_000), 10)
 	e.Begin(start.Add(20*time.Millisecond), r)
