--- a/core/batch/cache_test.go
+++ b/core/batch/cache_test.go
@@ -22,9 +22,9 @@
 	done(start, 2)                      // still cached
 	e.Start(start, prompt(3, 1000), 10) // in use, not prefilled yet
 	done(ask.Add(time.Millisecond), 4)  // used while the report was in flight
-	e.Learn(ask, []routing.PromptPart{{ID: 2, Tokens: 1000}, {ID: 5, Tokens: 1000}, {ID: 6, Tokens: -4}})
+	e.SyncCache(ask, []routing.PromptPart{{ID: 2, Tokens: 1000}, {ID: 5, Tokens: 1000}, {ID: 6, Tokens: -4}})
 	for id, kept := range map[uint64]bool{1: false, 2: true, 3: true, 4: true, 5: true, 6: false} {
-		if got := e.Missing(prompt(id, 1000)) == 1; got != kept {
+		if got := e.UncachedTokens(prompt(id, 1000)) == 1; got != kept {
 			t.Errorf("part %d cached: %v, want %v", id, got, kept)
 		}
 	}
@@ -39,19 +39,19 @@
 	e := NewEngine(64, 100_000, 40_000)
 	one, two := prompt(1, 1000), prompt(2, 2000)
 	a, b := e.Start(start, one, 10), e.Start(start, two, 10)
-	if e.Ready(one) != 0 || e.Missing(one) != 1 {
-		t.Fatalf("before the first event: %d copyable tokens, want 0; %d uncached, want 1", e.Ready(one), e.Missing(one))
+	if e.CopyableTokens(one) != 0 || e.UncachedTokens(one) != 1 {
+		t.Fatalf("before the first event: %d copyable tokens, want 0; %d uncached, want 1", e.CopyableTokens(one), e.UncachedTokens(one))
 	}
 	e.Begin(start.Add(100*time.Millisecond), a)
 	e.End(start.Add(200*time.Millisecond), b, OutcomeBroken)
-	if e.Ready(one) != 1000 {
-		t.Errorf("%d copyable tokens after the first event, want 1000", e.Ready(one))
+	if e.CopyableTokens(one) != 1000 {
+		t.Errorf("%d copyable tokens after the first event, want 1000", e.CopyableTokens(one))
 	}
-	if e.Ready(two) != 0 || e.Missing(two) != 2000 {
-		t.Errorf("after a broken run: %d copyable tokens, want 0; %d uncached, want 2000", e.Ready(two), e.Missing(two))
+	if e.CopyableTokens(two) != 0 || e.UncachedTokens(two) != 2000 {
+		t.Errorf("after a broken run: %d copyable tokens, want 0; %d uncached, want 2000", e.CopyableTokens(two), e.UncachedTokens(two))
 	}
-	e.Learn(start.Add(300*time.Millisecond), []routing.PromptPart{{ID: 3, Tokens: 500}})
-	if e.Ready(prompt(3, 500)) != 500 {
+	e.SyncCache(start.Add(300*time.Millisecond), []routing.PromptPart{{ID: 3, Tokens: 500}})
+	if e.CopyableTokens(prompt(3, 500)) != 500 {
 		t.Error("a part that the engine reported is not copyable")
 	}
 }
@@ -61,8 +61,8 @@
 	const copying = 500 * time.Millisecond
 	e := NewEngine(64, 1_000_000, 40_000)
 	r := e.StartCopy(start, prompt(1, 9000), 10, 8000, copying)
-	if r.Read != 1000 {
-		t.Fatalf("%d tokens to prefill after a copy of 8000 of 9000, want 1000", r.Read)
+	if r.PrefillTokens != 1000 {
+		t.Fatalf("%d tokens to prefill after a copy of 8000 of 9000, want 1000", r.PrefillTokens)
 	}
 	if due := r.dueAt.Sub(start); due < copying {
 		t.Errorf("first event due after %v, want no earlier than the copy", due)
@@ -83,8 +83,8 @@
 	for id := uint64(10); id < 40; id++ {
 		parts = append(parts, routing.PromptPart{ID: id, Tokens: 1000})
 	}
-	e.Learn(start.Add(time.Second), parts)
-	if e.cache.usedTokens > 10_000 || e.Missing(prompt(1, 4000)) != 1 {
-		t.Errorf("%d tokens in memory, want at most 10000; %d uncached tokens of a running prompt, want 1", e.cache.usedTokens, e.Missing(prompt(1, 4000)))
+	e.SyncCache(start.Add(time.Second), parts)
+	if e.cache.usedTokens > 10_000 || e.UncachedTokens(prompt(1, 4000)) != 1 {
+		t.Errorf("%d tokens in memory, want at most 10000; %d uncached tokens of a running prompt, want 1", e.cache.usedTokens, e.UncachedTokens(prompt(1, 4000)))
 	}
 }
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -28,13 +28,13 @@
 
 // Run is one request at the engine.
 type Run struct {
-	Prompt     *routing.Prompt
-	Output     int // expected output tokens
-	Read       int // prompt tokens that the engine has to prefill
-	startedAt  time.Time
-	copyDoneAt time.Time // expected end of the copy from another engine
-	dueAt      time.Time // expected time of the first event
-	begun      bool
+	Prompt        *routing.Prompt
+	OutputTokens  int // expected output tokens
+	PrefillTokens int // prompt tokens that the engine has to prefill
+	startedAt     time.Time
+	copyDoneAt    time.Time // expected end of the copy from another engine
+	dueAt         time.Time // expected time of the first event
+	begun         bool
 }
 
 // Begun reports whether the first event of the run has come.
@@ -52,38 +52,42 @@
 
 // NewEngine returns the model of an idle engine with an assumed prefill speed.
 func NewEngine(slots, cacheTokens int, tokensPerSecond float64) *Engine {
-	return NewEngineLike(slots, cacheTokens, NewPrior(tokensPerSecond))
+	return NewEngineWithPrior(slots, cacheTokens, NewPrior(tokensPerSecond))
 }
 
-// NewEngineLike returns the model of an idle engine that shares a Prior with others of its kind.
-func NewEngineLike(slots, cacheTokens int, p *Prior) *Engine {
+// NewEngineWithPrior returns the model of an idle engine that shares a Prior with others of its kind.
+func NewEngineWithPrior(slots, cacheTokens int, p *Prior) *Engine {
 	return &Engine{
 		slots: max(slots, 1), cache: newCache(cacheTokens), runs: map[*Run]struct{}{}, prefill: prefillEstimator{prior: p},
 	}
 }
 
-// Speed returns the prefill speed in prompt tokens per second.
-func (e *Engine) Speed() float64 { return e.prefill.speed() }
+// PrefillSpeed returns the prefill speed in prompt tokens per second.
+func (e *Engine) PrefillSpeed() float64 { return e.prefill.speed() }
 
 // Running returns the number of requests at the engine.
 func (e *Engine) Running() int { return len(e.runs) }
 
-// Empty reports whether no request is at the engine.
-func (e *Engine) Empty() bool { return len(e.runs) == 0 }
+// Idle reports whether no request is at the engine.
+func (e *Engine) Idle() bool { return len(e.runs) == 0 }
 
-// Missing returns the prompt tokens that the engine would have to prefill, at least 1.
-func (e *Engine) Missing(p *routing.Prompt) int { return max(p.Tokens-e.cache.hitTokens(p.Parts), 1) }
+// UncachedTokens returns the prompt tokens that the engine would have to prefill, at least 1.
+func (e *Engine) UncachedTokens(p *routing.Prompt) int {
+	return max(p.Tokens-e.cache.hitTokens(p.Parts), 1)
+}
 
-// ReadingTime returns the total time that the engine has spent on prefill. An engine
+// PrefillTime returns the total time that the engine has spent on prefill. An engine
 // whose first event is overdue counts as busy.
-func (e *Engine) ReadingTime(now time.Time) time.Duration {
+func (e *Engine) PrefillTime(now time.Time) time.Duration {
 	e.prefill.countBusyTime(now, e.prefillQueue)
 	return e.prefill.busyTime
 }
 
-// Ready returns the tokens at the beginning of the prompt that another engine can copy
+// CopyableTokens returns the tokens at the beginning of the prompt that another engine can copy
 // from this one.
-func (e *Engine) Ready(p *routing.Prompt) int { return min(e.cache.copyableTokens(p.Parts), p.Tokens) }
+func (e *Engine) CopyableTokens(p *routing.Prompt) int {
+	return min(e.cache.copyableTokens(p.Parts), p.Tokens)
+}
 
 // Fits reports whether the engine has memory for a request.
 func (e *Engine) Fits(missing, output int) bool { return missing+output <= e.cache.available() }
@@ -121,7 +125,7 @@
 // another engine. The copy takes the given time.
 func (e *Engine) StartCopy(now time.Time, p *routing.Prompt, output, tokens int, takes time.Duration) *Run {
 	e.prefill.countBusyTime(now, e.prefillQueue)
-	r := &Run{Prompt: p, Output: output, Read: max(e.Missing(p)-tokens, 1), startedAt: now, copyDoneAt: now.Add(takes)}
+	r := &Run{Prompt: p, OutputTokens: output, PrefillTokens: max(e.UncachedTokens(p)-tokens, 1), startedAt: now, copyDoneAt: now.Add(takes)}
 	e.runs[r] = struct{}{}
 	e.prefillQueue = append(e.prefillQueue, r)
 	e.cache.outputTokens += output
@@ -147,7 +151,7 @@
 // only its last part counts as uncached, since that scheduler chose a target with the
 // shared parts in its cache.
 func (e *Engine) Adopt(now time.Time, p *routing.Prompt, output int, begun bool) *Run {
-	r := &Run{Prompt: p, Output: output, startedAt: now, copyDoneAt: now, begun: begun}
+	r := &Run{Prompt: p, OutputTokens: output, startedAt: now, copyDoneAt: now, begun: begun}
 	e.runs[r] = struct{}{}
 	e.cache.outputTokens += output
 	e.cache.pin(now, p.Parts)
@@ -156,14 +160,14 @@
 		return r
 	}
 	e.prefill.countBusyTime(now, e.prefillQueue)
-	r.Read = min(p.Own(), p.Tokens)
+	r.PrefillTokens = min(p.Own(), p.Tokens)
 	e.prefillQueue = append(e.prefillQueue, r)
 	r.dueAt = e.prefill.enqueue(now, r, len(e.runs))
 	return r
 }
 
-// Learn replaces the estimated cache by the parts that the engine reported at a time.
-func (e *Engine) Learn(at time.Time, parts []routing.PromptPart) { e.cache.sync(at, parts) }
+// SyncCache replaces the estimated cache by the parts that the engine reported at a time.
+func (e *Engine) SyncCache(at time.Time, parts []routing.PromptPart) { e.cache.sync(at, parts) }
 
 func (e *Engine) dequeue(r *Run) {
 	r.begun = true
@@ -187,7 +191,7 @@
 		e.dequeue(r)
 		e.prefill.resetBacklog(now, e.prefillQueue)
 	}
-	e.cache.outputTokens -= r.Output
+	e.cache.outputTokens -= r.OutputTokens
 	if o == OutcomeDone {
 		e.cache.markPrefilled(r.Prompt.Parts)
 	}
@@ -198,8 +202,8 @@
 // Usable reports whether new requests may be sent to the engine.
 func (e *Engine) Usable(now time.Time) bool { return e.health.usable(now) && !e.silent(now) }
 
-// Errors returns the decayed share of failed runs.
-func (e *Engine) Errors(now time.Time) float64 { return e.health.errorRate(now) }
+// ErrorRate returns the decayed share of failed runs.
+func (e *Engine) ErrorRate(now time.Time) float64 { return e.health.errorRate(now) }
 
 // silent reports whether a first event is long overdue and no other run has begun
 // since.
--- a/core/batch/engine_test.go
+++ b/core/batch/engine_test.go
@@ -30,7 +30,7 @@
 	if f.doneAt.Before(now) {
 		f.doneAt = now
 	}
-	f.doneAt = f.doneAt.Add(time.Duration(float64(r.Read) / f.speed * float64(time.Second)))
+	f.doneAt = f.doneAt.Add(time.Duration(float64(r.PrefillTokens) / f.speed * float64(time.Second)))
 	f.due = append(f.due, dueRun{r, f.doneAt.Add(f.firstLatency)})
 }
 
@@ -86,7 +86,7 @@
 			f.accept(now, e.Start(now, prompt(uint64(step), 2000), 10))
 		}
 	}
-	if s := e.Speed(); s < 8_000 || s > 13_000 {
+	if s := e.PrefillSpeed(); s < 8_000 || s > 13_000 {
 		t.Errorf("speed %.0f, want about 10000", s)
 	}
 }
@@ -96,11 +96,11 @@
 	shared := routing.PromptPart{ID: 1, Tokens: 4000}
 	one := &routing.Prompt{Tokens: 4500, Parts: []routing.PromptPart{shared, {ID: 2, Tokens: 500}}}
 	two := &routing.Prompt{Tokens: 4300, Parts: []routing.PromptPart{shared, {ID: 3, Tokens: 300}}}
-	if got := e.Missing(one); got != 4500 {
+	if got := e.UncachedTokens(one); got != 4500 {
 		t.Fatalf("%d uncached tokens of a new prompt, want 4500", got)
 	}
 	r := e.Start(start, one, 100)
-	if got := e.Missing(two); got != 300 {
+	if got := e.UncachedTokens(two); got != 300 {
 		t.Errorf("%d uncached tokens, want only the own 300", got)
 	}
 	e.Begin(start.Add(time.Second), r)
@@ -110,7 +110,7 @@
 		r := e.Start(start.Add(3*time.Second), prompt(id, 3000), 100)
 		e.End(start.Add(4*time.Second), r, OutcomeDone)
 	}
-	if got := e.Missing(two); got != 4300 {
+	if got := e.UncachedTokens(two); got != 4300 {
 		t.Errorf("%d uncached tokens after the shared part was evicted, want 4300", got)
 	}
 }
@@ -125,7 +125,7 @@
 	r := e.Start(start, prompt(3, 3000), 100)
 	e.End(start, r, OutcomeDone)
 	e.Start(start, prompt(4, 3000), 100)
-	if got := e.Missing(running); got != 1 {
+	if got := e.UncachedTokens(running); got != 1 {
 		t.Errorf("%d uncached tokens of a running prompt, want 1", got)
 	}
 }
@@ -180,7 +180,7 @@
 		if got := e.Usable(start.Add(time.Millisecond)); got != usable {
 			t.Errorf("outcome %d: usable %v, want %v", outcome, got, usable)
 		}
-		if e.Missing(prompt(1, 1000)) != 1000 {
+		if e.UncachedTokens(prompt(1, 1000)) != 1000 {
 			t.Errorf("outcome %d: a prompt that was never sent counts as cached", outcome)
 		}
 	}
@@ -223,7 +223,7 @@
 			for e.Booked(now) < 120*time.Millisecond {
 				r := e.Start(now, prompt(uint64(step), 3000), 10)
 				f.accept(now, r)
-				read += r.Read
+				read += r.PrefillTokens
 			}
 		}
 		got, want := float64(read)/(f.speed*length.Seconds()), prefillShare(streams)
--- a/core/batch/pace.go
+++ b/core/batch/pace.go
@@ -85,7 +85,7 @@
 // enqueue appends a run to the backlog and returns the expected time of its first event.
 // A copy takes no prefill time, since the engine prefills other prompts meanwhile.
 func (p *prefillEstimator) enqueue(now time.Time, r *Run, running int) time.Time {
-	read := p.durationFor(r.Read)
+	read := p.durationFor(r.PrefillTokens)
 	begins := later(later(p.doneAt, now), r.copyDoneAt)
 	p.doneAt = later(p.doneAt, now).Add(read)
 	p.bookedUntil = later(p.bookedUntil, now).Add(time.Duration(float64(read) / prefillShare(running)))
@@ -97,7 +97,7 @@
 func (p *prefillEstimator) resetBacklog(now time.Time, queue []*Run) {
 	at := now.Add(-p.firstLatency)
 	for _, r := range queue {
-		read := p.durationFor(r.Read)
+		read := p.durationFor(r.PrefillTokens)
 		r.dueAt = later(later(at, r.startedAt), r.copyDoneAt).Add(read + p.firstLatency)
 		at = later(at, r.startedAt).Add(read)
 	}
@@ -113,18 +113,18 @@
 		return // the copy may account for the time
 	}
 	if before.After(r.startedAt) {
-		p.addSpeedSample(r.Read, now.Sub(p.lastFirstEvent))
+		p.addSpeedSample(r.PrefillTokens, now.Sub(p.lastFirstEvent))
 		return
 	}
 	took := now.Sub(r.startedAt)
-	spent := p.durationFor(r.Read)
+	spent := p.durationFor(r.PrefillTokens)
 	if took < spent && took >= minFirstLatency {
 		// Faster than the estimate. The prompt may have been cached, so the sample is bounded.
-		p.addSpeedSample(r.Read, max(took, spent/maxSpeedup))
+		p.addSpeedSample(r.PrefillTokens, max(took, spent/maxSpeedup))
 		return
 	}
 	if p.firstLatency > 0 && took > 2*(spent+p.firstLatency) {
-		p.addSpeedSample(r.Read, took-p.firstLatency)
+		p.addSpeedSample(r.PrefillTokens, took-p.firstLatency)
 		return
 	}
 	over := max(took-spent, 0)
--- a/core/batch/pace_test.go
+++ b/core/batch/pace_test.go
@@ -21,7 +21,7 @@
 		now = now.Add(time.Second)
 		e.End(now, r, OutcomeDone)
 	}
-	if s := e.Speed(); s < speed/2 || s > speed {
+	if s := e.PrefillSpeed(); s < speed/2 || s > speed {
 		t.Errorf("speed %.0f after twenty prompts, want between half of %.0f and that", s, speed)
 	}
 }
@@ -31,13 +31,13 @@
 	e := NewEngine(32, 500_000, 40_000)
 	r := e.Start(start, prompt(1, 30_000), 10)
 	e.Begin(start.Add(20*time.Millisecond), r)
-	if s := e.Speed(); s > 1.8*40_000 {
+	if s := e.PrefillSpeed(); s > 1.8*40_000 {
 		t.Errorf("speed %.0f after one fast prompt, want at most 72000", s)
 	}
-	before := e.Speed()
+	before := e.PrefillSpeed()
 	r = e.Start(start.Add(time.Second), prompt(2, 30_000), 10)
 	e.Begin(start.Add(time.Second+time.Millisecond), r)
-	if s := e.Speed(); s != before {
+	if s := e.PrefillSpeed(); s != before {
 		t.Errorf("speed %.0f after a prompt that must have been cached, want %.0f as before it", s, before)
 	}
 }
--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -202,13 +202,13 @@
 		return false
 	}
 	v := &c.views[i]
-	ahead := v.target.engine.Missing(w.ask.Prompt)
+	ahead := v.target.engine.UncachedTokens(w.ask.Prompt)
 	for _, other := range c.waiting {
 		if other.best != w.best || other == w {
 			continue
 		}
 		if b := c.accounts[other.ask.Account]; b.before(a) || b == a && other.before(w) {
-			ahead += v.target.engine.Missing(other.ask.Prompt)
+			ahead += v.target.engine.UncachedTokens(other.ask.Prompt)
 		}
 	}
 	return w.inTime(now, v.base+seconds(float64(ahead)/v.speed))
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -116,7 +116,7 @@
 		c.takeGiven(now, e.Rows)
 	case KeptSeen:
 		if t := c.targets[e.Target]; t != nil {
-			t.engine.Learn(e.At, e.Parts)
+			t.engine.SyncCache(e.At, e.Parts)
 		}
 	case Tick:
 		c.forget(now)
@@ -176,7 +176,7 @@
 	}
 	delete(c.runs, key)
 	r.target.engine.End(now, r.model, o)
-	if gone := c.gone[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
+	if gone := c.gone[r.target.info.ID]; gone == r.target && gone.engine.Idle() {
 		c.countTarget(now, gone)
 		delete(c.gone, r.target.info.ID)
 	}
@@ -236,7 +236,7 @@
 		seen[info.ID] = true
 		t := c.targets[info.ID]
 		if t == nil {
-			t = &target{engine: batch.NewEngineLike(info.Slots, info.CacheTokens, c.prior)}
+			t = &target{engine: batch.NewEngineWithPrior(info.Slots, info.CacheTokens, c.prior)}
 			c.targets[info.ID] = t
 		}
 		t.info = info
@@ -246,7 +246,7 @@
 			continue
 		}
 		delete(c.targets, id)
-		if !t.engine.Empty() {
+		if !t.engine.Idle() {
 			c.gone[id] = t
 		}
 	}
@@ -285,7 +285,7 @@
 // kept tells whether some engine of the cell keeps all the shared parts.
 func (c *Cell) kept(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
-		if sharedOf(p, t.engine.Missing(p)) == 0 {
+		if sharedOf(p, t.engine.UncachedTokens(p)) == 0 {
 			return true
 		}
 	}
@@ -300,7 +300,7 @@
 		t.cold.Take(now, c.coldShare*c.coldRate)
 	}
 	c.runs[key] = r
-	service := float64(p.Tokens + outputWeight*r.model.Output)
+	service := float64(p.Tokens + outputWeight*r.model.OutputTokens)
 	a := c.account(account)
 	a.charge(now, service)
 	a.served += service
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -135,7 +135,7 @@
 		if !v.usable || slices.Contains(w.ask.Deny, v.target.info.ID) {
 			continue
 		}
-		missing := v.target.engine.Missing(p)
+		missing := v.target.engine.UncachedTokens(p)
 		if !v.target.engine.Fits(missing, output) {
 			continue
 		}
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -38,9 +38,9 @@
 	source := !t.info.Leaving && e.Usable(now)
 	crowd := float64(e.Running()) / float64(max(t.info.Slots, 1))
 	return view{
-		target: t, usable: source && !t.info.Evacuated, source: source, full: slot > 0 || cold > 0, booked: e.Booked(now), speed: e.Speed(),
+		target: t, usable: source && !t.info.Evacuated, source: source, full: slot > 0 || cold > 0, booked: e.Booked(now), speed: e.PrefillSpeed(),
 		base:    max(e.Backlog(now)+slot, cold),
-		penalty: time.Duration(e.Errors(now)*float64(errorPenalty)) + time.Duration(crowd*float64(crowdPenalty)),
+		penalty: time.Duration(e.ErrorRate(now)*float64(errorPenalty)) + time.Duration(crowd*float64(crowdPenalty)),
 	}
 }
 
--- a/core/cell/state.go
+++ b/core/cell/state.go
@@ -47,7 +47,7 @@
 	for _, t := range c.sorted {
 		s.Targets = append(s.Targets, TargetState{
 			ID: t.info.ID, Running: t.engine.Running(), Backlog: t.engine.Backlog(now), Booked: t.engine.Booked(now),
-			Speed: t.engine.Speed(), Errors: t.engine.Errors(now), Usable: t.engine.Usable(now), Leaving: t.info.Leaving,
+			Speed: t.engine.PrefillSpeed(), Errors: t.engine.ErrorRate(now), Usable: t.engine.Usable(now), Leaving: t.info.Leaving,
 			Evacuated: t.info.Evacuated, Cold: c.cold(now, t),
 		})
 	}
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -72,7 +72,7 @@
 }
 
 func (c *Cell) countTarget(now time.Time, t *target) {
-	reading := t.engine.ReadingTime(now)
+	reading := t.engine.PrefillTime(now)
 	c.counts.Reading += reading - t.counted
 	t.counted = reading
 }
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -56,7 +56,7 @@
 		if !v.source {
 			continue
 		}
-		ready := v.target.engine.Ready(p)
+		ready := v.target.engine.CopyableTokens(p)
 		if ready == 0 {
 			continue
 		}
