--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	timeGain    = 0.1                   // weight of a new sample in the latency
-	errorGain   = 0.1                   // weight of a new outcome in the error rate
-	errorWeight = 3                     // of the error rate in the cost of a target
-	firstGuess  = 20 * time.Millisecond // latency before any target has answered
-	avoidFirst  = 200 * time.Millisecond
-	avoidMax    = 4 * time.Second
+	latencyGain    = 0.1                   // weight of a new sample in the latency
+	errorGain      = 0.1                   // weight of a new outcome in the error rate
+	errorWeight    = 3                     // of the error rate in the cost of a target
+	initialLatency = 20 * time.Millisecond // latency before any target has answered
+	avoidFirst     = 200 * time.Millisecond
+	avoidMax       = 4 * time.Second
 	// A target is stuck once a request takes stuckFactor times its usual latency, and
 	// at least stuckLeast.
-	stuckFactor = 8
-	stuckLeast  = 150 * time.Millisecond
-	otherHall   = 1.1 // cost factor of a target in another data hall
+	stuckFactor     = 8
+	minStuck        = 150 * time.Millisecond
+	otherHallFactor = 1.1 // cost factor of a target in another data hall
 )
 
-type state struct {
-	underWay map[uint64]time.Time
-	usual    time.Duration // 0 before the first answer
-	errors   float64       // error rate
-	failures int           // consecutive failures
-	avoid    time.Time
-	cold     cold.Pacer // limits requests while the target is cold
+type targetState struct {
+	inFlight   map[uint64]time.Time
+	latency    time.Duration // 0 before the first answer
+	errors     float64       // error rate
+	failures   int           // consecutive failures
+	avoidUntil time.Time
+	pacer      cold.Pacer // limits requests while the target is cold
 }
 
 // Balancer chooses targets. It is not safe for concurrent use.
 type Balancer struct {
-	dataHall string
-	states   map[string]*state
-	usual    time.Duration // of all targets, used for those without an answer
-	next     uint64
-	draw     func() float64
+	dataHall   string
+	states     map[string]*targetState
+	latency    time.Duration // of all targets, used for those without an answer
+	lastNumber uint64
+	random     func() float64
 }
 
 // New returns the balancer of a gateway in a data hall. draw must return random numbers
 // in [0, 1).
 func New(dataHall string, draw func() float64) *Balancer {
-	return &Balancer{dataHall: dataHall, states: map[string]*state{}, usual: firstGuess, draw: draw}
+	return &Balancer{dataHall: dataHall, states: map[string]*targetState{}, latency: initialLatency, random: draw}
 }
 
 // Limits bound the requests to cold targets.
@@ -65,10 +65,10 @@
 	number uint64
 }
 
-func (b *Balancer) state(id string) *state {
+func (b *Balancer) state(id string) *targetState {
 	s := b.states[id]
 	if s == nil {
-		s = &state{underWay: map[uint64]time.Time{}}
+		s = &targetState{inFlight: map[uint64]time.Time{}}
 		b.states[id] = s
 	}
 	return s
@@ -80,20 +80,20 @@
 func (b *Balancer) Choose(now time.Time, targets []*routing.Target, deny []string, l Limits) *Pick {
 	var best *routing.Target
 	bestAvoided, bestCost := true, 0.0
-	b.next++
+	b.lastNumber++
 	for i := range targets {
-		t := targets[(i+int(b.next))%len(targets)]
+		t := targets[(i+int(b.lastNumber))%len(targets)]
 		if !t.TakesWork() || slices.Contains(deny, t.ID) {
 			continue
 		}
 		s := b.state(t.ID)
-		if l.cold(now, t) && s.cold.Wait(now, t.ColdUntil, l.ColdShare*l.ColdRate, b.draw()) > 0 {
+		if l.cold(now, t) && s.pacer.Wait(now, t.ColdUntil, l.ColdShare*l.ColdRate, b.random()) > 0 {
 			continue
 		}
-		avoided := now.Before(s.avoid) || b.stuck(now, s)
+		avoided := now.Before(s.avoidUntil) || b.stuck(now, s)
 		cost := b.cost(s)
 		if t.DataHall != b.dataHall {
-			cost *= otherHall
+			cost *= otherHallFactor
 		}
 		if best == nil || bestAvoided && !avoided || bestAvoided == avoided && cost < bestCost {
 			best, bestAvoided, bestCost = t, avoided, cost
@@ -103,25 +103,25 @@
 		return nil
 	}
 	s := b.state(best.ID)
-	s.underWay[b.next] = now
+	s.inFlight[b.lastNumber] = now
 	if l.cold(now, best) {
-		s.cold.Take(now, l.ColdShare*l.ColdRate)
+		s.pacer.Take(now, l.ColdShare*l.ColdRate)
 	}
-	return &Pick{best, b.next}
+	return &Pick{best, b.lastNumber}
 }
 
 // cold reports whether the limit for cold targets applies to a target. Each gateway
 // starts a cold period with a random credit, so that their first requests are spread out.
 func (l Limits) cold(now time.Time, t *routing.Target) bool { return l.ColdRate > 0 && t.Cold(now) }
 
-func (b *Balancer) cost(s *state) float64 {
-	return float64(len(s.underWay)+1) * b.usualOf(s).Seconds() * (1 + errorWeight*s.errors)
+func (b *Balancer) cost(s *targetState) float64 {
+	return float64(len(s.inFlight)+1) * b.latencyOf(s).Seconds() * (1 + errorWeight*s.errors)
 }
 
 // stuck reports whether any request has been in flight for far too long.
-func (b *Balancer) stuck(now time.Time, s *state) bool {
-	for _, since := range s.underWay {
-		if now.Sub(since) > max(stuckFactor*b.usualOf(s), stuckLeast) {
+func (b *Balancer) stuck(now time.Time, s *targetState) bool {
+	for _, since := range s.inFlight {
+		if now.Sub(since) > max(stuckFactor*b.latencyOf(s), minStuck) {
 			return true
 		}
 	}
@@ -129,36 +129,36 @@
 }
 
 // Usual returns the average latency of a target.
-func (b *Balancer) Usual(id string) time.Duration { return b.usualOf(b.state(id)) }
+func (b *Balancer) Usual(id string) time.Duration { return b.latencyOf(b.state(id)) }
 
-func (b *Balancer) usualOf(s *state) time.Duration {
-	if s.usual == 0 {
-		return b.usual
+func (b *Balancer) latencyOf(s *targetState) time.Duration {
+	if s.latency == 0 {
+		return b.latency
 	}
-	return s.usual
+	return s.latency
 }
 
 // Done records a successful answer.
 func (b *Balancer) Done(now time.Time, p *Pick) {
 	s := b.state(p.Target.ID)
-	took := now.Sub(s.underWay[p.number])
-	delete(s.underWay, p.number)
-	if s.usual == 0 {
-		s.usual = took
+	took := now.Sub(s.inFlight[p.number])
+	delete(s.inFlight, p.number)
+	if s.latency == 0 {
+		s.latency = took
 	}
-	s.usual += time.Duration(timeGain * float64(took-s.usual))
-	b.usual += time.Duration(timeGain * float64(took-b.usual))
+	s.latency += time.Duration(latencyGain * float64(took-s.latency))
+	b.latency += time.Duration(latencyGain * float64(took-b.latency))
 	s.errors -= errorGain * s.errors
 	s.failures = 0
 }
 
 // Canceled records that the caller disconnected.
-func (b *Balancer) Canceled(p *Pick) { delete(b.state(p.Target.ID).underWay, p.number) }
+func (b *Balancer) Canceled(p *Pick) { delete(b.state(p.Target.ID).inFlight, p.number) }
 
 // Failed records a failed attempt.
 func (b *Balancer) Failed(now time.Time, p *Pick, o attempt.Outcome) {
 	s := b.state(p.Target.ID)
-	delete(s.underWay, p.number)
+	delete(s.inFlight, p.number)
 	s.errors += errorGain * (1 - s.errors)
 	if o == attempt.Failed {
 		return
@@ -166,7 +166,7 @@
 	s.failures++
 	if o == attempt.NotSent || s.failures > 1 {
 		pause := min(avoidFirst<<min(s.failures, 5), avoidMax)
-		s.avoid = now.Add(pause)
+		s.avoidUntil = now.Add(pause)
 	}
 }
 
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func three() []*routing.Target {
+func threeTargets() []*routing.Target {
 	return []*routing.Target{
 		{ID: "a", DataHall: "h1", Address: "a"}, {ID: "b", DataHall: "h2", Address: "b"}, {ID: "c", DataHall: "h3", Address: "c"},
 	}
@@ -24,11 +24,11 @@
 // newBalancer returns a balancer whose random numbers are all 0.5.
 func newBalancer(hall string) *Balancer { return New(hall, func() float64 { return 0.5 }) }
 
-func TestLeastBusyIsChosen(t *testing.T) {
+func TestChoosesLeastBusyTarget(t *testing.T) {
 	b := newBalancer("h1")
 	seen := map[string]int{}
 	for range 9 {
-		seen[b.Choose(start, three(), nil, Limits{}).Target.ID]++
+		seen[b.Choose(start, threeTargets(), nil, Limits{}).Target.ID]++
 	}
 	for id, n := range seen {
 		if n != 3 {
@@ -37,9 +37,9 @@
 	}
 }
 
-func TestDeniedAndLeavingAreNotChosen(t *testing.T) {
+func TestDeniedAndLeavingTargetsAreNotChosen(t *testing.T) {
 	b := newBalancer("h1")
-	targets := three()
+	targets := threeTargets()
 	targets[0].Leaving = true
 	for range 10 {
 		if p := b.Choose(start, targets, []string{"b"}, Limits{}); p == nil || p.Target.ID != "c" {
@@ -51,11 +51,11 @@
 	}
 }
 
-func TestUnreachableIsAvoidedThenTriedAgain(t *testing.T) {
+func TestUnreachableTargetIsRetriedAfterBackoff(t *testing.T) {
 	b := newBalancer("")
 	now, tried := start, 0
 	for range 400 {
-		p := b.Choose(now, three(), nil, Limits{})
+		p := b.Choose(now, threeTargets(), nil, Limits{})
 		if p.Target.ID == "b" {
 			tried++
 			b.Failed(now, p, attempt.NotSent)
@@ -73,7 +73,7 @@
 	b := newBalancer("")
 	now, stuck := start, 0
 	for range 200 {
-		p := b.Choose(now, three(), nil, Limits{})
+		p := b.Choose(now, threeTargets(), nil, Limits{})
 		if p.Target.ID == "b" {
 			stuck++ // it never answers
 		} else {
@@ -86,9 +86,9 @@
 	}
 }
 
-func TestAvoidedIsBetterThanNone(t *testing.T) {
+func TestAvoidedTargetIsChosenIfAlone(t *testing.T) {
 	b := newBalancer("h1")
-	one := three()[:1]
+	one := threeTargets()[:1]
 	p := b.Choose(start, one, nil, Limits{})
 	b.Failed(start, p, attempt.NotSent)
 	if b.Choose(start, one, nil, Limits{}) == nil {
@@ -100,7 +100,7 @@
 	b := newBalancer("")
 	now, failing := start, 0
 	for range 300 {
-		p := b.Choose(now, three(), nil, Limits{})
+		p := b.Choose(now, threeTargets(), nil, Limits{})
 		if p.Target.ID == "c" {
 			failing++
 			b.Failed(now.Add(20*time.Millisecond), p, attempt.Failed)
@@ -114,9 +114,9 @@
 	}
 }
 
-func TestKeepForgets(t *testing.T) {
+func TestKeepRemovesOtherTargets(t *testing.T) {
 	b := newBalancer("h1")
-	b.Choose(start, three(), nil, Limits{})
+	b.Choose(start, threeTargets(), nil, Limits{})
 	b.Keep((&routing.TargetSet{Targets: []routing.Target{{ID: "a"}}}).Build())
 	if len(b.states) > 1 {
 		t.Errorf("got the states of %d targets, want at most 1", len(b.states))
@@ -125,7 +125,7 @@
 
 // A restarted target inherits the requests in flight, failures and latency of its
 // earlier incarnation.
-func TestAnotherLifeIsAnotherTarget(t *testing.T) {
+func TestNewIncarnationStartsWithFreshState(t *testing.T) {
 	b := newBalancer("h1")
 	life := func(born int64) []*routing.Target {
 		return []*routing.Target{{ID: routing.TargetID("w", born), Name: "w", Born: born}}
@@ -136,15 +136,15 @@
 	b.Choose(start, life(1), nil, Limits{})
 	b.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)[0]}}).Build())
 	b.Choose(start, life(2), nil, Limits{})
-	if len(b.states) != 1 || len(b.state(life(2)[0].ID).underWay) != 1 || b.Usual(life(2)[0].ID) != New("h1", nil).Usual("w") {
+	if len(b.states) != 1 || len(b.state(life(2)[0].ID).inFlight) != 1 || b.Usual(life(2)[0].ID) != New("h1", nil).Usual("w") {
 		t.Errorf("the new incarnation starts with %+v, want only one request in flight", b.state(life(2)[0].ID))
 	}
 }
 
 // An evacuated target is chosen if there is no other.
-func TestEvacuatedIsNotChosen(t *testing.T) {
+func TestEvacuatedTargetIsNotChosen(t *testing.T) {
 	b := newBalancer("h1")
-	targets := three()
+	targets := threeTargets()
 	targets[0].Evacuated, targets[1].Evacuated = true, true
 	for range 10 {
 		if p := b.Choose(start, targets, nil, Limits{}); p == nil || p.Target.ID != "c" {
@@ -158,7 +158,7 @@
 }
 
 // Gateways together overload a cold target, or keep limiting it once it is warm.
-func TestColdTargetGetsWhatItBears(t *testing.T) {
+func TestColdTargetIsRateLimited(t *testing.T) {
 	const gateways, bears = 60, 6.0
 	rng := rand.New(rand.NewPCG(1, 1))
 	cold := &routing.Target{ID: "cold", DataHall: "h1", Address: "a", ColdUntil: start.Add(3 * time.Second)}
@@ -183,7 +183,7 @@
 			} else if p.Target == cold {
 				after++
 			}
-			b.Done(now.Add(firstGuess), p)
+			b.Done(now.Add(initialLatency), p)
 		}
 	}
 	for i := range got {
