--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -69,12 +69,12 @@
 	switch o {
 	case NotSent, Withheld:
 		if h.Unsent < maxUnsent {
-			return again(h)
+			return retry(h)
 		}
 		return giveUp(h)
 	case NotRun:
 		if h.Sent < h.Route.MaxAttempts && budget() {
-			return again(h)
+			return retry(h)
 		}
 		return giveUp(h)
 	case Failed:
@@ -87,15 +87,15 @@
 		return Deliver
 	case Unknown, Cut:
 		if h.Route.MayRepeat() && h.Sent < h.Route.MaxAttempts && budget() {
-			return again(h)
+			return retry(h)
 		}
 		return giveUp(h)
 	default:
-		return late(h)
+		return timeOut(h)
 	}
 }
 
-func again(h History) Next {
+func retry(h History) Next {
 	if !h.HeadOut {
 		return Again
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-func late(h History) Next {
+func timeOut(h History) Next {
 	switch {
 	case h.HeadOut:
 		return Abort
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -16,7 +16,7 @@
 	resumable = &routing.Route{Repeat: routing.RepeatNever, Stream: true, Resumable: true, MaxAttempts: 2}
 )
 
-func TestDecide(t *testing.T) {
+func TestDecideByOutcomeAndHistory(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome Outcome
@@ -58,7 +58,7 @@
 
 // A request that may have run is repeated or reported as not run, or the caller gets a
 // second response head.
-func TestPromisesHoldInEveryState(t *testing.T) {
+func TestNeverRepeatsWhatMayHaveRun(t *testing.T) {
 	for _, route := range []*routing.Route{once, safe, stream, resumable} {
 		for outcome := NotSent; outcome <= Withheld; outcome++ {
 			for bits := range 16 {
