--- a/core/policy/call.go
+++ b/core/policy/call.go
@@ -10,14 +10,14 @@
 	"go.starlark.net/starlarkstruct"
 )
 
-func record(fields starlark.StringDict) starlark.Value {
+func newStruct(fields starlark.StringDict) starlark.Value {
 	s := starlarkstruct.FromStringDict(starlarkstruct.Default, fields)
 	s.Freeze()
 	return s
 }
 
 func (r Request) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"account":    starlark.String(r.Account),
 		"pool":       starlark.String(r.Pool),
 		"model":      starlark.String(r.Model),
@@ -33,7 +33,7 @@
 }
 
 func (a Account) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"name":   starlark.String(a.Name),
 		"weight": starlark.Float(a.Weight),
 		"queued": starlark.MakeInt(a.Queued),
@@ -41,7 +41,7 @@
 }
 
 func (a Attempt) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"number":  starlark.MakeInt(a.Number),
 		"outcome": starlark.String(a.Outcome),
 		"status":  starlark.MakeInt(a.Status),
@@ -49,7 +49,7 @@
 }
 
 func (t Target) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"name":      starlark.String(t.Name),
 		"pool":      starlark.String(t.Pool),
 		"data_hall": starlark.String(t.DataHall),
@@ -65,12 +65,12 @@
 	}
 	v, err = starlark.Call(newThread(p.name), p.globals[name], args, nil)
 	if err != nil {
-		return nil, true, describe(p.name, err)
+		return nil, true, newErrPolicy(p.name, err)
 	}
 	return v, true, nil
 }
 
-func (p *Program) wrong(name string, got starlark.Value, want string) error {
+func (p *Program) typeError(name string, got starlark.Value, want string) error {
 	line, column := 0, 0
 	if fn, ok := p.globals[name].(*starlark.Function); ok {
 		line, column = int(fn.Position().Line), int(fn.Position().Col)
@@ -89,7 +89,7 @@
 	}
 	dict, isDict := v.(*starlark.Dict)
 	if !isDict {
-		return o, p.wrong("order", v, "dict")
+		return o, p.typeError("order", v, "dict")
 	}
 	got := o
 	for _, item := range dict.Items() {
@@ -106,13 +106,13 @@
 	case "class":
 		s, ok := starlark.AsString(v)
 		if !ok {
-			return p.wrong("order", v, "a string for class")
+			return p.typeError("order", v, "a string for class")
 		}
 		o.Class = s
 	case "rank":
 		n, err := starlark.AsInt32(v)
 		if err != nil {
-			return p.wrong("order", v, "an int for rank")
+			return p.typeError("order", v, "an int for rank")
 		}
 		o.Rank = n
 	case "interactive":
@@ -120,7 +120,7 @@
 	case "keep":
 		o.Keep = bool(v.Truth())
 	default:
-		return p.wrong("order", key, "one of class, rank, interactive, keep as key")
+		return p.typeError("order", key, "one of class, rank, interactive, keep as key")
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 	}
 	b, isBool := v.(starlark.Bool)
 	if !isBool {
-		return safe, p.wrong("retry", v, "bool")
+		return safe, p.typeError("retry", v, "bool")
 	}
 	return bool(b), nil
 }
@@ -153,7 +153,7 @@
 	}
 	f, isNumber := starlark.AsFloat(v)
 	if !isNumber {
-		return open, p.wrong("place", v, "a number or None")
+		return open, p.typeError("place", v, "a number or None")
 	}
 	return Placement{Allowed: true, Score: f}, nil
 }
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -124,7 +124,7 @@
 	thread := newThread(name)
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{Set: true}, thread, name+".star", source, nil)
 	if err != nil {
-		return nil, describe(name, err)
+		return nil, newErrPolicy(name, err)
 	}
 	globals.Freeze()
 	p := &Program{name: name, globals: globals}
@@ -140,7 +140,7 @@
 	return thread
 }
 
-func describe(name string, err error) error {
+func newErrPolicy(name string, err error) error {
 	var syn syntax.Error
 	if errors.As(err, &syn) {
 		return ErrPolicy{name, int(syn.Pos.Line), int(syn.Pos.Col), syn.Msg}
--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestErrorsHaveLineAndColumn(t *testing.T) {
+func TestErrorsHavePosition(t *testing.T) {
 	for _, c := range []struct {
 		source       string
 		line, column int
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestSafeDefaults(t *testing.T) {
+func TestMissingOrFailedPolicyUsesDefaults(t *testing.T) {
 	var none *Program
 	r := Request{MaxTokens: 4096}
 	if o, err := none.Order(r, Account{}); err != nil || o != DefaultOrder(r) || !o.Keep {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestPlaceForbids(t *testing.T) {
+func TestPlaceExcludesTargets(t *testing.T) {
 	p := compile(t, "def place(request, target):\n  return None if target.region == 'far' else 2\n")
 	if got, err := p.Place(Request{}, Target{Region: "far"}); err != nil || got.Allowed {
 		t.Errorf("far target: got %+v, %v, want not allowed", got, err)
