--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -21,38 +21,38 @@
 	sent     int // own starts since the last report
 }
 
-type job struct {
+type queuedRequest struct {
 	req     admit.Request
 	arrived time.Time
 }
 
-type key struct{ account, pool string }
+type queueKey struct{ account, pool string }
 
 // Dispatcher sends requests to the target with the lowest reported load. Accounts take
 // turns by the service that this router has given them.
 type Dispatcher struct {
-	queues  map[key][]job
+	queues  map[queueKey][]queuedRequest
 	ledgers map[string]*fair.Ledger
 	routes  map[string][]admit.Route
 	targets map[string]*target
-	running map[admit.RequestID]runningJob
+	running map[admit.RequestID]runningRequest
 	queued  int
 }
 
-type runningJob struct {
-	job
-	target  string
-	charged float64
+type runningRequest struct {
+	queuedRequest
+	target      string
+	chargedCost float64
 }
 
 // New returns an empty Dispatcher.
 func New() *Dispatcher {
 	return &Dispatcher{
-		queues:  map[key][]job{},
+		queues:  map[queueKey][]queuedRequest{},
 		ledgers: map[string]*fair.Ledger{},
 		routes:  map[string][]admit.Route{},
 		targets: map[string]*target{},
-		running: map[admit.RequestID]runningJob{},
+		running: map[admit.RequestID]runningRequest{},
 	}
 }
 
@@ -81,7 +81,7 @@
 }
 
 func (d *Dispatcher) arrive(now time.Time, r admit.Request) []admit.Action {
-	k := key{r.Account, r.Pool}
+	k := queueKey{r.Account, r.Pool}
 	if r.MaxQueued > 0 && len(d.queues[k]) >= r.MaxQueued {
 		return []admit.Action{admit.Refuse{ID: r.ID, Code: result.QueueFull, RetryAfter: retryAfter}}
 	}
@@ -90,7 +90,7 @@
 		l.Admit(now, r.Account)
 		l.Settle(now, 0, func(string) float64 { return 0 })
 	}
-	d.queues[k] = append(d.queues[k], job{r, now})
+	d.queues[k] = append(d.queues[k], queuedRequest{r, now})
 	d.queued++
 	return d.dispatch(now)
 }
@@ -121,8 +121,8 @@
 	if !ok {
 		return
 	}
-	d.ledger(r.req.Pool).Charge(r.req.Account, (cost-r.charged)/r.req.Weight)
-	r.charged = cost
+	d.ledger(r.req.Pool).Charge(r.req.Account, (cost-r.chargedCost)/r.req.Weight)
+	r.chargedCost = cost
 	d.running[id] = r
 }
 
@@ -148,7 +148,7 @@
 	for pool := range d.routes {
 		for {
 			t := d.leastLoaded(pool)
-			k, ok := d.leastServed(pool)
+			k, ok := d.leastServedQueue(pool)
 			if t == "" || !ok {
 				break
 			}
@@ -174,8 +174,8 @@
 	return best
 }
 
-func (d *Dispatcher) leastServed(pool string) (key, bool) {
-	var best key
+func (d *Dispatcher) leastServedQueue(pool string) (queueKey, bool) {
+	var best queueKey
 	found := false
 	l := d.ledger(pool)
 	for k, jobs := range d.queues {
@@ -192,12 +192,12 @@
 	return best, found
 }
 
-func (d *Dispatcher) start(now time.Time, k key, name string) admit.Action {
+func (d *Dispatcher) start(now time.Time, k queueKey, name string) admit.Action {
 	j := d.queues[k][0]
 	d.queues[k] = d.queues[k][1:]
 	d.queued--
 	d.targets[name].sent++
-	d.running[j.req.ID] = runningJob{job: j, target: name}
+	d.running[j.req.ID] = runningRequest{queuedRequest: j, target: name}
 	d.charge(j.req.ID, j.req.Cost)
 	return admit.Start{ID: j.req.ID, Target: name, Waited: now.Sub(j.arrived)}
 }
