--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -55,12 +55,12 @@
 
 // History is the state of a request after an attempt.
 type History struct {
-	Route     *routing.Route
-	Sent      int  // attempts that wrote the request, this one included
-	Unsent    int  // attempts that wrote nothing, this one included
-	MayHave   bool // some target may have executed the request
-	HeadOut   bool // the head of an answer was forwarded to the caller
-	EventsOut bool // complete events were forwarded to the caller
+	Route           *routing.Route
+	Sent            int  // attempts that wrote the request, this one included
+	Unsent          int  // attempts that wrote nothing, this one included
+	MayHaveRun      bool // some target may have executed the request
+	HeadForwarded   bool // the head of an answer was forwarded to the caller
+	EventsForwarded bool // complete events were forwarded to the caller
 }
 
 // Decide returns the action after an outcome. budget reports whether the retry budget
@@ -78,10 +78,10 @@
 		}
 		return giveUp(h)
 	case Failed:
-		if h.Route.MayRepeat() && !h.HeadOut && h.Sent < h.Route.MaxAttempts && budget() {
+		if h.Route.MayRepeat() && !h.HeadForwarded && h.Sent < h.Route.MaxAttempts && budget() {
 			return Again
 		}
-		if h.HeadOut {
+		if h.HeadForwarded {
 			return Abort
 		}
 		return Deliver
@@ -96,7 +96,7 @@
 }
 
 func retry(h History) Next {
-	if !h.HeadOut {
+	if !h.HeadForwarded {
 		return Again
 	}
 	if h.Route.Stream && h.Route.Resumable {
@@ -108,9 +108,9 @@
 // giveUp returns the final answer of a request that is not retried.
 func giveUp(h History) Next {
 	switch {
-	case h.HeadOut:
+	case h.HeadForwarded:
 		return Abort
-	case h.MayHave:
+	case h.MayHaveRun:
 		return Unclear
 	default:
 		return Refuse
@@ -119,9 +119,9 @@
 
 func timeOut(h History) Next {
 	switch {
-	case h.HeadOut:
+	case h.HeadForwarded:
 		return Abort
-	case h.MayHave:
+	case h.MayHaveRun:
 		return TimedOut
 	default:
 		return Refuse
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -28,27 +28,27 @@
 		{"no connection anywhere", NotSent, History{Route: once, Unsent: maxUnsent}, true, Refuse},
 		{"withheld, another target", Withheld, History{Route: once, Unsent: 1}, false, Again},
 		{"withheld everywhere", Withheld, History{Route: once, Unsent: maxUnsent}, true, Refuse},
-		{"withheld after one that may have run", Withheld, History{Route: once, Sent: 1, Unsent: maxUnsent, MayHave: true}, true, Unclear},
-		{"stream withheld from another target", Withheld, History{Route: resumable, Sent: 1, Unsent: 1, MayHave: true, HeadOut: true}, false, Resume},
+		{"withheld after one that may have run", Withheld, History{Route: once, Sent: 1, Unsent: maxUnsent, MayHaveRun: true}, true, Unclear},
+		{"stream withheld from another target", Withheld, History{Route: resumable, Sent: 1, Unsent: 1, MayHaveRun: true, HeadForwarded: true}, false, Resume},
 		{"rejected, another target", NotRun, History{Route: once, Sent: 1}, true, Again},
 		{"rejected, no budget", NotRun, History{Route: once, Sent: 1}, false, Refuse},
 		{"rejected by as many as allowed", NotRun, History{Route: once, Sent: 2}, true, Refuse},
-		{"rejected after one that may have run", NotRun, History{Route: safe, Sent: 2, MayHave: true}, true, Unclear},
-		{"may have run, once only", Unknown, History{Route: once, Sent: 1, MayHave: true}, true, Unclear},
-		{"may have run, safe", Unknown, History{Route: safe, Sent: 1, MayHave: true}, true, Again},
-		{"may have run, safe, no budget", Unknown, History{Route: safe, Sent: 1, MayHave: true}, false, Unclear},
-		{"failed, once only", Failed, History{Route: once, Sent: 1, MayHave: true}, true, Deliver},
-		{"failed, safe", Failed, History{Route: safe, Sent: 1, MayHave: true}, true, Again},
-		{"failed twice, safe", Failed, History{Route: safe, Sent: 2, MayHave: true}, true, Deliver},
-		{"stream cut before its head", Cut, History{Route: stream, Sent: 1, MayHave: true}, true, Unclear},
-		{"stream cut", Cut, History{Route: stream, Sent: 1, MayHave: true, HeadOut: true}, true, Abort},
-		{"resumable stream cut", Cut, History{Route: resumable, Sent: 1, MayHave: true, HeadOut: true}, true, Resume},
-		{"resumable stream cut before its head", Cut, History{Route: resumable, Sent: 1, MayHave: true}, true, Again},
-		{"resumable stream cut, no budget", Cut, History{Route: resumable, Sent: 1, MayHave: true, HeadOut: true}, false, Abort},
-		{"resumption rejected", NotRun, History{Route: resumable, Sent: 2, MayHave: true, HeadOut: true}, true, Abort},
-		{"deadline passed, sent", Expired, History{Route: once, Sent: 1, MayHave: true}, true, TimedOut},
+		{"rejected after one that may have run", NotRun, History{Route: safe, Sent: 2, MayHaveRun: true}, true, Unclear},
+		{"may have run, once only", Unknown, History{Route: once, Sent: 1, MayHaveRun: true}, true, Unclear},
+		{"may have run, safe", Unknown, History{Route: safe, Sent: 1, MayHaveRun: true}, true, Again},
+		{"may have run, safe, no budget", Unknown, History{Route: safe, Sent: 1, MayHaveRun: true}, false, Unclear},
+		{"failed, once only", Failed, History{Route: once, Sent: 1, MayHaveRun: true}, true, Deliver},
+		{"failed, safe", Failed, History{Route: safe, Sent: 1, MayHaveRun: true}, true, Again},
+		{"failed twice, safe", Failed, History{Route: safe, Sent: 2, MayHaveRun: true}, true, Deliver},
+		{"stream cut before its head", Cut, History{Route: stream, Sent: 1, MayHaveRun: true}, true, Unclear},
+		{"stream cut", Cut, History{Route: stream, Sent: 1, MayHaveRun: true, HeadForwarded: true}, true, Abort},
+		{"resumable stream cut", Cut, History{Route: resumable, Sent: 1, MayHaveRun: true, HeadForwarded: true}, true, Resume},
+		{"resumable stream cut before its head", Cut, History{Route: resumable, Sent: 1, MayHaveRun: true}, true, Again},
+		{"resumable stream cut, no budget", Cut, History{Route: resumable, Sent: 1, MayHaveRun: true, HeadForwarded: true}, false, Abort},
+		{"resumption rejected", NotRun, History{Route: resumable, Sent: 2, MayHaveRun: true, HeadForwarded: true}, true, Abort},
+		{"deadline passed, sent", Expired, History{Route: once, Sent: 1, MayHaveRun: true}, true, TimedOut},
 		{"deadline passed, never sent", Expired, History{Route: once}, true, Refuse},
-		{"deadline passed in a stream", Expired, History{Route: resumable, Sent: 1, MayHave: true, HeadOut: true}, true, Abort},
+		{"deadline passed in a stream", Expired, History{Route: resumable, Sent: 1, MayHaveRun: true, HeadForwarded: true}, true, Abort},
 	} {
 		if got := Decide(c.outcome, c.history, func() bool { return c.budget }); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
@@ -62,19 +62,19 @@
 	for _, route := range []*routing.Route{once, safe, stream, resumable} {
 		for outcome := NotSent; outcome <= Withheld; outcome++ {
 			for bits := range 16 {
-				h := History{Route: route, Sent: 1 + bits&1, Unsent: bits >> 1 & 1, MayHave: bits>>2&1 == 1, HeadOut: bits>>3&1 == 1}
+				h := History{Route: route, Sent: 1 + bits&1, Unsent: bits >> 1 & 1, MayHaveRun: bits>>2&1 == 1, HeadForwarded: bits>>3&1 == 1}
 				if outcome != NotSent && outcome != NotRun && outcome != Withheld {
-					h.MayHave = true
+					h.MayHaveRun = true
 				}
 				next := Decide(outcome, h, func() bool { return true })
-				if h.MayHave && next == Refuse {
+				if h.MayHaveRun && next == Refuse {
 					t.Errorf("outcome %d, %+v: refused as not run", outcome, h)
 				}
 				ran := outcome == Unknown || outcome == Cut || outcome == Failed || outcome == Expired
 				if ran && !route.MayRepeat() && (next == Again || next == Resume) {
 					t.Errorf("outcome %d, %+v: sent again though it may have run", outcome, h)
 				}
-				if h.HeadOut && next != Abort && next != Resume {
+				if h.HeadForwarded && next != Abort && next != Resume {
 					t.Errorf("outcome %d, %+v: got action %d, which sends a second head", outcome, h, next)
 				}
 				if next == Resume && !route.Resumable {
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -62,7 +62,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxWhole))
 		return attempt.NotRun, nil
 	}
-	j.history.MayHave = true
+	j.history.MayHaveRun = true
 	if a.Status >= http.StatusMultipleChoices {
 		return j.failed(p, a)
 	}
@@ -103,7 +103,7 @@
 	default:
 		j.broken = true
 		j.history.Sent++
-		j.history.MayHave = true
+		j.history.MayHaveRun = true
 	}
 	return j.ended(p, outcome)
 }
@@ -182,6 +182,6 @@
 	if _, ok := a.Header["Content-Type"]; !ok {
 		h["Content-Type"] = nil
 	}
-	j.headOut, j.history.HeadOut = true, true
+	j.headOut, j.history.HeadForwarded = true, true
 	j.w.WriteHeader(a.Status)
 }
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -147,7 +147,7 @@
 // before the deadline and so long after the first try.
 func placeLater(h attempt.History, left, tried time.Duration) bool {
 	resumable := h.Route.Stream && h.Route.Resumable
-	return resumable && h.MayHave && h.Sent < h.Route.MaxAttempts && left > 2*placeAgainEvery && tried < placeAgainFor
+	return resumable && h.MayHaveRun && h.Sent < h.Route.MaxAttempts && left > 2*placeAgainEvery && tried < placeAgainFor
 }
 
 // notPlaced ends a request that finds no further target. Where an earlier
@@ -159,7 +159,7 @@
 	if j.headOut {
 		return ErrAborted
 	}
-	if j.history.MayHave {
+	if j.history.MayHaveRun {
 		return result.New(result.OutcomeUnknown, "%s; then %v", j.reason, err)
 	}
 	if j.ctx.Err() != nil {
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -65,7 +65,7 @@
 func (s *Service) logNext(j *job, o attempt.Outcome, next attempt.Next, end targetEnd) {
 	values := []any{
 		"id", j.r.Call.ID, "number", j.number, "target", j.target, "outcome", o, "next", next,
-		"sent", j.history.Sent, "unsent", j.history.Unsent, "may_have_run", j.history.MayHave, "reason", j.reason,
+		"sent", j.history.Sent, "unsent", j.history.Unsent, "may_have_run", j.history.MayHaveRun, "reason", j.reason,
 	}
 	if end.looked {
 		values = append(values, "target_ended", end.ended)
--- a/services/forward/watch_test.go
+++ b/services/forward/watch_test.go
@@ -103,12 +103,12 @@
 		left    time.Duration
 		want    bool
 	}{
-		"begun":                 {attempt.History{Route: route, Sent: 1, MayHave: true, HeadOut: true}, time.Second, true},
-		"sent":                  {attempt.History{Route: route, Sent: 1, MayHave: true}, time.Second, true},
+		"begun":                 {attempt.History{Route: route, Sent: 1, MayHaveRun: true, HeadForwarded: true}, time.Second, true},
+		"sent":                  {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Second, true},
 		"not sent":              {attempt.History{Route: route}, time.Second, false},
-		"time is over":          {attempt.History{Route: route, Sent: 1, MayHave: true}, time.Millisecond, false},
-		"may not be repeated":   {attempt.History{Route: &routing.Route{Stream: true}, Sent: 1, MayHave: true}, time.Second, false},
-		"no further attempt is": {attempt.History{Route: route, Sent: 2, MayHave: true}, time.Second, false},
+		"time is over":          {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Millisecond, false},
+		"may not be repeated":   {attempt.History{Route: &routing.Route{Stream: true}, Sent: 1, MayHaveRun: true}, time.Second, false},
+		"no further attempt is": {attempt.History{Route: route, Sent: 2, MayHaveRun: true}, time.Second, false},
 	} {
 		if got := placeLater(c.history, c.left, 0); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
