--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -128,8 +128,8 @@
 	return false
 }
 
-// Usual returns the average latency of a target.
-func (b *Balancer) Usual(id string) time.Duration { return b.latencyOf(b.state(id)) }
+// Latency returns the average latency of a target.
+func (b *Balancer) Latency(id string) time.Duration { return b.latencyOf(b.state(id)) }
 
 func (b *Balancer) latencyOf(s *targetState) time.Duration {
 	if s.latency == 0 {
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -136,7 +136,7 @@
 	b.Choose(start, life(1), nil, Limits{})
 	b.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)[0]}}).Build())
 	b.Choose(start, life(2), nil, Limits{})
-	if len(b.states) != 1 || len(b.state(life(2)[0].ID).inFlight) != 1 || b.Usual(life(2)[0].ID) != New("h1", nil).Usual("w") {
+	if len(b.states) != 1 || len(b.state(life(2)[0].ID).inFlight) != 1 || b.Latency(life(2)[0].ID) != New("h1", nil).Latency("w") {
 		t.Errorf("the new incarnation starts with %+v, want only one request in flight", b.state(life(2)[0].ID))
 	}
 }
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -181,6 +181,6 @@
 
 func (p *plainPlace) patience() time.Duration {
 	usual := time.Duration(0)
-	p.locked(func(time.Time) { usual = p.j.s.balancer.Usual(p.pick.Target.ID) })
+	p.locked(func(time.Time) { usual = p.j.s.balancer.Latency(p.pick.Target.ID) })
 	return max(p.j.r.Route.Objective/2, plainFactor*usual)
 }
