--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -95,6 +95,8 @@
 	}
 }
 
+// retry returns the action that repeats the request, or Abort if the caller has part of
+// an answer that cannot be resumed.
 func retry(h History) Next {
 	if !h.HeadForwarded {
 		return Again
@@ -117,6 +119,7 @@
 	}
 }
 
+// timeOut returns the final answer of a request whose deadline passed.
 func timeOut(h History) Next {
 	switch {
 	case h.HeadForwarded:
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -23,7 +23,7 @@
 	avoidFirst     = 200 * time.Millisecond
 	avoidMax       = 4 * time.Second
 	// A target is stuck once a request takes stuckFactor times its usual latency, and
-	// at least stuckLeast.
+	// at least minStuck.
 	stuckFactor     = 8
 	minStuck        = 150 * time.Millisecond
 	otherHallFactor = 1.1 // cost factor of a target in another data hall
@@ -47,10 +47,10 @@
 	random     func() float64
 }
 
-// New returns the balancer of a gateway in a data hall. draw must return random numbers
+// New returns the balancer of a gateway in a data hall. random must return numbers
 // in [0, 1).
-func New(dataHall string, draw func() float64) *Balancer {
-	return &Balancer{dataHall: dataHall, states: map[string]*targetState{}, latency: initialLatency, random: draw}
+func New(dataHall string, random func() float64) *Balancer {
+	return &Balancer{dataHall: dataHall, states: map[string]*targetState{}, latency: initialLatency, random: random}
 }
 
 // Limits bound the requests to cold targets.
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -127,17 +127,17 @@
 // earlier incarnation.
 func TestNewIncarnationStartsWithFreshState(t *testing.T) {
 	b := newBalancer("h1")
-	life := func(born int64) []*routing.Target {
+	incarnation := func(born int64) []*routing.Target {
 		return []*routing.Target{{ID: routing.TargetID("w", born), Name: "w", Born: born}}
 	}
 	for range 20 {
-		b.Failed(start, b.Choose(start, life(1), nil, Limits{}), attempt.Failed)
+		b.Failed(start, b.Choose(start, incarnation(1), nil, Limits{}), attempt.Failed)
 	}
-	b.Choose(start, life(1), nil, Limits{})
-	b.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)[0]}}).Build())
-	b.Choose(start, life(2), nil, Limits{})
-	if len(b.states) != 1 || len(b.state(life(2)[0].ID).inFlight) != 1 || b.Latency(life(2)[0].ID) != New("h1", nil).Latency("w") {
-		t.Errorf("the new incarnation starts with %+v, want only one request in flight", b.state(life(2)[0].ID))
+	b.Choose(start, incarnation(1), nil, Limits{})
+	b.Keep((&routing.TargetSet{Targets: []routing.Target{*incarnation(2)[0]}}).Build())
+	b.Choose(start, incarnation(2), nil, Limits{})
+	if len(b.states) != 1 || len(b.state(incarnation(2)[0].ID).inFlight) != 1 || b.Latency(incarnation(2)[0].ID) != New("h1", nil).Latency("w") {
+		t.Errorf("the new incarnation starts with %+v, want only one request in flight", b.state(incarnation(2)[0].ID))
 	}
 }
 
@@ -159,11 +159,11 @@
 
 // Gateways together overload a cold target, or keep limiting it once it is warm.
 func TestColdTargetIsRateLimited(t *testing.T) {
-	const gateways, bears = 60, 6.0
+	const gateways, limit = 60, 6.0
 	rng := rand.New(rand.NewPCG(1, 1))
 	cold := &routing.Target{ID: "cold", DataHall: "h1", Address: "a", ColdUntil: start.Add(3 * time.Second)}
 	warm := &routing.Target{ID: "warm", DataHall: "h1", Address: "b"}
-	limits := Limits{ColdRate: bears, ColdShare: pacing.PlainShare(gateways)}
+	limits := Limits{ColdRate: limit, ColdShare: pacing.PlainShare(gateways)}
 	var fleet []*Balancer
 	for range gateways {
 		fleet = append(fleet, New("h1", rng.Float64))
@@ -191,11 +191,11 @@
 		for j := i; j < len(got) && got[j].Sub(got[i]) < time.Second; j++ {
 			n++
 		}
-		if n > bears*1.5+5 {
+		if n > limit*1.5+5 {
 			t.Fatalf("%d requests to a cold target within a second, want at most 14", n)
 		}
 	}
-	if len(got) < bears || after == 0 {
+	if len(got) < limit || after == 0 {
 		t.Errorf("%d requests while cold, want at least 6; %d once warm, want some", len(got), after)
 	}
 }
--- a/core/batch/cache.go
+++ b/core/batch/cache.go
@@ -15,8 +15,8 @@
 	"madderway/models/routing"
 )
 
-// cachedPart is a prompt part in the engine's memory. It is a cache hit only if all parts
-// before it in the prompt are cached, too.
+// cachedPart is a prompt part in the engine's memory. It is a cache hit only if all
+// parts before it in the prompt are cached, too.
 type cachedPart struct {
 	id        uint64
 	tokens    int
@@ -52,13 +52,13 @@
 	return tokens
 }
 
-// copyableTokens returns the tokens at the beginning of the prompt that are prefilled, so that
-// another engine can copy them.
+// copyableTokens returns the tokens at the beginning of the prompt that are prefilled,
+// so that another engine can copy them.
 func (c *cache) copyableTokens(parts []routing.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
-		k, ok := c.parts[p.ID]
-		if !ok || !k.prefilled {
+		part, ok := c.parts[p.ID]
+		if !ok || !part.prefilled {
 			break
 		}
 		tokens += p.Tokens
@@ -69,8 +69,8 @@
 // markPrefilled marks the parts of a request as prefilled.
 func (c *cache) markPrefilled(parts []routing.PromptPart) {
 	for _, p := range parts {
-		if k, ok := c.parts[p.ID]; ok {
-			k.prefilled = true
+		if part, ok := c.parts[p.ID]; ok {
+			part.prefilled = true
 		}
 	}
 }
@@ -78,8 +78,8 @@
 // dropNotPrefilled drops unused parts that were never prefilled.
 func (c *cache) dropNotPrefilled(parts []routing.PromptPart) {
 	for _, p := range parts {
-		if k, ok := c.parts[p.ID]; ok && !k.prefilled && k.pins == 0 {
-			c.drop(k)
+		if part, ok := c.parts[p.ID]; ok && !part.prefilled && part.pins == 0 {
+			c.drop(part)
 		}
 	}
 }
@@ -87,19 +87,19 @@
 // pin adds the parts of a starting request to the cache and marks them as in use.
 func (c *cache) pin(now time.Time, parts []routing.PromptPart) {
 	for _, p := range parts {
-		k, ok := c.parts[p.ID]
+		part, ok := c.parts[p.ID]
 		if !ok {
-			k = &cachedPart{id: p.ID, tokens: p.Tokens}
-			k.elem = c.lru.PushBack(k)
-			c.parts[p.ID] = k
+			part = &cachedPart{id: p.ID, tokens: p.Tokens}
+			part.elem = c.lru.PushBack(part)
+			c.parts[p.ID] = part
 			c.usedTokens += p.Tokens
 		}
-		c.lru.MoveToBack(k.elem)
-		k.usedAt = now
-		if k.pins == 0 {
-			c.pinnedTokens += k.tokens
+		c.lru.MoveToBack(part.elem)
+		part.usedAt = now
+		if part.pins == 0 {
+			c.pinnedTokens += part.tokens
 		}
-		k.pins++
+		part.pins++
 	}
 	c.evict()
 }
@@ -107,14 +107,14 @@
 // unpin releases the parts of a request that ended.
 func (c *cache) unpin(now time.Time, parts []routing.PromptPart) {
 	for _, p := range parts {
-		k, ok := c.parts[p.ID]
-		if !ok || k.pins == 0 {
+		part, ok := c.parts[p.ID]
+		if !ok || part.pins == 0 {
 			continue
 		}
-		k.pins--
-		k.usedAt = now
-		if k.pins == 0 {
-			c.pinnedTokens -= k.tokens
+		part.pins--
+		part.usedAt = now
+		if part.pins == 0 {
+			c.pinnedTokens -= part.tokens
 		}
 	}
 	c.evict()
@@ -123,9 +123,9 @@
 // evict drops the least recently used parts that are not pinned until the rest fits.
 func (c *cache) evict() {
 	for at := c.lru.Front(); at != nil && c.usedTokens+c.outputTokens > c.capacity; {
-		k, next := at.Value.(*cachedPart), at.Next()
-		if k.pins == 0 {
-			c.drop(k)
+		part, next := at.Value.(*cachedPart), at.Next()
+		if part.pins == 0 {
+			c.drop(part)
 		}
 		at = next
 	}
@@ -135,32 +135,32 @@
 // that are pinned or were used since stay. New parts count as least recently used,
 // since the engine does not report when it used them.
 func (c *cache) sync(at time.Time, parts []routing.PromptPart) {
-	told := make(map[uint64]bool, len(parts))
+	reported := make(map[uint64]bool, len(parts))
 	for _, p := range parts {
-		told[p.ID] = true
-		if k, ok := c.parts[p.ID]; ok || p.Tokens <= 0 {
+		reported[p.ID] = true
+		if part, ok := c.parts[p.ID]; ok || p.Tokens <= 0 {
 			if ok {
-				k.prefilled = true
+				part.prefilled = true
 			}
 			continue
 		}
-		k := &cachedPart{id: p.ID, tokens: p.Tokens, prefilled: true, usedAt: at}
-		k.elem = c.lru.PushFront(k)
-		c.parts[p.ID] = k
+		part := &cachedPart{id: p.ID, tokens: p.Tokens, prefilled: true, usedAt: at}
+		part.elem = c.lru.PushFront(part)
+		c.parts[p.ID] = part
 		c.usedTokens += p.Tokens
 	}
-	for _, k := range c.parts {
-		if !told[k.id] && k.pins == 0 && k.usedAt.Before(at) {
-			c.drop(k)
+	for _, part := range c.parts {
+		if !reported[part.id] && part.pins == 0 && part.usedAt.Before(at) {
+			c.drop(part)
 		}
 	}
 	c.evict()
 }
 
-func (c *cache) drop(k *cachedPart) {
-	c.lru.Remove(k.elem)
-	delete(c.parts, k.id)
-	c.usedTokens -= k.tokens
+func (c *cache) drop(part *cachedPart) {
+	c.lru.Remove(part.elem)
+	delete(c.parts, part.id)
+	c.usedTokens -= part.tokens
 }
 
 // available returns the tokens that are free or evictable.
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -55,7 +55,8 @@
 	return NewEngineWithPrior(slots, cacheTokens, NewPrior(tokensPerSecond))
 }
 
-// NewEngineWithPrior returns the model of an idle engine that shares a Prior with others of its kind.
+// NewEngineWithPrior returns the model of an idle engine that shares a Prior with others
+// of its kind.
 func NewEngineWithPrior(slots, cacheTokens int, p *Prior) *Engine {
 	return &Engine{
 		slots: max(slots, 1), cache: newCache(cacheTokens), runs: map[*Run]struct{}{}, prefill: prefillEstimator{prior: p},
@@ -83,14 +84,14 @@
 	return e.prefill.busyTime
 }
 
-// CopyableTokens returns the tokens at the beginning of the prompt that another engine can copy
-// from this one.
+// CopyableTokens returns the tokens at the beginning of the prompt that another engine
+// can copy from this one.
 func (e *Engine) CopyableTokens(p *routing.Prompt) int {
 	return min(e.cache.copyableTokens(p.Parts), p.Tokens)
 }
 
 // Fits reports whether the engine has memory for a request.
-func (e *Engine) Fits(missing, output int) bool { return missing+output <= e.cache.available() }
+func (e *Engine) Fits(uncached, output int) bool { return uncached+output <= e.cache.available() }
 
 // SlotWait returns the expected time until a slot is free.
 func (e *Engine) SlotWait() time.Duration {
--- a/core/batch/health.go
+++ b/core/batch/health.go
@@ -12,7 +12,7 @@
 	errorGain     = 0.15            // weight of a new outcome in the error rate
 	errorHalfLife = 2 * time.Second // half-life of the error rate without new outcomes
 	// An engine is silent once a first event takes silentFactor times the expected time
-	// plus lateSlack.
+	// plus silentSlack.
 	silentFactor = 3
 	silentSlack  = 400 * time.Millisecond
 
@@ -25,7 +25,7 @@
 
 // health tracks failures of an engine and the backoff after them.
 type health struct {
-	rate       float64 // error rate at errorsAt
+	rate       float64 // error rate at rateAt
 	rateAt     time.Time
 	failures   int // consecutive backoffs without a success
 	avoidUntil time.Time
@@ -43,13 +43,13 @@
 	return h.rate * math.Exp2(-float64(since)/float64(errorHalfLife))
 }
 
-func (h *health) setErrorRate(now time.Time, errors float64) { h.rate, h.rateAt = errors, now }
+func (h *health) setErrorRate(now time.Time, rate float64) { h.rate, h.rateAt = rate, now }
 
 func (h *health) begun() { h.failures = 0 }
 
-// recordOutcome records the outcome of a run. A broken or failed run counts toward the error
-// rate only before its first event: later breaks often come from connections, many at
-// a time. Neither avoids the engine.
+// recordOutcome records the outcome of a run. A broken or failed run counts toward the
+// error rate only before its first event: later breaks often come from connections, many
+// at a time. It never makes the engine unusable.
 func (h *health) recordOutcome(now time.Time, r *Run, o Outcome, silent bool) {
 	switch o {
 	case OutcomeDone:
--- a/core/batch/pace.go
+++ b/core/batch/pace.go
@@ -18,15 +18,15 @@
 	minFirstLatency = 10 * time.Millisecond
 	minSlotWait     = 30 * time.Millisecond
 	// maxPrefillShare is the part of an idle engine's time that may be booked for prefill.
-	// Each running request takes off readSharePerRun, down to readShareLeast, since
+	// Each running request takes off prefillSharePerRun, down to minPrefillShare, since
 	// prefill slows down decoding for all of them.
 	maxPrefillShare    = 1.0
 	prefillSharePerRun = 0.01
 	minPrefillShare    = 0.6
 )
 
-// prefillEstimator estimates the prefill speed and backlog of an engine. Engines prefill prompts
-// in the order of their arrival, so each first event shows how much is left.
+// prefillEstimator estimates the prefill speed and backlog of an engine. Engines prefill
+// prompts in the order of their arrival, so each first event shows how much is left.
 type prefillEstimator struct {
 	doneAt         time.Time     // expected end of the prefill of all requests
 	bookedUntil    time.Time     // end of the booked prefill time
@@ -37,7 +37,7 @@
 	prior          *Prior
 	firstLatency   time.Duration // latency of a first event beyond prefill
 	slotTime       time.Duration // average time that a request occupies its slot
-	lastFirstEvent time.Time     // last first event
+	lastFirstEvent time.Time
 }
 
 func (p *prefillEstimator) speed() float64 {
@@ -63,9 +63,9 @@
 	return time.Duration(float64(tokens) / p.speed() * float64(time.Second))
 }
 
-// countBusyTime adds the time since the last call in which the engine was busy with prefill.
-// An engine whose first event is overdue counts as busy: it still prefills, or this
-// process is cut off from its events.
+// countBusyTime adds the time since the last call in which the engine was busy with
+// prefill. An engine whose first event is overdue counts as busy: it still prefills, or
+// this process is cut off from its events.
 func (p *prefillEstimator) countBusyTime(now time.Time, queue []*Run) {
 	until := p.doneAt
 	if len(queue) > 0 && now.After(queue[0].dueAt) || until.After(now) {
@@ -85,21 +85,21 @@
 // enqueue appends a run to the backlog and returns the expected time of its first event.
 // A copy takes no prefill time, since the engine prefills other prompts meanwhile.
 func (p *prefillEstimator) enqueue(now time.Time, r *Run, running int) time.Time {
-	read := p.durationFor(r.PrefillTokens)
+	duration := p.durationFor(r.PrefillTokens)
 	begins := later(later(p.doneAt, now), r.copyDoneAt)
-	p.doneAt = later(p.doneAt, now).Add(read)
-	p.bookedUntil = later(p.bookedUntil, now).Add(time.Duration(float64(read) / prefillShare(running)))
-	return begins.Add(read + p.firstLatency)
+	p.doneAt = later(p.doneAt, now).Add(duration)
+	p.bookedUntil = later(p.bookedUntil, now).Add(time.Duration(float64(duration) / prefillShare(running)))
+	return begins.Add(duration + p.firstLatency)
 }
 
-// resetBacklog recomputes the backlog from the queue after a first event, whose prompt was
-// prefilled one first-event latency ago.
+// resetBacklog recomputes the backlog from the queue after a first event, whose prompt
+// was prefilled one firstLatency ago.
 func (p *prefillEstimator) resetBacklog(now time.Time, queue []*Run) {
 	at := now.Add(-p.firstLatency)
 	for _, r := range queue {
-		read := p.durationFor(r.PrefillTokens)
-		r.dueAt = later(later(at, r.startedAt), r.copyDoneAt).Add(read + p.firstLatency)
-		at = later(at, r.startedAt).Add(read)
+		duration := p.durationFor(r.PrefillTokens)
+		r.dueAt = later(later(at, r.startedAt), r.copyDoneAt).Add(duration + p.firstLatency)
+		at = later(at, r.startedAt).Add(duration)
 	}
 	p.doneAt = at
 }
--- a/core/entry/event.go
+++ b/core/entry/event.go
@@ -109,7 +109,7 @@
 	Outcome batch.Outcome
 }
 
-// Step is a stage in the life of a request.
+// Step is a stage of a request.
 type Step uint8
 
 // Steps of a request.
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -39,7 +39,7 @@
 	cell cell.Key
 }
 
-// schedulerState is the scheduler in use for a cell and the inventories sent to it.
+// schedulerState tracks the scheduler in use for a cell and the inventories sent to it.
 type schedulerState struct {
 	scheduler        string
 	inventoryAt      time.Time // last inventory
@@ -159,9 +159,9 @@
 	return g == nil || m.candidate(now, g, p) == ""
 }
 
-// refuseSaturated refuses a request whose schedulers do not answer while the link is saturated.
-// The link is the likely cause, and placing requests here without knowing the load of
-// the engines would overload them for all gateways.
+// refuseSaturated refuses a request whose schedulers do not answer while the link is
+// saturated. The link is the likely cause, and placing requests here without knowing
+// the load of the engines would overload them for all gateways.
 func (m *Machine) refuseSaturated(p *pending) {
 	m.withdraw(p.ask.ID)
 	m.emit(Refuse{p.ask.ID, m.self, saturatedRetry})
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -263,7 +263,7 @@
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
-	told := func() (n int) {
+	inventories := func() (n int) {
 		for range 10 {
 			if inv, ok := find[InventoryOut](f.after(inventoryInterval, Tick{})); ok {
 				n++
@@ -274,11 +274,11 @@
 		}
 		return n
 	}
-	if n := told(); n != 10 {
+	if n := inventories(); n != 10 {
 		t.Errorf("%d inventories while a request runs, want 10", n)
 	}
 	f.after(time.Millisecond, Ended{1, batch.OutcomeDone})
-	if n := told(); n != maxEmptyInventories {
+	if n := inventories(); n != maxEmptyInventories {
 		t.Errorf("%d inventories while nothing runs, want maxEmptyInventories", n)
 	}
 }
--- a/core/head/follow.go
+++ b/core/head/follow.go
@@ -71,9 +71,9 @@
 	confirmed    bool // the head row was read or a quorum of peers agreed since the start
 	empty        bool // the head row does not exist
 	wanted       Version
-	fetchStarted time.Time // start of the current fetch, or zero
+	fetchStarted time.Time // zero if no fetch is in progress
 	peers        map[string]Version
-	lastContact  time.Time // last contact with the store or a peer
+	lastContact  time.Time // with the store or a peer
 }
 
 // NewFollower returns a follower without a version. It stops admitting requests after
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -81,10 +81,10 @@
 	seenAt       time.Time // first read of this version
 	sentAt       time.Time
 	written      Row
-	writeUnknown bool // the result of the write is unknown
+	writeUnknown bool // the last write may have taken effect
 }
 
-// New returns a lease for one order; checks reports whether the target rejects older epochs.
+// New returns a lease for one order. checksEpoch reports whether the target rejects older epochs.
 func New(cfg Config, holder string, incarnation uint64, checksEpoch bool) *Lease {
 	return &Lease{cfg: cfg, self: Row{Holder: holder, Incarnation: incarnation}, checksEpoch: checksEpoch}
 }
--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -28,8 +28,8 @@
 
 type queueKey struct{ account, pool string }
 
-// Dispatcher sends requests to the target with the lowest reported load. Accounts take
-// turns by the service that this router has given them.
+// Dispatcher sends requests to the target with the lowest reported load, from the account
+// that this router has served least.
 type Dispatcher struct {
 	queues  map[queueKey][]queuedRequest
 	ledgers map[string]*fair.Ledger
