--- a/core/batch/cache_test.go
+++ b/core/batch/cache_test.go
@@ -23,9 +23,9 @@
 	e.Start(start, prompt(3, 1000), 10) // in use, not prefilled yet
 	done(ask.Add(time.Millisecond), 4)  // used while the report was in flight
 	e.SyncCache(ask, []routing.PromptPart{{ID: 2, Tokens: 1000}, {ID: 5, Tokens: 1000}, {ID: 6, Tokens: -4}})
-	for id, kept := range map[uint64]bool{1: false, 2: true, 3: true, 4: true, 5: true, 6: false} {
-		if got := e.UncachedTokens(prompt(id, 1000)) == 1; got != kept {
-			t.Errorf("part %d cached: %v, want %v", id, got, kept)
+	for id, want := range map[uint64]bool{1: false, 2: true, 3: true, 4: true, 5: true, 6: false} {
+		if got := e.UncachedTokens(prompt(id, 1000)) == 1; got != want {
+			t.Errorf("part %d cached: %v, want %v", id, got, want)
 		}
 	}
 	if e.cache.usedTokens != 4000 {
--- a/core/batch/engine_test.go
+++ b/core/batch/engine_test.go
@@ -205,7 +205,7 @@
 		for i := range streams {
 			e.Adopt(start, prompt(1<<32+uint64(i), 100), 10, true)
 		}
-		read := 0
+		prefilled := 0
 		const length = 20 * time.Second
 		var done []*Run
 		for step := range int(length / (5 * time.Millisecond)) {
@@ -223,10 +223,10 @@
 			for e.Booked(now) < 120*time.Millisecond {
 				r := e.Start(now, prompt(uint64(step), 3000), 10)
 				f.accept(now, r)
-				read += r.PrefillTokens
+				prefilled += r.PrefillTokens
 			}
 		}
-		got, want := float64(read)/(f.speed*length.Seconds()), prefillShare(streams)
+		got, want := float64(prefilled)/(f.speed*length.Seconds()), prefillShare(streams)
 		if got > want+0.03 || got < want-0.1 {
 			t.Errorf("with %d streams prefill took %.2f of the time, want about %.2f", streams, got, want)
 		}
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -268,6 +268,7 @@
 	}
 }
 
+// finish answers the caller and ends the claim.
 func (c *Claim) finish(v Verdict, row Row) {
 	c.phase = phaseFinished
 	c.emit(Reply{v, row})
@@ -339,6 +340,7 @@
 	c.emit(ReadRow{})
 }
 
+// closingWritten processes a write while the outcome is recorded or the claim released.
 func (c *Claim) closingWritten(e Written) {
 	switch e.Result {
 	case ResultOK:
@@ -368,6 +370,7 @@
 	}
 }
 
+// markFinished ends a claim whose caller needs no further answer.
 func (c *Claim) markFinished() {
 	c.phase = phaseFinished
 	c.emit(Finish{})
