--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -105,10 +105,10 @@
 }
 
 func (d *Dispatcher) cancel(id admit.RequestID) {
-	for k, jobs := range d.queues {
-		for i, j := range jobs {
+	for k, queue := range d.queues {
+		for i, j := range queue {
 			if j.req.ID == id {
-				d.queues[k] = append(jobs[:i:i], jobs[i+1:]...)
+				d.queues[k] = append(queue[:i:i], queue[i+1:]...)
 				d.queued--
 				return
 			}
@@ -128,17 +128,17 @@
 
 func (d *Dispatcher) expire(now time.Time) []admit.Action {
 	var out []admit.Action
-	for k, jobs := range d.queues {
-		kept := jobs[:0:0]
-		for _, j := range jobs {
+	for k, queue := range d.queues {
+		remaining := queue[:0:0]
+		for _, j := range queue {
 			if now.Before(j.req.Deadline) {
-				kept = append(kept, j)
+				remaining = append(remaining, j)
 				continue
 			}
 			d.queued--
 			out = append(out, admit.Refuse{ID: j.req.ID, Code: result.QueueTimeout, RetryAfter: retryAfter})
 		}
-		d.queues[k] = kept
+		d.queues[k] = remaining
 	}
 	return out
 }
@@ -178,8 +178,8 @@
 	var best queueKey
 	found := false
 	l := d.ledger(pool)
-	for k, jobs := range d.queues {
-		if k.pool != pool || len(jobs) == 0 {
+	for k, queue := range d.queues {
+		if k.pool != pool || len(queue) == 0 {
 			continue
 		}
 		if !found || l.Virtual(k.account) < l.Virtual(best.account) {
@@ -208,8 +208,8 @@
 // State implements admit.Dispatcher.
 func (d *Dispatcher) State() admit.State {
 	st := admit.State{Running: len(d.running), Queues: []admit.QueueState{}}
-	for k, jobs := range d.queues {
-		st.Queues = append(st.Queues, admit.QueueState{Account: k.account, Pool: k.pool, Length: len(jobs)})
+	for k, queue := range d.queues {
+		st.Queues = append(st.Queues, admit.QueueState{Account: k.account, Pool: k.pool, Length: len(queue)})
 	}
 	return st
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -99,11 +99,11 @@
 	if strong < keys*3/4 || moved != 0 {
 		t.Errorf("%d of %d keys on strong nodes, want at least 3/4; %d moved, want 0", strong, keys, moved)
 	}
-	drawn := map[string]int{}
+	chosen := map[string]int{}
 	for i := range keys {
-		drawn[TopByStrength(fleet[:10], fmt.Sprint("s/", i), 3)[0]]++
+		chosen[TopByStrength(fleet[:10], fmt.Sprint("s/", i), 3)[0]]++
 	}
-	for id, n := range drawn {
+	for id, n := range chosen {
 		if n < keys/20 || n > keys/5 {
 			t.Errorf("%s of ten equal nodes has %d of %d keys", id, n, keys)
 		}
