--- a/core/policy/policy_test.go
+++ b/core/policy/policy_test.go
@@ -26,7 +26,7 @@
 		}
 		p := compile(t, string(source))
 		if ok, err := p.Retry(Request{Pool: map[string]string{"core-logging": "samples", "haddad": "booking"}[name], Method: "POST"}, Attempt{Number: 1, Outcome: "unknown"}); ok || err != nil {
-			t.Errorf("%s allows to repeat a submission that may have run: %v", name, err)
+			t.Errorf("%s allows repeating a submission that may have run: %v", name, err)
 		}
 	}
 }
