--- a/core/admit/ask.go
+++ b/core/admit/ask.go
@@ -17,10 +17,10 @@
 	q.hints[pool][scheduler] = hint{free, now}
 }
 
-// ask keeps the schedulers' view of a queue good enough: a scheduler that has
+// updateDemands keeps the schedulers' view of a queue good enough: a scheduler that has
 // granted all that it was told of hears of the rest, one that was asked for
 // requests that are gone hears so a little later.
-func (q *Queuer) ask(now time.Time, qu *queue) {
+func (q *Queuer) updateDemands(now time.Time, qu *queue) {
 	if qu.tree.Len() == 0 {
 		q.takeBack(now, qu)
 		return
--- a/core/admit/queuer.go
+++ b/core/admit/queuer.go
@@ -47,18 +47,18 @@
 
 // Queuer is the Dispatcher that asks schedulers for grants.
 type Queuer struct {
-	self      string
-	queues    map[queueKey]*queue
-	byID      map[RequestID]*waiting
-	running   map[RequestID]*running
-	routes    map[string][]Route
-	hints     map[string]map[string]hint // pool, scheduler
-	nextSeq   uint64
-	rotate    int
-	adoptSeq  message.GrantID
-	inventory time.Time
-	unused    uint64
-	out       []Action
+	self          string
+	queues        map[queueKey]*queue
+	byID          map[RequestID]*waiting
+	running       map[RequestID]*running
+	routes        map[string][]Route
+	hints         map[string]map[string]hint // pool, scheduler
+	nextSeq       uint64
+	rotate        int
+	adoptSeq      message.GrantID
+	nextInventory time.Time
+	unusedGrants  uint64
+	out           []Action
 }
 
 // New returns a Queuer of the router with this ID and incarnation.
@@ -130,7 +130,7 @@
 	if fresh {
 		qu.widenBy, qu.widenAt = 1, now.Add(widenFirst)
 	}
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
 func over(qu *queue, r Request) bool {
@@ -172,7 +172,7 @@
 	qu := q.queue(queueKey{w.Account, w.Pool})
 	delete(q.byID, id)
 	qu.remove(w)
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
 func (q *Queuer) grant(now time.Time, from string, g message.Grant) {
@@ -184,16 +184,16 @@
 	route, ok := q.route(g.Pool, g.Target)
 	w := qu.pick(g.Target, g.InteractiveOnly)
 	if w == nil || !ok || route.Scheduler.ID != from {
-		q.unused++
+		q.unusedGrants++
 		q.emit(ReportOut{To: from, Report: message.Report{Grant: g.ID, Kind: message.ReportUnused}})
-		q.ask(now, qu)
+		q.updateDemands(now, qu)
 		return
 	}
 	q.start(now, qu, w, &running{
 		key: GrantKey{from, g.ID}, pool: g.Pool, target: g.Target, charged: g.Charged,
 		quantum: g.Quantum, busy: g.Waiting, grantedAt: now, scheduler: route.Scheduler,
 	})
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
 func (q *Queuer) start(now time.Time, qu *queue, w *waiting, r *running) {
@@ -268,13 +268,13 @@
 		if qu.tree.Len() > 0 && !now.Before(qu.widenAt) {
 			q.widen(now, qu)
 		}
-		q.ask(now, qu)
+		q.updateDemands(now, qu)
 		if qu.tree.Len() == 0 && len(qu.asked) == 0 && now.Sub(qu.lastStart) > maxRetryAfter {
 			delete(q.queues, key)
 		}
 	}
-	if !now.Before(q.inventory) {
-		q.inventory = now.Add(inventoryEvery)
+	if !now.Before(q.nextInventory) {
+		q.nextInventory = now.Add(inventoryEvery)
 		q.sendInventories(nil)
 	}
 }
@@ -296,7 +296,7 @@
 
 // State implements Dispatcher.
 func (q *Queuer) State() State {
-	st := State{Running: len(q.running), Unused: q.unused, Queues: []QueueState{}}
+	st := State{Running: len(q.running), Unused: q.unusedGrants, Queues: []QueueState{}}
 	for key, qu := range q.queues {
 		qs := QueueState{Account: key.account, Pool: key.pool, Length: qu.tree.Len(), Bytes: qu.bytes, Asked: []string{}}
 		for id := range qu.asked {
--- a/core/admit/route.go
+++ b/core/admit/route.go
@@ -51,7 +51,7 @@
 	if qu.tree.Len() > 0 {
 		qu.widenBy, qu.widenAt = 1, now.Add(widenFirst)
 	}
-	q.ask(now, qu)
+	q.updateDemands(now, qu)
 }
 
 // sendInventories tells each scheduler which of its grants are still in use,
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -83,7 +83,7 @@
 	b.lastNumber++
 	for i := range targets {
 		t := targets[(i+int(b.lastNumber))%len(targets)]
-		if !t.TakesWork() || slices.Contains(deny, t.ID) {
+		if !t.AcceptsWork() || slices.Contains(deny, t.ID) {
 			continue
 		}
 		s := b.state(t.ID)
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -161,7 +161,7 @@
 		return r
 	}
 	e.prefill.countBusyTime(now, e.prefillQueue)
-	r.PrefillTokens = min(p.Own(), p.Tokens)
+	r.PrefillTokens = min(p.OwnTokens(), p.Tokens)
 	e.prefillQueue = append(e.prefillQueue, r)
 	r.dueAt = e.prefill.enqueue(now, r, len(e.runs))
 	return r
--- a/core/budget/window_test.go
+++ b/core/budget/window_test.go
@@ -27,7 +27,7 @@
 			w.First(start.Add(at))
 			firsts = append(firsts, at)
 		}
-		if w.Again(start.Add(at), extra) {
+		if w.Retry(start.Add(at), extra) {
 			repeats = append(repeats, at)
 		}
 	}
@@ -56,14 +56,14 @@
 	start := time.Unix(1_700_000_000, 0)
 	w := NewWindow(10*time.Second, 0)
 	for range 3 {
-		if !w.Again(start, 3) {
+		if !w.Retry(start, 3) {
 			t.Fatal("a repeat within the extra was refused")
 		}
 	}
-	if w.Again(start.Add(9*time.Second), 3) {
+	if w.Retry(start.Add(9*time.Second), 3) {
 		t.Error("a fourth repeat within the window was allowed")
 	}
-	if !w.Again(start.Add(time.Hour), 3) {
+	if !w.Retry(start.Add(time.Hour), 3) {
 		t.Error("a repeat an hour later was refused")
 	}
 }
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -45,32 +45,32 @@
 
 // Cell is the scheduler of a few targets.
 type Cell struct {
-	targets    map[string]*target
-	sorted     []*target
-	gone       map[string]*target // gone holds targets that are no longer listed but still run something.
-	accounts   map[string]*account
-	waiting    map[requestKey]*waiter
-	runs       map[requestKey]*run
-	foreign    map[string]*foreign
-	swept      time.Time
-	speed      float64
-	prior      *batch.Prior // prior is how fast the engines here read, as far as any has shown.
-	siblings   int
-	transfer   *routing.Transfer
-	fairWindow time.Duration
-	coldRate   float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
-	coldShare  float64           // coldShare is the part of them that is placed here.
-	inHall     map[string]keeper // inHall is what keepers returns, kept for its memory.
-	counts     Counts
-	layout     uint64  // layout counts the changes of the list of targets.
-	most       float64 // most is the highest level of an account that waits.
-	best       float64 // best is the highest level of any account, as of bestAt.
-	bestAt     time.Time
-	views      []view     // views are the targets as one decision sees them, in the order of sorted.
-	unheard    []*waiter  // unheard are waiters that arrived since the last decision.
-	queued     []*account // queued is what order returns, kept for its memory.
-	scratch    []option
-	out        []Action
+	targets         map[string]*target
+	sorted          []*target
+	gone            map[string]*target // gone holds targets that are no longer listed but still run something.
+	accounts        map[string]*account
+	waiting         map[requestKey]*waiter
+	runs            map[requestKey]*run
+	foreign         map[string]*foreign
+	swept           time.Time
+	speed           float64
+	prior           *batch.Prior // prior is how fast the engines here read, as far as any has shown.
+	siblings        int
+	transfer        *routing.Transfer
+	fairWindow      time.Duration
+	coldRate        float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
+	coldShare       float64           // coldShare is the part of them that is placed here.
+	inHall          map[string]keeper // inHall is what keepers returns, kept for its memory.
+	counts          Counts
+	layoutVersion   uint64  // layout counts the changes of the list of targets.
+	maxWaitingLevel float64 // most is the highest level of an account that waits.
+	maxLevel        float64 // best is the highest level of any account, as of bestAt.
+	bestAt          time.Time
+	views           []view     // views are the targets as one decision sees them, in the order of sorted.
+	unheard         []*waiter  // unheard are waiters that arrived since the last decision.
+	waitingAccounts []*account // queued is what order returns, kept for its memory.
+	scratch         []option
+	out             []Action
 }
 
 // New returns a cell without targets.
@@ -83,16 +83,16 @@
 
 // Step takes one event and returns what is to be done.
 func (c *Cell) Step(now time.Time, ev Event) []Action {
-	c.Take(now, ev)
+	c.Apply(now, ev)
 	return c.Decide(now)
 }
 
-// Take notes one event. What follows from it is decided by the next Decide, so
+// Apply notes one event. What follows from it is decided by the next Decide, so
 // that events that come together cost one decision.
-func (c *Cell) Take(now time.Time, ev Event) {
+func (c *Cell) Apply(now time.Time, ev Event) {
 	switch e := ev.(type) {
 	case AskSeen:
-		c.ask(now, e)
+		c.enqueue(now, e)
 	case WithdrawSeen:
 		c.withdraw(now, requestKey{e.Entry, e.ID})
 	case BeganSeen:
@@ -100,9 +100,9 @@
 			r.target.engine.Begin(now, r.model)
 		}
 	case EndedSeen:
-		c.end(now, requestKey{e.Entry, e.ID}, e.Outcome)
+		c.endRun(now, requestKey{e.Entry, e.ID}, e.Outcome)
 	case InventorySeen:
-		c.inventory(now, e)
+		c.reconcile(now, e)
 	case EntryGone:
 		c.entryGone(now, e.Entry)
 	case TargetsSeen:
@@ -112,9 +112,9 @@
 		c.coldShare = e.Share
 	case TallySeen:
 		c.takeTally(now, e)
-	case GivenSeen:
+	case SiblingTallySeen:
 		c.takeGiven(now, e.Rows)
-	case KeptSeen:
+	case CachedPartsSeen:
 		if t := c.targets[e.Target]; t != nil {
 			t.engine.SyncCache(e.At, e.Parts)
 		}
@@ -139,7 +139,7 @@
 
 func (c *Cell) emit(a Action) { c.out = append(c.out, a) }
 
-func (c *Cell) ask(now time.Time, e AskSeen) {
+func (c *Cell) enqueue(now time.Time, e AskSeen) {
 	key := requestKey{e.Entry, e.Ask.ID}
 	if c.waiting[key] != nil || c.runs[key] != nil {
 		return
@@ -157,19 +157,19 @@
 
 func (c *Cell) withdraw(now time.Time, key requestKey) {
 	if w := c.waiting[key]; w != nil {
-		c.drop(w)
+		c.dequeue(w)
 		return
 	}
-	c.end(now, key, batch.OutcomeCanceled)
+	c.endRun(now, key, batch.OutcomeCanceled)
 }
 
-func (c *Cell) drop(w *waiter) {
+func (c *Cell) dequeue(w *waiter) {
 	delete(c.waiting, w.key)
 	a := c.account(w.ask.Account)
 	a.remove(w)
 }
 
-func (c *Cell) end(now time.Time, key requestKey, o batch.Outcome) {
+func (c *Cell) endRun(now time.Time, key requestKey, o batch.Outcome) {
 	r := c.runs[key]
 	if r == nil {
 		return
@@ -182,8 +182,8 @@
 	}
 }
 
-// inventory makes the runs of an entry gateway those that it tells.
-func (c *Cell) inventory(now time.Time, e InventorySeen) {
+// reconcile makes the runs of an entry gateway those that it tells.
+func (c *Cell) reconcile(now time.Time, e InventorySeen) {
 	told := map[RequestID]bool{}
 	for i := range e.Held {
 		h := &e.Held[i]
@@ -193,7 +193,7 @@
 			continue
 		}
 		if w := c.waiting[key]; w != nil {
-			c.drop(w)
+			c.dequeue(w)
 		}
 		t := c.targets[h.Target]
 		if t == nil {
@@ -204,7 +204,7 @@
 	}
 	for key := range c.runs {
 		if key.entry == e.Entry && !told[key.id] {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -212,12 +212,12 @@
 func (c *Cell) entryGone(now time.Time, entry string) {
 	for key, w := range c.waiting {
 		if key.entry == entry {
-			c.drop(w)
+			c.dequeue(w)
 		}
 	}
 	for key := range c.runs {
 		if key.entry == entry {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 		c.sorted = append(c.sorted, t)
 	}
 	sort.Slice(c.sorted, func(i, j int) bool { return c.sorted[i].info.ID < c.sorted[j].info.ID })
-	c.layout++
+	c.layoutVersion++
 }
 
 func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
@@ -269,10 +269,10 @@
 	c.counts.Read += uint64(max(o.missing-x.tokens, 0))
 	c.counts.Anew[why] += uint64(anew)
 	c.account(w.ask.Account).placed++
-	c.start(now, w.key, w.ask.Account, t, p, x)
+	c.startRun(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
-		Account: w.ask.Account, Subject: p.Affinity(), Anew: anew, Copied: x.tokens, Why: why,
+		Account: w.ask.Account, Subject: p.AffinityKey(), Anew: anew, Copied: x.tokens, Why: why,
 	}
 	if x.source != nil {
 		placed.Source = x.source.info.ID
@@ -292,11 +292,11 @@
 	return false
 }
 
-func (c *Cell) start(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
+func (c *Cell) startRun(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
 	r := &run{key: key, account: account, target: t}
 	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.takes)
 	x.take(now, t)
-	if c.cold(now, t) {
+	if c.isCold(now, t) {
 		t.cold.Take(now, c.coldShare*c.coldRate)
 	}
 	c.runs[key] = r
@@ -306,15 +306,15 @@
 	a.served += service
 }
 
-// cold tells whether a target gets no more than a cold one bears.
-func (c *Cell) cold(now time.Time, t *target) bool {
+// isCold tells whether a target gets no more than a isCold one bears.
+func (c *Cell) isCold(now time.Time, t *target) bool {
 	return c.coldRate > 0 && now.Before(t.info.ColdUntil)
 }
 
 // coldWait returns how long it takes until a target may get a request, for its being
 // cold: until it bears the next one, or is warm.
 func (c *Cell) coldWait(now time.Time, t *target) time.Duration {
-	if !c.cold(now, t) {
+	if !c.isCold(now, t) {
 		return 0
 	}
 	return t.cold.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -156,11 +156,11 @@
 // scores returns the hash of each target for the request, in the order of the
 // views.
 func (c *Cell) scores(w *waiter) []uint64 {
-	if w.scored == c.layout {
+	if w.scored == c.layoutVersion {
 		return w.scores
 	}
-	w.scored, w.scores = c.layout, w.scores[:0]
-	affinity := w.ask.Prompt.Affinity()
+	w.scored, w.scores = c.layoutVersion, w.scores[:0]
+	affinity := w.ask.Prompt.AffinityKey()
 	for _, t := range c.sorted {
 		w.scores = append(w.scores, place.Score(t.info.ID, affinity))
 	}
@@ -183,7 +183,7 @@
 // sharedOf returns how many of the missing tokens belong to parts that other
 // requests share.
 func sharedOf(p *routing.Prompt, missing int) int {
-	return max(missing-p.Own(), 0)
+	return max(missing-p.OwnTokens(), 0)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// look makes the views of all targets and tells whether one takes requests.
-func (c *Cell) look(now time.Time) bool {
+// refreshViews makes the views of all targets and tells whether one takes requests.
+func (c *Cell) refreshViews(now time.Time) bool {
 	c.views = c.views[:0]
 	open := false
 	for _, t := range c.sorted {
@@ -63,12 +63,12 @@
 	if len(c.waiting) == 0 {
 		return
 	}
-	open := c.look(now)
+	open := c.refreshViews(now)
 	for _, w := range c.unheard {
 		c.prefer(w, c.options(now, w))
 	}
-	accounts := c.order(now)
-	c.most = accounts[len(accounts)-1].level
+	accounts := c.orderAccounts(now)
+	c.maxWaitingLevel = accounts[len(accounts)-1].level
 	all := slices.Clone(accounts)
 	for open && len(accounts) > 0 {
 		a := accounts[0]
@@ -114,7 +114,7 @@
 			if hopeless {
 				after = max(after, hopelessRetry)
 			}
-			c.drop(w)
+			c.dequeue(w)
 			c.counts.Refused++
 			if c.anyOpen() {
 				c.counts.RefusedWithRoom++
@@ -174,7 +174,7 @@
 			a.tried++
 			continue
 		}
-		c.drop(w)
+		c.dequeue(w)
 		c.place(now, w, o, why)
 		c.views[o.at] = c.makeView(now, c.views[o.at].target)
 		return true
--- a/core/cell/kept_test.go
+++ b/core/cell/kept_test.go
@@ -16,15 +16,15 @@
 func TestLearnedKeeperIsPreferred(t *testing.T) {
 	p := &routing.Prompt{Tokens: 13_500, MaxOutput: 10, Parts: []routing.PromptPart{{ID: 7, Tokens: 13_000}, {ID: 8, Tokens: 500}}}
 	keeper, home := "a", "b"
-	if place.Score("a", p.Affinity()) > place.Score("b", p.Affinity()) {
+	if place.Score("a", p.AffinityKey()) > place.Score("b", p.AffinityKey()) {
 		keeper, home = home, keeper
 	}
 	for _, learned := range []bool{false, true} {
 		c := New()
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "a", Slots: 8, CacheTokens: 500_000}, {ID: "b", Slots: 8, CacheTokens: 500_000}}})
 		if learned {
-			c.Step(epoch, KeptSeen{Target: keeper, At: epoch, Parts: p.Parts[:1]})
-			c.Step(epoch, KeptSeen{Target: "gone", At: epoch, Parts: p.Parts[:1]})
+			c.Step(epoch, CachedPartsSeen{Target: keeper, At: epoch, Parts: p.Parts[:1]})
+			c.Step(epoch, CachedPartsSeen{Target: "gone", At: epoch, Parts: p.Parts[:1]})
 		}
 		actions := c.Step(epoch.Add(time.Second), AskSeen{"e", Ask{ID: 1, Account: "x", Prompt: p, Hold: 200 * time.Millisecond, Objective: 800 * time.Millisecond}})
 		placed, ok := actions[0].(Place)
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -66,7 +66,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		l.divide(s.Name, targets.Of(s.Name), most)
+		l.divide(s.Name, targets.ByService(s.Name), most)
 	}
 	return l
 }
@@ -115,13 +115,15 @@
 	return n
 }
 
-// Of returns the cell of a service that serves requests with this affinity: the
+// GroupFor returns the cell of a service that serves requests with this affinity: the
 // highest weighted hash, the weight being the number of targets.
-func (l *Layout) Of(service string, affinity uint64) *Group { return l.Other(service, affinity, "") }
+func (l *Layout) GroupFor(service string, affinity uint64) *Group {
+	return l.AlternativeTo(service, affinity, "")
+}
 
-// Other returns the cell that would serve requests with this affinity if there
+// AlternativeTo returns the cell that would serve requests with this affinity if there
 // were not another one, or nil.
-func (l *Layout) Other(service string, affinity uint64, than Key) *Group {
+func (l *Layout) AlternativeTo(service string, affinity uint64, than Key) *Group {
 	var best *Group
 	bestScore := math.Inf(-1)
 	for _, g := range l.cells[service] {
@@ -140,12 +142,12 @@
 // takesWork tells whether a target of the cell may get anything. One whose targets all
 // leave or lie in evacuated data halls is passed over; the others keep their prompts.
 func (g *Group) takesWork() bool {
-	return slices.ContainsFunc(g.Targets, (*routing.Target).TakesWork)
+	return slices.ContainsFunc(g.Targets, (*routing.Target).AcceptsWork)
 }
 
-// Members returns those of some targets that belong to the cell: a scheduler has no use for the
+// FilterTargets returns those of some targets that belong to the cell: a scheduler has no use for the
 // others, and an ask grows by some 25 bytes with each.
-func (g *Group) Members(ids []string) []string {
+func (g *Group) FilterTargets(ids []string) []string {
 	if g == nil || len(ids) == 0 {
 		return ids
 	}
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -111,7 +111,7 @@
 func (m *Machine) Running() int { return len(m.running) }
 
 func (m *Machine) submit(now time.Time, e Submitted) {
-	g := m.layout.Of(e.Service, e.Ask.Prompt.Affinity())
+	g := m.layout.GroupFor(e.Service, e.Ask.Prompt.AffinityKey())
 	if g == nil {
 		m.emit(Refuse{e.Ask.ID, m.self, noTargetRetry})
 		return
@@ -134,7 +134,7 @@
 	p.askedAt, p.lagAtAsk, p.queued = now, m.lag, false
 	m.useScheduler(now, p.cell, p.scheduler)
 	ask := p.ask
-	ask.Deny = m.layout.Group(p.cell).Members(ask.Deny)
+	ask.Deny = m.layout.Group(p.cell).FilterTargets(ask.Deny)
 	ask.Hold = max(p.ask.Hold-now.Sub(p.arrived), 0)
 	if ask.Objective > 0 {
 		ask.Objective = max(p.ask.Objective-now.Sub(p.arrived), time.Millisecond)
@@ -223,7 +223,7 @@
 // move asks a second cell to place a request, once, for an account that is below its
 // fair share in the first cell.
 func (m *Machine) move(now time.Time, p *pending) bool {
-	other := m.layout.Other(p.service, p.ask.Prompt.Affinity(), p.cell)
+	other := m.layout.AlternativeTo(p.service, p.ask.Prompt.AffinityKey(), p.cell)
 	if p.moved || other == nil || p.ask.Objective <= 0 {
 		return false
 	}
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -28,7 +28,7 @@
 func setUp(t *testing.T) *fixture {
 	t.Helper()
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8, CacheTokens: 1000}}}})
-	targets := (&routing.TargetSet{Targets: []routing.Target{{ID: "t", Service: "s"}}}).Build()
+	targets := (&routing.TargetSet{Targets: []routing.Target{{ID: "t", Service: "s"}}}).BuildIndex()
 	var nodes []place.Node
 	for _, id := range []string{"g1", "g2", "g3", "g4", "g5"} {
 		nodes = append(nodes, place.Node{ID: id})
@@ -148,7 +148,7 @@
 		nodes = append(nodes, place.Node{ID: fmt.Sprintf("g%d", i)})
 	}
 	m := New("self")
-	m.Step(start, LayoutSeen{cell.NewLayout(x, targets.Build(), nodes)})
+	m.Step(start, LayoutSeen{cell.NewLayout(x, targets.BuildIndex(), nodes)})
 	to := map[string]bool{}
 	for id := range cell.RequestID(40) {
 		e := submit(id)
@@ -341,7 +341,7 @@
 		set.Targets = append(set.Targets, routing.Target{ID: fmt.Sprint("t", i), Service: "s"})
 	}
 	m := New("g")
-	m.Step(start, LayoutSeen{cell.NewLayout(x, set.Build(), []place.Node{{ID: "g"}})})
+	m.Step(start, LayoutSeen{cell.NewLayout(x, set.BuildIndex(), []place.Node{{ID: "g"}})})
 	first, _ := find[AskOut](m.Step(start, submit(1)))
 	now := start.Add(180 * time.Millisecond)
 	second, ok := find[AskOut](m.Step(now, RefusalSeen{From: "g", ID: 1, Elsewhere: true}))
--- a/core/fair/fair_test.go
+++ b/core/fair/fair_test.go
@@ -93,7 +93,7 @@
 		for _, d := range kept { // and late
 			l.Merge(d.from, d.seq, d.row)
 		}
-		return math.Abs(l.Virtual("alder")-want) < 1e-6
+		return math.Abs(l.VirtualService("alder")-want) < 1e-6
 	}, gen.Int64()))
 	props.TestingRun(t)
 }
@@ -104,12 +104,12 @@
 	l := NewLedger(0)
 	l.Charge("busy", 1000)
 	l.RaiseFloor(1000)
-	l.Admit(epoch, "idle")
+	l.BeginWaiting(epoch, "idle")
 	if got := l.Level("idle"); got != 1000 {
 		t.Fatalf("the newcomer stands at %v", got)
 	}
 	l.Settle(epoch.Add(time.Minute), time.Second, noneRunning)
-	if got := l.Virtual("idle"); got != 1000 {
+	if got := l.VirtualService("idle"); got != 1000 {
 		t.Fatalf("after settling it stands at %v", got)
 	}
 }
@@ -119,10 +119,10 @@
 func TestLiftDoesNotCountServiceTwice(t *testing.T) {
 	l := NewLedger(0)
 	l.RaiseFloor(1000)
-	l.Admit(epoch, "alder") // this scheduler has not heard of the others' 900 yet
+	l.BeginWaiting(epoch, "alder") // this scheduler has not heard of the others' 900 yet
 	l.Merge(Reporter{"other", 1}, 1, Row{Account: "alder", Service: 900})
 	l.Settle(epoch.Add(time.Minute), time.Second, noneRunning)
-	if got := l.Virtual("alder"); got != 1000 {
+	if got := l.VirtualService("alder"); got != 1000 {
 		t.Fatalf("stands at %v, not at the floor", got)
 	}
 }
@@ -131,9 +131,9 @@
 	l := NewLedger(0)
 	l.Charge("alder", 500)
 	l.RaiseFloor(400)
-	l.Admit(epoch, "alder")
+	l.BeginWaiting(epoch, "alder")
 	l.Settle(epoch.Add(time.Minute), time.Second, noneRunning)
-	if got := l.Virtual("alder"); got != 500 {
+	if got := l.VirtualService("alder"); got != 500 {
 		t.Fatalf("stands at %v", got)
 	}
 }
@@ -142,13 +142,13 @@
 	l := NewLedger(100)
 	l.RaiseFloor(50)
 	l.Merge(Reporter{"far", 1}, 1, Row{Account: "alder", Service: 1e6})
-	l.Admit(epoch, "alder")
-	if got := l.Virtual("alder"); got != 150 {
+	l.BeginWaiting(epoch, "alder")
+	if got := l.VirtualService("alder"); got != 150 {
 		t.Fatalf("the debt is %v over the floor", got-50)
 	}
 	// The same service is not counted again.
 	l.Merge(Reporter{"far", 1}, 1, Row{Account: "alder", Service: 1e6})
-	if got := l.Virtual("alder"); got != 150 {
+	if got := l.VirtualService("alder"); got != 150 {
 		t.Fatalf("counted twice: %v", got)
 	}
 }
--- a/core/fair/ledger.go
+++ b/core/fair/ledger.go
@@ -62,13 +62,13 @@
 
 // Ledger sums the service of the accounts of one pool.
 type Ledger struct {
-	accounts map[string]*account
-	pending  map[string]*account
-	floor    float64
-	maxDebt  float64
-	changes  uint64
-	reports  map[Reporter]uint64 // reports holds the latest sequence number of each reporter.
-	round    uint64
+	accounts  map[string]*account
+	pending   map[string]*account
+	floor     float64
+	maxDebt   float64
+	changes   uint64
+	latestSeq map[Reporter]uint64 // reports holds the latest sequence number of each reporter.
+	round     uint64
 	// reference is the level that keys are relative to.
 	reference float64
 }
@@ -77,7 +77,7 @@
 // above the floor after partitions rejoin, in virtual units; it must be larger
 // than the fairness bound.
 func NewLedger(maxDebt float64) *Ledger {
-	return &Ledger{accounts: map[string]*account{}, pending: map[string]*account{}, reports: map[Reporter]uint64{}, maxDebt: maxDebt}
+	return &Ledger{accounts: map[string]*account{}, pending: map[string]*account{}, latestSeq: map[Reporter]uint64{}, maxDebt: maxDebt}
 }
 
 // SetMaxDebt replaces the debt limit, in virtual units.
@@ -116,7 +116,7 @@
 
 // Heard tells that a report of another reporter came; its rows follow by Merge.
 func (l *Ledger) Heard(from Reporter, seq uint64) {
-	l.reports[from] = max(l.reports[from], seq)
+	l.latestSeq[from] = max(l.latestSeq[from], seq)
 }
 
 // Merge takes one row of another reporter. seq orders the reports of one
@@ -138,8 +138,8 @@
 	return a.virtual() != before
 }
 
-// Virtual returns the virtual service of an account.
-func (l *Ledger) Virtual(name string) float64 {
+// VirtualService returns the virtual service of an account.
+func (l *Ledger) VirtualService(name string) float64 {
 	a, ok := l.accounts[name]
 	if !ok {
 		return 0
@@ -219,18 +219,18 @@
 func (l *Ledger) serving(a *account) int {
 	n := 1
 	for from, c := range a.rows {
-		if c.seq == l.reports[from] {
+		if c.seq == l.latestSeq[from] {
 			n++
 		}
 	}
 	return n
 }
 
-// Admit prepares an account that starts to wait: below the floor it becomes
+// BeginWaiting prepares an account that starts to wait: below the floor it becomes
 // pending, so idle time earns no credit; a debt above the limit is forgiven.
 // An account that waits without a break stands above the floor, so nothing is
 // taken from it.
-func (l *Ledger) Admit(now time.Time, name string) {
+func (l *Ledger) BeginWaiting(now time.Time, name string) {
 	a := l.get(name)
 	v := a.virtual()
 	if v < l.floor {
--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -87,7 +87,7 @@
 	}
 	if len(d.queues[k]) == 0 {
 		l := d.ledger(r.Pool)
-		l.Admit(now, r.Account)
+		l.BeginWaiting(now, r.Account)
 		l.Settle(now, 0, func(string) float64 { return 0 })
 	}
 	d.queues[k] = append(d.queues[k], queuedRequest{r, now})
@@ -182,12 +182,12 @@
 		if k.pool != pool || len(queue) == 0 {
 			continue
 		}
-		if !found || l.Virtual(k.account) < l.Virtual(best.account) {
+		if !found || l.VirtualService(k.account) < l.VirtualService(best.account) {
 			best, found = k, true
 		}
 	}
 	if found {
-		l.RaiseFloor(l.Virtual(best.account))
+		l.RaiseFloor(l.VirtualService(best.account))
 	}
 	return best, found
 }
--- a/core/overload/link.go
+++ b/core/overload/link.go
@@ -18,9 +18,9 @@
 // use.
 type Link struct {
 	perSecond      float64 // perSecond is how many bytes cross the link in a second, each way; 0 where that is not known.
-	at             time.Time
+	sampledAt      time.Time
 	sent, received uint64
-	use            float64
+	utilization    float64
 }
 
 // NewLink returns a link of so many megabits a second, 0 where that is not known.
@@ -35,14 +35,14 @@
 	if l.perSecond <= 0 {
 		return 0
 	}
-	span := now.Sub(l.at)
-	if !l.at.IsZero() && span < linkSpan {
-		return l.use
+	span := now.Sub(l.sampledAt)
+	if !l.sampledAt.IsZero() && span < linkSpan {
+		return l.utilization
 	}
-	if !l.at.IsZero() {
+	if !l.sampledAt.IsZero() {
 		most := max(sent-l.sent, received-l.received)
-		l.use = float64(most) / span.Seconds() / l.perSecond
+		l.utilization = float64(most) / span.Seconds() / l.perSecond
 	}
-	l.at, l.sent, l.received = now, sent, received
-	return l.use
+	l.sampledAt, l.sent, l.received = now, sent, received
+	return l.utilization
 }
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -76,9 +76,9 @@
 	for _, v := range []Verdict{Serve, HandOver} {
 		i := v - 1
 		later := laterWork * g.handled[i]
-		ended := part * g.begun[i]
+		ended := part * g.unfinished[i]
 		done[i] += ended - later
-		g.begun[i] += later - ended
+		g.unfinished[i] += later - ended
 	}
 	return done
 }
@@ -87,13 +87,13 @@
 // meanwhile.
 func (g *Governor) control(now time.Time, late time.Duration) {
 	g.kept += (1 - math.Exp(-window.Seconds()/returnTime.Seconds())) * (g.Share() - g.kept)
-	g.total = g.countAsked(now)
-	g.bound, g.reach = 0, 0
-	if g.came.perSecond() <= 0 {
+	g.totalRate = g.countAsked(now)
+	g.serveRate, g.reach = 0, 0
+	if g.arrivals.perSecond() <= 0 {
 		return
 	}
 	off := late - standing
-	own, taken := g.parts(1 - off.Seconds()/drainTime.Seconds())
+	own, taken := g.sharesFor(1 - off.Seconds()/drainTime.Seconds())
 	if hold := fall(late, heldTo, noneFrom); off > 0 {
 		ownHeld, takenHeld := g.partsOf(1, 1)
 		own, taken = max(own, hold*min(ownHeld, heldMost)), max(taken, hold*min(takenHeld, heldMost))
@@ -101,21 +101,21 @@
 	if !g.relief {
 		g.lateSince = now
 	} else {
-		taken = max(taken, g.moves(now, late))
-		own = min(own, g.own*mostRise+leastRise)
+		taken = max(taken, g.minAccepted(now, late))
+		own = min(own, g.servable*mostRise+leastRise)
 	}
-	if g.own = own; own >= 1 {
+	if g.servable = own; own >= 1 {
 		return
 	}
-	g.bound, g.reach = max(own, leastShare)*g.total, max(taken, leastShare)*g.total
+	g.serveRate, g.reach = max(own, leastShare)*g.totalRate, max(taken, leastShare)*g.totalRate
 	if taken >= 1 {
 		g.reach = math.Inf(1)
 	}
 }
 
-// moves returns the least part that is served here or handed over where there is a gateway to
+// minAccepted returns the least part that is served here or handed over where there is a gateway to
 // hand over to.
-func (g *Governor) moves(now time.Time, late time.Duration) float64 {
+func (g *Governor) minAccepted(now time.Time, late time.Duration) float64 {
 	if late < movesTo {
 		g.lateSince = now
 	}
@@ -130,13 +130,13 @@
 // many come in a second.
 func (g *Governor) Costs() (serve, handOver, refuse time.Duration, arriving float64) {
 	in := func(v Verdict) time.Duration { return time.Duration(g.costs.of(v) * float64(time.Second)) }
-	return in(Serve), in(HandOver), in(Refuse), g.came.perSecond()
+	return in(Serve), in(HandOver), in(Refuse), g.arrivals.perSecond()
 }
 
-// parts returns which parts of the requests that come can be served here, and served or handed
+// sharesFor returns which sharesFor of the requests that come can be served here, and served or handed
 // over, in so much of the process's time: both in the long run and with what is owed now.
-func (g *Governor) parts(free float64) (own, taken float64) {
-	owed := g.costs.expect(g.begun) / laterTime.Seconds()
+func (g *Governor) sharesFor(free float64) (own, taken float64) {
+	owed := g.costs.expect(g.unfinished) / laterTime.Seconds()
 	own, taken = g.partsOf(free, 1)
 	ownNow, takenNow := g.partsOf(free-owed, 1-laterWork)
 	return min(own, ownNow), min(taken, takenNow)
@@ -145,22 +145,22 @@
 // partsOf is parts where so much of the work of each request counts.
 func (g *Governor) partsOf(free, counts float64) (own, taken float64) {
 	serve, handOver, refuse := counts*g.costs.of(Serve), counts*g.costs.of(HandOver), g.costs.of(Refuse)
-	come := g.came.perSecond()
+	come := g.arrivals.perSecond()
 	if !g.relief {
-		own = g.largest(free, serve, refuse)
+		own = g.largestShare(free, serve, refuse)
 		return own, own
 	}
 	if each := free / come; each >= handOver {
 		return part(each-handOver, serve-handOver), 1
 	}
-	return 0, g.largest(free, handOver, refuse)
+	return 0, g.largestShare(free, handOver, refuse)
 }
 
-// largest returns the largest part of the requests that can be taken in so much time, where one
+// largestShare returns the largestShare part of the requests that can be taken in so much time, where one
 // takes so much and one that is refused so much. Those that are refused come back soon: the
 // fewer are taken, the more come.
-func (g *Governor) largest(free, take, refuse float64) float64 {
-	first := g.came.perSecond() / (1 + returns*(1-g.kept))
+func (g *Governor) largestShare(free, take, refuse float64) float64 {
+	first := g.arrivals.perSecond() / (1 + returns*(1-g.kept))
 	fits := func(p float64) bool {
 		return first*(1+returns*(1-p))*(refuse+p*(take-refuse)) <= free
 	}
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -158,7 +158,7 @@
 		return
 	}
 	if !p.queue.Has(account) {
-		p.ledger.Admit(now, account)
+		p.ledger.BeginWaiting(now, account)
 		p.since[account] = now
 	}
 	key, gain := p.ledger.Key(account)
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -304,7 +304,7 @@
 		total := a.served
 		for i, sc := range s.scheds {
 			l := sc.pools["chat"].ledger
-			v := l.Virtual(a.name)
+			v := l.VirtualService(a.name)
 			if math.Abs(v-total) > s.bound(100, 50) {
 				t.Errorf("scheduler %d counts %.0f for %s, true %.0f", i, v, a.name, total)
 			}
@@ -324,7 +324,7 @@
 func TestRestartWithNoMemory(t *testing.T) {
 	s := newSim(t, 3, time.Second, accountsOf(4)...)
 	s.run(2000)
-	before := s.scheds[0].pools["chat"].ledger.Virtual("a0")
+	before := s.scheds[0].pools["chat"].ledger.VirtualService("a0")
 	var left []*simRunning
 	for _, r := range s.running {
 		if r.sched != 2 {
@@ -334,7 +334,7 @@
 	s.running = left
 	s.start(2, 3, 2)
 	s.run(500)
-	after := s.scheds[2].pools["chat"].ledger.Virtual("a0")
+	after := s.scheds[2].pools["chat"].ledger.VirtualService("a0")
 	if after < before {
 		t.Errorf("the restarted scheduler counts %.0f, the others had %.0f", after, before)
 	}
@@ -411,7 +411,7 @@
 	sc, now := configuredOne(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
-	if got := grantsOf(sc.Step(now.Add(UnconfirmedLimit+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
+	if got := grantsOf(sc.Step(now.Add(UnconfirmedGrantTimeout+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
 		t.Fatalf("after the limit: %v", got)
 	}
 }
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -14,19 +14,19 @@
 
 // Times of the grant protocol.
 const (
-	UnconfirmedLimit  = 20 * time.Second       // after it a grant that no inventory names is released
-	InventoryGrace    = 3 * time.Second        // a younger grant may be missing from an inventory
-	TakeoverWait      = 300 * time.Millisecond // a new owner waits for adoptions
-	TakeoverTrust     = 3 * time.Second        // so long a new owner heeds the target's own count
-	reserveWindow     = 2 * time.Second        // so long after interactive work slots stay reserved
-	fullTallyEvery    = 32                     // every so many tallies all rows are sent
-	prefixMaxAge      = 5 * time.Minute        // an older cache hint is not heeded
-	prefixMaxSize     = 512                    // cache hints kept for one target
-	tallyFreshness    = 3                      // intervals after which a peer's floor is not heeded
-	settleAge         = 12                     // tenths of an interval after which a lift is fixed
-	persistentAfter   = 500 * time.Millisecond // an account that waits for less does not hold the floor
-	defaultTally      = time.Second
-	incarnationWindow = 24 // bits of grant IDs left to the counter
+	UnconfirmedGrantTimeout = 20 * time.Second       // after it a grant that no inventory names is released
+	InventoryGrace          = 3 * time.Second        // a younger grant may be missing from an inventory
+	TakeoverWait            = 300 * time.Millisecond // a new owner waits for adoptions
+	TakeoverCountPeriod     = 3 * time.Second        // so long a new owner heeds the target's own count
+	reserveWindow           = 2 * time.Second        // so long after interactive work slots stay reserved
+	fullTallyEvery          = 32                     // every so many tallies all rows are sent
+	prefixMaxAge            = 5 * time.Minute        // an older cache hint is not heeded
+	prefixMaxSize           = 512                    // cache hints kept for one target
+	tallyFreshness          = 3                      // intervals after which a peer's floor is not heeded
+	settleAge               = 12                     // tenths of an interval after which a lift is fixed
+	persistentAfter         = 500 * time.Millisecond // an account that waits for less does not hold the floor
+	defaultTally            = time.Second
+	incarnationWindow       = 24 // bits of grant IDs left to the counter
 )
 
 // Options of a Scheduler.
@@ -99,15 +99,15 @@
 	case DemandSeen:
 		s.demand(now, e.From, e.Demand)
 	case ReportSeen:
-		s.report(now, e.From, e.Report)
+		s.applyReport(now, e.From, e.Report)
 	case InventorySeen:
-		s.inventory(now, e.From, e.Inventory)
+		s.reconcileInventory(now, e.From, e.Inventory)
 	case TallySeen:
 		s.tally(now, e.From, e.Tally)
 	case LoadSeen:
-		s.load(now, e)
+		s.applyLoad(now, e)
 	case CacheSeen:
-		s.cache(now, e)
+		s.applyCacheEvents(now, e)
 	case EntryGone:
 		s.entryGone(now, e.ID)
 	case Tick:
@@ -210,7 +210,7 @@
 		}),
 		prefixes: place.NewPrefixMap(prefixMaxAge, prefixMaxSize),
 		openAt:   now.Add(TakeoverWait),
-		trustAt:  now.Add(TakeoverTrust),
+		trustAt:  now.Add(TakeoverCountPeriod),
 	}
 }
 
@@ -244,7 +244,7 @@
 	g.target.inflight--
 }
 
-func (s *Scheduler) report(now time.Time, from string, r message.Report) {
+func (s *Scheduler) applyReport(now time.Time, from string, r message.Report) {
 	g := s.grants[r.Grant]
 	if g == nil || g.to != from {
 		return
@@ -270,7 +270,7 @@
 	s.dispatch(now, g.pool)
 }
 
-func (s *Scheduler) inventory(now time.Time, from string, inv message.Inventory) {
+func (s *Scheduler) reconcileInventory(now time.Time, from string, inv message.Inventory) {
 	held := make(map[message.GrantID]bool, len(inv.Held))
 	for _, id := range inv.Held {
 		held[id] = true
@@ -306,7 +306,7 @@
 	s.dispatch(now, g.pool)
 }
 
-func (s *Scheduler) load(now time.Time, l LoadSeen) {
+func (s *Scheduler) applyLoad(now time.Time, l LoadSeen) {
 	t := s.targets[l.Target]
 	if t == nil {
 		return
@@ -315,7 +315,7 @@
 	s.dispatch(now, s.pools[t.spec.Pool])
 }
 
-func (s *Scheduler) cache(now time.Time, c CacheSeen) {
+func (s *Scheduler) applyCacheEvents(now time.Time, c CacheSeen) {
 	t := s.targets[c.Target]
 	if t == nil {
 		return
@@ -343,7 +343,7 @@
 
 func (s *Scheduler) tick(now time.Time) {
 	for id, g := range s.grants {
-		if now.Sub(g.seenAt) > 2*UnconfirmedLimit || g.seenAt.Equal(g.at) && now.Sub(g.at) > UnconfirmedLimit {
+		if now.Sub(g.seenAt) > 2*UnconfirmedGrantTimeout || g.seenAt.Equal(g.at) && now.Sub(g.at) > UnconfirmedGrantTimeout {
 			s.expire(now, id, g)
 		}
 	}
--- a/core/sched/state.go
+++ b/core/sched/state.go
@@ -57,7 +57,7 @@
 func (p *pool) state() PoolState {
 	ps := PoolState{Name: p.spec.Name, Floor: p.ledger.Floor(), Peers: len(p.peers), Waiting: []WaitingState{}}
 	p.queue.Ascend(func(account string, _ float64) bool {
-		w := WaitingState{Account: account, Virtual: p.ledger.Virtual(account)}
+		w := WaitingState{Account: account, Virtual: p.ledger.VirtualService(account)}
 		for _, e := range p.demands[account].entries {
 			w.Count += e.count
 		}
--- a/models/conf/load.go
+++ b/models/conf/load.go
@@ -50,7 +50,7 @@
 		return ErrInvalid{path, fmt.Sprintf("unknown key %s", unknown[0])}
 	}
 	for i := range part.Policies {
-		if err := part.Policies[i].read(filepath.Dir(path)); err != nil {
+		if err := part.Policies[i].loadSource(filepath.Dir(path)); err != nil {
 			return err
 		}
 	}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (p *Policy) read(dir string) error {
+func (p *Policy) loadSource(dir string) error {
 	if p.File == "" {
 		return nil
 	}
--- a/models/routing/prompt.go
+++ b/models/routing/prompt.go
@@ -19,8 +19,8 @@
 	Model     string
 }
 
-// Affinity names the deepest part of the prompt that other requests share, or 0.
-func (p *Prompt) Affinity() uint64 {
+// AffinityKey names the deepest part of the prompt that other requests share, or 0.
+func (p *Prompt) AffinityKey() uint64 {
 	if len(p.Parts) < 2 {
 		return 0
 	}
@@ -35,8 +35,8 @@
 	return max(p.MaxOutput, 1)
 }
 
-// Own returns the tokens of the last part, which belongs to the request itself.
-func (p *Prompt) Own() int {
+// OwnTokens returns the tokens of the last part, which belongs to the request itself.
+func (p *Prompt) OwnTokens() int {
 	if len(p.Parts) == 0 {
 		return p.Tokens
 	}
--- a/models/routing/target.go
+++ b/models/routing/target.go
@@ -48,8 +48,8 @@
 	return t.Name
 }
 
-// TakesWork tells whether anything new may be sent to the target.
-func (t *Target) TakesWork() bool { return !t.Leaving && !t.Evacuated }
+// AcceptsWork tells whether anything new may be sent to the target.
+func (t *Target) AcceptsWork() bool { return !t.Leaving && !t.Evacuated }
 
 // Cold tells whether the target bears only the few requests of one that has just
 // started.
@@ -65,8 +65,8 @@
 	byWorker  map[string]*Target
 }
 
-// Build makes the look-up tables; call it once after the targets are set.
-func (s *TargetSet) Build() *TargetSet {
+// BuildIndex makes the look-up tables; call it once after the targets are set.
+func (s *TargetSet) BuildIndex() *TargetSet {
 	sort.Slice(s.Targets, func(i, j int) bool { return s.Targets[i].ID < s.Targets[j].ID })
 	s.byService, s.byID, s.byWorker = map[string][]*Target{}, map[string]*Target{}, map[string]*Target{}
 	for i := range s.Targets {
@@ -78,11 +78,11 @@
 	return s
 }
 
-// Of returns the targets of a service, sorted by ID, those included that take no work.
-func (s *TargetSet) Of(service string) []*Target { return s.byService[service] }
+// ByService returns the targets of a service, sorted by ID, those included that take no work.
+func (s *TargetSet) ByService(service string) []*Target { return s.byService[service] }
 
-// Leaving returns the IDs of the targets that leave.
-func (s *TargetSet) Leaving() []string {
+// LeavingIDs returns the IDs of the targets that leave.
+func (s *TargetSet) LeavingIDs() []string {
 	var out []string
 	for i := range s.Targets {
 		if s.Targets[i].Leaving {
--- a/modules/lateness/lateness.go
+++ b/modules/lateness/lateness.go
@@ -69,7 +69,7 @@
 // send writes a byte at each time, unless the last one has not been read yet.
 func (p *Probe) send() error {
 	defer p.writer.Close()
-	due := now().Add(p.pause())
+	due := now().Add(p.nextInterval())
 	timer := time.NewTimer(due.Sub(now()))
 	defer timer.Stop()
 	for {
@@ -86,12 +86,12 @@
 			}
 		default:
 		}
-		due = now().Add(p.pause())
+		due = now().Add(p.nextInterval())
 		timer.Reset(due.Sub(now()))
 	}
 }
 
-func (p *Probe) note(lateness time.Duration) {
+func (p *Probe) record(lateness time.Duration) {
 	if lateness <= calm {
 		p.inTime.Add(1)
 	} else {
@@ -99,8 +99,8 @@
 	}
 }
 
-// pause returns how long to wait before the next byte.
-func (p *Probe) pause() time.Duration {
+// nextInterval returns how long to wait before the next byte.
+func (p *Probe) nextInterval() time.Duration {
 	if p.inTime.Load() >= calmSamples {
 		return calmFactor * p.every
 	}
@@ -117,7 +117,7 @@
 		due := <-p.due
 		p.unread.CompareAndSwap(int64(due.Sub(p.start)), 0) // the next byte may be under way
 		lateness := max(now().Sub(due), 0)
-		p.note(lateness)
+		p.record(lateness)
 		p.report(lateness)
 	}
 }
--- a/modules/lateness/lateness_test.go
+++ b/modules/lateness/lateness_test.go
@@ -69,13 +69,13 @@
 		if i >= calmSamples {
 			want = calmFactor * p.every
 		}
-		if got := p.pause(); got != want {
+		if got := p.nextInterval(); got != want {
 			t.Fatalf("after %d samples in time it waits %v, want %v", i, got, want)
 		}
-		p.note(0)
+		p.record(0)
 	}
-	p.note(calm + 1)
-	if got := p.pause(); got != p.every {
+	p.record(calm + 1)
+	if got := p.nextInterval(); got != p.every {
 		t.Errorf("after a late sample it waits %v", got)
 	}
 }
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -32,7 +32,7 @@
 // is most of its cost.
 func over(kind lineKind) bool {
 	w := output.Load()
-	return w != nil && w.spent(kind)
+	return w != nil && w.overBudget(kind)
 }
 
 // Info writes a line with key-value pairs.
--- a/modules/netopt/ended_test.go
+++ b/modules/netopt/ended_test.go
@@ -17,18 +17,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, address := NewEndings(), l.Addr().String()
-	if ended, known := e.Ended(context.Background(), "w@1", address); ended || !known {
+	e, address := NewExitDetector(), l.Addr().String()
+	if ended, known := e.Exited(context.Background(), "w@1", address); ended || !known {
 		t.Errorf("a server that lives: ended %t, known %t", ended, known)
 	}
 	_ = l.Close()
-	if ended, known := e.Ended(context.Background(), "w@2", address); !ended || !known {
+	if ended, known := e.Exited(context.Background(), "w@2", address); !ended || !known {
 		t.Errorf("a server that has ended: ended %t, known %t", ended, known)
 	}
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	e.findings["w@3"] = &finding{done: make(chan struct{})}
-	if ended, known := e.Ended(over, "w@3", address); ended || known {
+	if ended, known := e.Exited(over, "w@3", address); ended || known {
 		t.Error("something is known that nobody has found out")
 	}
 }
--- a/modules/peernet/peernet_test.go
+++ b/modules/peernet/peernet_test.go
@@ -103,7 +103,7 @@
 	r, s, tb := serve(t, NewSharedKey("server", "the shared key"))
 	link := NewLink(tb, LinkOptions{
 		Auth: NewSharedKey("client", "the shared key"), Meter: &Meter{}, PeerID: "server", Address: s.listener.Addr().String(),
-		DialTimeout: time.Second, Ring: 16, Idle: 5 * time.Millisecond,
+		DialTimeout: time.Second, Ring: 16, IdleTimeout: 5 * time.Millisecond,
 	})
 	for _, name := range []string{"a", "b"} {
 		link.Send(frame(name))
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -36,7 +36,7 @@
 		return
 	}
 	past, sentAt := j.past, j.sentAt
-	ask := func(ctx context.Context) (ended, known bool) { return s.endings.Ended(ctx, t.Name, t.Address) }
+	ask := func(ctx context.Context) (ended, known bool) { return s.endings.Exited(ctx, t.Name, t.Address) }
 	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
 	if ended {
 		s.opts.Book.Note(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -65,7 +65,7 @@
 	h.await()
 	h.operator(OperatorNews{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9, Evacuated: true}}})
 	h.awaitEvacuated("a")
-	if h.Targets().Find("a").TakesWork() || !h.Targets().Find("b").TakesWork() {
+	if h.Targets().Find("a").AcceptsWork() || !h.Targets().Find("b").AcceptsWork() {
 		t.Errorf("%+v", h.Targets().Targets)
 	}
 	if got := h.Evacuated(); !slices.Equal(got, []string{"h1"}) || h.Versions().Evacuations != 9 {
--- a/services/follow/lapse.go
+++ b/services/follow/lapse.go
@@ -50,5 +50,5 @@
 			wait = left
 		}
 	}
-	return set.Build(), wait
+	return set.BuildIndex(), wait
 }
--- a/services/follow/lapse_test.go
+++ b/services/follow/lapse_test.go
@@ -13,7 +13,7 @@
 var lapseStart = time.Unix(1_700_000_000, 0)
 
 func targetsOf(targets ...routing.Target) *routing.TargetSet {
-	return (&routing.TargetSet{Revision: 5, Targets: targets}).Build()
+	return (&routing.TargetSet{Revision: 5, Targets: targets}).BuildIndex()
 }
 
 // Entries that are gone when the store comes back after a long silence are used
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -116,7 +116,7 @@
 		t.Errorf("cold until %v", told.ColdUntil)
 	}
 	set := func(t routing.Target) *routing.TargetSet {
-		return (&routing.TargetSet{Targets: []routing.Target{t}}).Build()
+		return (&routing.TargetSet{Targets: []routing.Target{t}}).BuildIndex()
 	}
 	held, _ := newLapses().hold(now, true, set(lifeOf("w", 100, false)), set(lifeOf("w", 200, false)))
 	if len(held.Targets) != 1 || held.Targets[0].Born != 200 {
@@ -126,7 +126,7 @@
 
 // Bad rows are told of a few times a second, and how many were not.
 func TestBadRowsAreToldAtABoundedRate(t *testing.T) {
-	b := log.NewLimit(badEvery, badAtOnce)
+	b := log.NewRateLimiter(badEvery, badAtOnce)
 	now, told := time.Unix(1_700_000_000, 0), 0
 	for range 1000 {
 		if tell, _ := b.Allow(now); tell {
--- a/services/follow/targets.go
+++ b/services/follow/targets.go
@@ -215,5 +215,5 @@
 			leaving++
 		}
 	}
-	return set.Build(), leaving
+	return set.BuildIndex(), leaving
 }
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -25,7 +25,7 @@
 // first byte, where all ways to a target meet: the place may be older than the target's word,
 // or come from a scheduler that has not heard it.
 func (j *job) startSending() error {
-	if now := j.s.opts.Follow.Targets().Find(j.at.ID); now == nil || !now.TakesWork() {
+	if now := j.s.opts.Follow.Targets().Find(j.at.ID); now == nil || !now.AcceptsWork() {
 		return errWithheld
 	}
 	permit, err := j.s.opts.Notices.Start(j.at.ID)
@@ -40,8 +40,8 @@
 // told with each ask: only this gateway knows what it was asked for, and they may change.
 func (s *Service) restsOf(service string) notice.Rests {
 	return s.opts.Notices.RestsAmong(func(yield func(string) bool) {
-		for _, t := range s.opts.Follow.Targets().Of(service) {
-			if t.TakesWork() && !yield(t.ID) {
+		for _, t := range s.opts.Follow.Targets().ByService(service) {
+			if t.AcceptsWork() && !yield(t.ID) {
 				return
 			}
 		}
@@ -51,7 +51,7 @@
 // allRest returns the error of a request that only targets at rest could serve: to wait would
 // be in vain, and the caller is told when the first of them may be tried.
 func allRest(service string, r notice.Rests) error {
-	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).After(max(r.First, soonAfter))
+	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.First, soonAfter))
 }
 
 // denied returns the targets that a scheduler is not to choose.
@@ -65,7 +65,7 @@
 // mayGet returns the target of a place where it may get the request, or nil.
 func (j *job) mayGet(id string) *routing.Target {
 	t := j.s.opts.Follow.Targets().Find(id)
-	if t == nil || !t.TakesWork() {
+	if t == nil || !t.AcceptsWork() {
 		return nil
 	}
 	if _, rests := j.s.opts.Notices.Closed(id); rests {
@@ -79,8 +79,8 @@
 // leave, one after the other would come back until the request is given up.
 func (j *job) denyUnusable(id string) {
 	j.deny = append(j.deny, id)
-	for _, t := range j.s.opts.Follow.Targets().Of(j.r.Service.Name) {
-		if !t.TakesWork() && !slices.Contains(j.deny, t.ID) {
+	for _, t := range j.s.opts.Follow.Targets().ByService(j.r.Service.Name) {
+		if !t.AcceptsWork() && !slices.Contains(j.deny, t.ID) {
 			j.deny = append(j.deny, t.ID)
 		}
 	}
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -92,7 +92,7 @@
 
 // accuse remembers the request under which a target has ended, unless that was to leave.
 func (s *Service) accuse(past *requests.Try, t *routing.Target, sentAt time.Time) {
-	if now := s.opts.Follow.Targets().Find(t.ID); now != nil && now.TakesWork() {
+	if now := s.opts.Follow.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
 		past.Accuse(t.ID, sentAt)
 	}
 }
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -62,5 +62,5 @@
 
 // Targets implements Targets.
 func (l listed) Targets() *routing.TargetSet {
-	return (&routing.TargetSet{Targets: []routing.Target{{ID: string(l)}}}).Build()
+	return (&routing.TargetSet{Targets: []routing.Target{{ID: string(l)}}}).BuildIndex()
 }
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -158,7 +158,7 @@
 
 func (l *Loop) newLink(id, address string) *peernet.Link {
 	return peernet.NewLink(l.t, peernet.LinkOptions{
-		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTime, Ring: linkRing, Idle: linkIdle,
+		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTime, Ring: linkRing, IdleTimeout: linkIdle,
 	})
 }
 
@@ -238,7 +238,7 @@
 		l.announce(now)
 	case keptIn:
 		if s := l.cells[e.key]; s != nil {
-			l.schedule(now, e.key, s, cell.KeptSeen{Target: e.target, At: e.at, Parts: e.parts})
+			l.schedule(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
 		}
 	case inspectIn:
 		e.run()
--- a/services/upstream/exchange_test.go
+++ b/services/upstream/exchange_test.go
@@ -413,7 +413,7 @@
 	if _, _, err := send(t, c, s, request("r", "")); err != nil {
 		t.Fatal(err)
 	}
-	p.Keep((&routing.TargetSet{}).Build())
+	p.Keep((&routing.TargetSet{}).BuildIndex())
 	if len(p.idle) != 0 {
 		t.Error("connections to a vanished target are kept")
 	}
@@ -437,7 +437,7 @@
 	if p.Dials() != 2 {
 		t.Errorf("%d connections for two lives", p.Dials())
 	}
-	p.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)}}).Build())
+	p.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)}}).BuildIndex())
 	if len(p.idle[life(1).ID]) != 0 || len(p.idle[life(2).ID]) != 1 {
 		t.Errorf("kept %v", p.idle)
 	}
--- a/services/upstream/pool.go
+++ b/services/upstream/pool.go
@@ -152,5 +152,5 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	return netopt.Peek(c.Conn) == netopt.Nothing
+	return netopt.Peek(c.Conn) == netopt.PeekEmpty
 }
