--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -15,47 +15,47 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func three() []*routing.Target {
+func threeTargets() []*routing.Target {
 	return []*routing.Target{
 		{ID: "a", DataHall: "h1", Address: "a"}, {ID: "b", DataHall: "h2", Address: "b"}, {ID: "c", DataHall: "h3", Address: "c"},
 	}
 }
 
-// newBalancer returns a balancer whose draws are all a half.
+// newBalancer returns a balancer whose random numbers are all 0.5.
 func newBalancer(hall string) *Balancer { return New(hall, func() float64 { return 0.5 }) }
 
-func TestLeastBusyIsChosen(t *testing.T) {
+func TestChoosesLeastBusyTarget(t *testing.T) {
 	b := newBalancer("h1")
 	seen := map[string]int{}
 	for range 9 {
-		seen[b.Choose(start, three(), nil, Limits{}).Target.ID]++
+		seen[b.Choose(start, threeTargets(), nil, Limits{}).Target.ID]++
 	}
 	for id, n := range seen {
 		if n != 3 {
-			t.Errorf("%s was chosen %d times of 9 with nothing ending", id, n)
+			t.Errorf("%s was chosen %d times of 9 while no request ends, want 3", id, n)
 		}
 	}
 }
 
-func TestDeniedAndLeavingAreNotChosen(t *testing.T) {
+func TestDeniedAndLeavingTargetsAreNotChosen(t *testing.T) {
 	b := newBalancer("h1")
-	targets := three()
+	targets := threeTargets()
 	targets[0].Leaving = true
 	for range 10 {
 		if p := b.Choose(start, targets, []string{"b"}, Limits{}); p == nil || p.Target.ID != "c" {
-			t.Fatalf("chose %+v", p)
+			t.Fatalf("chose %+v, want c", p)
 		}
 	}
 	if p := b.Choose(start, targets, []string{"b", "c"}, Limits{}); p != nil {
-		t.Errorf("chose %s with nothing left", p.Target.ID)
+		t.Errorf("chose %s, want none", p.Target.ID)
 	}
 }
 
-func TestUnreachableIsAvoidedThenTriedAgain(t *testing.T) {
+func TestUnreachableTargetIsRetriedAfterBackoff(t *testing.T) {
 	b := newBalancer("")
 	now, tried := start, 0
 	for range 400 {
-		p := b.Choose(now, three(), nil, Limits{})
+		p := b.Choose(now, threeTargets(), nil, Limits{})
 		if p.Target.ID == "b" {
 			tried++
 			b.Failed(now, p, attempt.NotSent)
@@ -65,7 +65,7 @@
 		now = now.Add(25 * time.Millisecond)
 	}
 	if tried < 1 || tried > 12 {
-		t.Errorf("an unreachable target was tried %d times in ten seconds beside two idle ones, want once to twelve times", tried)
+		t.Errorf("an unreachable target was tried %d times in ten seconds, want 1 to 12", tried)
 	}
 }
 
@@ -73,7 +73,7 @@
 	b := newBalancer("")
 	now, stuck := start, 0
 	for range 200 {
-		p := b.Choose(now, three(), nil, Limits{})
+		p := b.Choose(now, threeTargets(), nil, Limits{})
 		if p.Target.ID == "b" {
 			stuck++ // it never answers
 		} else {
@@ -82,17 +82,17 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	if stuck > 8 {
-		t.Errorf("%d requests went to a target that never answers", stuck)
+		t.Errorf("%d requests went to a target that never answers, want at most 8", stuck)
 	}
 }
 
-func TestAvoidedIsBetterThanNone(t *testing.T) {
+func TestAvoidedTargetIsChosenIfAlone(t *testing.T) {
 	b := newBalancer("h1")
-	one := three()[:1]
+	one := threeTargets()[:1]
 	p := b.Choose(start, one, nil, Limits{})
 	b.Failed(start, p, attempt.NotSent)
 	if b.Choose(start, one, nil, Limits{}) == nil {
-		t.Error("the only target is not tried again")
+		t.Error("the only target is not chosen while it is avoided")
 	}
 }
 
@@ -100,7 +100,7 @@
 	b := newBalancer("")
 	now, failing := start, 0
 	for range 300 {
-		p := b.Choose(now, three(), nil, Limits{})
+		p := b.Choose(now, threeTargets(), nil, Limits{})
 		if p.Target.ID == "c" {
 			failing++
 			b.Failed(now.Add(20*time.Millisecond), p, attempt.Failed)
@@ -110,61 +110,60 @@
 		now = now.Add(30 * time.Millisecond)
 	}
 	if failing > 60 {
-		t.Errorf("%d of 300 requests went to the failing one of three targets", failing)
+		t.Errorf("%d of 300 requests went to the failing one of three targets, want at most 60", failing)
 	}
 }
 
-func TestKeepForgets(t *testing.T) {
+func TestKeepRemovesOtherTargets(t *testing.T) {
 	b := newBalancer("h1")
-	b.Choose(start, three(), nil, Limits{})
+	b.Choose(start, threeTargets(), nil, Limits{})
 	b.Keep((&routing.TargetSet{Targets: []routing.Target{{ID: "a"}}}).BuildIndex())
 	if len(b.states) > 1 {
-		t.Errorf("%d targets remembered, one is left", len(b.states))
+		t.Errorf("got the states of %d targets, want at most 1", len(b.states))
 	}
 }
 
-// A target that has started again is another one: what was under way, how it failed and how
-// fast it was is forgotten.
-func TestAnotherLifeIsAnotherTarget(t *testing.T) {
+// A restarted target inherits the requests in flight, failures and latency of its
+// earlier incarnation.
+func TestNewIncarnationStartsWithFreshState(t *testing.T) {
 	b := newBalancer("h1")
-	life := func(born int64) []*routing.Target {
+	incarnation := func(born int64) []*routing.Target {
 		return []*routing.Target{{ID: routing.TargetID("w", born), Name: "w", Born: born}}
 	}
 	for range 20 {
-		b.Failed(start, b.Choose(start, life(1), nil, Limits{}), attempt.Failed)
+		b.Failed(start, b.Choose(start, incarnation(1), nil, Limits{}), attempt.Failed)
 	}
-	b.Choose(start, life(1), nil, Limits{})
-	b.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)[0]}}).BuildIndex())
-	b.Choose(start, life(2), nil, Limits{})
-	if len(b.states) != 1 || len(b.state(life(2)[0].ID).underWay) != 1 || b.Usual(life(2)[0].ID) != New("h1", nil).Usual("w") {
-		t.Errorf("the new life begins with %+v", b.state(life(2)[0].ID))
+	b.Choose(start, incarnation(1), nil, Limits{})
+	b.Keep((&routing.TargetSet{Targets: []routing.Target{*incarnation(2)[0]}}).BuildIndex())
+	b.Choose(start, incarnation(2), nil, Limits{})
+	if len(b.states) != 1 || len(b.state(incarnation(2)[0].ID).inFlight) != 1 || b.Latency(incarnation(2)[0].ID) != New("h1", nil).Latency("w") {
+		t.Errorf("the new incarnation starts with %+v, want only one request in flight", b.state(incarnation(2)[0].ID))
 	}
 }
 
-// What an operator has evacuated gets nothing, not even where nothing else is there.
-func TestEvacuatedIsNotChosen(t *testing.T) {
+// An evacuated target is chosen if there is no other.
+func TestEvacuatedTargetIsNotChosen(t *testing.T) {
 	b := newBalancer("h1")
-	targets := three()
+	targets := threeTargets()
 	targets[0].Evacuated, targets[1].Evacuated = true, true
 	for range 10 {
 		if p := b.Choose(start, targets, nil, Limits{}); p == nil || p.Target.ID != "c" {
-			t.Fatalf("chose %+v", p)
+			t.Fatalf("chose %+v, want c", p)
 		}
 	}
 	targets[2].Evacuated = true
 	if p := b.Choose(start, targets, nil, Limits{}); p != nil {
-		t.Errorf("chose %s though all halls are evacuated", p.Target.ID)
+		t.Errorf("chose %s though all targets are evacuated", p.Target.ID)
 	}
 }
 
-// Gateways that choose by themselves send a cold target no more than it bears, all
-// together, and are back to the usual once it is warm.
-func TestColdTargetGetsWhatItBears(t *testing.T) {
-	const gateways, bears = 60, 6.0
+// Gateways together overload a cold target, or keep limiting it once it is warm.
+func TestColdTargetIsRateLimited(t *testing.T) {
+	const gateways, limit = 60, 6.0
 	rng := rand.New(rand.NewPCG(1, 1))
 	cold := &routing.Target{ID: "cold", DataHall: "h1", Address: "a", ColdUntil: start.Add(3 * time.Second)}
 	warm := &routing.Target{ID: "warm", DataHall: "h1", Address: "b"}
-	limits := Limits{ColdRate: bears, ColdShare: pacing.PlainShare(gateways)}
+	limits := Limits{ColdRate: limit, ColdShare: pacing.PlainShare(gateways)}
 	var fleet []*Balancer
 	for range gateways {
 		fleet = append(fleet, New("h1", rng.Float64))
@@ -173,18 +172,18 @@
 	after := 0
 	for step := range 5000 {
 		now := start.Add(time.Duration(step) * time.Millisecond)
-		for range 2 { // two thousand requests a second
+		for range 2 { // 2000 requests per second
 			b := fleet[rng.IntN(gateways)]
 			p := b.Choose(now, []*routing.Target{cold, warm}, nil, limits)
 			if p == nil {
-				t.Fatal("nothing is chosen though a warm target is there")
+				t.Fatal("no target is chosen though a warm one exists")
 			}
 			if p.Target == cold && cold.Cold(now) {
 				got = append(got, now)
 			} else if p.Target == cold {
 				after++
 			}
-			b.Done(now.Add(firstGuess), p)
+			b.Done(now.Add(initialLatency), p)
 		}
 	}
 	for i := range got {
@@ -192,11 +191,11 @@
 		for j := i; j < len(got) && got[j].Sub(got[i]) < time.Second; j++ {
 			n++
 		}
-		if n > bears*1.5+5 {
-			t.Fatalf("%d requests within a second", n)
+		if n > limit*1.5+5 {
+			t.Fatalf("%d requests to a cold target within a second, want at most 14", n)
 		}
 	}
-	if len(got) < bears || after == 0 {
-		t.Errorf("%d requests while cold, %d after it", len(got), after)
+	if len(got) < limit || after == 0 {
+		t.Errorf("%d requests while cold, want at least 6; %d once warm, want some", len(got), after)
 	}
 }
--- a/core/batch/cache.go
+++ b/core/batch/cache.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package batch models one engine that runs requests in batches: the parts of
-// prompts that it probably keeps, the tokens that it still has to read, the
-// memory in use and how fast and how sound it shows itself. The model is built
-// from what was sent there and what came of it; it never asks the engine.
+// Package batch estimates the state of an engine that serves requests in batches: its
+// prefix cache, its prefill backlog, its memory in use, its speed and its health.
+//
+// The estimates rest on the requests sent to the engine, their outcomes and the cache
+// contents that it reports. The package does no I/O.
 package batch
 
 import (
@@ -14,34 +15,33 @@
 	"madderway/models/routing"
 )
 
-// kept is one part of a prompt in the engine's memory. A part counts only
-// together with all parts before it; its name is its own, as engines tell it.
-type kept struct {
-	id     uint64
-	tokens int
-	pins   int  // pins counts the running requests that use it.
-	read   bool // read tells that it is in memory; else a request is still to read it.
-	usedAt time.Time
-	at     *list.Element
+// cachedPart is a prompt part in the engine's memory. It is a cache hit only if all
+// parts before it in the prompt are cached, too.
+type cachedPart struct {
+	id        uint64
+	tokens    int
+	pins      int  // running requests that use it
+	prefilled bool // false while a request still has to prefill it
+	usedAt    time.Time
+	elem      *list.Element
 }
 
-// cache is what the engine probably keeps, the least recently used part first
-// in the list.
+// cache estimates the engine's prefix cache, with LRU eviction.
 type cache struct {
-	capacity int
-	used     int // tokens of all parts
-	pinned   int // tokens of the parts in use
-	outputs  int // tokens that running requests may make
-	parts    map[uint64]*kept
-	order    *list.List
+	capacity     int
+	usedTokens   int // tokens of all parts
+	pinnedTokens int // tokens of the parts in use
+	outputTokens int // tokens that running requests may generate
+	parts        map[uint64]*cachedPart
+	lru          *list.List // least recently used first
 }
 
 func newCache(capacity int) *cache {
-	return &cache{capacity: capacity, parts: map[uint64]*kept{}, order: list.New()}
+	return &cache{capacity: capacity, parts: map[uint64]*cachedPart{}, lru: list.New()}
 }
 
-// hit returns the tokens at the beginning of the prompt that are kept.
-func (c *cache) hit(parts []routing.PromptPart) int {
+// hitTokens returns the tokens at the beginning of the prompt that are cached.
+func (c *cache) hitTokens(parts []routing.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
 		if _, ok := c.parts[p.ID]; !ok {
@@ -52,13 +52,13 @@
 	return tokens
 }
 
-// ready returns the tokens at the beginning of the prompt that have been read, so
-// that another engine can copy them.
-func (c *cache) ready(parts []routing.PromptPart) int {
+// copyableTokens returns the tokens at the beginning of the prompt that are prefilled,
+// so that another engine can copy them.
+func (c *cache) copyableTokens(parts []routing.PromptPart) int {
 	tokens := 0
 	for _, p := range parts {
-		k, ok := c.parts[p.ID]
-		if !ok || !k.read {
+		part, ok := c.parts[p.ID]
+		if !ok || !part.prefilled {
 			break
 		}
 		tokens += p.Tokens
@@ -66,102 +66,102 @@
 	return tokens
 }
 
-// markRead notes that the parts of a request have been read.
-func (c *cache) markRead(parts []routing.PromptPart) {
+// markPrefilled marks the parts of a request as prefilled.
+func (c *cache) markPrefilled(parts []routing.PromptPart) {
 	for _, p := range parts {
-		if k, ok := c.parts[p.ID]; ok {
-			k.read = true
+		if part, ok := c.parts[p.ID]; ok {
+			part.prefilled = true
 		}
 	}
 }
 
-// forgetUnread drops the parts that only a request which has ended was to read.
-func (c *cache) forgetUnread(parts []routing.PromptPart) {
+// dropNotPrefilled drops unused parts that were never prefilled.
+func (c *cache) dropNotPrefilled(parts []routing.PromptPart) {
 	for _, p := range parts {
-		if k, ok := c.parts[p.ID]; ok && !k.read && k.pins == 0 {
-			c.drop(k)
+		if part, ok := c.parts[p.ID]; ok && !part.prefilled && part.pins == 0 {
+			c.drop(part)
 		}
 	}
 }
 
-// pin marks the parts of a request that begins as in use and kept.
+// pin adds the parts of a starting request to the cache and marks them as in use.
 func (c *cache) pin(now time.Time, parts []routing.PromptPart) {
 	for _, p := range parts {
-		k, ok := c.parts[p.ID]
+		part, ok := c.parts[p.ID]
 		if !ok {
-			k = &kept{id: p.ID, tokens: p.Tokens}
-			k.at = c.order.PushBack(k)
-			c.parts[p.ID] = k
-			c.used += p.Tokens
+			part = &cachedPart{id: p.ID, tokens: p.Tokens}
+			part.elem = c.lru.PushBack(part)
+			c.parts[p.ID] = part
+			c.usedTokens += p.Tokens
 		}
-		c.order.MoveToBack(k.at)
-		k.usedAt = now
-		if k.pins == 0 {
-			c.pinned += k.tokens
+		c.lru.MoveToBack(part.elem)
+		part.usedAt = now
+		if part.pins == 0 {
+			c.pinnedTokens += part.tokens
 		}
-		k.pins++
+		part.pins++
 	}
 	c.evict()
 }
 
-// unpin marks the parts of a request that ended as no longer in use.
+// unpin releases the parts of a request that ended.
 func (c *cache) unpin(now time.Time, parts []routing.PromptPart) {
 	for _, p := range parts {
-		k, ok := c.parts[p.ID]
-		if !ok || k.pins == 0 {
+		part, ok := c.parts[p.ID]
+		if !ok || part.pins == 0 {
 			continue
 		}
-		k.pins--
-		k.usedAt = now
-		if k.pins == 0 {
-			c.pinned -= k.tokens
+		part.pins--
+		part.usedAt = now
+		if part.pins == 0 {
+			c.pinnedTokens -= part.tokens
 		}
 	}
 	c.evict()
 }
 
-// evict drops the parts unused longest until all fits.
+// evict drops the least recently used parts that are not pinned until the rest fits.
 func (c *cache) evict() {
-	for at := c.order.Front(); at != nil && c.used+c.outputs > c.capacity; {
-		k, next := at.Value.(*kept), at.Next()
-		if k.pins == 0 {
-			c.drop(k)
+	for at := c.lru.Front(); at != nil && c.usedTokens+c.outputTokens > c.capacity; {
+		part, next := at.Value.(*cachedPart), at.Next()
+		if part.pins == 0 {
+			c.drop(part)
 		}
 		at = next
 	}
 }
 
-// learn makes the parts those that the engine says it keeps, as of a time. Parts
-// in use, or used since, stay; new ones count as used longest ago: when they were
-// used the engine does not say.
-func (c *cache) learn(at time.Time, parts []routing.PromptPart) {
-	told := make(map[uint64]bool, len(parts))
+// sync replaces the cached parts by those that the engine reported at a time. Parts
+// that are pinned or were used since stay. New parts count as least recently used,
+// since the engine does not report when it used them.
+func (c *cache) sync(at time.Time, parts []routing.PromptPart) {
+	reported := make(map[uint64]bool, len(parts))
 	for _, p := range parts {
-		told[p.ID] = true
-		if k, ok := c.parts[p.ID]; ok || p.Tokens <= 0 {
+		reported[p.ID] = true
+		if part, ok := c.parts[p.ID]; ok || p.Tokens <= 0 {
 			if ok {
-				k.read = true
+				part.prefilled = true
 			}
 			continue
 		}
-		k := &kept{id: p.ID, tokens: p.Tokens, read: true, usedAt: at}
-		k.at = c.order.PushFront(k)
-		c.parts[p.ID] = k
-		c.used += p.Tokens
+		part := &cachedPart{id: p.ID, tokens: p.Tokens, prefilled: true, usedAt: at}
+		part.elem = c.lru.PushFront(part)
+		c.parts[p.ID] = part
+		c.usedTokens += p.Tokens
 	}
-	for _, k := range c.parts {
-		if !told[k.id] && k.pins == 0 && k.usedAt.Before(at) {
-			c.drop(k)
+	for _, part := range c.parts {
+		if !reported[part.id] && part.pins == 0 && part.usedAt.Before(at) {
+			c.drop(part)
 		}
 	}
 	c.evict()
 }
 
-func (c *cache) drop(k *kept) {
-	c.order.Remove(k.at)
-	delete(c.parts, k.id)
-	c.used -= k.tokens
+func (c *cache) drop(part *cachedPart) {
+	c.lru.Remove(part.elem)
+	delete(c.parts, part.id)
+	c.usedTokens -= part.tokens
 }
 
-// room returns the tokens that are free or can be made free.
-func (c *cache) room() int { return c.capacity - c.pinned - c.outputs }
+// available returns the tokens that are free or evictable.
+func (c *cache) available() int { return c.capacity - c.pinnedTokens - c.outputTokens }
--- a/core/batch/health.go
+++ b/core/batch/health.go
@@ -8,56 +8,55 @@
 	"time"
 )
 
-// Times and weights of what is believed of an engine's health.
 const (
-	errorGain = 0.15
-	errorHalf = 2 * time.Second // time in which the share of failures fades to a half
-	// lateFactor and lateSlack tell when an engine that owes a first event is
-	// taken for silent.
-	lateFactor = 3
-	lateSlack  = 400 * time.Millisecond
+	errorGain     = 0.15            // weight of a new outcome in the error rate
+	errorHalfLife = 2 * time.Second // half-life of the error rate without new outcomes
+	// An engine is silent once a first event takes silentFactor times the expected time
+	// plus silentSlack.
+	silentFactor = 3
+	silentSlack  = 400 * time.Millisecond
 
-	avoidFirst   = 250 * time.Millisecond
-	avoidMax     = 4 * time.Second
-	maxDoublings = 4
-	fullPause    = 120 * time.Millisecond
-	movedPause   = 10 * time.Second
+	avoidFirst    = 250 * time.Millisecond
+	avoidMax      = 4 * time.Second
+	maxDoublings  = 4
+	rejectedPause = 120 * time.Millisecond
+	movedPause    = 10 * time.Second
 )
 
-// health is what the outcomes say of an engine.
+// health tracks failures of an engine and the backoff after them.
 type health struct {
-	errors     float64 // share of runs that failed, lately
-	errorsAt   time.Time
-	failures   int // failures counts the pauses without a sign of life between them.
+	rate       float64 // error rate at rateAt
+	rateAt     time.Time
+	failures   int // consecutive backoffs without a success
 	avoidUntil time.Time
 }
 
 func (h *health) usable(now time.Time) bool { return !now.Before(h.avoidUntil) }
 
-// share returns the share of failed runs; without news it fades, so that an
-// engine that was passed over for it is tried again.
-func (h *health) share(now time.Time) float64 {
-	since := now.Sub(h.errorsAt)
+// errorRate returns the error rate. It decays over time, so that an engine that gets no
+// requests because of it is tried again.
+func (h *health) errorRate(now time.Time) float64 {
+	since := now.Sub(h.rateAt)
 	if since <= 0 {
-		return h.errors
+		return h.rate
 	}
-	return h.errors * math.Exp2(-float64(since)/float64(errorHalf))
+	return h.rate * math.Exp2(-float64(since)/float64(errorHalfLife))
 }
 
-func (h *health) set(now time.Time, errors float64) { h.errors, h.errorsAt = errors, now }
+func (h *health) setErrorRate(now time.Time, rate float64) { h.rate, h.rateAt = rate, now }
 
 func (h *health) begun() { h.failures = 0 }
 
-// ended takes the outcome of a run. A stream that breaks after it has begun
-// tells of connections as much as of the engine, and many break at once: it
-// counts to the share of failures, but no engine is passed over for it.
-func (h *health) ended(now time.Time, r *Run, o Outcome, silent bool) {
+// recordOutcome records the outcome of a run. A broken or failed run counts toward the
+// error rate only before its first event: later breaks often come from connections, many
+// at a time. It never makes the engine unusable.
+func (h *health) recordOutcome(now time.Time, r *Run, o Outcome, silent bool) {
 	switch o {
 	case OutcomeDone:
-		h.set(now, (1-errorGain)*h.share(now))
+		h.setErrorRate(now, (1-errorGain)*h.errorRate(now))
 		h.failures = 0
 	case OutcomeFull:
-		h.avoidUntil = later(h.avoidUntil, now.Add(fullPause))
+		h.avoidUntil = later(h.avoidUntil, now.Add(rejectedPause))
 	case OutcomeMoved:
 		h.avoidUntil = later(h.avoidUntil, now.Add(movedPause))
 	case OutcomeNotSent:
@@ -68,15 +67,15 @@
 		}
 	case OutcomeBroken, OutcomeFailed:
 		if !r.begun {
-			h.set(now, h.share(now)+errorGain*(1-h.share(now)))
+			h.setErrorRate(now, h.errorRate(now)+errorGain*(1-h.errorRate(now)))
 		}
 	}
 }
 
-// avoid passes the engine over for a while, twice as long each time. Runs that
-// were granted before the pause began say nothing new.
+// avoid backs off from the engine, twice as long each time. Failures of runs that
+// started before the last backoff ended are ignored.
 func (h *health) avoid(now time.Time, r *Run) {
-	if now.Before(h.avoidUntil) || r.granted.Before(h.avoidUntil) && h.failures > 0 {
+	if now.Before(h.avoidUntil) || r.startedAt.Before(h.avoidUntil) && h.failures > 0 {
 		return
 	}
 	pause := min(avoidFirst<<min(h.failures, maxDoublings), avoidMax)
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -115,7 +115,7 @@
 		c.applySiblingTally(now, e.Rows)
 	case CachedPartsSeen:
 		if t := c.targets[e.Target]; t != nil {
-			t.engine.Learn(e.At, e.Parts)
+			t.engine.SyncCache(e.At, e.Parts)
 		}
 	case Tick:
 		c.evictIdleAccounts(now)
@@ -175,7 +175,7 @@
 	}
 	delete(c.runs, key)
 	r.target.engine.End(now, r.engineRun, o)
-	if t := c.draining[r.target.info.ID]; t == r.target && t.engine.Empty() {
+	if t := c.draining[r.target.info.ID]; t == r.target && t.engine.Idle() {
 		c.countTarget(now, t)
 		delete(c.draining, r.target.info.ID)
 	}
@@ -235,7 +235,7 @@
 		seen[info.ID] = true
 		t := c.targets[info.ID]
 		if t == nil {
-			t = &target{engine: batch.NewEngineLike(info.Slots, info.CacheTokens, c.prior)}
+			t = &target{engine: batch.NewEngineWithPrior(info.Slots, info.CacheTokens, c.prior)}
 			c.targets[info.ID] = t
 		}
 		t.info = info
@@ -245,7 +245,7 @@
 			continue
 		}
 		delete(c.targets, id)
-		if !t.engine.Empty() {
+		if !t.engine.Idle() {
 			c.draining[id] = t
 		}
 	}
@@ -285,7 +285,7 @@
 // its cache.
 func (c *Cell) cachedInCell(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
-		if sharedTokens(p, t.engine.Missing(p)) == 0 {
+		if sharedTokens(p, t.engine.UncachedTokens(p)) == 0 {
 			return true
 		}
 	}
@@ -300,7 +300,7 @@
 		t.coldPacer.Take(now, c.coldShare*c.coldRate)
 	}
 	c.runs[key] = r
-	service := float64(p.Tokens + outputWeight*r.engineRun.Output)
+	service := float64(p.Tokens + outputWeight*r.engineRun.OutputTokens)
 	a := c.account(account)
 	a.charge(now, service)
 	a.served += service
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -53,7 +53,7 @@
 		if !v.source {
 			continue
 		}
-		ready := v.target.engine.Ready(p)
+		ready := v.target.engine.CopyableTokens(p)
 		if ready == 0 {
 			continue
 		}
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -10,30 +10,28 @@
 )
 
 const (
-	inventoryEvery = 2 * time.Second
-	// emptyTold is how often a scheduler is told that nothing runs here: once more
-	// than needed, since a message may be lost. A gateway of a large fleet seldom has
-	// something in most cells.
-	emptyTold = 2
-	// moveShare is the part of the objective that a second cell may take.
-	moveShare     = 0.15
-	noTargetRetry = 500 * time.Millisecond
-	// strainedRetry is when a caller may come back whom a strained gateway cannot
-	// place: at once, since that takes it to another gateway.
-	strainedRetry = 50 * time.Millisecond
+	inventoryInterval = 2 * time.Second
+	// maxEmptyInventories limits repeated empty inventories, as most gateways of a large
+	// fleet run nothing in most cells. The second one covers a lost message.
+	maxEmptyInventories = 2
+	// secondCellShare is the share of the objective that a request may wait in a second cell.
+	secondCellShare = 0.15
+	noTargetRetry   = 500 * time.Millisecond
+	// saturatedRetry is short because the retry reaches another gateway.
+	saturatedRetry = 50 * time.Millisecond
 )
 
 type pending struct {
-	service string
-	ask     cell.Ask
-	cell    cell.Key
-	moved   bool // moved tells that another cell than its own is asked.
-	to      string
-	arrived time.Time
-	askedAt time.Time
-	askedIn time.Duration // askedIn is the machine's lag when it was asked.
-	waits   bool          // waits tells that the scheduler has said that it waits.
-	tried   map[string]bool
+	service   string
+	ask       cell.Ask
+	cell      cell.Key
+	moved     bool   // already moved to a second cell
+	scheduler string // asked last
+	arrived   time.Time
+	askedAt   time.Time
+	lagAtAsk  time.Duration // Machine.lag at askedAt
+	queued    bool          // the scheduler has queued it
+	tried     map[string]bool
 }
 
 type running struct {
@@ -41,37 +39,37 @@
 	cell cell.Key
 }
 
-// seat is what is known of the scheduler that is in use for a cell.
-type seat struct {
-	scheduler string
-	toldAt    time.Time // toldAt is when it was last told all that runs here.
-	empty     int       // empty is how often in a row it was told that nothing does.
+// schedulerState tracks the scheduler in use for a cell and the inventories sent to it.
+type schedulerState struct {
+	scheduler        string
+	inventoryAt      time.Time // last inventory
+	emptyInventories int       // consecutive empty inventories
 }
 
-// Machine is the entry side of one gateway.
+// Machine tracks the requests that entered through one gateway.
 type Machine struct {
-	self     string
-	layout   *cell.Layout
-	pending  map[cell.RequestID]*pending
-	running  map[cell.RequestID]*running
-	seats    map[cell.Key]*seat
-	suspects map[string]*suspicion
-	lag      time.Duration // lag is how late all ticks came, together.
-	strained bool          // strained tells that this gateway's link is full.
-	out      []Action
+	self          string
+	layout        *cell.Layout
+	pending       map[cell.RequestID]*pending
+	running       map[cell.RequestID]*running
+	schedulers    map[cell.Key]*schedulerState
+	suspects      map[string]*suspectBackoff
+	lag           time.Duration // sum of the delays of all ticks
+	linkSaturated bool
+	actions       []Action
 }
 
-// New returns a machine of the gateway with this ID.
+// New returns the machine of the gateway with this ID.
 func New(self string) *Machine {
 	return &Machine{
 		self: self, layout: &cell.Layout{}, pending: map[cell.RequestID]*pending{}, running: map[cell.RequestID]*running{},
-		seats: map[cell.Key]*seat{}, suspects: map[string]*suspicion{},
+		schedulers: map[cell.Key]*schedulerState{}, suspects: map[string]*suspectBackoff{},
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step processes one event and returns the resulting actions.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
-	m.out = nil
+	m.actions = nil
 	switch e := ev.(type) {
 	case Submitted:
 		m.submit(now, e)
@@ -84,8 +82,8 @@
 	case PlacementSeen:
 		m.placed(now, e)
 	case WaitSeen:
-		if p := m.pending[e.ID]; p != nil && p.to == e.From {
-			p.waits = true
+		if p := m.pending[e.ID]; p != nil && p.scheduler == e.From {
+			p.queued = true
 		}
 	case RefusalSeen:
 		m.refused(now, e)
@@ -94,22 +92,22 @@
 	case PeerHeard:
 		delete(m.suspects, e.ID)
 	case PeerRestarted:
-		m.forget(e.ID)
-	case StrainSeen:
-		m.strained = e.Strained
+		m.schedulerRestarted(e.ID)
+	case LinkStateSeen:
+		m.linkSaturated = e.Saturated
 	case Tick:
 		m.lag += e.Lag
 		m.tick(now)
 	}
-	return m.out
+	return m.actions
 }
 
-func (m *Machine) emit(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// Pending returns how many requests wait for a scheduler's word.
+// Pending returns the number of requests that wait for a scheduler's decision.
 func (m *Machine) Pending() int { return len(m.pending) }
 
-// Running returns how many requests are at targets.
+// Running returns the number of requests at targets.
 func (m *Machine) Running() int { return len(m.running) }
 
 func (m *Machine) submit(now time.Time, e Submitted) {
@@ -123,29 +121,29 @@
 	m.askNext(now, p)
 }
 
-// askNext asks the best scheduler that has not been tried and is not suspect;
-// this gateway itself is always the last choice.
+// askNext asks the best scheduler that has not been tried and is not suspected,
+// or this gateway itself if none is left.
 func (m *Machine) askNext(now time.Time, p *pending) {
-	p.to = m.self
+	p.scheduler = m.self
 	if g := m.layout.Group(p.cell); g != nil {
 		if id := m.candidate(now, g, p); id != "" {
-			p.to = id
+			p.scheduler = id
 		}
 	}
-	p.tried[p.to] = true
-	p.askedAt, p.askedIn, p.waits = now, m.lag, false
-	m.sit(now, p.cell, p.to)
+	p.tried[p.scheduler] = true
+	p.askedAt, p.lagAtAsk, p.queued = now, m.lag, false
+	m.useScheduler(now, p.cell, p.scheduler)
 	ask := p.ask
 	ask.Deny = m.layout.Group(p.cell).FilterTargets(ask.Deny)
 	ask.Hold = max(p.ask.Hold-now.Sub(p.arrived), 0)
 	if ask.Objective > 0 {
 		ask.Objective = max(p.ask.Objective-now.Sub(p.arrived), time.Millisecond)
 	}
-	m.emit(AskOut{p.to, p.cell, ask})
+	m.emit(AskOut{p.scheduler, p.cell, ask})
 }
 
 // candidate returns the best scheduler of a cell that has not been tried for a request
-// and is not suspect, or "".
+// and is not suspected, or "".
 func (m *Machine) candidate(now time.Time, g *cell.Group, p *pending) string {
 	for _, id := range g.Schedulers() {
 		if !p.tried[id] && !m.suspected(now, id) {
@@ -155,36 +153,35 @@
 	return ""
 }
 
-// lastChoice tells whether only this gateway itself is left to schedule a request.
-func (m *Machine) lastChoice(now time.Time, p *pending) bool {
+// onlySelfLeft reports whether only this gateway itself is left to schedule a request.
+func (m *Machine) onlySelfLeft(now time.Time, p *pending) bool {
 	g := m.layout.Group(p.cell)
 	return g == nil || m.candidate(now, g, p) == ""
 }
 
-// giveUp refuses a request whose schedulers are silent at a strained gateway. The cause
-// is probably here, and to place it without knowing the engines' load would cost the
-// requests of all other gateways.
-func (m *Machine) giveUp(p *pending) {
+// refuseSaturated refuses a request whose schedulers do not answer while the link is
+// saturated. The link is the likely cause, and placing requests here without knowing
+// the load of the engines would overload them for all gateways.
+func (m *Machine) refuseSaturated(p *pending) {
 	m.withdraw(p.ask.ID)
-	m.emit(Refuse{p.ask.ID, m.self, strainedRetry})
+	m.emit(Refuse{p.ask.ID, m.self, saturatedRetry})
 }
 
-// sit makes a gateway the scheduler in use for a cell; a new one is told all
-// that runs here.
-func (m *Machine) sit(now time.Time, key cell.Key, scheduler string) {
-	s := m.seats[key]
+// useScheduler sets the scheduler in use for a cell and sends an inventory to a new one.
+func (m *Machine) useScheduler(now time.Time, key cell.Key, scheduler string) {
+	s := m.schedulers[key]
 	if s == nil {
-		s = &seat{}
-		m.seats[key] = s
+		s = &schedulerState{}
+		m.schedulers[key] = s
 	}
 	if s.scheduler == scheduler {
 		return
 	}
-	s.scheduler, s.toldAt, s.empty = scheduler, now, 0
-	m.tell(key, s)
+	s.scheduler, s.inventoryAt, s.emptyInventories = scheduler, now, 0
+	m.sendInventory(key, s)
 }
 
-func (m *Machine) tell(key cell.Key, s *seat) {
+func (m *Machine) sendInventory(key cell.Key, s *schedulerState) {
 	out := InventoryOut{To: s.scheduler, Cell: key}
 	for _, r := range m.running {
 		if r.cell == key {
@@ -192,16 +189,16 @@
 		}
 	}
 	if len(out.Held) > 0 {
-		s.empty = 0
+		s.emptyInventories = 0
 	} else {
-		s.empty++
+		s.emptyInventories++
 	}
 	m.emit(out)
 }
 
 func (m *Machine) placed(now time.Time, e PlacementSeen) {
 	p := m.pending[e.ID]
-	if p == nil || p.to != e.From {
+	if p == nil || p.scheduler != e.From {
 		if r := m.running[e.ID]; r == nil || r.held.Target != e.Target {
 			m.emit(ProgressOut{To: e.From, Cell: e.Cell, ID: e.ID, Step: StepWithdrawn})
 		}
@@ -216,22 +213,22 @@
 
 func (m *Machine) refused(now time.Time, e RefusalSeen) {
 	p := m.pending[e.ID]
-	if p == nil || p.to != e.From || e.Elsewhere && m.move(now, p) {
+	if p == nil || p.scheduler != e.From || e.Elsewhere && m.move(now, p) {
 		return
 	}
 	delete(m.pending, e.ID)
 	m.emit(Refuse{e.ID, e.From, e.RetryAfter})
 }
 
-// move asks another cell for a request of an account that is owed more than its
-// own cell can give, once.
+// move asks a second cell to place a request, once, for an account that is below its
+// fair share in the first cell.
 func (m *Machine) move(now time.Time, p *pending) bool {
 	other := m.layout.AlternativeTo(p.service, p.ask.Prompt.AffinityKey(), p.cell)
 	if p.moved || other == nil || p.ask.Objective <= 0 {
 		return false
 	}
 	p.moved, p.cell, p.tried = true, other.Key, map[string]bool{}
-	p.ask.Hold = now.Sub(p.arrived) + time.Duration(moveShare*float64(p.ask.Objective))
+	p.ask.Hold = now.Sub(p.arrived) + time.Duration(secondCellShare*float64(p.ask.Objective))
 	m.askNext(now, p)
 	return true
 }
@@ -239,7 +236,7 @@
 func (m *Machine) withdraw(id cell.RequestID) {
 	if p := m.pending[id]; p != nil {
 		delete(m.pending, id)
-		m.emit(ProgressOut{To: p.to, Cell: p.cell, ID: id, Step: StepWithdrawn})
+		m.emit(ProgressOut{To: p.scheduler, Cell: p.cell, ID: id, Step: StepWithdrawn})
 	}
 }
 
@@ -262,15 +259,15 @@
 }
 
 func (m *Machine) schedulerOf(key cell.Key) string {
-	if s := m.seats[key]; s != nil {
+	if s := m.schedulers[key]; s != nil {
 		return s.scheduler
 	}
 	return m.self
 }
 
-// forget makes the next ask tell a restarted scheduler what runs here.
-func (m *Machine) forget(id string) {
-	for _, s := range m.seats {
+// schedulerRestarted makes the next ask send an inventory to a restarted scheduler.
+func (m *Machine) schedulerRestarted(id string) {
+	for _, s := range m.schedulers {
 		if s.scheduler == id {
 			s.scheduler = ""
 		}
@@ -278,24 +275,24 @@
 }
 
 func (m *Machine) tick(now time.Time) {
-	patience := m.patience(now)
+	timeout := m.silenceTimeout(now)
 	for _, p := range m.pending {
 		switch {
-		case !m.silent(now, p, patience):
-		case m.strained && m.lastChoice(now, p):
-			m.giveUp(p)
+		case !m.silent(now, p, timeout):
+		case m.linkSaturated && m.onlySelfLeft(now, p):
+			m.refuseSaturated(p)
 		default:
 			m.suspect(now, p)
 			m.askNext(now, p)
 		}
 	}
-	for key, s := range m.seats {
-		if s.scheduler == "" || now.Sub(s.toldAt) < inventoryEvery {
+	for key, s := range m.schedulers {
+		if s.scheduler == "" || now.Sub(s.inventoryAt) < inventoryInterval {
 			continue
 		}
-		s.toldAt = now
-		if s.empty < emptyTold || m.runsIn(key) {
-			m.tell(key, s)
+		s.inventoryAt = now
+		if s.emptyInventories < maxEmptyInventories || m.runsIn(key) {
+			m.sendInventory(key, s)
 		}
 	}
 }
@@ -309,10 +306,10 @@
 	return false
 }
 
-// Seats returns the scheduler that is in use for each cell.
-func (m *Machine) Seats() map[string]string {
+// Schedulers returns the scheduler in use for each cell.
+func (m *Machine) Schedulers() map[string]string {
 	out := map[string]string{}
-	for key, s := range m.seats {
+	for key, s := range m.schedulers {
 		out[string(key)] = s.scheduler
 	}
 	return out
--- a/core/entry/silence.go
+++ b/core/entry/silence.go
@@ -6,80 +6,78 @@
 import "time"
 
 const (
-	// silentAfter is how long a scheduler may leave an ask without any word.
-	silentAfter = 60 * time.Millisecond
-	// ownDelayFactor is how many times longer that may be where most schedulers
-	// seem silent at once: the cause is likely in this process, which has not read
-	// what they sent.
+	// answerTimeout is the timeout for a scheduler's first answer to an ask.
+	answerTimeout = 60 * time.Millisecond
+	// ownDelayFactor multiplies answerTimeout while most schedulers seem silent:
+	// the likely cause is that this process is slow to read their answers.
 	ownDelayFactor = 3
-	// strainedFactor is the same at a gateway whose link is full. On
-	// small twins of the large days 1 was worse by 0.1 to 0.5 than 3, 5 or 8.
-	strainedFactor = 5
-	// overHold is how long after the end of the wait a scheduler's word may come.
-	overHold = 60 * time.Millisecond
-	// suspectFirst is how long a silent scheduler is passed over, twice as long
-	// each time that it stays silent.
+	// saturatedFactor multiplies answerTimeout while the link is saturated.
+	saturatedFactor = 5
+	// decisionGrace is the grace for a decision on a queued request after its wait ended.
+	decisionGrace = 60 * time.Millisecond
+	// suspectFirst is the first period for which a silent scheduler is avoided;
+	// it doubles up to suspectMax while the scheduler stays silent.
 	suspectFirst = 500 * time.Millisecond
 	suspectMax   = 4 * time.Second
 )
 
-// suspicion is held against a scheduler that has been silent.
-type suspicion struct {
-	until time.Time
-	span  time.Duration
+// suspectBackoff is the backoff of a silent scheduler.
+type suspectBackoff struct {
+	until    time.Time
+	duration time.Duration
 }
 
-// patience returns how long a scheduler may say nothing.
-func (m *Machine) patience(now time.Time) time.Duration {
-	if m.strained {
-		return strainedFactor * silentAfter
+// silenceTimeout returns the current timeout for a scheduler's first answer.
+func (m *Machine) silenceTimeout(now time.Time) time.Duration {
+	if m.linkSaturated {
+		return saturatedFactor * answerTimeout
 	}
 	waiting, overdue := map[string]bool{}, map[string]bool{}
 	for _, p := range m.pending {
-		if p.to == m.self || p.waits {
+		if p.scheduler == m.self || p.queued {
 			continue
 		}
-		waiting[p.to] = true
-		if m.unheard(now, p) > silentAfter {
-			overdue[p.to] = true
+		waiting[p.scheduler] = true
+		if m.silentFor(now, p) > answerTimeout {
+			overdue[p.scheduler] = true
 		}
 	}
 	if len(overdue) < 2 || 2*len(overdue) <= len(waiting) {
-		return silentAfter
+		return answerTimeout
 	}
-	return ownDelayFactor * silentAfter
+	return ownDelayFactor * answerTimeout
 }
 
-// unheard returns how long a scheduler has said nothing of a request, less the
-// time in which this process did not run.
-func (m *Machine) unheard(now time.Time, p *pending) time.Duration {
-	return now.Sub(p.askedAt) - (m.lag - p.askedIn)
+// silentFor returns the time since a request's scheduler was asked, less the lag of
+// this process since then.
+func (m *Machine) silentFor(now time.Time, p *pending) time.Duration {
+	return now.Sub(p.askedAt) - (m.lag - p.lagAtAsk)
 }
 
-func (m *Machine) silent(now time.Time, p *pending, patience time.Duration) bool {
-	if p.to == m.self {
+func (m *Machine) silent(now time.Time, p *pending, timeout time.Duration) bool {
+	if p.scheduler == m.self {
 		return false
 	}
-	if p.waits {
-		// A scheduler may let a request wait on that is next in line.
-		late := m.lag - p.askedIn
-		return now.Sub(p.arrived)-late > max(p.ask.Hold, p.ask.Objective/2)+overHold
+	if p.queued {
+		// A scheduler may keep a request beyond its hold if it is next in the queue.
+		late := m.lag - p.lagAtAsk
+		return now.Sub(p.arrived)-late > max(p.ask.Hold, p.ask.Objective/2)+decisionGrace
 	}
-	return m.unheard(now, p) > patience
+	return m.silentFor(now, p) > timeout
 }
 
 func (m *Machine) suspect(now time.Time, p *pending) {
-	s := m.suspects[p.to]
+	s := m.suspects[p.scheduler]
 	if s == nil {
-		s = &suspicion{span: suspectFirst}
-		m.suspects[p.to] = s
+		s = &suspectBackoff{duration: suspectFirst}
+		m.suspects[p.scheduler] = s
 	} else if now.Before(s.until) {
 		return
 	} else {
-		s.span = min(2*s.span, suspectMax)
+		s.duration = min(2*s.duration, suspectMax)
 	}
-	s.until = now.Add(s.span)
-	m.emit(Suspect{p.to, p.cell, s.span})
+	s.until = now.Add(s.duration)
+	m.emit(Suspect{p.scheduler, p.cell, s.duration})
 }
 
 func (m *Machine) suspected(now time.Time, id string) bool {
--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package naive is the baseline to compare with: each router decides alone
-// from the targets' lagging load reports. It shares the interface of the
-// fleet's dispatcher and stays runnable.
+// Package naive implements a baseline dispatcher for comparisons: each router decides
+// alone, from load reports of the targets that may be out of date.
 package naive
 
 import (
@@ -19,41 +18,41 @@
 type target struct {
 	reported int
 	slots    int
-	sent     int // sent counts own starts since the last report.
+	sent     int // own starts since the last report
 }
 
-type job struct {
+type queuedRequest struct {
 	req     admit.Request
 	arrived time.Time
 }
 
-type key struct{ account, pool string }
+type queueKey struct{ account, pool string }
 
-// Dispatcher sends each request at once to the target with the least reported
-// load, in the order of the service that this router alone has given.
+// Dispatcher sends requests to the target with the lowest reported load, from the account
+// that this router has served least.
 type Dispatcher struct {
-	queues  map[key][]job
+	queues  map[queueKey][]queuedRequest
 	ledgers map[string]*fair.Ledger
 	routes  map[string][]admit.Route
 	targets map[string]*target
-	running map[admit.RequestID]runningJob
+	running map[admit.RequestID]runningRequest
 	queued  int
 }
 
-type runningJob struct {
-	job
-	target  string
-	charged float64
+type runningRequest struct {
+	queuedRequest
+	target      string
+	chargedCost float64
 }
 
 // New returns an empty Dispatcher.
 func New() *Dispatcher {
 	return &Dispatcher{
-		queues:  map[key][]job{},
+		queues:  map[queueKey][]queuedRequest{},
 		ledgers: map[string]*fair.Ledger{},
 		routes:  map[string][]admit.Route{},
 		targets: map[string]*target{},
-		running: map[admit.RequestID]runningJob{},
+		running: map[admit.RequestID]runningRequest{},
 	}
 }
 
@@ -82,7 +81,7 @@
 }
 
 func (d *Dispatcher) arrive(now time.Time, r admit.Request) []admit.Action {
-	k := key{r.Account, r.Pool}
+	k := queueKey{r.Account, r.Pool}
 	if r.MaxQueued > 0 && len(d.queues[k]) >= r.MaxQueued {
 		return []admit.Action{admit.Refuse{ID: r.ID, Code: result.QueueFull, RetryAfter: retryAfter}}
 	}
@@ -91,7 +90,7 @@
 		l.BeginWaiting(now, r.Account)
 		l.Settle(now, 0, func(string) float64 { return 0 })
 	}
-	d.queues[k] = append(d.queues[k], job{r, now})
+	d.queues[k] = append(d.queues[k], queuedRequest{r, now})
 	d.queued++
 	return d.dispatch(now)
 }
@@ -106,10 +105,10 @@
 }
 
 func (d *Dispatcher) cancel(id admit.RequestID) {
-	for k, jobs := range d.queues {
-		for i, j := range jobs {
+	for k, queue := range d.queues {
+		for i, j := range queue {
 			if j.req.ID == id {
-				d.queues[k] = append(jobs[:i:i], jobs[i+1:]...)
+				d.queues[k] = append(queue[:i:i], queue[i+1:]...)
 				d.queued--
 				return
 			}
@@ -122,24 +121,24 @@
 	if !ok {
 		return
 	}
-	d.ledger(r.req.Pool).Charge(r.req.Account, (cost-r.charged)/r.req.Weight)
-	r.charged = cost
+	d.ledger(r.req.Pool).Charge(r.req.Account, (cost-r.chargedCost)/r.req.Weight)
+	r.chargedCost = cost
 	d.running[id] = r
 }
 
 func (d *Dispatcher) expire(now time.Time) []admit.Action {
 	var out []admit.Action
-	for k, jobs := range d.queues {
-		kept := jobs[:0:0]
-		for _, j := range jobs {
+	for k, queue := range d.queues {
+		remaining := queue[:0:0]
+		for _, j := range queue {
 			if now.Before(j.req.Deadline) {
-				kept = append(kept, j)
+				remaining = append(remaining, j)
 				continue
 			}
 			d.queued--
 			out = append(out, admit.Refuse{ID: j.req.ID, Code: result.QueueTimeout, RetryAfter: retryAfter})
 		}
-		d.queues[k] = kept
+		d.queues[k] = remaining
 	}
 	return out
 }
@@ -149,7 +148,7 @@
 	for pool := range d.routes {
 		for {
 			t := d.leastLoaded(pool)
-			k, ok := d.leastServed(pool)
+			k, ok := d.leastServedQueue(pool)
 			if t == "" || !ok {
 				break
 			}
@@ -159,8 +158,8 @@
 	return out
 }
 
-// leastLoaded returns the target with the lowest reported share of busy slots
-// that has, as far as this router knows, a free one.
+// leastLoaded returns the target with the lowest known share of busy slots, or "" if
+// none has a free slot.
 func (d *Dispatcher) leastLoaded(pool string) string {
 	best, bestLoad := "", 1.0
 	for _, r := range d.routes[pool] {
@@ -175,12 +174,12 @@
 	return best
 }
 
-func (d *Dispatcher) leastServed(pool string) (key, bool) {
-	var best key
+func (d *Dispatcher) leastServedQueue(pool string) (queueKey, bool) {
+	var best queueKey
 	found := false
 	l := d.ledger(pool)
-	for k, jobs := range d.queues {
-		if k.pool != pool || len(jobs) == 0 {
+	for k, queue := range d.queues {
+		if k.pool != pool || len(queue) == 0 {
 			continue
 		}
 		if !found || l.VirtualService(k.account) < l.VirtualService(best.account) {
@@ -193,12 +192,12 @@
 	return best, found
 }
 
-func (d *Dispatcher) start(now time.Time, k key, name string) admit.Action {
+func (d *Dispatcher) start(now time.Time, k queueKey, name string) admit.Action {
 	j := d.queues[k][0]
 	d.queues[k] = d.queues[k][1:]
 	d.queued--
 	d.targets[name].sent++
-	d.running[j.req.ID] = runningJob{job: j, target: name}
+	d.running[j.req.ID] = runningRequest{queuedRequest: j, target: name}
 	d.charge(j.req.ID, j.req.Cost)
 	return admit.Start{ID: j.req.ID, Target: name, Waited: now.Sub(j.arrived)}
 }
@@ -209,8 +208,8 @@
 // State implements admit.Dispatcher.
 func (d *Dispatcher) State() admit.State {
 	st := admit.State{Running: len(d.running), Queues: []admit.QueueState{}}
-	for k, jobs := range d.queues {
-		st.Queues = append(st.Queues, admit.QueueState{Account: k.account, Pool: k.pool, Length: len(jobs)})
+	for k, queue := range d.queues {
+		st.Queues = append(st.Queues, admit.QueueState{Account: k.account, Pool: k.pool, Length: len(queue)})
 	}
 	return st
 }
--- a/core/policy/call.go
+++ b/core/policy/call.go
@@ -10,14 +10,14 @@
 	"go.starlark.net/starlarkstruct"
 )
 
-func record(fields starlark.StringDict) starlark.Value {
+func newStruct(fields starlark.StringDict) starlark.Value {
 	s := starlarkstruct.FromStringDict(starlarkstruct.Default, fields)
 	s.Freeze()
 	return s
 }
 
 func (r Request) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"account":    starlark.String(r.Account),
 		"pool":       starlark.String(r.Pool),
 		"model":      starlark.String(r.Model),
@@ -33,7 +33,7 @@
 }
 
 func (a Account) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"name":   starlark.String(a.Name),
 		"weight": starlark.Float(a.Weight),
 		"queued": starlark.MakeInt(a.Queued),
@@ -41,7 +41,7 @@
 }
 
 func (a Attempt) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"number":  starlark.MakeInt(a.Number),
 		"outcome": starlark.String(a.Outcome),
 		"status":  starlark.MakeInt(a.Status),
@@ -49,7 +49,7 @@
 }
 
 func (t Target) value() starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"name":      starlark.String(t.Name),
 		"pool":      starlark.String(t.Pool),
 		"data_hall": starlark.String(t.DataHall),
@@ -58,19 +58,19 @@
 	})
 }
 
-// call runs a function of the program; ok is false where it has none.
+// call runs a function of the program. ok is false if the program does not define it.
 func (p *Program) call(name string, args ...starlark.Value) (v starlark.Value, ok bool, err error) {
 	if p == nil || p.globals[name] == nil {
 		return nil, false, nil
 	}
 	v, err = starlark.Call(newThread(p.name), p.globals[name], args, nil)
 	if err != nil {
-		return nil, true, describe(p.name, err)
+		return nil, true, newErrPolicy(p.name, err)
 	}
 	return v, true, nil
 }
 
-func (p *Program) wrong(name string, got starlark.Value, want string) error {
+func (p *Program) typeError(name string, got starlark.Value, want string) error {
 	line, column := 0, 0
 	if fn, ok := p.globals[name].(*starlark.Function); ok {
 		line, column = int(fn.Position().Line), int(fn.Position().Col)
@@ -78,8 +78,9 @@
 	return ErrPolicy{p.name, line, column, fmt.Sprintf("%s returned %s, not %s", name, got.Type(), want)}
 }
 
-// Order runs order(request, account). It returns a dict with any of the keys
-// class (string), rank (int), interactive (bool) and keep (bool).
+// Order runs order(request, account), which returns a dict with any of the keys class
+// (string), rank (int), interactive (bool) and keep (bool). Missing keys, a missing
+// function and errors fall back to DefaultOrder.
 func (p *Program) Order(r Request, a Account) (Order, error) {
 	o := DefaultOrder(r)
 	v, ok, err := p.call("order", r.value(), a.value())
@@ -88,7 +89,7 @@
 	}
 	dict, isDict := v.(*starlark.Dict)
 	if !isDict {
-		return o, p.wrong("order", v, "dict")
+		return o, p.typeError("order", v, "dict")
 	}
 	got := o
 	for _, item := range dict.Items() {
@@ -105,13 +106,13 @@
 	case "class":
 		s, ok := starlark.AsString(v)
 		if !ok {
-			return p.wrong("order", v, "a string for class")
+			return p.typeError("order", v, "a string for class")
 		}
 		o.Class = s
 	case "rank":
 		n, err := starlark.AsInt32(v)
 		if err != nil {
-			return p.wrong("order", v, "an int for rank")
+			return p.typeError("order", v, "an int for rank")
 		}
 		o.Rank = n
 	case "interactive":
@@ -119,14 +120,13 @@
 	case "keep":
 		o.Keep = bool(v.Truth())
 	default:
-		return p.wrong("order", key, "one of class, rank, interactive, keep as key")
+		return p.typeError("order", key, "one of class, rank, interactive, keep as key")
 	}
 	return nil
 }
 
-// Retry runs retry(request, attempt), which returns whether the request may be
-// sent again after that attempt. The safe default is to repeat only what
-// provably did not run.
+// Retry runs retry(request, attempt), which returns whether the request may be sent
+// again after that attempt. By default only a request that provably did not run may.
 func (p *Program) Retry(r Request, a Attempt) (bool, error) {
 	safe := a.Outcome == "not_run"
 	v, ok, err := p.call("retry", r.value(), a.value())
@@ -135,13 +135,13 @@
 	}
 	b, isBool := v.(starlark.Bool)
 	if !isBool {
-		return safe, p.wrong("retry", v, "bool")
+		return safe, p.typeError("retry", v, "bool")
 	}
 	return bool(b), nil
 }
 
-// Place runs place(request, target), which returns None where the request may
-// not go to the target, else a number; more is better.
+// Place runs place(request, target), which returns None if the request must not go to
+// the target, else a score; higher is better. By default all targets are allowed.
 func (p *Program) Place(r Request, t Target) (Placement, error) {
 	open := Placement{Allowed: true}
 	v, ok, err := p.call("place", r.value(), t.value())
@@ -153,7 +153,7 @@
 	}
 	f, isNumber := starlark.AsFloat(v)
 	if !isNumber {
-		return open, p.wrong("place", v, "a number or None")
+		return open, p.typeError("place", v, "a number or None")
 	}
 	return Placement{Allowed: true, Score: f}, nil
 }
