--- a/core/member/circle.go
+++ b/core/member/circle.go
@@ -10,30 +10,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// circle holds members in the order of their hashes. A few circles, each with a salt
+// ring holds members in the order of their hashes. A few circles, each with a salt
 // of its own, give each member a few random successors that a change elsewhere does
 // not move, and that are found without looking at all members.
-type circle struct {
+type ring struct {
 	salt   uint64
-	points []point
+	points []ringPoint
 }
 
-type point struct {
+type ringPoint struct {
 	hash uint64
 	id   string
 }
 
-func (c *circle) pointOf(id string) point {
+func (c *ring) pointOf(id string) ringPoint {
 	var d xxhash.Digest
 	d.ResetWithSeed(c.salt)
 	var raw [8]byte
 	binary.LittleEndian.PutUint64(raw[:], c.salt)
 	_, _ = d.Write(raw[:])
 	_, _ = d.WriteString(id)
-	return point{d.Sum64(), id}
+	return ringPoint{d.Sum64(), id}
 }
 
-func comparePoints(a, b point) int {
+func comparePoints(a, b ringPoint) int {
 	switch {
 	case a.hash < b.hash:
 		return -1
@@ -48,14 +48,14 @@
 	}
 }
 
-func (c *circle) insert(id string) {
+func (c *ring) insert(id string) {
 	p := c.pointOf(id)
 	if at, found := slices.BinarySearchFunc(c.points, p, comparePoints); !found {
 		c.points = slices.Insert(c.points, at, p)
 	}
 }
 
-func (c *circle) remove(id string) {
+func (c *ring) remove(id string) {
 	if at, found := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints); found {
 		c.points = slices.Delete(c.points, at, at+1)
 	}
@@ -63,7 +63,7 @@
 
 // forward calls visit for the members after one, in order and once round, until
 // visit returns false.
-func (c *circle) forward(id string, visit func(id string) bool) {
+func (c *ring) forward(id string, visit func(id string) bool) {
 	at, _ := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints)
 	n := len(c.points)
 	for i := range n {
@@ -75,7 +75,7 @@
 }
 
 // backward is forward in the other direction.
-func (c *circle) backward(id string, visit func(id string) bool) {
+func (c *ring) backward(id string, visit func(id string) bool) {
 	at, _ := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints)
 	n := len(c.points)
 	for i := range n {
--- a/core/member/circle_test.go
+++ b/core/member/circle_test.go
@@ -31,10 +31,10 @@
 			for _, m := range l.members {
 				m.State = State(1 + draw.IntN(4))
 			}
-			l.stale = true
-			l.assign(epoch)
+			l.monitorsStale = true
+			l.updateMonitors(epoch)
 			for _, id := range l.sorted {
-				_, watched := l.watched[id]
+				_, watched := l.monitored[id]
 				if names := slices.Contains(l.monitorsOf(id), "self"); names != watched {
 					t.Fatalf("%d members: %s names this one: %v, watched: %v", n, id, names, watched)
 				}
@@ -47,7 +47,7 @@
 func TestMonitorsAreDistinct(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 3, 9, 300} {
 		l := fleetList(n)
-		monitors := slices.Clone(l.guards)
+		monitors := slices.Clone(l.monitors)
 		slices.Sort(monitors)
 		if got := len(slices.Compact(monitors)); got != min(n, 3) {
 			t.Errorf("%d others: %d distinct monitors", n, got)
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -16,77 +16,77 @@
 
 type entry struct {
 	Record
-	listed    bool
-	heardAt   time.Time // heardAt is the last heartbeat or the start of watching.
-	probedAt  time.Time // probedAt is when it was last asked for a heartbeat.
-	suspectAt time.Time
-	spread    int // spread counts how often the record was told on.
+	listed        bool
+	heardAt       time.Time // heardAt is the last heartbeat or the start of watching.
+	probedAt      time.Time // probedAt is when it was last asked for a heartbeat.
+	suspectAt     time.Time
+	transmissions int // spread counts how often the record was told on.
 }
 
 // List is one router's view of the fleet.
 type List struct {
-	cfg      Config
-	self     Record
-	members  map[string]*entry
-	sorted   []string
-	circles  []circle // circles hold this member and all others, one for each monitor.
-	tickedAt time.Time
-	nextBeat time.Time
-	nextMeet time.Time // nextMeet is when the next contact gets a heartbeat.
-	rotate   int
-	out      []Action
-	changed  bool
-	// doubted holds the suspects and the dead, news the records that are still to be
+	cfg           Config
+	self          Record
+	members       map[string]*entry
+	sorted        []string
+	rings         []ring // circles hold this member and all others, one for each monitor.
+	tickedAt      time.Time
+	nextHeartbeat time.Time
+	nextContact   time.Time // nextMeet is when the next contact gets a heartbeat.
+	contactIndex  int
+	actions       []Action
+	changed       bool
+	// suspectOrDead holds the suspects and the dead, news the records that are still to be
 	// told on; so a tick looks at few members.
-	doubted map[string]*entry
-	news    map[string]*entry
-	// watched holds since when this member watches others, guards holds its own
+	suspectOrDead map[string]*entry
+	pendingRumors map[string]*entry
+	// monitored holds since when this member watches others, guards holds its own
 	// monitors. Both are computed anew after a change only.
-	watched map[string]time.Time
-	guards  []string
-	stale   bool
-	sync    viewSync
+	monitored     map[string]time.Time
+	monitors      []string
+	monitorsStale bool
+	sync          viewSync
 }
 
 // New returns a list that knows only this router.
 func New(cfg Config, self Record) *List {
 	self.State = StateAlive
 	l := &List{
-		cfg: cfg, self: self, members: map[string]*entry{}, doubted: map[string]*entry{}, news: map[string]*entry{},
-		watched: map[string]time.Time{}, circles: make([]circle, cfg.Monitors), stale: true,
+		cfg: cfg, self: self, members: map[string]*entry{}, suspectOrDead: map[string]*entry{}, pendingRumors: map[string]*entry{},
+		monitored: map[string]time.Time{}, rings: make([]ring, cfg.Monitors), monitorsStale: true,
 	}
-	for i := range l.circles {
-		l.circles[i].salt = uint64(i)
-		l.circles[i].insert(self.ID)
+	for i := range l.rings {
+		l.rings[i].salt = uint64(i)
+		l.rings[i].insert(self.ID)
 	}
 	return l
 }
 
 // Step takes one event and returns what is to be done.
 func (l *List) Step(now time.Time, ev Event) []Action {
-	l.out, l.changed = nil, false
+	l.actions, l.changed = nil, false
 	switch e := ev.(type) {
 	case ListSeen:
-		l.listSeen(now, e.VMs)
+		l.handleList(now, e.VMs)
 	case HeartbeatSeen:
-		l.heartbeat(now, e)
+		l.handleHeartbeat(now, e)
 	case Leave:
 		l.self.State = StateLeaving
 		l.self.Epoch++
-		l.nextBeat = now
+		l.nextHeartbeat = now
 		l.changed = true
-		l.beatAll()
+		l.broadcastHeartbeat()
 	case StrengthSeen:
 		l.setStrength(now, e.Percent)
 	case Tick:
 		l.tick(now)
 	}
 	if l.changed {
-		l.stale = true
-		l.sync.changed(now)
-		l.out = append(l.out, Changed{})
+		l.monitorsStale = true
+		l.sync.invalidate(now)
+		l.actions = append(l.actions, Changed{})
 	}
-	return l.out
+	return l.actions
 }
 
 // setStrength changes this member's own record; the next tick tells it.
@@ -96,28 +96,28 @@
 	}
 	l.self.Strength = percent
 	l.self.Epoch++
-	l.nextBeat = now
+	l.nextHeartbeat = now
 	l.changed = true
 }
 
-func (l *List) listSeen(now time.Time, vms []Listed) {
+func (l *List) handleList(now time.Time, vms []Listed) {
 	seen := map[string]bool{}
 	for _, v := range vms {
 		if v.ID == l.self.ID {
 			continue
 		}
 		seen[v.ID] = true
-		l.addListed(now, v)
+		l.mergeListed(now, v)
 	}
 	for id, m := range l.members {
 		m.listed = seen[id]
 		if !m.listed && m.State >= StateSuspect {
-			l.remove(id, m)
+			l.removeUnlisted(id, m)
 		}
 	}
 }
 
-func (l *List) addListed(now time.Time, v Listed) {
+func (l *List) mergeListed(now time.Time, v Listed) {
 	m, ok := l.members[v.ID]
 	if !ok {
 		m = &entry{Record: Record{ID: v.ID, State: StateAlive, Address: v.Address, DataHall: v.DataHall, Region: v.Region}, heardAt: now}
@@ -129,10 +129,10 @@
 	}
 }
 
-func (l *List) remove(id string, m *entry) {
-	l.drop(id)
+func (l *List) removeUnlisted(id string, m *entry) {
+	l.deleteMember(id)
 	if m.State != StateDead {
-		l.out = append(l.out, Gone{id, m.Incarnation})
+		l.actions = append(l.actions, Gone{id, m.Incarnation})
 	}
 }
 
@@ -141,57 +141,57 @@
 	l.members[m.ID] = m
 	at, _ := slices.BinarySearch(l.sorted, m.ID)
 	l.sorted = slices.Insert(l.sorted, at, m.ID)
-	for i := range l.circles {
-		l.circles[i].insert(m.ID)
+	for i := range l.rings {
+		l.rings[i].insert(m.ID)
 	}
-	l.renew(m)
+	l.recordChanged(m)
 }
 
-func (l *List) drop(id string) {
+func (l *List) deleteMember(id string) {
 	l.changed = true
 	delete(l.members, id)
-	delete(l.doubted, id)
-	delete(l.news, id)
+	delete(l.suspectOrDead, id)
+	delete(l.pendingRumors, id)
 	if at, found := slices.BinarySearch(l.sorted, id); found {
 		l.sorted = slices.Delete(l.sorted, at, at+1)
 	}
-	for i := range l.circles {
-		l.circles[i].remove(id)
+	for i := range l.rings {
+		l.rings[i].remove(id)
 	}
 }
 
-// renew notes that a record is new: it is to be told on.
-func (l *List) renew(m *entry) {
-	m.spread = 0
-	l.news[m.ID] = m
+// recordChanged notes that a record is new: it is to be told on.
+func (l *List) recordChanged(m *entry) {
+	m.transmissions = 0
+	l.pendingRumors[m.ID] = m
 	if m.State == StateSuspect || m.State == StateDead {
-		l.doubted[m.ID] = m
+		l.suspectOrDead[m.ID] = m
 	} else {
-		delete(l.doubted, m.ID)
+		delete(l.suspectOrDead, m.ID)
 	}
 }
 
-func (l *List) heartbeat(now time.Time, e HeartbeatSeen) {
+func (l *List) handleHeartbeat(now time.Time, e HeartbeatSeen) {
 	known := l.members[e.From.ID]
 	met := known == nil || known.Incarnation != e.From.Incarnation
 	if !met && known.State == StateDead {
-		l.rejoin(now, e, known.Record)
+		l.answerDead(now, e, known.Record)
 	}
 	l.merge(now, e.From, true)
 	// What comes in a greeting is not told on: who lacks it notices that views differ.
 	fresh := len(e.Rumors) <= l.cfg.MaxRumors
 	for _, r := range e.Rumors {
 		if l.merge(now, r, false) && !fresh {
-			delete(l.news, r.ID)
+			delete(l.pendingRumors, r.ID)
 		}
 	}
 	if l.cfg.Greet && (met || e.Ask) {
 		greeting := l.Greeting()
 		greeting.To = e.From.ID
-		l.out = append(l.out, greeting)
+		l.actions = append(l.actions, greeting)
 	}
 	if e.Probe {
-		l.out = append(l.out, HeartbeatOut{To: e.From.ID, From: l.self, View: l.view()})
+		l.actions = append(l.actions, HeartbeatOut{To: e.From.ID, From: l.self, View: l.view()})
 	}
 	l.compareViews(now, e)
 }
@@ -226,7 +226,7 @@
 	old := m.Incarnation
 	wasState := m.State
 	m.Record = r
-	l.renew(m)
+	l.recordChanged(m)
 	if r.State == StateSuspect && wasState != StateSuspect {
 		m.suspectAt = now
 	}
@@ -238,7 +238,7 @@
 	}
 	l.changed = true
 	if restarted || r.State == StateDead && wasState != StateDead {
-		l.out = append(l.out, Gone{r.ID, old})
+		l.actions = append(l.actions, Gone{r.ID, old})
 	}
 	return false
 }
@@ -248,7 +248,7 @@
 		return
 	}
 	m.State = s
-	l.renew(m)
+	l.recordChanged(m)
 	l.changed = true
 }
 
--- a/core/member/monitor.go
+++ b/core/member/monitor.go
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// assign computes, after a change, whom this member watches and who watches
+// updateMonitors computes, after a change, whom this member watches and who watches
 // it. A member that is newly watched gets the full time to be heard.
-func (l *List) assign(now time.Time) {
-	if !l.stale {
+func (l *List) updateMonitors(now time.Time) {
+	if !l.monitorsStale {
 		return
 	}
-	l.stale = false
-	l.guards = l.monitorsOf(l.self.ID)
+	l.monitorsStale = false
+	l.monitors = l.monitorsOf(l.self.ID)
 	watched := map[string]time.Time{}
-	for _, id := range l.neighbours() {
+	for _, id := range l.monitoredCandidates() {
 		if !slices.Contains(l.monitorsOf(id), l.self.ID) {
 			continue
 		}
-		since, ok := l.watched[id]
+		since, ok := l.monitored[id]
 		if !ok {
 			since = now
 		}
 		watched[id] = since
 	}
-	l.watched = watched
+	l.monitored = watched
 }
 
 // monitorsOf returns the members that watch a member: on each circle the next one
 // that is not chosen yet. Circles mix the data halls, so that the loss of one hall
 // leaves somebody to notice.
 func (l *List) monitorsOf(id string) []string {
-	monitors := make([]string, 0, len(l.circles))
-	for i := range l.circles {
-		l.circles[i].forward(id, func(next string) bool {
-			if !l.mayWatch(next) || slices.Contains(monitors, next) {
+	monitors := make([]string, 0, len(l.rings))
+	for i := range l.rings {
+		l.rings[i].forward(id, func(next string) bool {
+			if !l.canMonitor(next) || slices.Contains(monitors, next) {
 				return true
 			}
 			monitors = append(monitors, next)
@@ -47,29 +47,29 @@
 	return monitors
 }
 
-// neighbours returns the members that this one may have to watch: on each circle
+// monitoredCandidates returns the members that this one may have to watch: on each circle
 // those before it, as far as another member could not have been chosen for all.
-func (l *List) neighbours() []string {
+func (l *List) monitoredCandidates() []string {
 	var ids []string
-	for i := range l.circles {
+	for i := range l.rings {
 		between := 0
-		l.circles[i].backward(l.self.ID, func(id string) bool {
+		l.rings[i].backward(l.self.ID, func(id string) bool {
 			if !slices.Contains(ids, id) {
 				ids = append(ids, id)
 			}
-			if l.mayWatch(id) {
+			if l.canMonitor(id) {
 				between++
 			}
-			return between < len(l.circles)
+			return between < len(l.rings)
 		})
 	}
 	return ids
 }
 
-// mayWatch tells whether a member watches others. A suspect does: views differ on
+// canMonitor tells whether a member watches others. A suspect does: views differ on
 // who is suspect, and must not differ on who watches whom. A leaving member does
 // not, since the others no longer tell it that they live.
-func (l *List) mayWatch(id string) bool {
+func (l *List) canMonitor(id string) bool {
 	if id == l.self.ID {
 		return l.self.State == StateAlive
 	}
@@ -82,41 +82,41 @@
 // that time, and gives each the full time anew instead of suspecting all.
 func (l *List) tick(now time.Time) {
 	if absence := now.Sub(l.tickedAt); !l.tickedAt.IsZero() && absence > l.cfg.SuspectAfter/2 {
-		l.excuse(now, absence)
+		l.discountPause(now, absence)
 	}
 	l.tickedAt = now
-	l.assign(now)
-	for id := range l.watched {
+	l.updateMonitors(now)
+	for id := range l.monitored {
 		if m := l.members[id]; m != nil {
-			l.watch(now, id, m)
+			l.checkLiveness(now, id, m)
 		}
 	}
-	for id, m := range l.doubted {
-		l.watch(now, id, m)
+	for id, m := range l.suspectOrDead {
+		l.checkLiveness(now, id, m)
 	}
-	if now.Before(l.nextBeat) {
+	if now.Before(l.nextHeartbeat) {
 		return
 	}
-	l.nextBeat = now.Add(l.cfg.Interval)
-	l.beat(now)
+	l.nextHeartbeat = now.Add(l.cfg.Interval)
+	l.sendHeartbeats(now)
 }
 
-// excuse takes an absence of this member's own out of the silence of others.
-func (l *List) excuse(now time.Time, absence time.Duration) {
-	for id := range l.watched {
-		l.watched[id] = now
+// discountPause takes an absence of this member's own out of the silence of others.
+func (l *List) discountPause(now time.Time, absence time.Duration) {
+	for id := range l.monitored {
+		l.monitored[id] = now
 	}
-	for _, m := range l.doubted {
+	for _, m := range l.suspectOrDead {
 		if m.State == StateSuspect {
 			m.suspectAt = m.suspectAt.Add(absence)
 		}
 	}
 }
 
-func (l *List) watch(now time.Time, id string, m *entry) {
+func (l *List) checkLiveness(now time.Time, id string, m *entry) {
 	switch m.State {
 	case StateAlive, StateLeaving:
-		since, watched := l.watched[id]
+		since, watched := l.monitored[id]
 		if !watched {
 			return
 		}
@@ -126,18 +126,18 @@
 			return
 		}
 		if m.State == StateLeaving {
-			l.kill(m)
+			l.markDead(m)
 			return
 		}
 		m.suspectAt = now
 		l.setState(m, StateSuspect)
 	case StateSuspect:
 		if now.Sub(m.suspectAt) > l.cfg.DeadAfter {
-			l.kill(m)
+			l.markDead(m)
 		}
 	case StateDead:
 		if !m.listed && now.Sub(m.heardAt) > 10*l.cfg.DeadAfter {
-			l.drop(id)
+			l.deleteMember(id)
 		}
 	}
 }
@@ -147,11 +147,11 @@
 func (l *List) probe(now time.Time, m *entry, silence time.Duration) {
 	if pause := l.cfg.SuspectAfter / 3; silence >= 2*pause && now.Sub(m.probedAt) >= pause {
 		m.probedAt = now
-		l.out = append(l.out, HeartbeatOut{To: m.ID, From: l.self, View: l.view(), Probe: true})
+		l.actions = append(l.actions, HeartbeatOut{To: m.ID, From: l.self, View: l.view(), Probe: true})
 	}
 }
 
-func (l *List) kill(m *entry) {
+func (l *List) markDead(m *entry) {
 	l.setState(m, StateDead)
-	l.out = append(l.out, Gone{m.ID, m.Incarnation})
+	l.actions = append(l.actions, Gone{m.ID, m.Incarnation})
 }
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// behindShare is the part of the fleet (one in so many) that a member must lack to
+	// viewGapDivisor is the part of the fleet (one in so many) that a member must lack to
 	// ask at once for all that another one knows, at most once in askSoon: a fleet that
 	// has just started, or the smaller side of a partition.
-	behindShare = 8
-	behindLeast = 2
-	askSoon     = 500 * time.Millisecond
-	// settled is how long a view must not have changed before any difference is a
+	viewGapDivisor      = 8
+	minViewGap          = 2
+	laggingSyncInterval = 500 * time.Millisecond
+	// viewSettleTime is how long a view must not have changed before any difference is a
 	// reason to ask, at most once in askLater: changes under way make views differ.
-	settled  = time.Second
-	askLater = time.Second
+	viewSettleTime      = time.Second
+	settledSyncInterval = time.Second
 )
 
 // View sums up the members that are not dead, the sender included.
@@ -31,17 +31,17 @@
 // viewSync is what a list needs to compare its view with those of others.
 type viewSync struct {
 	view      View
-	known     bool // known tells that view holds.
+	valid     bool // known tells that view holds.
 	changedAt time.Time
 	askedAt   time.Time
 	refutedAt time.Time // refutedAt is when this member refuted its death unasked.
 }
 
-func (v *viewSync) changed(now time.Time) { v.known, v.changedAt = false, now }
+func (v *viewSync) invalidate(now time.Time) { v.valid, v.changedAt = false, now }
 
 // view returns whom this member knows.
 func (l *List) view() View {
-	if l.sync.known {
+	if l.sync.valid {
 		return l.sync.view
 	}
 	v := View{Count: 1, Digest: digestOf(l.self)}
@@ -51,7 +51,7 @@
 			v.Digest ^= digestOf(m.Record)
 		}
 	}
-	l.sync.view, l.sync.known = v, true
+	l.sync.view, l.sync.valid = v, true
 	return v
 }
 
@@ -62,22 +62,22 @@
 	return d.Sum64()
 }
 
-// farApart tells whether two members know so different numbers of others that one of
+// sizesFarApart tells whether two members know so different numbers of others that one of
 // them has just started or was cut off.
-func farApart(a, b View) bool {
+func sizesFarApart(a, b View) bool {
 	most, least := max(a.Count, b.Count), min(a.Count, b.Count)
-	return most-least > max(behindLeast, most/behindShare)
+	return most-least > max(minViewGap, most/viewGapDivisor)
 }
 
-// rejoin answers a member that is held for dead and has been heard. It is told so,
+// answerDead answers a member that is held for dead and has been heard. It is told so,
 // and refutes that with a higher epoch. Where it was cut off with others, they take
 // this member for dead as well, and it refutes that before it hears of it.
-func (l *List) rejoin(now time.Time, e HeartbeatSeen, dead Record) {
-	if farApart(e.View, l.view()) && now.Sub(l.sync.refutedAt) >= settled {
+func (l *List) answerDead(now time.Time, e HeartbeatSeen, dead Record) {
+	if sizesFarApart(e.View, l.view()) && now.Sub(l.sync.refutedAt) >= viewSettleTime {
 		l.sync.refutedAt = now
 		l.self.Epoch++
 	}
-	l.out = append(l.out, HeartbeatOut{To: e.From.ID, From: l.self, Rumors: []Record{dead}, View: l.view()})
+	l.actions = append(l.actions, HeartbeatOut{To: e.From.ID, From: l.self, Rumors: []Record{dead}, View: l.view()})
 }
 
 // compareViews asks a member for all that it knows where it knows of many more, or
@@ -87,17 +87,17 @@
 		return
 	}
 	if l.changed {
-		l.sync.changed(now)
+		l.sync.invalidate(now)
 	}
 	mine := l.view()
 	if e.View == mine {
 		return
 	}
 	since := now.Sub(l.sync.askedAt)
-	behind := e.View.Count > mine.Count && farApart(e.View, mine)
-	differs := now.Sub(l.sync.changedAt) >= settled && since >= askLater
-	if differs || behind && since >= askSoon {
+	behind := e.View.Count > mine.Count && sizesFarApart(e.View, mine)
+	differs := now.Sub(l.sync.changedAt) >= viewSettleTime && since >= settledSyncInterval
+	if differs || behind && since >= laggingSyncInterval {
 		l.sync.askedAt = now
-		l.out = append(l.out, HeartbeatOut{To: e.From.ID, From: l.self, View: mine, Ask: true})
+		l.actions = append(l.actions, HeartbeatOut{To: e.From.ID, From: l.self, View: mine, Ask: true})
 	}
 }
