--- a/core/member/circle_test.go
+++ b/core/member/circle_test.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// fleetList returns a list that knows n members.
-func fleetList(n int) *List {
+// listWithMembers returns a list that knows n members.
+func listWithMembers(n int) *List {
 	l := New(DefaultConfig(), Record{ID: "self", Incarnation: 1})
 	for i := range n {
-		l.Step(epoch, HeartbeatSeen{From: Record{ID: fmt.Sprintf("m%04d", i), Incarnation: 1, State: StateAlive, Address: "a"}})
+		l.Step(start, HeartbeatSeen{From: Record{ID: fmt.Sprintf("m%04d", i), Incarnation: 1, State: StateAlive, Address: "a"}})
 	}
-	l.Step(epoch, Tick{})
+	l.Step(start, Tick{})
 	return l
 }
 
 // The members that watch and those that are watched must agree in any view: who
 // counts itself among the monitors of another one is named by that one's heartbeats.
-func TestWatchedAreThoseThatNameThisOne(t *testing.T) {
+func TestMonitoredMatchesMonitorsOf(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 2))
 	for _, n := range []int{0, 1, 2, 3, 4, 9, 60} {
 		for range 50 {
-			l := fleetList(n)
+			l := listWithMembers(n)
 			for _, m := range l.members {
 				m.State = State(1 + draw.IntN(4))
 			}
 			l.monitorsStale = true
-			l.updateMonitors(epoch)
+			l.updateMonitors(start)
 			for _, id := range l.sorted {
 				_, watched := l.monitored[id]
 				if names := slices.Contains(l.monitorsOf(id), "self"); names != watched {
@@ -46,7 +46,7 @@
 // Each member has as many distinct monitors as there are, three at most.
 func TestMonitorsAreDistinct(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 3, 9, 300} {
-		l := fleetList(n)
+		l := listWithMembers(n)
 		monitors := slices.Clone(l.monitors)
 		slices.Sort(monitors)
 		if got := len(slices.Compact(monitors)); got != min(n, 3) {
@@ -58,10 +58,10 @@
 // What a change of membership costs must not grow with the fleet. It did: each
 // member worked out anew who watches each other one, which took three quarters of
 // the processor time of 295 gateways.
-func TestChangeCostsTheSameInALargeFleet(t *testing.T) {
+func TestChangeCostIndependentOfFleetSize(t *testing.T) {
 	allocations := func(n int) float64 {
-		l := fleetList(n)
-		now, round := epoch, uint32(0)
+		l := listWithMembers(n)
+		now, round := start, uint32(0)
 		return testing.AllocsPerRun(50, func() {
 			round++
 			now = now.Add(time.Millisecond)
@@ -76,7 +76,7 @@
 }
 
 // News reaches all of a large fleet by the neighbours of each member alone.
-func TestNeighboursReachAll(t *testing.T) {
+func TestGossipPeersReachWholeFleet(t *testing.T) {
 	const n = 300
 	ids := []string{}
 	for i := range n {
@@ -87,10 +87,10 @@
 		l := New(DefaultConfig(), Record{ID: self, Incarnation: 1})
 		for _, id := range ids {
 			if id != self {
-				l.Step(epoch, HeartbeatSeen{From: Record{ID: id, Incarnation: 1, State: StateAlive, Address: "a"}})
+				l.Step(start, HeartbeatSeen{From: Record{ID: id, Incarnation: 1, State: StateAlive, Address: "a"}})
 			}
 		}
-		near[self] = l.Near(epoch)
+		near[self] = l.Near(start)
 		if len(near[self]) > 16 {
 			t.Errorf("%s tells %d others", self, len(near[self]))
 		}
@@ -116,8 +116,8 @@
 func BenchmarkMembershipTick(b *testing.B) {
 	for _, n := range []int{20, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			l := fleetList(n)
-			now := epoch
+			l := listWithMembers(n)
+			now := start
 			for b.Loop() {
 				now = now.Add(100 * time.Microsecond)
 				l.Step(now, Tick{})
@@ -129,8 +129,8 @@
 func BenchmarkMembershipChange(b *testing.B) {
 	for _, n := range []int{20, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			l := fleetList(n)
-			now, round := epoch, uint32(0)
+			l := listWithMembers(n)
+			now, round := start, uint32(0)
 			for b.Loop() {
 				round++
 				now = now.Add(100 * time.Microsecond)
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -13,11 +13,11 @@
 
 // fleet steps many lists that begin with three seeds, as gateways do.
 type fleet struct {
-	now   time.Time
-	ids   []string
-	lists map[string]*List
-	cut   map[string]int // cut holds the side of a partition that a member is on.
-	bytes int            // bytes counts records sent.
+	now       time.Time
+	ids       []string
+	lists     map[string]*List
+	partition map[string]int // cut holds the side of a partition that a member is on.
+	bytes     int            // bytes counts records sent.
 }
 
 func fleetConfig() Config {
@@ -28,7 +28,7 @@
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{now: epoch, lists: map[string]*List{}, cut: map[string]int{}}
+	f := &fleet{now: start, lists: map[string]*List{}, partition: map[string]int{}}
 	for i := range n {
 		id := fmt.Sprintf("m%04d", i)
 		f.ids = append(f.ids, id)
@@ -37,8 +37,8 @@
 	return f
 }
 
-// callSeeds lets members make themselves known to the seeds.
-func (f *fleet) callSeeds(ids []string) {
+// contactSeeds lets members make themselves known to the seeds.
+func (f *fleet) contactSeeds(ids []string) {
 	for _, id := range ids {
 		for _, seed := range f.ids[:3] {
 			if seed != id {
@@ -51,7 +51,7 @@
 func (f *fleet) deliver(from string, actions []Action) {
 	for _, a := range actions {
 		hb, ok := a.(HeartbeatOut)
-		if !ok || f.cut[from] != f.cut[hb.To] {
+		if !ok || f.partition[from] != f.partition[hb.To] {
 			continue
 		}
 		f.bytes += 1 + len(hb.Rumors)
@@ -69,8 +69,8 @@
 	}
 }
 
-// fewest returns the size of the smallest view among some members.
-func (f *fleet) fewest(ids []string) int {
+// smallestView returns the size of the smallest view among some members.
+func (f *fleet) smallestView(ids []string) int {
 	fewest := len(f.ids)
 	for _, id := range ids {
 		fewest = min(fewest, len(f.lists[id].Nodes()))
@@ -80,15 +80,15 @@
 
 // All gateways of a large fleet start within 0.3 s and know three addresses. They
 // must know each other some seconds later.
-func TestLargeFleetMeetsAtItsStart(t *testing.T) {
+func TestLargeFleetConvergesFromSeeds(t *testing.T) {
 	const n = 300
 	f := newFleet(n)
 	for i := range 3 {
-		f.callSeeds(f.ids[i*n/3 : (i+1)*n/3])
+		f.contactSeeds(f.ids[i*n/3 : (i+1)*n/3])
 		f.run(100 * time.Millisecond)
 	}
 	f.run(6 * time.Second)
-	if got := f.fewest(f.ids); got != n {
+	if got := f.smallestView(f.ids); got != n {
 		t.Errorf("some member knows %d of %d after 6 s", got, n)
 	}
 	f.bytes = 0
@@ -100,21 +100,21 @@
 
 // After a partition both sides learn of each other again, and no member stays
 // unknown to any other.
-func TestLargeFleetMeetsAfterAPartition(t *testing.T) {
+func TestLargeFleetConvergesAfterPartition(t *testing.T) {
 	const n = 300
 	f := newFleet(n)
-	f.callSeeds(f.ids)
+	f.contactSeeds(f.ids)
 	f.run(5 * time.Second)
 	for i, id := range f.ids {
-		f.cut[id] = i % 3 / 2
+		f.partition[id] = i % 3 / 2
 	}
 	f.run(8 * time.Second)
 	if got := len(f.lists[f.ids[2]].Nodes()); got > n/2 {
 		t.Errorf("the smaller side counts %d members", got)
 	}
-	clear(f.cut)
+	clear(f.partition)
 	f.run(8 * time.Second)
-	if got := f.fewest(f.ids); got != n {
+	if got := f.smallestView(f.ids); got != n {
 		t.Errorf("some member knows %d of %d after 8 s", got, n)
 	}
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-var epoch = time.Unix(1_700_000_000, 0)
+var start = time.Unix(1_700_000_000, 0)
 
 // group steps several lists and carries heartbeats between them.
 type group struct {
@@ -17,11 +17,11 @@
 	lists map[string]*List
 	cut   map[string]bool
 	sent  int
-	gone  map[string]int
+	ended map[string]int
 }
 
 func newGroup(n int) *group {
-	g := &group{now: epoch, lists: map[string]*List{}, cut: map[string]bool{}, gone: map[string]int{}}
+	g := &group{now: start, lists: map[string]*List{}, cut: map[string]bool{}, ended: map[string]int{}}
 	var listed []Listed
 	for i := range n {
 		listed = append(listed, Listed{ID: id(i), Address: "a", DataHall: fmt.Sprintf("hall-%d", i%3), Region: "r"})
@@ -57,7 +57,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Gone:
-			g.gone[a.ID]++
+			g.ended[a.ID]++
 		case HeartbeatOut:
 			g.sent++
 			to := g.lists[a.To]
@@ -80,7 +80,7 @@
 	return r.State
 }
 
-func TestHeartbeatsStayBounded(t *testing.T) {
+func TestHeartbeatRateIndependentOfFleetSize(t *testing.T) {
 	for _, n := range []int{6, 12, 48} {
 		g := newGroup(n)
 		g.run(5 * time.Second)
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestSuspectBeforeDeadThenRejoin(t *testing.T) {
+func TestSilentMemberSuspectedThenDeadThenRejoins(t *testing.T) {
 	g := newGroup(9)
 	g.run(5 * time.Second)
 	g.cut[id(3)] = true
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestRestartIsSeenAsGone(t *testing.T) {
+func TestRestartEndsOldIncarnation(t *testing.T) {
 	g := newGroup(4)
 	g.run(3 * time.Second)
 	l := New(DefaultConfig(), Record{ID: id(2), Incarnation: 2, DataHall: "hall-2", Region: "r"})
@@ -132,7 +132,7 @@
 	l.Step(g.now, ListSeen{listed})
 	g.lists[id(2)] = l
 	g.run(5 * time.Second)
-	if g.gone[id(2)] == 0 {
+	if g.ended[id(2)] == 0 {
 		t.Error("nobody noticed the restart")
 	}
 	if r := g.lists[id(0)].Reporter(id(2)); r.Incarnation != 2 {
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestHallLoss(t *testing.T) {
+func TestDataHallLossDetected(t *testing.T) {
 	g := newGroup(12)
 	g.run(5 * time.Second)
 	for i := range 12 {
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestLeavingSchedulesNothing(t *testing.T) {
+func TestLeavingMemberNotInNodes(t *testing.T) {
 	g := newGroup(4)
 	g.run(3 * time.Second)
 	g.deliver(id(1), g.lists[id(1)].Step(g.now, Leave{}))
@@ -173,22 +173,22 @@
 	}
 }
 
-func TestSameEventTwice(t *testing.T) {
+func TestDuplicateAndOlderHeartbeatsIgnored(t *testing.T) {
 	l := New(DefaultConfig(), Record{ID: "a", Incarnation: 1})
 	hb := HeartbeatSeen{From: Record{ID: "b", Incarnation: 5, State: StateAlive}}
-	l.Step(epoch, hb)
-	if got := l.Step(epoch, hb); len(got) != 0 {
+	l.Step(start, hb)
+	if got := l.Step(start, hb); len(got) != 0 {
 		t.Errorf("the same heartbeat again caused %v", got)
 	}
 	old := HeartbeatSeen{From: Record{ID: "b", Incarnation: 4, State: StateDead}}
-	l.Step(epoch, old)
+	l.Step(start, old)
 	if r, _ := l.Lookup("b"); r.Incarnation != 5 || r.State != StateAlive {
 		t.Errorf("an old incarnation's word changed %+v", r)
 	}
 }
 
 // What a member has to give to scheduling is told to all, like its state.
-func TestStrengthIsTold(t *testing.T) {
+func TestStrengthReachesAllMembers(t *testing.T) {
 	g := newGroup(9)
 	g.run(3 * time.Second)
 	g.deliver(id(4), g.lists[id(4)].Step(g.now, StrengthSeen{Percent: 19}))
--- a/core/member/seeds_test.go
+++ b/core/member/seeds_test.go
@@ -30,7 +30,7 @@
 
 // One member that is cut off must not make the others doubt each other: who
 // watches whom may not hang on who is suspect.
-func TestOneCutOffDoubtsNobodyElse(t *testing.T) {
+func TestOneCutOffMemberCausesNoOtherSuspicion(t *testing.T) {
 	g := newGroup(9)
 	g.run(5 * time.Second)
 	g.cut[id(4)] = true
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestGreetingSpreadsFromSeeds(t *testing.T) {
+func TestFullSyncSpreadsFromSeeds(t *testing.T) {
 	g := newGroup(0)
 	cfg := DefaultConfig()
 	cfg.Greet = true
@@ -75,7 +75,7 @@
 
 // The clock of a machine may go back between two lives of its process; the new
 // life must still win over the old one.
-func TestNewLifeWithAClockSetBack(t *testing.T) {
+func TestRestartWithClockSetBack(t *testing.T) {
 	g := newGroup(5)
 	g.run(3 * time.Second)
 	old := g.lists[id(2)]
--- a/core/member/standstill_test.go
+++ b/core/member/standstill_test.go
@@ -14,32 +14,32 @@
 // took all others for silent and told everybody so. It suspects nobody for its own absence:
 // those that it does not know to be gone are there in its first look, and at no time does a
 // member that went on all the while leave the view of another one that did.
-func TestOwnAbsenceSuspectsNobody(t *testing.T) {
+func TestSuspendedMemberSuspectsNobody(t *testing.T) {
 	for _, n := range []int{9, 64} {
 		for _, span := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second} {
 			for _, asleep := range []int{1, 2} {
 				if n > 9 && span != 3*time.Second {
 					continue
 				}
-				t.Run(fmt.Sprintf("%d of %d for %v", asleep, n, span), func(t *testing.T) { suspendSome(t, n, asleep, span) })
+				t.Run(fmt.Sprintf("%d of %d for %v", asleep, n, span), func(t *testing.T) { testSuspension(t, n, asleep, span) })
 			}
 		}
 	}
 }
 
-func suspendSome(t *testing.T, n, asleep int, span time.Duration) {
+func testSuspension(t *testing.T, n, asleep int, span time.Duration) {
 	f := newFleet(n)
-	f.callSeeds(f.ids)
+	f.contactSeeds(f.ids)
 	f.run(5 * time.Second)
 	sleepers, awake := f.ids[n-asleep:], f.ids[:n-asleep]
 	all := f.ids
 	for range 2 { // twice in a row
 		for _, id := range sleepers {
-			f.cut[id] = 1 + slices.Index(sleepers, id) // nobody hears it, and it hears nobody
+			f.partition[id] = 1 + slices.Index(sleepers, id) // nobody hears it, and it hears nobody
 		}
 		f.ids = awake
 		f.run(span)
-		clear(f.cut)
+		clear(f.partition)
 		f.ids = all
 		for range 30 {
 			f.run(100 * time.Millisecond)
@@ -51,7 +51,7 @@
 		}
 	}
 	f.run(3 * time.Second)
-	if got := f.fewest(f.ids); got != n {
+	if got := f.smallestView(f.ids); got != n {
 		t.Errorf("some member knows %d of %d in the end", got, n)
 	}
 }
