--- a/core/member/circle_test.go
+++ b/core/member/circle_test.go
@@ -90,7 +90,7 @@
 				l.Step(start, HeartbeatSeen{From: Record{ID: id, Incarnation: 1, State: StateAlive, Address: "a"}})
 			}
 		}
-		near[self] = l.Near(start)
+		near[self] = l.GossipPeers(start)
 		if len(near[self]) > 16 {
 			t.Errorf("%s tells %d others", self, len(near[self]))
 		}
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -45,8 +45,8 @@
 	return r.State > old.State
 }
 
-// Listed is one line of the platform's list.
-type Listed struct {
+// ListedVM is one line of the platform's list.
+type ListedVM struct {
 	ID       string
 	Address  string
 	DataHall string
@@ -58,15 +58,15 @@
 type Event interface{ isEvent() }
 
 // ListSeen is the platform's list.
-type ListSeen struct{ VMs []Listed }
+type ListSeen struct{ VMs []ListedVM }
 
 // HeartbeatSeen is a heartbeat with the sender's own record and rumors.
 type HeartbeatSeen struct {
-	From   Record
-	Rumors []Record
-	View   View // View is whom the sender knows, empty where it does not say.
-	Ask    bool // Ask tells that the sender wants to be told of all members.
-	Probe  bool // Probe tells that the sender wants a heartbeat back at once.
+	From        Record
+	Rumors      []Record
+	View        View // View is whom the sender knows, empty where it does not say.
+	RequestSync bool // Ask tells that the sender wants to be told of all members.
+	Probe       bool // Probe tells that the sender wants a heartbeat back at once.
 }
 
 // Leave makes this member tell the others that it is leaving.
@@ -87,28 +87,28 @@
 // Action is something that the owner of a List must do.
 type Action interface{ isAction() }
 
-// HeartbeatOut sends a heartbeat.
-type HeartbeatOut struct {
-	To     string
-	From   Record
-	Rumors []Record
-	View   View
-	Ask    bool
-	Probe  bool
+// SendHeartbeat sends a heartbeat.
+type SendHeartbeat struct {
+	To          string
+	From        Record
+	Rumors      []Record
+	View        View
+	RequestSync bool
+	Probe       bool
 }
 
-// Changed tells that the live members have changed.
-type Changed struct{}
+// MembersChanged tells that the live members have changed.
+type MembersChanged struct{}
 
-// Gone tells that a member is dead or has restarted.
-type Gone struct {
+// IncarnationEnded tells that a member is dead or has restarted.
+type IncarnationEnded struct {
 	ID          string
 	Incarnation uint64
 }
 
-func (HeartbeatOut) isAction() {}
-func (Changed) isAction()      {}
-func (Gone) isAction()         {}
+func (SendHeartbeat) isAction()    {}
+func (MembersChanged) isAction()   {}
+func (IncarnationEnded) isAction() {}
 
 // Config holds the times of a List.
 type Config struct {
@@ -120,10 +120,10 @@
 	// one at a time in rotation, the suspects and dead included.
 	ContactEvery time.Duration
 	MaxRumors    int // MaxRumors bounds the rumors in a heartbeat.
-	// Greet makes a member that is heard for the first time be told all that is
+	// EnableFullSync makes a member that is heard for the first time be told all that is
 	// known, so that a list grows from a few seeds, and makes members whose views
 	// differ for long tell each other all.
-	Greet bool
+	EnableFullSync bool
 }
 
 // DefaultConfig returns the times in use.
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -22,7 +22,7 @@
 
 func fleetConfig() Config {
 	cfg := DefaultConfig()
-	cfg.Interval, cfg.SuspectAfter, cfg.DeadAfter, cfg.Greet = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond, true
+	cfg.Interval, cfg.SuspectAfter, cfg.DeadAfter, cfg.EnableFullSync = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond, true
 	cfg.MaxRumors = 128
 	return cfg
 }
@@ -42,7 +42,7 @@
 	for _, id := range ids {
 		for _, seed := range f.ids[:3] {
 			if seed != id {
-				f.deliver(id, []Action{HeartbeatOut{To: seed, From: f.lists[id].Self()}})
+				f.deliver(id, []Action{SendHeartbeat{To: seed, From: f.lists[id].Self()}})
 			}
 		}
 	}
@@ -50,12 +50,12 @@
 
 func (f *fleet) deliver(from string, actions []Action) {
 	for _, a := range actions {
-		hb, ok := a.(HeartbeatOut)
+		hb, ok := a.(SendHeartbeat)
 		if !ok || f.partition[from] != f.partition[hb.To] {
 			continue
 		}
 		f.bytes += 1 + len(hb.Rumors)
-		f.deliver(hb.To, f.lists[hb.To].Step(f.now, HeartbeatSeen{From: hb.From, Rumors: hb.Rumors, View: hb.View, Ask: hb.Ask, Probe: hb.Probe}))
+		f.deliver(hb.To, f.lists[hb.To].Step(f.now, HeartbeatSeen{From: hb.From, Rumors: hb.Rumors, View: hb.View, RequestSync: hb.RequestSync, Probe: hb.Probe}))
 	}
 }
 
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -22,13 +22,13 @@
 	}
 	rumors := l.selectRumors()
 	for _, id := range to {
-		l.actions = append(l.actions, HeartbeatOut{To: id, From: l.self, Rumors: rumors, View: l.view()})
+		l.actions = append(l.actions, SendHeartbeat{To: id, From: l.self, Rumors: rumors, View: l.view()})
 	}
 }
 
 func (l *List) broadcastHeartbeat() {
 	for _, id := range l.sorted {
-		l.actions = append(l.actions, HeartbeatOut{To: id, From: l.self, View: l.view()})
+		l.actions = append(l.actions, SendHeartbeat{To: id, From: l.self, View: l.view()})
 	}
 }
 
@@ -65,11 +65,11 @@
 	return out
 }
 
-// Greeting returns a heartbeat that tells all that is known, for members that
+// FullSync returns a heartbeat that tells all that is known, for members that
 // have just met or whose views differ. The dead are left out where they are many: this
 // member may have been cut off, and others would take its view for the truth.
-func (l *List) Greeting() HeartbeatOut {
-	out := HeartbeatOut{From: l.self, View: l.view()}
+func (l *List) FullSync() SendHeartbeat {
+	out := SendHeartbeat{From: l.self, View: l.view()}
 	telling := len(l.members)-out.View.Count < max(minViewGap, len(l.members)/viewGapDivisor)
 	for _, id := range l.sorted {
 		m := l.members[id]
@@ -83,10 +83,10 @@
 // maxSyncRecords bounds the records of a greeting; each takes some 80 bytes.
 const maxSyncRecords = 4096
 
-// Near returns the live members that this one exchanges heartbeats with: its
+// GossipPeers returns the live members that this one exchanges heartbeats with: its
 // monitors and those that it watches. What each tells these, all hear of within a
 // number of steps that grows with the logarithm of the fleet.
-func (l *List) Near(now time.Time) []string {
+func (l *List) GossipPeers(now time.Time) []string {
 	l.updateMonitors(now)
 	var ids []string
 	for _, id := range l.monitors {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -84,7 +84,7 @@
 	if l.changed {
 		l.monitorsStale = true
 		l.sync.invalidate(now)
-		l.actions = append(l.actions, Changed{})
+		l.actions = append(l.actions, MembersChanged{})
 	}
 	return l.actions
 }
@@ -100,7 +100,7 @@
 	l.changed = true
 }
 
-func (l *List) handleList(now time.Time, vms []Listed) {
+func (l *List) handleList(now time.Time, vms []ListedVM) {
 	seen := map[string]bool{}
 	for _, v := range vms {
 		if v.ID == l.self.ID {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (l *List) mergeListed(now time.Time, v Listed) {
+func (l *List) mergeListed(now time.Time, v ListedVM) {
 	m, ok := l.members[v.ID]
 	if !ok {
 		m = &entry{Record: Record{ID: v.ID, State: StateAlive, Address: v.Address, DataHall: v.DataHall, Region: v.Region}, heardAt: now}
@@ -132,7 +132,7 @@
 func (l *List) removeUnlisted(id string, m *entry) {
 	l.deleteMember(id)
 	if m.State != StateDead {
-		l.actions = append(l.actions, Gone{id, m.Incarnation})
+		l.actions = append(l.actions, IncarnationEnded{id, m.Incarnation})
 	}
 }
 
@@ -185,13 +185,13 @@
 			delete(l.pendingRumors, r.ID)
 		}
 	}
-	if l.cfg.Greet && (met || e.Ask) {
-		greeting := l.Greeting()
+	if l.cfg.EnableFullSync && (met || e.RequestSync) {
+		greeting := l.FullSync()
 		greeting.To = e.From.ID
 		l.actions = append(l.actions, greeting)
 	}
 	if e.Probe {
-		l.actions = append(l.actions, HeartbeatOut{To: e.From.ID, From: l.self, View: l.view()})
+		l.actions = append(l.actions, SendHeartbeat{To: e.From.ID, From: l.self, View: l.view()})
 	}
 	l.compareViews(now, e)
 }
@@ -238,7 +238,7 @@
 	}
 	l.changed = true
 	if restarted || r.State == StateDead && wasState != StateDead {
-		l.actions = append(l.actions, Gone{r.ID, old})
+		l.actions = append(l.actions, IncarnationEnded{r.ID, old})
 	}
 	return false
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -22,9 +22,9 @@
 
 func newGroup(n int) *group {
 	g := &group{now: start, lists: map[string]*List{}, cut: map[string]bool{}, ended: map[string]int{}}
-	var listed []Listed
+	var listed []ListedVM
 	for i := range n {
-		listed = append(listed, Listed{ID: id(i), Address: "a", DataHall: fmt.Sprintf("hall-%d", i%3), Region: "r"})
+		listed = append(listed, ListedVM{ID: id(i), Address: "a", DataHall: fmt.Sprintf("hall-%d", i%3), Region: "r"})
 	}
 	for i := range n {
 		l := New(DefaultConfig(), Record{ID: id(i), Incarnation: 1, DataHall: fmt.Sprintf("hall-%d", i%3), Region: "r"})
@@ -56,15 +56,15 @@
 func (g *group) deliver(from string, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Gone:
+		case IncarnationEnded:
 			g.ended[a.ID]++
-		case HeartbeatOut:
+		case SendHeartbeat:
 			g.sent++
 			to := g.lists[a.To]
 			if to == nil || g.cut[from] || g.cut[a.To] {
 				continue
 			}
-			g.deliver(a.To, to.Step(g.now, HeartbeatSeen{From: a.From, Rumors: a.Rumors, View: a.View, Ask: a.Ask, Probe: a.Probe}))
+			g.deliver(a.To, to.Step(g.now, HeartbeatSeen{From: a.From, Rumors: a.Rumors, View: a.View, RequestSync: a.RequestSync, Probe: a.Probe}))
 		}
 	}
 }
@@ -125,9 +125,9 @@
 	g := newGroup(4)
 	g.run(3 * time.Second)
 	l := New(DefaultConfig(), Record{ID: id(2), Incarnation: 2, DataHall: "hall-2", Region: "r"})
-	var listed []Listed
+	var listed []ListedVM
 	for i := range 4 {
-		listed = append(listed, Listed{ID: id(i), Address: "a"})
+		listed = append(listed, ListedVM{ID: id(i), Address: "a"})
 	}
 	l.Step(g.now, ListSeen{listed})
 	g.lists[id(2)] = l
--- a/core/member/monitor.go
+++ b/core/member/monitor.go
@@ -147,11 +147,11 @@
 func (l *List) probe(now time.Time, m *entry, silence time.Duration) {
 	if pause := l.cfg.SuspectAfter / 3; silence >= 2*pause && now.Sub(m.probedAt) >= pause {
 		m.probedAt = now
-		l.actions = append(l.actions, HeartbeatOut{To: m.ID, From: l.self, View: l.view(), Probe: true})
+		l.actions = append(l.actions, SendHeartbeat{To: m.ID, From: l.self, View: l.view(), Probe: true})
 	}
 }
 
 func (l *List) markDead(m *entry) {
 	l.setState(m, StateDead)
-	l.actions = append(l.actions, Gone{m.ID, m.Incarnation})
+	l.actions = append(l.actions, IncarnationEnded{m.ID, m.Incarnation})
 }
--- a/core/member/seeds_test.go
+++ b/core/member/seeds_test.go
@@ -52,14 +52,14 @@
 func TestFullSyncSpreadsFromSeeds(t *testing.T) {
 	g := newGroup(0)
 	cfg := DefaultConfig()
-	cfg.Greet = true
+	cfg.EnableFullSync = true
 	for i := range 9 {
 		g.lists[id(i)] = New(cfg, Record{ID: id(i), Incarnation: 1, State: StateAlive, Address: "a"})
 	}
 	for i := range 9 {
 		for _, seed := range []string{id(0), id(1)} {
 			if seed != id(i) {
-				hello := g.lists[id(i)].Greeting()
+				hello := g.lists[id(i)].FullSync()
 				hello.To = seed
 				g.deliver(id(i), []Action{hello})
 			}
@@ -83,9 +83,9 @@
 	g.run(3 * time.Second)
 	cfg := DefaultConfig()
 	g.lists[id(2)] = New(cfg, Record{ID: id(2), Incarnation: 7, State: StateAlive, Address: "new"})
-	var listed []Listed
+	var listed []ListedVM
 	for i := range 5 {
-		listed = append(listed, Listed{ID: id(i), Address: "a"})
+		listed = append(listed, ListedVM{ID: id(i), Address: "a"})
 	}
 	g.lists[id(2)].Step(g.now, ListSeen{listed})
 	g.run(8 * time.Second)
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -77,13 +77,13 @@
 		l.sync.refutedAt = now
 		l.self.Epoch++
 	}
-	l.actions = append(l.actions, HeartbeatOut{To: e.From.ID, From: l.self, Rumors: []Record{dead}, View: l.view()})
+	l.actions = append(l.actions, SendHeartbeat{To: e.From.ID, From: l.self, Rumors: []Record{dead}, View: l.view()})
 }
 
 // compareViews asks a member for all that it knows where it knows of many more, or
 // where the views have differed for long.
 func (l *List) compareViews(now time.Time, e HeartbeatSeen) {
-	if !l.cfg.Greet || e.View.Count == 0 {
+	if !l.cfg.EnableFullSync || e.View.Count == 0 {
 		return
 	}
 	if l.changed {
@@ -98,6 +98,6 @@
 	differs := now.Sub(l.sync.changedAt) >= viewSettleTime && since >= settledSyncInterval
 	if differs || behind && since >= laggingSyncInterval {
 		l.sync.askedAt = now
-		l.actions = append(l.actions, HeartbeatOut{To: e.From.ID, From: l.self, View: mine, Ask: true})
+		l.actions = append(l.actions, SendHeartbeat{To: e.From.ID, From: l.self, View: mine, RequestSync: true})
 	}
 }
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -165,7 +165,7 @@
 	g.pool = upstream.NewPool(dialTimeout, idlePerTarget, g.traffic)
 	members := member.DefaultConfig()
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
-	members.Greet, members.MaxRumors = true, maxRumors
+	members.EnableFullSync, members.MaxRumors = true, maxRumors
 	g.requests = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
 		Clock: g.clock, Figures: "madderway_gateway", Tell: func(r core.Record) { g.loop.TellRecord(r) },
 	})
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -281,14 +281,14 @@
 func (l *Loop) member(now time.Time, ev member.Event) {
 	for _, a := range l.members.Step(now, ev) {
 		switch a := a.(type) {
-		case member.HeartbeatOut:
+		case member.SendHeartbeat:
 			l.addHeartbeat(l.out.Frame(now, a.To, true), a)
-		case member.Changed:
+		case member.MembersChanged:
 			l.publish()
 			if l.reroute.IsZero() {
 				l.reroute = now.Add(rerouteDelay)
 			}
-		case member.Gone:
+		case member.IncarnationEnded:
 			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
 			l.schedule(now, sched.EntryGone{ID: a.ID})
 			l.records.Gone(a.ID)
@@ -296,7 +296,7 @@
 	}
 }
 
-func (l *Loop) addHeartbeat(f *wire.Frame, a member.HeartbeatOut) {
+func (l *Loop) addHeartbeat(f *wire.Frame, a member.SendHeartbeat) {
 	v := l.opts.Versions.InForce()
 	hb := peerwire.AddHeartbeat(f, a)
 	hb.ConfigVersion, hb.ConfigHash = v.Number, v.Hash
@@ -356,12 +356,12 @@
 }
 
 func (l *Loop) takeVMs(now time.Time, vms []vm.VM) {
-	var listed []member.Listed
+	var listed []member.ListedVM
 	leaving := map[string]bool{}
 	for _, v := range vms {
 		switch v.Role {
 		case vm.RoleRouter:
-			listed = append(listed, member.Listed{
+			listed = append(listed, member.ListedVM{
 				ID: v.ID, Address: v.Address, DataHall: v.DataHall, Region: v.Region, Leaving: v.State == vm.StateLeaving,
 			})
 		case vm.RoleTarget:
--- a/services/mesh/layout.go
+++ b/services/mesh/layout.go
@@ -55,7 +55,7 @@
 		return
 	}
 	l.told = v
-	for _, id := range l.members.Near(now) {
+	for _, id := range l.members.GossipPeers(now) {
 		l.out.Frame(now, id, true).Versions = versionsToWire(v)
 	}
 }
--- a/services/mesh/seeds.go
+++ b/services/mesh/seeds.go
@@ -36,7 +36,7 @@
 		call = slices.Concat(l.seeds, l.learned)
 	}
 	hello := &wire.Frame{}
-	l.addHeartbeat(hello, member.HeartbeatOut{From: l.members.Self()})
+	l.addHeartbeat(hello, member.SendHeartbeat{From: l.members.Self()})
 	for _, link := range call {
 		link.Send(hello)
 	}
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -16,11 +16,11 @@
 func (l *Loop) member(now time.Time, ev member.Event) {
 	for _, a := range l.members.Step(now, ev) {
 		switch a := a.(type) {
-		case member.HeartbeatOut:
+		case member.SendHeartbeat:
 			l.addHeartbeat(l.out.Frame(now, a.To, true), a)
-		case member.Changed:
+		case member.MembersChanged:
 			l.membersChanged = true
-		case member.Gone:
+		case member.IncarnationEnded:
 			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
 			if link := l.links[a.ID]; link != nil {
 				link.Renew()
@@ -37,7 +37,7 @@
 	}
 }
 
-func (l *Loop) addHeartbeat(f *wire.Frame, a member.HeartbeatOut) {
+func (l *Loop) addHeartbeat(f *wire.Frame, a member.SendHeartbeat) {
 	hb := peerwire.AddHeartbeat(f, a)
 	hb.Versions = versionsToWire(l.opts.Follow.Versions())
 	hb.RequestDigest = l.records.Digest()
--- a/services/peerwire/member.go
+++ b/services/peerwire/member.go
@@ -41,7 +41,7 @@
 
 // AddHeartbeat puts a heartbeat into the frame that will go to its receiver, and
 // returns it. Where one waits there already, nothing that it tells is lost.
-func AddHeartbeat(f *wire.Frame, a member.HeartbeatOut) *wire.Heartbeat {
+func AddHeartbeat(f *wire.Frame, a member.SendHeartbeat) *wire.Heartbeat {
 	hb := f.Heartbeat
 	if hb == nil {
 		hb = &wire.Heartbeat{}
@@ -49,7 +49,7 @@
 	}
 	hb.From = MemberToWire(a.From)
 	hb.ViewCount, hb.ViewDigest = uint32(a.View.Count), a.View.Digest
-	hb.Ask = hb.Ask || a.Ask
+	hb.Ask = hb.Ask || a.RequestSync
 	hb.Probe = hb.Probe || a.Probe
 	for _, r := range a.Rumors {
 		hb.Rumors = append(hb.Rumors, MemberToWire(r))
@@ -66,6 +66,6 @@
 	}
 	return member.HeartbeatSeen{
 		From: from, Rumors: MembersFromWire(hb.Rumors), View: member.View{Count: int(hb.ViewCount), Digest: hb.ViewDigest},
-		Ask: hb.Ask, Probe: hb.Probe,
+		RequestSync: hb.Ask, Probe: hb.Probe,
 	}, true
 }
--- a/services/peerwire/peerwire_test.go
+++ b/services/peerwire/peerwire_test.go
@@ -56,10 +56,10 @@
 	r := member.Record{ID: "g", Incarnation: 1, State: member.StateAlive}
 	other := member.Record{ID: "h", Incarnation: 1, State: member.StateAlive}
 	f := &wire.Frame{}
-	AddHeartbeat(f, member.HeartbeatOut{From: r, Rumors: []member.Record{other}, Ask: true})
-	AddHeartbeat(f, member.HeartbeatOut{From: r, View: member.View{Count: 2, Digest: 9}, Probe: true})
+	AddHeartbeat(f, member.SendHeartbeat{From: r, Rumors: []member.Record{other}, RequestSync: true})
+	AddHeartbeat(f, member.SendHeartbeat{From: r, View: member.View{Count: 2, Digest: 9}, Probe: true})
 	got, ok := HeartbeatFromWire("g", f.Heartbeat)
-	if !ok || len(got.Rumors) != 1 || !got.Ask || !got.Probe || got.View.Count != 2 {
+	if !ok || len(got.Rumors) != 1 || !got.RequestSync || !got.Probe || got.View.Count != 2 {
 		t.Errorf("the receiver sees %+v", got)
 	}
 	if _, ok := HeartbeatFromWire("h", f.Heartbeat); ok {
