--- a/core/member/circle.go
+++ b/core/member/circle.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ring holds members in the order of their hashes. A few circles, each with a salt
-// of its own, give each member a few random successors that a change elsewhere does
-// not move, and that are found without looking at all members.
+// ring is a consistent-hash ring of the members, sorted by hash. Rings with different
+// salts give each member independent successors. Lookups are binary searches, and a
+// change of one member affects only its neighbors.
 type ring struct {
 	salt   uint64
 	points []ringPoint
@@ -61,7 +61,7 @@
 	}
 }
 
-// forward calls visit for the members after one, in order and once round, until
+// forward visits each other member once, starting with the successor of id, until
 // visit returns false.
 func (c *ring) forward(id string, visit func(id string) bool) {
 	at, _ := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints)
@@ -74,7 +74,7 @@
 	}
 }
 
-// backward is forward in the other direction.
+// backward is like forward but starts with the predecessor.
 func (c *ring) backward(id string, visit func(id string) bool) {
 	at, _ := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints)
 	n := len(c.points)
--- a/core/member/circle_test.go
+++ b/core/member/circle_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// listWithMembers returns a list that knows n members.
+// listWithMembers returns a list with n other members.
 func listWithMembers(n int) *List {
 	l := New(DefaultConfig(), Record{ID: "self", Incarnation: 1})
 	for i := range n {
@@ -21,68 +21,66 @@
 	return l
 }
 
-// The members that watch and those that are watched must agree in any view: who
-// counts itself among the monitors of another one is named by that one's heartbeats.
+// Guards against views in which a member monitors another one that does not list it as
+// a monitor, or the reverse.
 func TestMonitoredMatchesMonitorsOf(t *testing.T) {
-	draw := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for _, n := range []int{0, 1, 2, 3, 4, 9, 60} {
 		for range 50 {
 			l := listWithMembers(n)
 			for _, m := range l.members {
-				m.State = State(1 + draw.IntN(4))
+				m.State = State(1 + rng.IntN(4))
 			}
 			l.monitorsStale = true
 			l.updateMonitors(start)
 			for _, id := range l.sorted {
-				_, watched := l.monitored[id]
-				if names := slices.Contains(l.monitorsOf(id), "self"); names != watched {
-					t.Fatalf("%d members: %s names this one: %v, watched: %v", n, id, names, watched)
+				_, monitored := l.monitored[id]
+				if isMonitor := slices.Contains(l.monitorsOf(id), "self"); isMonitor != monitored {
+					t.Fatalf("%d members: %s has this member as a monitor: %v, but is monitored by it: %v", n, id, isMonitor, monitored)
 				}
 			}
 		}
 	}
 }
 
-// Each member has as many distinct monitors as there are, three at most.
+// Guards against one member filling several of the monitor slots.
 func TestMonitorsAreDistinct(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 3, 9, 300} {
 		l := listWithMembers(n)
 		monitors := slices.Clone(l.monitors)
 		slices.Sort(monitors)
 		if got := len(slices.Compact(monitors)); got != min(n, 3) {
-			t.Errorf("%d others: %d distinct monitors", n, got)
+			t.Errorf("%d others: got %d distinct monitors, want %d", n, got, min(n, 3))
 		}
 	}
 }
 
-// What a change of membership costs must not grow with the fleet. It did: each
-// member worked out anew who watches each other one, which took three quarters of
-// the processor time of 295 gateways.
+// Guards against recomputing the monitors of all members on each change.
 func TestChangeCostIndependentOfFleetSize(t *testing.T) {
 	allocations := func(n int) float64 {
 		l := listWithMembers(n)
-		now, round := start, uint32(0)
+		now, epoch := start, uint32(0)
 		return testing.AllocsPerRun(50, func() {
-			round++
+			epoch++
 			now = now.Add(time.Millisecond)
-			l.Step(now, HeartbeatSeen{From: Record{ID: "m0001", Incarnation: 1, Epoch: round, State: StateAlive, Address: "a"}})
+			l.Step(now, HeartbeatSeen{From: Record{ID: "m0001", Incarnation: 1, Epoch: epoch, State: StateAlive, Address: "a"}})
 			l.Step(now, Tick{})
 		})
 	}
 	small, large := allocations(20), allocations(1000)
 	if large > 2*small+20 {
-		t.Errorf("a change takes %.0f allocations among 20 members, %.0f among 1,000", small, large)
+		t.Errorf("a change takes %.0f allocations with 20 members, but %.0f with 1,000", small, large)
 	}
 }
 
-// News reaches all of a large fleet by the neighbours of each member alone.
+// Guards against rumors that stay in a part of the fleet or take too many hops.
 func TestGossipPeersReachWholeFleet(t *testing.T) {
 	const n = 300
 	ids := []string{}
 	for i := range n {
 		ids = append(ids, fmt.Sprintf("m%04d", i))
 	}
-	near := map[string][]string{}
+	peers := map[string][]string{}
 	for _, self := range ids {
 		l := New(DefaultConfig(), Record{ID: self, Incarnation: 1})
 		for _, id := range ids {
@@ -90,26 +88,26 @@
 				l.Step(start, HeartbeatSeen{From: Record{ID: id, Incarnation: 1, State: StateAlive, Address: "a"}})
 			}
 		}
-		near[self] = l.GossipPeers(start)
-		if len(near[self]) > 16 {
-			t.Errorf("%s tells %d others", self, len(near[self]))
+		peers[self] = l.GossipPeers(start)
+		if len(peers[self]) > 16 {
+			t.Errorf("%s has %d gossip peers, want at most 16", self, len(peers[self]))
 		}
 	}
-	steps, knows := 0, map[string]bool{ids[0]: true}
-	for news := []string{ids[0]}; len(news) > 0; steps++ {
+	steps, reached := 0, map[string]bool{ids[0]: true}
+	for frontier := []string{ids[0]}; len(frontier) > 0; steps++ {
 		var next []string
-		for _, from := range news {
-			for _, to := range near[from] {
-				if !knows[to] {
-					knows[to] = true
+		for _, from := range frontier {
+			for _, to := range peers[from] {
+				if !reached[to] {
+					reached[to] = true
 					next = append(next, to)
 				}
 			}
 		}
-		news = next
+		frontier = next
 	}
-	if len(knows) != n || steps > 8 {
-		t.Errorf("%d of %d know after %d steps", len(knows), n, steps)
+	if len(reached) != n || steps > 8 {
+		t.Errorf("rumor reached %d of %d members in %d steps, want all in at most 8", len(reached), n, steps)
 	}
 }
 
@@ -130,11 +128,11 @@
 	for _, n := range []int{20, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			l := listWithMembers(n)
-			now, round := start, uint32(0)
+			now, epoch := start, uint32(0)
 			for b.Loop() {
-				round++
+				epoch++
 				now = now.Add(100 * time.Microsecond)
-				l.Step(now, HeartbeatSeen{From: Record{ID: "m0001", Incarnation: 1, Epoch: round, State: StateAlive, Address: "a"}})
+				l.Step(now, HeartbeatSeen{From: Record{ID: "m0001", Incarnation: 1, Epoch: epoch, State: StateAlive, Address: "a"}})
 				l.Step(now, Tick{})
 			}
 		})
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -5,10 +5,10 @@
 
 import "time"
 
-// State is what is believed of a member.
+// State is the state of a member as seen by this router.
 type State uint8
 
-// The states, in the order in which they override each other.
+// A higher state overrides a lower one of the same incarnation and epoch.
 const (
 	StateAlive State = iota + 1
 	StateSuspect
@@ -21,20 +21,20 @@
 	return [...]string{"unknown", "alive", "suspect", "leaving", "dead"}[s]
 }
 
-// Record is what is said of a member. Incarnation is the member's start, Epoch
-// counts its refutations of suspicion.
+// Record is the membership data gossiped about one member. Records are ordered by
+// Incarnation, Epoch and State; the newer one wins.
 type Record struct {
 	ID          string
-	Incarnation uint64
-	Epoch       uint32
+	Incarnation uint64 // grows with each start of the process
+	Epoch       uint32 // raised by the member on each update of its own record
 	State       State
 	Address     string
 	DataHall    string
 	Region      string
-	Strength    uint32 // Strength is what the member has to give to scheduling, in percent of a core; 0 is not said.
+	Strength    uint32 // CPU available for scheduling in percent of a core, 0 if unknown
 }
 
-// newer tells whether r overrides old.
+// newer reports whether r overrides old.
 func (r Record) newer(old Record) bool {
 	if r.Incarnation != old.Incarnation {
 		return r.Incarnation > old.Incarnation
@@ -45,7 +45,7 @@
 	return r.State > old.State
 }
 
-// ListedVM is one line of the platform's list.
+// ListedVM is an entry of the platform's VM list.
 type ListedVM struct {
 	ID       string
 	Address  string
@@ -54,28 +54,28 @@
 	Leaving  bool
 }
 
-// Event is something that a List reacts to.
+// Event is an input of List.Step.
 type Event interface{ isEvent() }
 
-// ListSeen is the platform's list.
+// ListSeen reports the current VM list of the platform.
 type ListSeen struct{ VMs []ListedVM }
 
-// HeartbeatSeen is a heartbeat with the sender's own record and rumors.
+// HeartbeatSeen reports a received heartbeat. Its fields match those of SendHeartbeat.
 type HeartbeatSeen struct {
 	From        Record
 	Rumors      []Record
-	View        View // View is whom the sender knows, empty where it does not say.
-	RequestSync bool // Ask tells that the sender wants to be told of all members.
-	Probe       bool // Probe tells that the sender wants a heartbeat back at once.
+	View        View // summary of the sender's members, zero if not sent
+	RequestSync bool // the sender asks for the records of all members
+	Probe       bool // the sender asks for an immediate heartbeat
 }
 
-// Leave makes this member tell the others that it is leaving.
+// Leave marks this member as leaving and notifies all others.
 type Leave struct{}
 
-// StrengthSeen tells what this member has to give to scheduling from now on.
+// StrengthSeen updates this member's scheduling capacity, in percent of a core.
 type StrengthSeen struct{ Percent uint32 }
 
-// Tick lets time pass.
+// Tick triggers heartbeats and timeouts that are due.
 type Tick struct{}
 
 func (ListSeen) isEvent()      {}
@@ -84,10 +84,10 @@
 func (StrengthSeen) isEvent()  {}
 func (Tick) isEvent()          {}
 
-// Action is something that the owner of a List must do.
+// Action is an output of List.Step that the caller must carry out.
 type Action interface{ isAction() }
 
-// SendHeartbeat sends a heartbeat.
+// SendHeartbeat asks to send a heartbeat with the sender's record and recent rumors.
 type SendHeartbeat struct {
 	To          string
 	From        Record
@@ -97,10 +97,11 @@
 	Probe       bool
 }
 
-// MembersChanged tells that the live members have changed.
+// MembersChanged reports that a member's record was added, changed or removed.
 type MembersChanged struct{}
 
-// IncarnationEnded tells that a member is dead or has restarted.
+// IncarnationEnded reports that a member is dead, was removed or has restarted with a
+// newer incarnation.
 type IncarnationEnded struct {
 	ID          string
 	Incarnation uint64
@@ -110,23 +111,22 @@
 func (MembersChanged) isAction()   {}
 func (IncarnationEnded) isAction() {}
 
-// Config holds the times of a List.
+// Config holds the settings of a List.
 type Config struct {
-	Interval     time.Duration // Interval is the time between heartbeats to one monitor.
-	SuspectAfter time.Duration // SuspectAfter is how long a monitor waits for a heartbeat.
-	DeadAfter    time.Duration // DeadAfter is how long a suspect may refute.
-	Monitors     int           // Monitors is how many members watch each member.
-	// ContactEvery is the time between heartbeats to members other than the monitors,
-	// one at a time in rotation, the suspects and dead included.
+	Interval     time.Duration // between heartbeats to a monitor
+	SuspectAfter time.Duration // silence after which a monitor suspects a member
+	DeadAfter    time.Duration // time for a suspect to refute before it is declared dead
+	Monitors     int           // number of monitors of each member
+	// ContactEvery is the interval of the heartbeats sent to all members in rotation.
+	// They include suspect and dead members, so that these can refute and rejoin.
 	ContactEvery time.Duration
-	MaxRumors    int // MaxRumors bounds the rumors in a heartbeat.
-	// EnableFullSync makes a member that is heard for the first time be told all that is
-	// known, so that a list grows from a few seeds, and makes members whose views
-	// differ for long tell each other all.
+	MaxRumors    int // per heartbeat
+	// EnableFullSync sends all records to a member on first contact, so that a list grows
+	// from a few seeds, and synchronizes members whose views keep differing.
 	EnableFullSync bool
 }
 
-// DefaultConfig returns the times in use.
+// DefaultConfig returns the default settings, without full sync.
 func DefaultConfig() Config {
 	return Config{
 		Interval: time.Second, SuspectAfter: 2500 * time.Millisecond, DeadAfter: 4 * time.Second,
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -9,15 +9,13 @@
 	"time"
 )
 
-// The times of these tests are of the fake clock.
-
-// fleet steps many lists that begin with three seeds, as gateways do.
+// fleet simulates gateways that discover each other through three seeds, on a fake clock.
 type fleet struct {
 	now       time.Time
 	ids       []string
 	lists     map[string]*List
-	partition map[string]int // cut holds the side of a partition that a member is on.
-	bytes     int            // bytes counts records sent.
+	partition map[string]int // side of a network partition by member ID
+	bytes     int            // records sent
 }
 
 func fleetConfig() Config {
@@ -37,7 +35,7 @@
 	return f
 }
 
-// contactSeeds lets members make themselves known to the seeds.
+// contactSeeds sends a heartbeat from each member to the seeds.
 func (f *fleet) contactSeeds(ids []string) {
 	for _, id := range ids {
 		for _, seed := range f.ids[:3] {
@@ -69,17 +67,16 @@
 	}
 }
 
-// smallestView returns the size of the smallest view among some members.
+// smallestView returns the lowest number of alive members known to any of ids.
 func (f *fleet) smallestView(ids []string) int {
-	fewest := len(f.ids)
+	smallest := len(f.ids)
 	for _, id := range ids {
-		fewest = min(fewest, len(f.lists[id].Nodes()))
+		smallest = min(smallest, len(f.lists[id].Nodes()))
 	}
-	return fewest
+	return smallest
 }
 
-// All gateways of a large fleet start within 0.3 s and know three addresses. They
-// must know each other some seconds later.
+// Guards against an incomplete membership list after the whole fleet starts at once.
 func TestLargeFleetConvergesFromSeeds(t *testing.T) {
 	const n = 300
 	f := newFleet(n)
@@ -89,17 +86,16 @@
 	}
 	f.run(6 * time.Second)
 	if got := f.smallestView(f.ids); got != n {
-		t.Errorf("some member knows %d of %d after 6 s", got, n)
+		t.Errorf("smallest view has %d of %d members after 6 s", got, n)
 	}
 	f.bytes = 0
 	f.run(10 * time.Second)
 	if perSecond := float64(f.bytes) / n / 10; perSecond > 12 {
-		t.Errorf("in calm a member sends %.1f records a second", perSecond)
+		t.Errorf("steady state: each member sends %.1f records a second, want at most 12", perSecond)
 	}
 }
 
-// After a partition both sides learn of each other again, and no member stays
-// unknown to any other.
+// Guards against members that stay dead or unknown to others after a partition heals.
 func TestLargeFleetConvergesAfterPartition(t *testing.T) {
 	const n = 300
 	f := newFleet(n)
@@ -110,11 +106,11 @@
 	}
 	f.run(8 * time.Second)
 	if got := len(f.lists[f.ids[2]].Nodes()); got > n/2 {
-		t.Errorf("the smaller side counts %d members", got)
+		t.Errorf("smaller side still has %d members alive, want at most %d", got, n/2)
 	}
 	clear(f.partition)
 	f.run(8 * time.Second)
 	if got := f.smallestView(f.ids); got != n {
-		t.Errorf("some member knows %d of %d after 8 s", got, n)
+		t.Errorf("smallest view has %d of %d members 8 s after the partition", got, n)
 	}
 }
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// sendHeartbeats sends heartbeats to this member's monitors and now and then to another one,
-// the suspects and dead included so that they can refute and rejoin.
+// sendHeartbeats sends a heartbeat to each monitor of this member and, once per
+// ContactEvery, to the next member in rotation.
 func (l *List) sendHeartbeats(now time.Time) {
 	to := slices.Clone(l.monitors)
 	if len(l.sorted) > 0 && !now.Before(l.nextContact) {
@@ -32,12 +32,11 @@
 	}
 }
 
-// maxTransmissions is in how many heartbeats a record is told on. They go to the same
-// monitors over connections, so that more would be needed only where some of these
-// were lost; who still lacks a record notices that views differ.
+// maxTransmissions bounds the heartbeats that carry the same rumor. Connections are
+// reliable, and members that miss a rumor detect it by comparing views.
 const maxTransmissions = 4
 
-// selectRumors picks the records that were told on the least.
+// selectRumors returns the pending records with the fewest transmissions.
 func (l *List) selectRumors() []Record {
 	if len(l.pendingRumors) == 0 {
 		return nil
@@ -65,27 +64,27 @@
 	return out
 }
 
-// FullSync returns a heartbeat that tells all that is known, for members that
-// have just met or whose views differ. The dead are left out where they are many: this
-// member may have been cut off, and others would take its view for the truth.
+// FullSync returns a heartbeat with all known records, for a member on first contact or
+// with a different view. It omits dead members if there are many: this member may be on
+// the smaller side of a partition and wrong about them.
 func (l *List) FullSync() SendHeartbeat {
 	out := SendHeartbeat{From: l.self, View: l.view()}
-	telling := len(l.members)-out.View.Count < max(minViewGap, len(l.members)/viewGapDivisor)
+	includeDead := len(l.members)-out.View.Count < max(minViewGap, len(l.members)/viewGapDivisor)
 	for _, id := range l.sorted {
 		m := l.members[id]
-		if m.Incarnation != 0 && (m.State != StateDead || telling) && len(out.Rumors) < maxSyncRecords {
+		if m.Incarnation != 0 && (m.State != StateDead || includeDead) && len(out.Rumors) < maxSyncRecords {
 			out.Rumors = append(out.Rumors, m.Record)
 		}
 	}
 	return out
 }
 
-// maxSyncRecords bounds the records of a greeting; each takes some 80 bytes.
+// maxSyncRecords bounds the records in a full sync, some 80 bytes each.
 const maxSyncRecords = 4096
 
 // GossipPeers returns the live members that this one exchanges heartbeats with: its
-// monitors and those that it watches. What each tells these, all hear of within a
-// number of steps that grows with the logarithm of the fleet.
+// monitors and the members it monitors. Gossip along these links reaches the whole
+// fleet in O(log n) hops.
 func (l *List) GossipPeers(now time.Time) []string {
 	l.updateMonitors(now)
 	var ids []string
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,9 +1,12 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package member keeps the list of the fleet's routers from the platform's
-// lagging list and from heartbeats, whose number does not grow with the fleet.
-// A List is a pure state machine.
+// Package member maintains the membership list of the fleet's routers.
+//
+// It combines the platform's VM list, which lags behind, with SWIM-like failure
+// detection: each member sends heartbeats to a few monitors, and records spread by
+// gossip. The traffic of a member does not depend on the size of the fleet. A List is a
+// pure state machine: Step takes events and returns actions.
 package member
 
 import (
@@ -16,39 +19,37 @@
 
 type entry struct {
 	Record
-	listed        bool
-	heardAt       time.Time // heardAt is the last heartbeat or the start of watching.
-	probedAt      time.Time // probedAt is when it was last asked for a heartbeat.
+	listed        bool      // in the platform's latest VM list
+	heardAt       time.Time // last heartbeat, or when the member became known or alive again
+	probedAt      time.Time
 	suspectAt     time.Time
-	transmissions int // spread counts how often the record was told on.
+	transmissions int // heartbeats that carried the current record
 }
 
-// List is one router's view of the fleet.
+// List is one router's view of the fleet. It is not safe for concurrent use.
 type List struct {
 	cfg           Config
 	self          Record
 	members       map[string]*entry
 	sorted        []string
-	rings         []ring // circles hold this member and all others, one for each monitor.
+	rings         []ring // all members including this one; one ring per monitor
 	tickedAt      time.Time
 	nextHeartbeat time.Time
-	nextContact   time.Time // nextMeet is when the next contact gets a heartbeat.
+	nextContact   time.Time // due time of the next rotating heartbeat
 	contactIndex  int
 	actions       []Action
 	changed       bool
-	// suspectOrDead holds the suspects and the dead, news the records that are still to be
-	// told on; so a tick looks at few members.
+	// Indexes into members, so that a tick need not scan all of them.
 	suspectOrDead map[string]*entry
 	pendingRumors map[string]*entry
-	// monitored holds since when this member watches others, guards holds its own
-	// monitors. Both are computed anew after a change only.
-	monitored     map[string]time.Time
-	monitors      []string
+	// Derived from the rings by updateMonitors when monitorsStale is set.
+	monitored     map[string]time.Time // start of monitoring by member ID
+	monitors      []string             // members that monitor this one
 	monitorsStale bool
 	sync          viewSync
 }
 
-// New returns a list that knows only this router.
+// New returns a list that contains only this router.
 func New(cfg Config, self Record) *List {
 	self.State = StateAlive
 	l := &List{
@@ -62,7 +63,7 @@
 	return l
 }
 
-// Step takes one event and returns what is to be done.
+// Step processes an event and returns the resulting actions.
 func (l *List) Step(now time.Time, ev Event) []Action {
 	l.actions, l.changed = nil, false
 	switch e := ev.(type) {
@@ -89,7 +90,7 @@
 	return l.actions
 }
 
-// setStrength changes this member's own record; the next tick tells it.
+// setStrength updates this member's record and makes a heartbeat due at the next tick.
 func (l *List) setStrength(now time.Time, percent uint32) {
 	if l.self.Strength == percent {
 		return
@@ -160,7 +161,7 @@
 	}
 }
 
-// recordChanged notes that a record is new: it is to be told on.
+// recordChanged queues a new or changed record for gossip and updates suspectOrDead.
 func (l *List) recordChanged(m *entry) {
 	m.transmissions = 0
 	l.pendingRumors[m.ID] = m
@@ -173,22 +174,22 @@
 
 func (l *List) handleHeartbeat(now time.Time, e HeartbeatSeen) {
 	known := l.members[e.From.ID]
-	met := known == nil || known.Incarnation != e.From.Incarnation
-	if !met && known.State == StateDead {
+	firstContact := known == nil || known.Incarnation != e.From.Incarnation
+	if !firstContact && known.State == StateDead {
 		l.answerDead(now, e, known.Record)
 	}
 	l.merge(now, e.From, true)
-	// What comes in a greeting is not told on: who lacks it notices that views differ.
-	fresh := len(e.Rumors) <= l.cfg.MaxRumors
+	// Do not gossip the records of a full sync: members that miss them compare views.
+	incremental := len(e.Rumors) <= l.cfg.MaxRumors
 	for _, r := range e.Rumors {
-		if l.merge(now, r, false) && !fresh {
+		if l.merge(now, r, false) && !incremental {
 			delete(l.pendingRumors, r.ID)
 		}
 	}
-	if l.cfg.EnableFullSync && (met || e.RequestSync) {
-		greeting := l.FullSync()
-		greeting.To = e.From.ID
-		l.actions = append(l.actions, greeting)
+	if l.cfg.EnableFullSync && (firstContact || e.RequestSync) {
+		full := l.FullSync()
+		full.To = e.From.ID
+		l.actions = append(l.actions, full)
 	}
 	if e.Probe {
 		l.actions = append(l.actions, SendHeartbeat{To: e.From.ID, From: l.self, View: l.view()})
@@ -196,7 +197,8 @@
 	l.compareViews(now, e)
 }
 
-// merge takes a record and tells whether the member was unknown.
+// merge applies a record if it is newer and reports whether the member was unknown.
+// direct means that the record came from the member itself.
 func (l *List) merge(now time.Time, r Record, direct bool) bool {
 	if r.ID == l.self.ID {
 		l.refute(r)
@@ -214,8 +216,8 @@
 		m.heardAt = now
 	}
 	if direct && m.State >= StateSuspect && r.State == StateAlive && r.Incarnation == m.Incarnation && r.Epoch == m.Epoch && m.State != StateLeaving {
-		// Heard from directly: the suspicion was wrong here. The member itself
-		// refutes it elsewhere once a rumor reaches it.
+		// The suspicion was wrong. Clear it locally only: the member refutes it for the
+		// others once the rumor reaches it.
 		l.setState(m, StateAlive)
 		return false
 	}
@@ -223,22 +225,22 @@
 		return false
 	}
 	restarted := m.Incarnation != 0 && r.Incarnation != m.Incarnation
-	old := m.Incarnation
-	wasState := m.State
+	oldIncarnation := m.Incarnation
+	oldState := m.State
 	m.Record = r
 	l.recordChanged(m)
-	if r.State == StateSuspect && wasState != StateSuspect {
+	if r.State == StateSuspect && oldState != StateSuspect {
 		m.suspectAt = now
 	}
 	if r.State == StateAlive && m.heardAt.IsZero() {
 		m.heardAt = now
 	}
-	if r.State == StateAlive && wasState >= StateSuspect {
+	if r.State == StateAlive && oldState >= StateSuspect {
 		m.heardAt = now
 	}
 	l.changed = true
-	if restarted || r.State == StateDead && wasState != StateDead {
-		l.actions = append(l.actions, IncarnationEnded{r.ID, old})
+	if restarted || r.State == StateDead && oldState != StateDead {
+		l.actions = append(l.actions, IncarnationEnded{r.ID, oldIncarnation})
 	}
 	return false
 }
@@ -252,11 +254,11 @@
 	l.changed = true
 }
 
-// refute answers a rumor about this member itself with a higher epoch.
+// refute overrides a rumor that this member is suspect or dead by raising its epoch.
 func (l *List) refute(r Record) {
 	if r.Incarnation > l.self.Incarnation {
-		// The clock was set back between two lives: the new life has to be the
-		// higher one.
+		// The clock was set back between two starts of this process: the current
+		// incarnation must be the highest.
 		l.self.Incarnation = r.Incarnation + 1
 		return
 	}
@@ -271,7 +273,7 @@
 // Self returns this member's own record.
 func (l *List) Self() Record { return l.self }
 
-// Nodes returns the members that may schedule targets, this one included
+// Nodes returns the alive members, which may schedule targets, including this one
 // unless it is leaving.
 func (l *List) Nodes() []place.Node {
 	var nodes []place.Node
@@ -286,7 +288,8 @@
 	return nodes
 }
 
-// Reporter returns the incarnation of a member as far as it is known.
+// Reporter returns the ID and the incarnation of a member. The incarnation is 0 if it is
+// unknown.
 func (l *List) Reporter(id string) fair.Reporter {
 	if id == l.self.ID {
 		return fair.Reporter{ID: id, Incarnation: l.self.Incarnation}
@@ -297,7 +300,7 @@
 	return fair.Reporter{ID: id}
 }
 
-// Lookup returns what is known of a member other than this one.
+// Lookup returns the record of another member.
 func (l *List) Lookup(id string) (Record, bool) {
 	m, ok := l.members[id]
 	if !ok {
@@ -306,7 +309,7 @@
 	return m.Record, true
 }
 
-// Count returns how many other members are known, the dead included.
+// Count returns the number of other members, including dead ones.
 func (l *List) Count() int { return len(l.sorted) }
 
 // Others returns the records of all other members, sorted by ID.
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// group steps several lists and carries heartbeats between them.
+// group simulates members of the platform's VM list and delivers their heartbeats.
 type group struct {
 	now   time.Time
 	lists map[string]*List
@@ -88,11 +88,11 @@
 		g.run(10 * time.Second)
 		perMember := float64(g.sent) / float64(n) / 10
 		if perMember > 4.5 {
-			t.Errorf("%d members: %.1f heartbeats a second each", n, perMember)
+			t.Errorf("%d members: each sends %.1f heartbeats a second, want at most 4.5", n, perMember)
 		}
 		for _, at := range keys(g.lists) {
 			if got := len(g.lists[at].Nodes()); got != n {
-				t.Errorf("%d members: %s sees %d", n, at, got)
+				t.Errorf("%s has %d nodes, want %d", at, got, n)
 			}
 		}
 	}
@@ -104,19 +104,19 @@
 	g.cut[id(3)] = true
 	g.run(4 * time.Second)
 	if got := g.state(id(0), id(3)); got != StateSuspect {
-		t.Errorf("after 4 s it is %v", got)
+		t.Errorf("state after 4 s of silence = %v, want suspect", got)
 	}
 	g.run(8 * time.Second)
 	for _, at := range keys(g.lists) {
 		if got := g.state(at, id(3)); at != id(3) && got != StateDead {
-			t.Errorf("%s believes %v", at, got)
+			t.Errorf("state at %s = %v, want dead", at, got)
 		}
 	}
 	delete(g.cut, id(3))
 	g.run(15 * time.Second)
 	for _, at := range keys(g.lists) {
 		if got := g.state(at, id(3)); at != id(3) && got != StateAlive {
-			t.Errorf("after the rejoin %s believes %v", at, got)
+			t.Errorf("state at %s after the rejoin = %v, want alive", at, got)
 		}
 	}
 }
@@ -133,10 +133,10 @@
 	g.lists[id(2)] = l
 	g.run(5 * time.Second)
 	if g.ended[id(2)] == 0 {
-		t.Error("nobody noticed the restart")
+		t.Error("no member reported the end of the old incarnation")
 	}
 	if r := g.lists[id(0)].Reporter(id(2)); r.Incarnation != 2 {
-		t.Errorf("known as incarnation %d", r.Incarnation)
+		t.Errorf("incarnation = %d, want 2", r.Incarnation)
 	}
 }
 
@@ -154,7 +154,7 @@
 			continue
 		}
 		if got := len(g.lists[at].Nodes()); got != 8 {
-			t.Errorf("%s sees %d live members, not 8", at, got)
+			t.Errorf("%s has %d nodes, want 8", at, got)
 		}
 	}
 }
@@ -165,11 +165,11 @@
 	g.deliver(id(1), g.lists[id(1)].Step(g.now, Leave{}))
 	for _, n := range g.lists[id(0)].Nodes() {
 		if n.ID == id(1) {
-			t.Error("a leaving member may still schedule")
+			t.Error("a leaving member is still among the nodes of another one")
 		}
 	}
 	if got := len(g.lists[id(1)].Nodes()); got != 3 {
-		t.Errorf("the leaving member counts %d", got)
+		t.Errorf("the leaving member has %d nodes, want 3", got)
 	}
 }
 
@@ -178,16 +178,16 @@
 	hb := HeartbeatSeen{From: Record{ID: "b", Incarnation: 5, State: StateAlive}}
 	l.Step(start, hb)
 	if got := l.Step(start, hb); len(got) != 0 {
-		t.Errorf("the same heartbeat again caused %v", got)
+		t.Errorf("duplicate heartbeat caused actions %v", got)
 	}
 	old := HeartbeatSeen{From: Record{ID: "b", Incarnation: 4, State: StateDead}}
 	l.Step(start, old)
 	if r, _ := l.Lookup("b"); r.Incarnation != 5 || r.State != StateAlive {
-		t.Errorf("an old incarnation's word changed %+v", r)
+		t.Errorf("heartbeat of an older incarnation changed the record to %+v", r)
 	}
 }
 
-// What a member has to give to scheduling is told to all, like its state.
+// Guards against a changed capacity that is not gossiped.
 func TestStrengthReachesAllMembers(t *testing.T) {
 	g := newGroup(9)
 	g.run(3 * time.Second)
@@ -196,7 +196,7 @@
 	for _, at := range keys(g.lists) {
 		for _, n := range g.lists[at].Nodes() {
 			if n.ID == id(4) && n.Strength != 19 {
-				t.Errorf("%s takes the strength for %d", at, n.Strength)
+				t.Errorf("strength at %s = %d, want 19", at, n.Strength)
 			}
 		}
 	}
--- a/core/member/monitor.go
+++ b/core/member/monitor.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// updateMonitors computes, after a change, whom this member watches and who watches
-// it. A member that is newly watched gets the full time to be heard.
+// updateMonitors recomputes, after a membership change, the monitors of this member and
+// the members it monitors. The timeout of a newly monitored member starts now.
 func (l *List) updateMonitors(now time.Time) {
 	if !l.monitorsStale {
 		return
 	}
 	l.monitorsStale = false
 	l.monitors = l.monitorsOf(l.self.ID)
-	watched := map[string]time.Time{}
+	monitored := map[string]time.Time{}
 	for _, id := range l.monitoredCandidates() {
 		if !slices.Contains(l.monitorsOf(id), l.self.ID) {
 			continue
@@ -25,14 +25,14 @@
 		if !ok {
 			since = now
 		}
-		watched[id] = since
+		monitored[id] = since
 	}
-	l.monitored = watched
+	l.monitored = monitored
 }
 
-// monitorsOf returns the members that watch a member: on each circle the next one
-// that is not chosen yet. Circles mix the data halls, so that the loss of one hall
-// leaves somebody to notice.
+// monitorsOf returns the monitors of a member: its first eligible successor on each ring
+// that is not yet chosen. The rings mix the data halls, so that monitors survive the loss
+// of a hall.
 func (l *List) monitorsOf(id string) []string {
 	monitors := make([]string, 0, len(l.rings))
 	for i := range l.rings {
@@ -47,8 +47,8 @@
 	return monitors
 }
 
-// monitoredCandidates returns the members that this one may have to watch: on each circle
-// those before it, as far as another member could not have been chosen for all.
+// monitoredCandidates returns the members that this one may have to monitor: on each ring
+// its predecessors, up to the point where enough eligible monitors lie in between.
 func (l *List) monitoredCandidates() []string {
 	var ids []string
 	for i := range l.rings {
@@ -66,9 +66,9 @@
 	return ids
 }
 
-// canMonitor tells whether a member watches others. A suspect does: views differ on
-// who is suspect, and must not differ on who watches whom. A leaving member does
-// not, since the others no longer tell it that they live.
+// canMonitor reports whether a member monitors others. Suspects do: views may differ on
+// who is suspect, but must agree on who monitors whom. Leaving members do not: the others
+// no longer send them heartbeats.
 func (l *List) canMonitor(id string) bool {
 	if id == l.self.ID {
 		return l.self.State == StateAlive
@@ -77,12 +77,12 @@
 	return m.State == StateAlive || m.State == StateSuspect
 }
 
-// tick looks at those that this member watches. Where it comes late by the half of a
-// suspicion, this process stood still or its machine was suspended: it has heard nobody in
-// that time, and gives each the full time anew instead of suspecting all.
+// tick checks the timeouts of the monitored members and sends heartbeats when due. A gap
+// between ticks of more than half of SuspectAfter means that this process was suspended and
+// received nothing; tick then extends the timeouts instead of suspecting everybody.
 func (l *List) tick(now time.Time) {
-	if absence := now.Sub(l.tickedAt); !l.tickedAt.IsZero() && absence > l.cfg.SuspectAfter/2 {
-		l.discountPause(now, absence)
+	if gap := now.Sub(l.tickedAt); !l.tickedAt.IsZero() && gap > l.cfg.SuspectAfter/2 {
+		l.discountPause(now, gap)
 	}
 	l.tickedAt = now
 	l.updateMonitors(now)
@@ -101,14 +101,14 @@
 	l.sendHeartbeats(now)
 }
 
-// discountPause takes an absence of this member's own out of the silence of others.
-func (l *List) discountPause(now time.Time, absence time.Duration) {
+// discountPause extends all running timeouts after this process was suspended.
+func (l *List) discountPause(now time.Time, gap time.Duration) {
 	for id := range l.monitored {
 		l.monitored[id] = now
 	}
 	for _, m := range l.suspectOrDead {
 		if m.State == StateSuspect {
-			m.suspectAt = m.suspectAt.Add(absence)
+			m.suspectAt = m.suspectAt.Add(gap)
 		}
 	}
 }
@@ -116,8 +116,8 @@
 func (l *List) checkLiveness(now time.Time, id string, m *entry) {
 	switch m.State {
 	case StateAlive, StateLeaving:
-		since, watched := l.monitored[id]
-		if !watched {
+		since, ok := l.monitored[id]
+		if !ok {
 			return
 		}
 		silence := min(now.Sub(m.heardAt), now.Sub(since))
@@ -142,10 +142,10 @@
 	}
 }
 
-// probe asks a member that should have been heard for a heartbeat. As long as views
-// differ, it may not know that this member watches it.
+// probe requests a heartbeat from a member that is close to its timeout. While views
+// differ, the member may not know that this one monitors it.
 func (l *List) probe(now time.Time, m *entry, silence time.Duration) {
-	if pause := l.cfg.SuspectAfter / 3; silence >= 2*pause && now.Sub(m.probedAt) >= pause {
+	if interval := l.cfg.SuspectAfter / 3; silence >= 2*interval && now.Sub(m.probedAt) >= interval {
 		m.probedAt = now
 		l.actions = append(l.actions, SendHeartbeat{To: m.ID, From: l.self, View: l.view(), Probe: true})
 	}
--- a/core/member/seeds_test.go
+++ b/core/member/seeds_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// A member that leaves but still serves for seconds must not suspect those that
-// no longer count it among their monitors: its rumors made the whole fleet
-// suspect itself on a rolling restart.
+// Guards against a leaving member that suspects members which no longer send it
+// heartbeats.
 func TestLeavingMemberSuspectsNobody(t *testing.T) {
 	g := newGroup(9)
 	g.run(5 * time.Second)
@@ -21,15 +20,14 @@
 		for at := range g.lists {
 			for of := range g.lists {
 				if s := g.state(at, of); s == StateSuspect || s == StateDead {
-					t.Fatalf("%s takes %s for %v while all live", at, of, s)
+					t.Fatalf("state of %s at %s = %v, but all members are running", of, at, s)
 				}
 			}
 		}
 	}
 }
 
-// One member that is cut off must not make the others doubt each other: who
-// watches whom may not hang on who is suspect.
+// Guards against monitor assignments that depend on who is suspect: views differ on that.
 func TestOneCutOffMemberCausesNoOtherSuspicion(t *testing.T) {
 	g := newGroup(9)
 	g.run(5 * time.Second)
@@ -42,7 +40,7 @@
 					continue
 				}
 				if s := g.state(at, of); s == StateSuspect || s == StateDead {
-					t.Fatalf("%s takes %s for %v, only %s is cut off", at, of, s, id(4))
+					t.Fatalf("state of %s at %s = %v, but only %s is cut off", of, at, s, id(4))
 				}
 			}
 		}
@@ -59,22 +57,22 @@
 	for i := range 9 {
 		for _, seed := range []string{id(0), id(1)} {
 			if seed != id(i) {
-				hello := g.lists[id(i)].FullSync()
-				hello.To = seed
-				g.deliver(id(i), []Action{hello})
+				full := g.lists[id(i)].FullSync()
+				full.To = seed
+				g.deliver(id(i), []Action{full})
 			}
 		}
 	}
 	g.run(2 * time.Second)
 	for at, l := range g.lists {
 		if n := len(l.Nodes()); n != 9 {
-			t.Errorf("%s knows %d members, want 9", at, n)
+			t.Errorf("%s has %d nodes, want 9", at, n)
 		}
 	}
 }
 
-// The clock of a machine may go back between two lives of its process; the new
-// life must still win over the old one.
+// Guards against a restarted member that is ignored because its clock was set back and
+// its incarnation is lower than before.
 func TestRestartWithClockSetBack(t *testing.T) {
 	g := newGroup(5)
 	g.run(3 * time.Second)
@@ -94,7 +92,7 @@
 			continue
 		}
 		if r, _ := l.Lookup(id(2)); r.State != StateAlive || r.Address != "new" {
-			t.Errorf("%s knows %+v of the new life", at, r)
+			t.Errorf("record at %s = %+v, want that of the restarted member", at, r)
 		}
 	}
 }
--- a/core/member/standstill_test.go
+++ b/core/member/standstill_test.go
@@ -10,10 +10,8 @@
 	"time"
 )
 
-// A machine was suspended for some seconds. When it went on it had heard nobody in that time,
-// took all others for silent and told everybody so. It suspects nobody for its own absence:
-// those that it does not know to be gone are there in its first look, and at no time does a
-// member that went on all the while leave the view of another one that did.
+// Guards against a member that was suspended, heard nobody in that time and therefore
+// suspects all others.
 func TestSuspendedMemberSuspectsNobody(t *testing.T) {
 	for _, n := range []int{9, 64} {
 		for _, span := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second} {
@@ -33,9 +31,9 @@
 	f.run(5 * time.Second)
 	sleepers, awake := f.ids[n-asleep:], f.ids[:n-asleep]
 	all := f.ids
-	for range 2 { // twice in a row
+	for range 2 {
 		for _, id := range sleepers {
-			f.partition[id] = 1 + slices.Index(sleepers, id) // nobody hears it, and it hears nobody
+			f.partition[id] = 1 + slices.Index(sleepers, id)
 		}
 		f.ids = awake
 		f.run(span)
@@ -45,18 +43,18 @@
 			f.run(100 * time.Millisecond)
 			for _, at := range all {
 				if missing := f.missing(at, awake); len(missing) > 0 {
-					t.Fatalf("%s suspects %v, which went on all the while", at, missing)
+					t.Fatalf("%s does not list %v as alive, but they kept running", at, missing)
 				}
 			}
 		}
 	}
 	f.run(3 * time.Second)
 	if got := f.smallestView(f.ids); got != n {
-		t.Errorf("some member knows %d of %d in the end", got, n)
+		t.Errorf("smallest view has %d of %d members at the end", got, n)
 	}
 }
 
-// missing returns which of some members one does not take for alive.
+// missing returns the members of a list that another member does not see as alive.
 func (f *fleet) missing(at string, of []string) []string {
 	var out []string
 	for _, id := range of {
--- a/core/member/view.go
+++ b/core/member/view.go
@@ -10,36 +10,38 @@
 )
 
 const (
-	// viewGapDivisor is the part of the fleet (one in so many) that a member must lack to
-	// ask at once for all that another one knows, at most once in askSoon: a fleet that
-	// has just started, or the smaller side of a partition.
+	// A view that lacks more than 1/viewGapDivisor of the fleet, and more than minViewGap
+	// members, is far behind: its member has just started or was on the smaller side of a
+	// partition. It requests a full sync at most once per laggingSyncInterval.
 	viewGapDivisor      = 8
 	minViewGap          = 2
 	laggingSyncInterval = 500 * time.Millisecond
-	// viewSettleTime is how long a view must not have changed before any difference is a
-	// reason to ask, at most once in askLater: changes under way make views differ.
+	// After viewSettleTime without a change, a member requests a full sync on any
+	// difference, at most once per settledSyncInterval. Before that, the difference may be
+	// due to rumors in flight.
 	viewSettleTime      = time.Second
 	settledSyncInterval = time.Second
 )
 
-// View sums up the members that are not dead, the sender included.
+// View summarizes the members that are not dead, including the sender, so that members
+// can compare their lists cheaply.
 type View struct {
 	Count  int
-	Digest uint64 // Digest does not depend on the order of the members.
+	Digest uint64 // XOR over the members
 }
 
-// viewSync is what a list needs to compare its view with those of others.
+// viewSync holds the cached view of a list and the state of its synchronization.
 type viewSync struct {
 	view      View
-	valid     bool // known tells that view holds.
+	valid     bool // view is up to date
 	changedAt time.Time
-	askedAt   time.Time
-	refutedAt time.Time // refutedAt is when this member refuted its death unasked.
+	askedAt   time.Time // last request for a full sync
+	refutedAt time.Time // last preventive refutation, see answerDead
 }
 
 func (v *viewSync) invalidate(now time.Time) { v.valid, v.changedAt = false, now }
 
-// view returns whom this member knows.
+// view returns the summary of this list, from the cache if it is valid.
 func (l *List) view() View {
 	if l.sync.valid {
 		return l.sync.view
@@ -62,16 +64,16 @@
 	return d.Sum64()
 }
 
-// sizesFarApart tells whether two members know so different numbers of others that one of
-// them has just started or was cut off.
+// sizesFarApart reports whether the member counts of two views differ so much that one of
+// the members must have just started or been cut off.
 func sizesFarApart(a, b View) bool {
 	most, least := max(a.Count, b.Count), min(a.Count, b.Count)
 	return most-least > max(minViewGap, most/viewGapDivisor)
 }
 
-// answerDead answers a member that is held for dead and has been heard. It is told so,
-// and refutes that with a higher epoch. Where it was cut off with others, they take
-// this member for dead as well, and it refutes that before it hears of it.
+// answerDead handles a heartbeat from a member recorded as dead: it sends the record back,
+// which the member refutes with a higher epoch. After a partition the other side records
+// this member as dead, too, so it raises its own epoch without waiting for that rumor.
 func (l *List) answerDead(now time.Time, e HeartbeatSeen, dead Record) {
 	if sizesFarApart(e.View, l.view()) && now.Sub(l.sync.refutedAt) >= viewSettleTime {
 		l.sync.refutedAt = now
@@ -80,8 +82,8 @@
 	l.actions = append(l.actions, SendHeartbeat{To: e.From.ID, From: l.self, Rumors: []Record{dead}, View: l.view()})
 }
 
-// compareViews asks a member for all that it knows where it knows of many more, or
-// where the views have differed for long.
+// compareViews requests a full sync if the sender knows many more members, or if the views
+// still differ after this one has settled.
 func (l *List) compareViews(now time.Time, e HeartbeatSeen) {
 	if !l.cfg.EnableFullSync || e.View.Count == 0 {
 		return
