--- a/core/member/monitor.go
+++ b/core/member/monitor.go
@@ -82,7 +82,7 @@
 // received nothing; tick then extends the timeouts instead of suspecting everybody.
 func (l *List) tick(now time.Time) {
 	if gap := now.Sub(l.tickedAt); !l.tickedAt.IsZero() && gap > l.cfg.SuspectAfter/2 {
-		l.discountPause(now, gap)
+		l.extendTimeouts(now, gap)
 	}
 	l.tickedAt = now
 	l.updateMonitors(now)
@@ -101,8 +101,8 @@
 	l.sendHeartbeats(now)
 }
 
-// discountPause extends all running timeouts after this process was suspended.
-func (l *List) discountPause(now time.Time, gap time.Duration) {
+// extendTimeouts extends all running timeouts after this process was suspended.
+func (l *List) extendTimeouts(now time.Time, gap time.Duration) {
 	for id := range l.monitored {
 		l.monitored[id] = now
 	}
