--- a/core/watch/storeclock.go
+++ b/core/watch/storeclock.go
@@ -22,62 +22,62 @@
 func Direct(t StoreTime) Reading { return Reading{t, t} }
 
 const (
-	// clockSpan is how long a reading counts here, once or twice that. The clocks of two
+	// originWindow is how long a reading counts here, once or twice that. The clocks of two
 	// machines differ by some 100 parts in a million, 12 ms in that time.
-	clockSpan = time.Minute
-	// readingMost is how long after the store was asked a reading is still told on. Without
+	originWindow = time.Minute
+	// maxReadingAge is how long after the store was asked a reading is still told on. Without
 	// such a bound the fastest clock of a fleet would pull the estimates of all along, by a
 	// third of a second each hour.
-	readingMost = 5 * time.Minute
+	maxReadingAge = 5 * time.Minute
 )
 
 // StoreClock estimates the store's clock from what answers and peers tell of it. Each reading
 // is late by the way it took, never early, so that the earliest origin is the best one.
 type StoreClock struct {
-	present, former origin
+	current, previous origin
 }
 
 // origin is this process's time at which the store's clock was 0, as of the readings of a span.
 type origin struct {
-	at    time.Time
-	asked StoreTime // asked is when the store was asked for the reading that is used.
-	since time.Time // since is when the span began; zero where there is none.
+	at          time.Time
+	sampledAt   StoreTime // asked is when the store was asked for the reading that is used.
+	windowStart time.Time // since is when the span began; zero where there is none.
 }
 
 // Note takes a reading of the store's clock, and returns by how much earlier than thought until
 // now everything was that is known by that clock.
 func (c *StoreClock) Note(now time.Time, r Reading) time.Duration {
-	if r.Now <= 0 || r.Asked <= 0 || r.Asked > r.Now || r.Now-r.Asked > StoreTime(readingMost.Milliseconds()) {
+	if r.Now <= 0 || r.Asked <= 0 || r.Asked > r.Now || r.Now-r.Asked > StoreTime(maxReadingAge.Milliseconds()) {
 		return 0
 	}
-	before := c.best()
-	if c.present.since.IsZero() || now.Sub(c.present.since) >= clockSpan {
-		c.former, c.present = c.present, origin{since: now}
+	before := c.earliest()
+	if c.current.windowStart.IsZero() || now.Sub(c.current.windowStart) >= originWindow {
+		c.previous, c.current = c.current, origin{windowStart: now}
 	}
 	at := now.Add(-time.Duration(r.Now) * time.Millisecond)
-	if c.present.at.IsZero() || at.Before(c.present.at) {
-		c.present.at, c.present.asked = at, r.Asked
+	if c.current.at.IsZero() || at.Before(c.current.at) {
+		c.current.at, c.current.sampledAt = at, r.Asked
 	}
-	if after := c.best(); !before.at.IsZero() && after.at.Before(before.at) {
+	if after := c.earliest(); !before.at.IsZero() && after.at.Before(before.at) {
 		return before.at.Sub(after.at)
 	}
 	return 0
 }
 
-// best returns the earliest origin; its time is zero where none is known.
-func (c *StoreClock) best() origin {
-	if !c.former.at.IsZero() && c.former.at.Before(c.present.at) {
-		return c.former
+// earliest returns the earliest origin; its time is zero where none is known.
+func (c *StoreClock) earliest() origin {
+	if !c.previous.at.IsZero() && c.previous.at.Before(c.current.at) {
+		return c.previous
 	}
-	return c.present
+	return c.current
 }
 
 // Tell returns the reading that a peer is told.
-func (c *StoreClock) Tell(now time.Time) Reading { return Reading{c.At(now), c.best().asked} }
+func (c *StoreClock) Tell(now time.Time) Reading { return Reading{c.At(now), c.earliest().sampledAt} }
 
 // Local returns the time of this process at which the store's clock showed a time.
 func (c *StoreClock) Local(t StoreTime) (time.Time, bool) {
-	zero := c.best().at
+	zero := c.earliest().at
 	if zero.IsZero() || t <= 0 {
 		return time.Time{}, false
 	}
@@ -86,7 +86,7 @@
 
 // At returns what the store's clock showed at a time of this process, 0 where that is not known.
 func (c *StoreClock) At(local time.Time) StoreTime {
-	zero := c.best().at
+	zero := c.earliest().at
 	if zero.IsZero() || !local.After(zero) {
 		return 0
 	}
--- a/core/watch/storeclock_test.go
+++ b/core/watch/storeclock_test.go
@@ -11,7 +11,7 @@
 
 // Readings come late by anything up to seconds; the estimate is wrong by the least of them, and
 // never early.
-func TestStoreClockIsAsGoodAsItsBestReading(t *testing.T) {
+func TestStoreClockErrorBoundedByBestReading(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1_700_000_000, 0)
 	var c StoreClock
@@ -32,7 +32,7 @@
 
 // What was known keeps its time by the store's clock when a better reading comes, and a process
 // whose clock is fast does not take the store's for ever later.
-func TestStoreClockCorrectsAndForgets(t *testing.T) {
+func TestStoreClockCorrectsAndExpiresReadings(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var c StoreClock
 	if _, known := c.Local(5); known || c.At(now) != 0 || c.Note(now, Reading{}) != 0 {
@@ -59,7 +59,7 @@
 // Gateways tell each other their estimates, and the latest counts. A machine whose clock is fast
 // would pull all of them along, further each hour: an estimate is used for minutes after the
 // store was asked, whoever did.
-func TestFastClockDoesNotPullTheFleetAlong(t *testing.T) {
+func TestFastClockDoesNotDriftFleet(t *testing.T) {
 	const gateways, hours, fast = 5, 6, 200e-6
 	var clocks [gateways]StoreClock
 	start := time.Unix(1_700_000_000, 0)
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -25,26 +25,26 @@
 	// longer, and after a delay of its own so that not all ask at once: up to
 	// staleSpread, longer in proportion in a fleet of more than spreadMembers. Who asks
 	// first tells the others.
-	staleAfter    = 1200 * time.Millisecond
-	stalePerStep  = 150 * time.Millisecond
-	staleSpread   = 500 * time.Millisecond
-	spreadMembers = 60
-	// retryFirst and retryMost are the first and the longest pause after calls that
+	staleAfter         = 1200 * time.Millisecond
+	stalePerDoubling   = 150 * time.Millisecond
+	staleJitter        = 500 * time.Millisecond
+	staleJitterMembers = 60
+	// minBackoff and retryMost are the first and the longest pause after calls that
 	// failed. In a fleet of more than retryMembers they are longer for those that do not
 	// ask all the time, the first one by the square: they all fail together, and hear
 	// of the store's return from those that do.
-	retryFirst   = 50 * time.Millisecond
-	retryMost    = time.Second
-	retryMembers = 30
-	// firstWait is how long a gateway leaves it to its peers to tell what there is when
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = time.Second
+	backoffMembers = 30
+	// fleetStartWait is how long a gateway leaves it to its peers to tell what there is when
 	// the whole fleet starts for the first time, firstSpread what others wait longer:
 	// news crosses 300 gateways within some hundred milliseconds, and they all start
 	// within a few hundred. againWait and againSpread are the same for a gateway that
 	// starts later: its peers answer within milliseconds where any is up.
-	firstWait   = 700 * time.Millisecond
-	firstSpread = 2 * time.Second
-	againWait   = 100 * time.Millisecond
-	againSpread = 200 * time.Millisecond
+	fleetStartWait   = 700 * time.Millisecond
+	fleetStartJitter = 2 * time.Second
+	restartWait      = 100 * time.Millisecond
+	restartJitter    = 200 * time.Millisecond
 	// longSilence is the age of knowledge from which on entries that their owners
 	// renew may have run out; settleTime is how long after that they may still be
 	// missing.
@@ -56,31 +56,31 @@
 
 // Watch is what one gateway believes of the age of one table.
 type Watch struct {
-	draw    float64   // draw, between 0 and 1, is this gateway's own.
-	freshAt time.Time // freshAt is the latest time at which what is known here was all there was.
-	askedAt time.Time
-	backAt  time.Time // backAt is when a long silence ended.
-	beginAt time.Time // beginAt is when to read all that peers have not told until then.
-	gap     bool      // gap tells that changes may be missing here.
+	jitter        float64   // draw, between 0 and 1, is this gateway's own.
+	freshAt       time.Time // freshAt is the latest time at which what is known here was all there was.
+	polledAt      time.Time
+	settlingSince time.Time // backAt is when a long silence ended.
+	firstPollAt   time.Time // beginAt is when to read all that peers have not told until then.
+	gap           bool      // gap tells that changes may be missing here.
 }
 
 // New returns a watch; draw, between 0 and 1, is the gateway's own delay.
-func New(draw float64) *Watch { return &Watch{draw: draw} }
+func New(draw float64) *Watch { return &Watch{jitter: draw} }
 
-// delay returns how much later than the first one this gateway asks.
-func (w *Watch) delay(members int) time.Duration {
-	spread := staleSpread * time.Duration(max(members, spreadMembers)) / spreadMembers
-	return time.Duration(w.draw * float64(spread))
+// staleDelay returns how much later than the first one this gateway asks.
+func (w *Watch) staleDelay(members int) time.Duration {
+	spread := staleJitter * time.Duration(max(members, staleJitterMembers)) / staleJitterMembers
+	return time.Duration(w.jitter * float64(spread))
 }
 
 // Pauses returns the first and the longest pause after calls of the store that failed.
 func Pauses(preferred bool, members int) (first, most time.Duration) {
-	if preferred || members <= retryMembers {
-		return retryFirst, retryMost
+	if preferred || members <= backoffMembers {
+		return minBackoff, maxBackoff
 	}
-	times := float64(members) / retryMembers
-	most = time.Duration(times * float64(retryMost))
-	return min(time.Duration(times*times*float64(retryFirst)), most), most
+	times := float64(members) / backoffMembers
+	most = time.Duration(times * float64(maxBackoff))
+	return min(time.Duration(times*times*float64(minBackoff)), most), most
 }
 
 // Start tells how a gateway starts.
@@ -96,14 +96,14 @@
 	case s.Seed:
 		return 0
 	case s.First:
-		return firstWait + time.Duration(draw*float64(firstSpread))
+		return fleetStartWait + time.Duration(draw*float64(fleetStartJitter))
 	default:
-		return againWait + time.Duration(draw*float64(againSpread))
+		return restartWait + time.Duration(draw*float64(restartJitter))
 	}
 }
 
 // Begin makes the first reading of all wait for peers.
-func (w *Watch) Begin(now time.Time, wait time.Duration) { w.beginAt = now.Add(wait) }
+func (w *Watch) Begin(now time.Time, wait time.Duration) { w.firstPollAt = now.Add(wait) }
 
 // Due tells whether to ask the store now, in a fleet of so many gateways.
 // Preferred ones ask all the time.
@@ -118,17 +118,17 @@
 	case w.gap:
 		return 0
 	case w.freshAt.IsZero():
-		return max(w.beginAt.Sub(now), 0)
+		return max(w.firstPollAt.Sub(now), 0)
 	}
-	due := w.askedAt.Add(Pace)
-	if stale := w.freshAt.Add(staleAge(members) + w.delay(members)); !preferred && stale.After(due) {
+	due := w.polledAt.Add(Pace)
+	if stale := w.freshAt.Add(staleAge(members) + w.staleDelay(members)); !preferred && stale.After(due) {
 		due = stale
 	}
 	return max(due.Sub(now), 0)
 }
 
 func staleAge(members int) time.Duration {
-	return staleAfter + time.Duration(bits.Len(uint(max(members, 1)-1)))*stalePerStep
+	return staleAfter + time.Duration(bits.Len(uint(max(members, 1)-1)))*stalePerDoubling
 }
 
 // Reason names why the store is asked.
@@ -157,12 +157,12 @@
 }
 
 // Asked notes that a call begins.
-func (w *Watch) Asked(now time.Time) { w.askedAt = now }
+func (w *Watch) Asked(now time.Time) { w.polledAt = now }
 
 // Answered notes that the store answered with all there was at a time.
 func (w *Watch) Answered(at time.Time) {
 	w.gap = false
-	w.fresh(at)
+	w.advance(at)
 }
 
 // Lost notes that what is known may have a gap and must be read anew.
@@ -172,16 +172,16 @@
 // nothing themselves tell nothing.
 func (w *Watch) Heard(now time.Time, age time.Duration) {
 	if age < unknownAge {
-		w.fresh(now.Add(-age))
+		w.advance(now.Add(-age))
 	}
 }
 
-func (w *Watch) fresh(at time.Time) {
+func (w *Watch) advance(at time.Time) {
 	if !at.After(w.freshAt) {
 		return
 	}
 	if !w.freshAt.IsZero() && at.Sub(w.freshAt) > longSilence {
-		w.backAt = at
+		w.settlingSince = at
 	}
 	w.freshAt = at
 }
@@ -196,7 +196,7 @@
 
 // Unsettle notes that what is known begins anew, from an older copy: entries may be missing
 // until their owners have written them again.
-func (w *Watch) Unsettle(now time.Time) { w.backAt = now }
+func (w *Watch) Unsettle(now time.Time) { w.settlingSince = now }
 
 // FreshAt returns the latest time at which what is known here was all there was.
 func (w *Watch) FreshAt() time.Time { return w.freshAt }
@@ -207,7 +207,7 @@
 	if w.freshAt.IsZero() {
 		return false
 	}
-	return now.Sub(w.freshAt) > longSilence || !w.backAt.IsZero() && now.Sub(w.backAt) < settleTime
+	return now.Sub(w.freshAt) > longSilence || !w.settlingSince.IsZero() && now.Sub(w.settlingSince) < settleTime
 }
 
 // FreshSince tells whether what is known was all there was at some time after t.
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -75,7 +75,7 @@
 	return n
 }
 
-func TestFewAskWhateverTheSize(t *testing.T) {
+func TestPollRateIndependentOfFleetSize(t *testing.T) {
 	for _, n := range []int{9, 59, 320} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(n)
@@ -84,7 +84,7 @@
 			if perSecond > float64(Watchers)/Pace.Seconds()+2 {
 				t.Errorf("%.1f calls a second", perSecond)
 			}
-			if oldest > staleAge(len(f.watches))+New(1).delay(len(f.watches))+time.Second {
+			if oldest > staleAge(len(f.watches))+New(1).staleDelay(len(f.watches))+time.Second {
 				t.Errorf("knowledge was %v old", oldest)
 			}
 		})
@@ -93,7 +93,7 @@
 
 // The store turns away just those that ask: others take over in time, and only
 // a few of them.
-func TestOthersAskWhereWatchersAreTurnedAway(t *testing.T) {
+func TestOthersPollWhenWatchersAreRejected(t *testing.T) {
 	f := newFleet(59)
 	f.run(5 * time.Second)
 	for i := range Watchers {
@@ -101,7 +101,7 @@
 	}
 	f.calls = map[int]int{}
 	oldest := f.run(10 * time.Second)
-	if oldest > staleAge(len(f.watches))+New(1).delay(len(f.watches))+time.Second {
+	if oldest > staleAge(len(f.watches))+New(1).staleDelay(len(f.watches))+time.Second {
 		t.Errorf("knowledge was %v old", oldest)
 	}
 	others := 0
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestAloneAGatewayAsks(t *testing.T) {
+func TestIsolatedGatewayPolls(t *testing.T) {
 	w := New(1)
 	if !w.Due(start, false, 1) {
 		t.Error("a gateway that knows nothing does not ask")
@@ -125,7 +125,7 @@
 	if w.Due(start.Add(time.Second), false, 1) {
 		t.Error("a gateway with fresh knowledge asks")
 	}
-	if !w.Due(start.Add(staleAge(1)+New(1).delay(1)), false, 1) {
+	if !w.Due(start.Add(staleAge(1)+New(1).staleDelay(1)), false, 1) {
 		t.Error("a gateway that hears nothing does not ask")
 	}
 	w.Lost()
@@ -136,7 +136,7 @@
 
 // When hundreds of gateways start at once the seeds read the store, and all others
 // hear of it from their peers: each reading both tables was most of a day's calls.
-func TestAFirstStartReadsLittle(t *testing.T) {
+func TestFleetStartCausesFewPolls(t *testing.T) {
 	const n = 295
 	f := newFleet(0)
 	for i := range n {
@@ -158,7 +158,7 @@
 
 // A gateway that nobody tells anything asks the store itself, soon where it starts
 // again.
-func TestNobodyTellsSoItAsks(t *testing.T) {
+func TestGatewayWithoutPeersPollsAfterStartWait(t *testing.T) {
 	for _, s := range []Start{{Seed: true}, {First: true}, {}} {
 		w := New(0)
 		w.Begin(start, s.Wait(1))
@@ -173,7 +173,7 @@
 
 // While the store is away for all, a large fleet does not ask it for each gateway, and
 // all know of its return soon.
-func TestALargeFleetAsksLittleDuringAnOutage(t *testing.T) {
+func TestLargeFleetPollsLittleDuringOutage(t *testing.T) {
 	const n = 295
 	f := newFleet(n)
 	f.run(5 * time.Second)
@@ -200,9 +200,9 @@
 
 // Those that ask all the time notice the store's return within a second whatever the
 // fleet's size; the others of a large fleet fail seldom together.
-func TestPausesAfterFailures(t *testing.T) {
+func TestBackoffRange(t *testing.T) {
 	for _, members := range []int{1, 9, 59, 295, 1049} {
-		if first, most := Pauses(true, members); first != retryFirst || most != retryMost {
+		if first, most := Pauses(true, members); first != minBackoff || most != maxBackoff {
 			t.Errorf("%d members: those that ask pause %v to %v", members, first, most)
 		}
 	}
@@ -219,7 +219,7 @@
 
 // A long silence leaves the knowledge unsettled until a while after its end; short
 // ones, and the very first word, do not.
-func TestLongSilenceUnsettles(t *testing.T) {
+func TestLongSilenceMakesStateUnsettled(t *testing.T) {
 	w := New(0)
 	now := time.Unix(1_700_000_000, 0)
 	if w.Unsettled(now) {
