--- a/core/watch/storeclock.go
+++ b/core/watch/storeclock.go
@@ -44,9 +44,9 @@
 	windowStart time.Time // since is when the span began; zero where there is none.
 }
 
-// Note takes a reading of the store's clock, and returns by how much earlier than thought until
+// Observe takes a reading of the store's clock, and returns by how much earlier than thought until
 // now everything was that is known by that clock.
-func (c *StoreClock) Note(now time.Time, r Reading) time.Duration {
+func (c *StoreClock) Observe(now time.Time, r Reading) time.Duration {
 	if r.Now <= 0 || r.Asked <= 0 || r.Asked > r.Now || r.Now-r.Asked > StoreTime(maxReadingAge.Milliseconds()) {
 		return 0
 	}
@@ -72,11 +72,13 @@
 	return c.current
 }
 
-// Tell returns the reading that a peer is told.
-func (c *StoreClock) Tell(now time.Time) Reading { return Reading{c.At(now), c.earliest().sampledAt} }
+// Reading returns the reading that a peer is told.
+func (c *StoreClock) Reading(now time.Time) Reading {
+	return Reading{c.FromLocal(now), c.earliest().sampledAt}
+}
 
-// Local returns the time of this process at which the store's clock showed a time.
-func (c *StoreClock) Local(t StoreTime) (time.Time, bool) {
+// ToLocal returns the time of this process at which the store's clock showed a time.
+func (c *StoreClock) ToLocal(t StoreTime) (time.Time, bool) {
 	zero := c.earliest().at
 	if zero.IsZero() || t <= 0 {
 		return time.Time{}, false
@@ -84,8 +86,8 @@
 	return zero.Add(time.Duration(t) * time.Millisecond), true
 }
 
-// At returns what the store's clock showed at a time of this process, 0 where that is not known.
-func (c *StoreClock) At(local time.Time) StoreTime {
+// FromLocal returns what the store's clock showed at a time of this process, 0 where that is not known.
+func (c *StoreClock) FromLocal(local time.Time) StoreTime {
 	zero := c.earliest().at
 	if zero.IsZero() || !local.After(zero) {
 		return 0
--- a/core/watch/storeclock_test.go
+++ b/core/watch/storeclock_test.go
@@ -21,10 +21,10 @@
 		reading := StoreTime(7_000_000 + sent.Sub(start).Milliseconds())
 		way := 2*time.Millisecond + time.Duration(rng.ExpFloat64()*float64(300*time.Millisecond))
 		now := sent.Add(way)
-		c.Note(now, Direct(reading))
+		c.Observe(now, Direct(reading))
 		least = min(least, way)
 		truth := StoreTime(7_000_000 + now.Sub(start).Milliseconds())
-		if off := time.Duration(truth-c.At(now)) * time.Millisecond; off < 0 || off > least+time.Millisecond {
+		if off := time.Duration(truth-c.FromLocal(now)) * time.Millisecond; off < 0 || off > least+time.Millisecond {
 			t.Fatalf("after %d readings it is %v behind, the best reading came %v late", i+1, off, least)
 		}
 	}
@@ -35,13 +35,13 @@
 func TestStoreClockCorrectsAndExpiresReadings(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var c StoreClock
-	if _, known := c.Local(5); known || c.At(now) != 0 || c.Note(now, Reading{}) != 0 {
+	if _, known := c.ToLocal(5); known || c.FromLocal(now) != 0 || c.Observe(now, Reading{}) != 0 {
 		t.Error("an estimate without a reading")
 	}
-	c.Note(now, Direct(10_000)) // came a second late
-	before, _ := c.Local(9_000)
-	shift := c.Note(now.Add(time.Second), Direct(12_000))
-	after, _ := c.Local(9_000)
+	c.Observe(now, Direct(10_000)) // came a second late
+	before, _ := c.ToLocal(9_000)
+	shift := c.Observe(now.Add(time.Second), Direct(12_000))
+	after, _ := c.ToLocal(9_000)
 	if shift != time.Second || before.Sub(after) != time.Second {
 		t.Errorf("a reading that is better by a second moves by %v, and what was known by %v", shift, before.Sub(after))
 	}
@@ -49,9 +49,9 @@
 	reading := StoreTime(12_000)
 	for range 3600 {
 		now, reading = now.Add(time.Second+fast), reading+1000
-		c.Note(now.Add(time.Second), Direct(reading))
+		c.Observe(now.Add(time.Second), Direct(reading))
 	}
-	if off := time.Duration(c.At(now.Add(time.Second))-reading) * time.Millisecond; off < 0 || off > 20*time.Millisecond {
+	if off := time.Duration(c.FromLocal(now.Add(time.Second))-reading) * time.Millisecond; off < 0 || off > 20*time.Millisecond {
 		t.Errorf("after an hour beside a clock that is fast it is off by %v", off)
 	}
 }
@@ -72,16 +72,16 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	for at := time.Second; at < hours*time.Hour; at += time.Second {
 		store := StoreTime(at.Milliseconds())
-		clocks[0].Note(local(0, at), Direct(store)) // the only one that asks
+		clocks[0].Observe(local(0, at), Direct(store)) // the only one that asks
 		for range 2 * gateways {
 			from, to := rng.IntN(gateways), rng.IntN(gateways)
-			clocks[to].Note(local(to, at), clocks[from].Tell(local(from, at)))
+			clocks[to].Observe(local(to, at), clocks[from].Reading(local(from, at)))
 		}
 		if at%time.Minute != 0 {
 			continue
 		}
 		for i := range clocks {
-			if off := time.Duration(clocks[i].At(local(i, at))-store) * time.Millisecond; off < -100*time.Millisecond || off > 100*time.Millisecond {
+			if off := time.Duration(clocks[i].FromLocal(local(i, at))-store) * time.Millisecond; off < -100*time.Millisecond || off > 100*time.Millisecond {
 				t.Fatalf("after %v gateway %d is off by %v", at, i, off)
 			}
 		}
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -16,10 +16,10 @@
 const (
 	// Watchers is how many gateways ask all the time.
 	Watchers = 3
-	// Wait is how long a call waits for a change.
-	Wait = time.Second
-	// Pace is the least time between two calls of a gateway that asks.
-	Pace = 250 * time.Millisecond
+	// LongPollTimeout is how long a call waits for a change.
+	LongPollTimeout = time.Second
+	// MinPollInterval is the least time between two calls of a gateway that asks.
+	MinPollInterval = 250 * time.Millisecond
 	// staleAfter is the age of knowledge at which any gateway asks, stalePerStep
 	// longer for each doubling of the fleet, since word of mouth takes so much
 	// longer, and after a delay of its own so that not all ask at once: up to
@@ -73,8 +73,8 @@
 	return time.Duration(w.jitter * float64(spread))
 }
 
-// Pauses returns the first and the longest pause after calls of the store that failed.
-func Pauses(preferred bool, members int) (first, most time.Duration) {
+// BackoffRange returns the first and the longest pause after calls of the store that failed.
+func BackoffRange(preferred bool, members int) (first, most time.Duration) {
 	if preferred || members <= backoffMembers {
 		return minBackoff, maxBackoff
 	}
@@ -85,8 +85,8 @@
 
 // Start tells how a gateway starts.
 type Start struct {
-	Seed  bool // Seed tells that others begin with this gateway.
-	First bool // First tells that the whole fleet starts for the first time.
+	Seed       bool // Seed tells that others begin with this gateway.
+	FleetStart bool // First tells that the whole fleet starts for the first time.
 }
 
 // Wait returns how long a gateway that starts leaves it to its peers to tell it what
@@ -95,32 +95,32 @@
 	switch {
 	case s.Seed:
 		return 0
-	case s.First:
+	case s.FleetStart:
 		return fleetStartWait + time.Duration(draw*float64(fleetStartJitter))
 	default:
 		return restartWait + time.Duration(draw*float64(restartJitter))
 	}
 }
 
-// Begin makes the first reading of all wait for peers.
-func (w *Watch) Begin(now time.Time, wait time.Duration) { w.firstPollAt = now.Add(wait) }
+// DelayFirstPoll makes the first reading of all wait for peers.
+func (w *Watch) DelayFirstPoll(now time.Time, wait time.Duration) { w.firstPollAt = now.Add(wait) }
 
 // Due tells whether to ask the store now, in a fleet of so many gateways.
 // Preferred ones ask all the time.
 func (w *Watch) Due(now time.Time, preferred bool, members int) bool {
-	return w.Next(now, preferred, members) == 0
+	return w.UntilDue(now, preferred, members) == 0
 }
 
-// Next returns how long it takes until Due may say so, unless something is heard
+// UntilDue returns how long it takes until Due may say so, unless something is heard
 // before; 0 where it does now.
-func (w *Watch) Next(now time.Time, preferred bool, members int) time.Duration {
+func (w *Watch) UntilDue(now time.Time, preferred bool, members int) time.Duration {
 	switch {
 	case w.gap:
 		return 0
 	case w.freshAt.IsZero():
 		return max(w.firstPollAt.Sub(now), 0)
 	}
-	due := w.polledAt.Add(Pace)
+	due := w.polledAt.Add(MinPollInterval)
 	if stale := w.freshAt.Add(staleAge(members) + w.staleDelay(members)); !preferred && stale.After(due) {
 		due = stale
 	}
@@ -142,8 +142,8 @@
 	ReasonStale Reason = "stale" // what is known has grown old
 )
 
-// Why returns the reason of a call that is due.
-func (w *Watch) Why(preferred bool) Reason {
+// PollReason returns the reason of a call that is due.
+func (w *Watch) PollReason(preferred bool) Reason {
 	switch {
 	case w.gap:
 		return ReasonGap
@@ -156,21 +156,21 @@
 	}
 }
 
-// Asked notes that a call begins.
-func (w *Watch) Asked(now time.Time) { w.polledAt = now }
+// PollStarted notes that a call begins.
+func (w *Watch) PollStarted(now time.Time) { w.polledAt = now }
 
-// Answered notes that the store answered with all there was at a time.
-func (w *Watch) Answered(at time.Time) {
+// PollSucceeded notes that the store answered with all there was at a time.
+func (w *Watch) PollSucceeded(at time.Time) {
 	w.gap = false
 	w.advance(at)
 }
 
-// Lost notes that what is known may have a gap and must be read anew.
-func (w *Watch) Lost() { w.gap = true }
+// MarkGap notes that what is known may have a gap and must be read anew.
+func (w *Watch) MarkGap() { w.gap = true }
 
-// Heard takes the age of a peer's knowledge, which is known here too. Peers that know
+// ObservePeerAge takes the age of a peer's knowledge, which is known here too. Peers that know
 // nothing themselves tell nothing.
-func (w *Watch) Heard(now time.Time, age time.Duration) {
+func (w *Watch) ObservePeerAge(now time.Time, age time.Duration) {
 	if age < unknownAge {
 		w.advance(now.Add(-age))
 	}
@@ -186,17 +186,17 @@
 	w.freshAt = at
 }
 
-// Earlier moves what is known by the store's clock: a better reading has shown that it was so
+// ShiftBack moves what is known by the store's clock: a better reading has shown that it was so
 // much earlier.
-func (w *Watch) Earlier(d time.Duration) {
+func (w *Watch) ShiftBack(d time.Duration) {
 	if !w.freshAt.IsZero() {
 		w.freshAt = w.freshAt.Add(-d)
 	}
 }
 
-// Unsettle notes that what is known begins anew, from an older copy: entries may be missing
+// MarkUnsettled notes that what is known begins anew, from an older copy: entries may be missing
 // until their owners have written them again.
-func (w *Watch) Unsettle(now time.Time) { w.settlingSince = now }
+func (w *Watch) MarkUnsettled(now time.Time) { w.settlingSince = now }
 
 // FreshAt returns the latest time at which what is known here was all there was.
 func (w *Watch) FreshAt() time.Time { return w.freshAt }
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -26,7 +26,7 @@
 	f := &fleet{refused: map[int]bool{}, calls: map[int]int{}, now: start, rng: rand.New(rand.NewPCG(5, 6))}
 	for i := range n {
 		w := New(float64(i) / float64(n))
-		w.Answered(start)
+		w.PollSucceeded(start)
 		f.watches = append(f.watches, w)
 	}
 	return f
@@ -38,9 +38,9 @@
 		for i, w := range f.watches {
 			if w.Due(f.now, i < Watchers, len(f.watches)) {
 				f.calls[i]++
-				w.Asked(f.now)
+				w.PollStarted(f.now)
 				if !f.refused[i] {
-					w.Answered(f.now)
+					w.PollSucceeded(f.now)
 				}
 			}
 		}
@@ -62,7 +62,7 @@
 	}
 	for _, w := range f.watches {
 		for range 3 {
-			w.Heard(f.now, ages[f.rng.IntN(len(ages))])
+			w.ObservePeerAge(f.now, ages[f.rng.IntN(len(ages))])
 		}
 	}
 }
@@ -81,7 +81,7 @@
 			f := newFleet(n)
 			oldest := f.run(20 * time.Second)
 			perSecond := float64(f.total()) / 20
-			if perSecond > float64(Watchers)/Pace.Seconds()+2 {
+			if perSecond > float64(Watchers)/MinPollInterval.Seconds()+2 {
 				t.Errorf("%.1f calls a second", perSecond)
 			}
 			if oldest > staleAge(len(f.watches))+New(1).staleDelay(len(f.watches))+time.Second {
@@ -120,15 +120,15 @@
 	if !w.Due(start, false, 1) {
 		t.Error("a gateway that knows nothing does not ask")
 	}
-	w.Asked(start)
-	w.Answered(start)
+	w.PollStarted(start)
+	w.PollSucceeded(start)
 	if w.Due(start.Add(time.Second), false, 1) {
 		t.Error("a gateway with fresh knowledge asks")
 	}
 	if !w.Due(start.Add(staleAge(1)+New(1).staleDelay(1)), false, 1) {
 		t.Error("a gateway that hears nothing does not ask")
 	}
-	w.Lost()
+	w.MarkGap()
 	if !w.Due(start.Add(10*time.Millisecond), false, 1) {
 		t.Error("a gateway with a gap does not ask")
 	}
@@ -141,7 +141,7 @@
 	f := newFleet(0)
 	for i := range n {
 		w := New(float64(i) / n)
-		w.Begin(start, Start{Seed: i < 3, First: true}.Wait(float64(i)/n))
+		w.DelayFirstPoll(start, Start{Seed: i < 3, FleetStart: true}.Wait(float64(i)/n))
 		f.watches = append(f.watches, w)
 	}
 	f.run(5 * time.Second)
@@ -159,9 +159,9 @@
 // A gateway that nobody tells anything asks the store itself, soon where it starts
 // again.
 func TestGatewayWithoutPeersPollsAfterStartWait(t *testing.T) {
-	for _, s := range []Start{{Seed: true}, {First: true}, {}} {
+	for _, s := range []Start{{Seed: true}, {FleetStart: true}, {}} {
 		w := New(0)
-		w.Begin(start, s.Wait(1))
+		w.DelayFirstPoll(start, s.Wait(1))
 		if got := w.Due(start, true, 1); got != s.Seed {
 			t.Errorf("%+v asks at once: %v", s, got)
 		}
@@ -202,13 +202,13 @@
 // fleet's size; the others of a large fleet fail seldom together.
 func TestBackoffRange(t *testing.T) {
 	for _, members := range []int{1, 9, 59, 295, 1049} {
-		if first, most := Pauses(true, members); first != minBackoff || most != maxBackoff {
+		if first, most := BackoffRange(true, members); first != minBackoff || most != maxBackoff {
 			t.Errorf("%d members: those that ask pause %v to %v", members, first, most)
 		}
 	}
 	calls := 0
 	for pause, at := time.Duration(0), time.Duration(0); at < 8*time.Second; calls++ {
-		first, most := Pauses(false, 295)
+		first, most := BackoffRange(false, 295)
 		pause = min(max(2*pause, first), most)
 		at += pause
 	}
@@ -225,10 +225,10 @@
 	if w.Unsettled(now) {
 		t.Error("unsettled before the first word")
 	}
-	w.Answered(now)
+	w.PollSucceeded(now)
 	for range 20 {
 		now = now.Add(staleAfter)
-		w.Heard(now, 0)
+		w.ObservePeerAge(now, 0)
 	}
 	if w.Unsettled(now) {
 		t.Error("unsettled in calm")
@@ -237,7 +237,7 @@
 	if !w.Unsettled(now) {
 		t.Error("settled in a long silence")
 	}
-	w.Answered(now)
+	w.PollSucceeded(now)
 	if !w.Unsettled(now.Add(settleTime/2)) || w.Unsettled(now.Add(settleTime)) {
 		t.Error("want unsettled for a while after the first word")
 	}
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -158,7 +158,7 @@
 	g.follow = follow.New(&g.t, log.New("follow").With(s.ID), follow.Options{
 		Source: store, Peers: fetcher{g}, Clock: g.clock, Leavers: g.notices, OnChange: g.changed, OnEra: g.storeCameBack,
 		Fleet: func() (bool, int) { return g.loop.Watches(), g.loop.Members() },
-		Start: watch.Start{Seed: len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers), First: s.FirstStart},
+		Start: watch.Start{Seed: len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers), FleetStart: s.FirstStart},
 	})
 	store.OnBadRow(g.follow.NoteBadRow)
 	store.OnEra(g.follow.NoteEra)
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -27,8 +27,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.setEra(era, fromStore) {
-		s.watchConfiguration.Lost()
-		s.watchTargets.Lost()
+		s.watchConfiguration.MarkGap()
+		s.watchTargets.MarkGap()
 	}
 }
 
@@ -92,7 +92,7 @@
 		}
 	}
 	s.opts.Leavers.MergeLeaving(told)
-	s.watchTargets.Unsettle(now)
+	s.watchTargets.MarkUnsettled(now)
 }
 
 // releaseLater ends evacuations that are only held when their time is over; mu is held.
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -36,7 +36,7 @@
 	// answerMost is how long a call may take that waits for changes, with room for a slow
 	// store. One that took longer was answered while this process stood still, perhaps at
 	// its beginning.
-	answerMost = watch.Wait + time.Second
+	answerMost = watch.LongPollTimeout + time.Second
 )
 
 // Options are the parts of a Service.
@@ -98,8 +98,8 @@
 	}
 	s.targets.Store((&routing.TargetSet{}).Build())
 	wait, now := o.Start.Wait(rand.Float64()), o.Clock.Now()
-	s.watchConfiguration.Begin(now, wait)
-	s.watchTargets.Begin(now, wait)
+	s.watchConfiguration.DelayFirstPoll(now, wait)
+	s.watchTargets.DelayFirstPoll(now, wait)
 	return s
 }
 
@@ -128,7 +128,7 @@
 				s.adopt(news.Configuration, fromStore)
 			}}, err
 		}
-		news, err := s.opts.Source.OperatorAfter(ctx, since, watch.Wait)
+		news, err := s.opts.Source.OperatorAfter(ctx, since, watch.LongPollTimeout)
 		return answer{news.Stamp, func() {
 			s.changeHalls(fromStore, func(time.Time) []HallChange { return s.halls.apply(news.Halls) })
 			s.adopt(news.Configuration, fromStore)
@@ -148,7 +148,7 @@
 				})
 			}}, err
 		}
-		news, err := s.opts.Source.TargetsAfter(ctx, since, watch.Wait)
+		news, err := s.opts.Source.TargetsAfter(ctx, since, watch.LongPollTimeout)
 		return answer{news.Stamp, func() {
 			s.change(func(now time.Time) bool { return s.table.apply(s.table.stampChanges(now, news.Changes)) })
 		}}, err
@@ -200,7 +200,7 @@
 			lost = true
 			s.log.Warn("Store lost.", "what", what, "reason", err)
 		}
-		first, most := watch.Pauses(s.opts.Fleet())
+		first, most := watch.BackoffRange(s.opts.Fleet())
 		pause = min(max(2*pause, first), most)
 		if !s.sleep(pause/2 + rand.N(pause)) {
 			return
@@ -223,10 +223,10 @@
 		preferred, members := s.opts.Fleet()
 		now := s.opts.Clock.Now()
 		s.mu.Lock()
-		wait := w.Next(now, preferred, members)
-		why := w.Why(preferred)
+		wait := w.UntilDue(now, preferred, members)
+		why := w.PollReason(preferred)
 		if wait == 0 {
-			w.Asked(now)
+			w.PollStarted(now)
 		}
 		s.mu.Unlock()
 		if wait == 0 {
@@ -255,25 +255,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readStoreClock(now, watch.Direct(asOf))
-	at, known := s.storeClock.Local(asOf)
+	at, known := s.storeClock.ToLocal(asOf)
 	if !known {
 		at = answeredAt(began, now)
 	}
-	w.Answered(at)
+	w.PollSucceeded(at)
 }
 
 // readStoreClock takes a reading of the store's clock; mu is held.
 func (s *Service) readStoreClock(now time.Time, reading watch.Reading) {
-	if earlier := s.storeClock.Note(now, reading); earlier > 0 {
-		s.watchConfiguration.Earlier(earlier)
-		s.watchTargets.Earlier(earlier)
+	if earlier := s.storeClock.Observe(now, reading); earlier > 0 {
+		s.watchConfiguration.ShiftBack(earlier)
+		s.watchTargets.ShiftBack(earlier)
 	}
 }
 
 func (s *Service) lost(w *watch.Watch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.Lost()
+	w.MarkGap()
 }
 
 // adopt puts a configuration in force unless it is older than the present one.
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -60,7 +60,7 @@
 	defer s.mu.Unlock()
 	v := Versions{
 		Targets: s.table.revision, Leaving: s.leaving, Evacuations: s.halls.revision, ConfigurationAge: s.watchConfiguration.Age(now), TargetsAge: s.watchTargets.Age(now),
-		Store: s.storeClock.Tell(now), ConfigurationAsOf: s.storeClock.At(s.watchConfiguration.FreshAt()), TargetsAsOf: s.storeClock.At(s.watchTargets.FreshAt()),
+		Store: s.storeClock.Reading(now), ConfigurationAsOf: s.storeClock.FromLocal(s.watchConfiguration.FreshAt()), TargetsAsOf: s.storeClock.FromLocal(s.watchTargets.FreshAt()),
 	}
 	if x := s.index.Load(); x != nil {
 		v.Configuration = x.Configuration.Version
@@ -90,10 +90,10 @@
 	// What a peer has of an older era is fresh as of a history that no longer is.
 	sameEra := v.Targets.Era() == mine.Targets.Era()
 	if sameEra && sameOperator && v.Configuration > 0 {
-		s.watchConfiguration.Heard(now, s.ageOf(now, v.ConfigurationAsOf, v.ConfigurationAge))
+		s.watchConfiguration.ObservePeerAge(now, s.ageOf(now, v.ConfigurationAsOf, v.ConfigurationAge))
 	}
 	if sameEra && v.Targets <= mine.Targets {
-		s.watchTargets.Heard(now, s.ageOf(now, v.TargetsAsOf, v.TargetsAge))
+		s.watchTargets.ObservePeerAge(now, s.ageOf(now, v.TargetsAsOf, v.TargetsAge))
 	}
 	sameLeaving := v.Leaving == 0 || v.Leaving == mine.Leaving
 	return sameOperator && sameLeaving && v.Targets <= mine.Targets
@@ -102,7 +102,7 @@
 // ageOf returns how old knowledge is that was all there was at a time of the store; told is its
 // age as the sender told it. mu is held.
 func (s *Service) ageOf(now time.Time, asOf watch.StoreTime, told time.Duration) time.Duration {
-	at, known := s.storeClock.Local(asOf)
+	at, known := s.storeClock.ToLocal(asOf)
 	if !known {
 		return told
 	}
