--- a/core/quarantine/audience.go
+++ b/core/quarantine/audience.go
@@ -5,10 +5,10 @@
 
 import "madderway/core/place"
 
-// keepers is how many gateways are told of a request under which one target has ended,
+// firstDeathReplicas is how many gateways are told of a request under which one target has ended,
 // drawn by its fingerprint: whoever sees the next end tells the same ones. The second is
 // there for the loss of the first.
-const keepers = 2
+const firstDeathReplicas = 2
 
 // Audience returns which gateways are to be told of a record: a few that are to count while
 // one target has ended, then all, each by its neighbours.
@@ -16,5 +16,5 @@
 	if r.IsShared() {
 		return neighbours
 	}
-	return place.Top(nodes, string(r.Request[:]), keepers)
+	return place.Top(nodes, string(r.Request[:]), firstDeathReplicas)
 }
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -32,11 +32,11 @@
 // share one by chance.
 const fingerprintSize = 16
 
-// shownBytes is how much of a fingerprint log lines show.
-const shownBytes = 6
+// logBytes is how much of a fingerprint log lines show.
+const logBytes = 6
 
 // String returns the beginning of the fingerprint, for log lines.
-func (f Fingerprint) String() string { return hex.EncodeToString(f[:shownBytes]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:logBytes]) }
 
 // Fingerprint returns the digest of all that makes the request: 14.5 microseconds for a body
 // of 16 KB (BenchmarkFingerprint).
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -16,7 +16,7 @@
 const sample = 32
 
 // Whatever makes a request another one changes its fingerprint; parts do not run together.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	seen := map[quarantine.Fingerprint]int{}
 	changes := []func(*quarantine.Identity){
 		func(*quarantine.Identity) {},
--- a/core/quarantine/fleet_test.go
+++ b/core/quarantine/fleet_test.go
@@ -15,43 +15,43 @@
 	"madderway/core/quarantine"
 )
 
-// way is how gateways of a model tell each other of ends.
-type way int
+// strategy is how gateways of a model tell each other of ends.
+type strategy int
 
 const (
-	forgetting way = iota // nobody remembers anything
-	alone                 // each gateway remembers what it has seen itself
-	flooding              // all are told of each end
-	asBuilt               // a few count the first end, all are told of the second
+	noMemory   strategy = iota // nobody remembers anything
+	localOnly                  // each gateway remembers what it has seen itself
+	flooding                   // all are told of each end
+	production                 // a few count the first end, all are told of the second
 )
 
 // model is a fleet on a fake clock before targets of which one request ends each that runs
 // it. Its callers send it again and again at all gateways.
 type model struct {
-	rng        *rand.Rand
-	way        way
-	now        time.Time
-	events     events
-	nodes      []place.Node
-	neighbours map[string][]string
-	tables     []*quarantine.Table
-	cut        map[int]bool // cut are gateways that neither hear nor are heard.
-	touch      []time.Time  // touch is since when each gateway runs and is not cut.
-	back       []time.Time  // back is when each target takes requests.
-	lives      []int
-	ended      []time.Time // ended is when targets ended under the request.
-	sent       []time.Time // sent is when it was sent by a gateway in touch.
-	told       int         // told counts the records that were sent.
+	rng            *rand.Rand
+	strategy       strategy
+	now            time.Time
+	events         events
+	nodes          []place.Node
+	neighbours     map[string][]string
+	tables         []*quarantine.Table
+	partitioned    map[int]bool // cut are gateways that neither hear nor are heard.
+	connectedSince []time.Time  // touch is since when each gateway runs and is not cut.
+	availableAt    []time.Time  // back is when each target takes requests.
+	incarnations   []int
+	deaths         []time.Time // ended is when targets ended under the request.
+	sent           []time.Time // sent is when it was sent by a gateway in touch.
+	messages       int         // told counts the records that were sent.
 }
 
 const (
-	runs     = 150 * time.Millisecond // from the send to the end of a target
-	restarts = 3 * time.Second
-	hop      = 20 * time.Millisecond // a message, with the time it waits for others
-	exchange = time.Second           // between two tables of gateways whose digests differ
-	degree   = 8                     // neighbours of a gateway
-	tryEvery = 500 * time.Millisecond
-	contact  = 3 * time.Second
+	timeToDeath     = 150 * time.Millisecond // from the send to the end of a target
+	restartTime     = 3 * time.Second
+	hopDelay        = 20 * time.Millisecond // a message, with the time it waits for others
+	syncInterval    = time.Second           // between two tables of gateways whose digests differ
+	degree          = 8                     // neighbours of a gateway
+	resendInterval  = 500 * time.Millisecond
+	convergenceTime = 3 * time.Second
 )
 
 type event struct {
@@ -72,15 +72,15 @@
 	return x
 }
 
-func newModel(w way, gateways, targets int, seed uint64) *model {
+func newModel(w strategy, gateways, targets int, seed uint64) *model {
 	m := &model{
-		rng: rand.New(rand.NewPCG(seed, 9)), way: w, now: start, neighbours: map[string][]string{}, cut: map[int]bool{},
-		back: make([]time.Time, targets), lives: make([]int, targets),
+		rng: rand.New(rand.NewPCG(seed, 9)), strategy: w, now: start, neighbours: map[string][]string{}, partitioned: map[int]bool{},
+		availableAt: make([]time.Time, targets), incarnations: make([]int, targets),
 	}
 	for i := range gateways {
 		m.nodes = append(m.nodes, place.Node{ID: fmt.Sprint("g", i)})
 		m.tables = append(m.tables, quarantine.New())
-		m.touch = append(m.touch, start.Add(-contact))
+		m.connectedSince = append(m.connectedSince, start.Add(-convergenceTime))
 	}
 	for i := range gateways {
 		for _, j := range m.rng.Perm(gateways)[:min(degree/2, gateways)] {
@@ -98,7 +98,7 @@
 	heap.Push(&m.events, event{m.now.Add(d), run})
 }
 
-func (m *model) play(until time.Duration) {
+func (m *model) run(until time.Duration) {
 	end := start.Add(until)
 	for len(m.events) > 0 && m.events[0].at.Before(end) {
 		e := heap.Pop(&m.events).(event)
@@ -107,133 +107,133 @@
 	}
 }
 
-// repeat has callers send the request at a gateway for as long as the model plays.
-func (m *model) repeat(gateway int, id quarantine.Identity) {
-	m.after(time.Duration(m.rng.Float64()*float64(2*tryEvery)), func() {
-		m.try(gateway, id)
-		m.repeat(gateway, id)
+// sendRepeatedly has callers send the request at a gateway for as long as the model plays.
+func (m *model) sendRepeatedly(gateway int, id quarantine.Identity) {
+	m.after(time.Duration(m.rng.Float64()*float64(2*resendInterval)), func() {
+		m.send(gateway, id)
+		m.sendRepeatedly(gateway, id)
 	})
 }
 
-func (m *model) try(gateway int, id quarantine.Identity) {
+func (m *model) send(gateway int, id quarantine.Identity) {
 	table, f := m.tables[gateway], id.Fingerprint()
 	standing, _ := table.Judge(m.now, f)
 	onTrial := standing == quarantine.OnTrial
-	if m.way != forgetting && (standing == quarantine.Quarantined || onTrial && !table.StartTrial(f)) {
+	if m.strategy != noMemory && (standing == quarantine.Quarantined || onTrial && !table.StartTrial(f)) {
 		return
 	}
-	target := m.rng.IntN(len(m.back))
-	if m.now.Before(m.back[target]) {
+	target := m.rng.IntN(len(m.availableAt))
+	if m.now.Before(m.availableAt[target]) {
 		table.EndTrial(f)
 		return
 	}
-	if !m.cut[gateway] && m.now.Sub(m.touch[gateway]) >= contact {
+	if !m.partitioned[gateway] && m.now.Sub(m.connectedSince[gateway]) >= convergenceTime {
 		m.sent = append(m.sent, m.now)
 	}
-	sent, life := m.now, m.lives[target]
-	m.after(time.Duration((0.5+m.rng.Float64())*float64(runs)), func() {
+	sent, life := m.now, m.incarnations[target]
+	m.after(time.Duration((0.5+m.rng.Float64())*float64(timeToDeath)), func() {
 		if m.tables[gateway] != table {
 			return // the gateway has started again meanwhile
 		}
 		table.EndTrial(f)
-		if m.lives[target] == life {
-			m.lives[target]++
-			m.back[target] = m.now.Add(restarts)
-			m.ended = append(m.ended, m.now)
+		if m.incarnations[target] == life {
+			m.incarnations[target]++
+			m.availableAt[target] = m.now.Add(restartTime)
+			m.deaths = append(m.deaths, m.now)
 		}
 		r, accused := table.Ended(m.now, id, fmt.Sprintf("t%d@%d", target, life), sent)
 		if accused {
-			m.tell(gateway, r, -1)
+			m.share(gateway, r, -1)
 		}
 	})
 }
 
-func (m *model) tell(from int, r quarantine.Record, except int) {
+func (m *model) share(from int, r quarantine.Record, except int) {
 	var to []string
-	switch self := m.nodes[from].ID; m.way {
-	case forgetting, alone:
+	switch self := m.nodes[from].ID; m.strategy {
+	case noMemory, localOnly:
 		return
 	case flooding:
 		to = m.neighbours[self]
-	case asBuilt:
+	case production:
 		to = quarantine.Audience(r, m.nodes, m.neighbours[self])
 	}
 	for _, id := range to {
 		j := slices.IndexFunc(m.nodes, func(n place.Node) bool { return n.ID == id })
-		if j == from || j == except || m.cut[from] || m.cut[j] {
+		if j == from || j == except || m.partitioned[from] || m.partitioned[j] {
 			continue
 		}
-		m.told++
-		m.after(hop, func() { m.hear(from, j, r) })
+		m.messages++
+		m.after(hopDelay, func() { m.receive(from, j, r) })
 	}
 }
 
-func (m *model) hear(from, to int, r quarantine.Record) {
+func (m *model) receive(from, to int, r quarantine.Record) {
 	now, news := m.tables[to].Merge(m.now, r)
-	if news && (now.IsShared() || m.way == flooding) {
-		m.tell(to, now, from)
+	if news && (now.IsShared() || m.strategy == flooding) {
+		m.share(to, now, from)
 	}
 }
 
-// compare has gateways that heartbeats connect exchange their tables where these differ.
-func (m *model) compare() {
-	m.after(exchange, func() {
+// syncTables has gateways that heartbeats connect exchange their tables where these differ.
+func (m *model) syncTables() {
+	m.after(syncInterval, func() {
 		for i, a := range m.tables {
 			for _, id := range m.neighbours[m.nodes[i].ID] {
 				j := slices.IndexFunc(m.nodes, func(n place.Node) bool { return n.ID == id })
-				if m.cut[i] || m.cut[j] || a.Digest() == m.tables[j].Digest() {
+				if m.partitioned[i] || m.partitioned[j] || a.Digest() == m.tables[j].Digest() {
 					continue
 				}
 				for _, r := range a.Shared(m.now) {
-					m.told++
-					m.after(hop, func() { m.hear(i, j, r) })
+					m.messages++
+					m.after(hopDelay, func() { m.receive(i, j, r) })
 				}
 			}
 		}
-		m.compare()
+		m.syncTables()
 	})
 }
 
-// start has a gateway begin anew. The first gateway that it greets tells it what is known.
-func (m *model) start(g int) {
-	m.tables[g], m.touch[g] = quarantine.New(), m.now
+// restart has a gateway begin anew. The first gateway that it greets tells it what is known.
+func (m *model) restart(g int) {
+	m.tables[g], m.connectedSince[g] = quarantine.New(), m.now
 	j := (g + 1) % len(m.tables)
-	if m.cut[g] || m.cut[j] {
+	if m.partitioned[g] || m.partitioned[j] {
 		return
 	}
 	for _, r := range m.tables[j].Shared(m.now) {
-		m.after(2*hop, func() { m.hear(j, g, r) })
+		m.after(2*hopDelay, func() { m.receive(j, g, r) })
 	}
 }
 
-// late returns how often the request was sent by gateways in touch later than contact after
+// lateSends returns how often the request was sent by gateways in touch later than contact after
 // the third target had ended.
-func (m *model) late() int {
-	if len(m.ended) < quarantine.Enough {
+func (m *model) lateSends() int {
+	if len(m.deaths) < quarantine.Enough {
 		return 0
 	}
 	n := 0
 	for _, at := range m.sent {
-		if at.After(m.ended[quarantine.Enough-1].Add(contact)) {
+		if at.After(m.deaths[quarantine.Enough-1].Add(convergenceTime)) {
 			n++
 		}
 	}
 	return n
 }
 
-func playFleet(w way, gateways int, trouble func(m *model)) *model {
+func runFleet(w strategy, gateways int, trouble func(m *model)) *model {
 	m := newModel(w, gateways, max(9, 2*gateways), uint64(gateways))
 	id := request(1)
 	for g := range gateways {
-		m.repeat(g, id)
+		m.sendRepeatedly(g, id)
 	}
-	if w == asBuilt {
-		m.compare()
+	if w == production {
+		m.syncTables()
 	}
 	if trouble != nil {
 		trouble(m)
 	}
-	m.play(time.Minute)
+	m.run(time.Minute)
 	return m
 }
 
@@ -241,16 +241,16 @@
 // after it has ended the third target it is sent to no target any more, at nine gateways and
 // at three hundred. What ended before counts those that were on their way when the first
 // ends became known; ways that were not kept are played for comparison.
-func TestFleetSendsNoFurther(t *testing.T) {
+func TestFleetStopsSending(t *testing.T) {
 	for _, gateways := range []int{9, 64, 300} {
-		for _, w := range []way{forgetting, alone, flooding, asBuilt} {
-			if w <= alone && gateways > 9 {
+		for _, w := range []strategy{noMemory, localOnly, flooding, production} {
+			if w <= localOnly && gateways > 9 {
 				continue // some thousand ends
 			}
-			m := playFleet(w, gateways, nil)
-			t.Logf("%d gateways, way %d: %d targets ended, %d sends in touch too late, %d records told", gateways, w, len(m.ended), m.late(), m.told)
-			if w == asBuilt && m.late() > 0 {
-				t.Errorf("%d sends later than %v after the third end", m.late(), contact)
+			m := runFleet(w, gateways, nil)
+			t.Logf("%d gateways, way %d: %d targets ended, %d sends in touch too late, %d records told", gateways, w, len(m.deaths), m.lateSends(), m.messages)
+			if w == production && m.lateSends() > 0 {
+				t.Errorf("%d sends later than %v after the third end", m.lateSends(), convergenceTime)
 			}
 		}
 	}
@@ -258,14 +258,14 @@
 
 // It holds through cuts that come and go, gateways that start again and know nothing, and
 // both at once; a gateway that is cut counts for itself.
-func TestFleetSendsNoFurtherUnderTrouble(t *testing.T) {
+func TestFleetStopsSendingUnderPartitionsAndRestarts(t *testing.T) {
 	const gateways = 9
 	cut := func(m *model, g int, at, length time.Duration) {
-		m.after(at, func() { m.cut[g] = true })
-		m.after(at+length, func() { m.cut[g], m.touch[g] = false, m.now })
+		m.after(at, func() { m.partitioned[g] = true })
+		m.after(at+length, func() { m.partitioned[g], m.connectedSince[g] = false, m.now })
 	}
 	restart := func(m *model, g int, at time.Duration) {
-		m.after(at, func() { m.start(g) })
+		m.after(at, func() { m.restart(g) })
 	}
 	for name, trouble := range map[string]func(m *model){
 		"cut from the start":  func(m *model) { cut(m, 3, 0, 10*time.Second) },
@@ -276,7 +276,7 @@
 			cut(m, 2, 0, 8*time.Second)
 			cut(m, 4, 0, 8*time.Second)
 		},
-		"all start in turn":    func(m *model) { rollAll(m, restart) },
+		"all start in turn":    func(m *model) { restartAll(m, restart) },
 		"a start during a cut": func(m *model) { cut(m, 5, 2*time.Second, 6*time.Second); restart(m, 5, 4*time.Second) },
 		"starts at every second": func(m *model) {
 			for s := range 50 {
@@ -285,16 +285,16 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := playFleet(asBuilt, gateways, trouble)
-			t.Logf("%d targets ended, %d sends too late", len(m.ended), m.late())
-			if m.late() > 3 {
-				t.Errorf("%d sends later than %v after the third end", m.late(), contact)
+			m := runFleet(production, gateways, trouble)
+			t.Logf("%d targets ended, %d sends too late", len(m.deaths), m.lateSends())
+			if m.lateSends() > 3 {
+				t.Errorf("%d sends later than %v after the third end", m.lateSends(), convergenceTime)
 			}
 		})
 	}
 }
 
-func rollAll(m *model, restart func(m *model, g int, at time.Duration)) {
+func restartAll(m *model, restart func(m *model, g int, at time.Duration)) {
 	for g := range m.tables {
 		restart(m, g, time.Duration(5+2*g)*time.Second)
 	}
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -39,16 +39,16 @@
 	// first end only two gateways are told: the loss of a data hall makes a record of each
 	// of some thousand requests.
 	Shared = 2
-	// kept is how long an end is remembered, and the least time for which a request is
+	// retention is how long an end is remembered, and the least time for which a request is
 	// refused. Callers of today come back for two minutes at most; an operator who has
 	// repaired the targets waits for no longer than this. Each end beyond Enough doubles
 	// it, up to keptMost, so that a request that is tried again after its time costs a
 	// target ever less often.
-	kept     = 15 * time.Minute
-	keptMost = 24 * time.Hour
-	// lifeLeast is how far apart two ends of a target of the same ID are at least. Ends
+	retention    = 15 * time.Minute
+	maxRetention = 24 * time.Hour
+	// minLifetime is how far apart two ends of a target of the same ID are at least. Ends
 	// that are told as nearer are the same: ages are late by the way of a message.
-	lifeLeast = time.Second
+	minLifetime = time.Second
 	// maxDeaths bounds the ends of one record to the newest: with so many it is refused for
 	// keptMost in any case.
 	maxDeaths = 16
@@ -65,7 +65,7 @@
 	return n
 }
 
-func (r *Record) last() time.Time {
+func (r *Record) lastDeath() time.Time {
 	var last time.Time
 	for _, d := range r.Deaths {
 		if d.At.After(last) {
@@ -75,25 +75,25 @@
 	return last
 }
 
-// holds returns for how long after the last end the request is refused.
-func (r *Record) holds() time.Duration {
-	d := kept
-	for n := Enough; n < r.count() && d < keptMost; n++ {
+// holdTime returns for how long after the last end the request is refused.
+func (r *Record) holdTime() time.Duration {
+	d := retention
+	for n := Enough; n < r.count() && d < maxRetention; n++ {
 		d *= 2
 	}
-	return min(d, keptMost)
+	return min(d, maxRetention)
 }
 
-// until returns until when the request is refused.
-func (r *Record) until() time.Time { return r.last().Add(r.holds()) }
+// heldUntil returns heldUntil when the request is refused.
+func (r *Record) heldUntil() time.Time { return r.lastDeath().Add(r.holdTime()) }
 
 // expires returns when the record is forgotten. One whose request was refused is kept for
 // as long again, so that one more end is enough to refuse it anew.
 func (r *Record) expires() time.Time {
 	if r.count() < Enough {
-		return r.last().Add(kept)
+		return r.lastDeath().Add(retention)
 	}
-	return r.last().Add(2 * r.holds())
+	return r.lastDeath().Add(2 * r.holdTime())
 }
 
 // IsShared tells whether all gateways are to know the record.
@@ -103,7 +103,7 @@
 func (r *Record) add(d Death) bool {
 	for i := range r.Deaths {
 		known := &r.Deaths[i]
-		if known.Target != d.Target || d.At.Sub(known.At).Abs() >= lifeLeast {
+		if known.Target != d.Target || d.At.Sub(known.At).Abs() >= minLifetime {
 			continue
 		}
 		news := d.Forgiven && !known.Forgiven
@@ -113,7 +113,7 @@
 		}
 		return news
 	}
-	if !d.Forgiven && r.count() >= Enough && d.At.Before(r.until()) {
+	if !d.Forgiven && r.count() >= Enough && d.At.Before(r.heldUntil()) {
 		return false // a run that was on its way when the request was refused
 	}
 	r.Deaths = append(r.Deaths, d)
@@ -139,8 +139,8 @@
 	return d
 }
 
-// forgive forgives all ends; it reports whether any was not forgiven yet.
-func (r *Record) forgive() bool {
+// forgiveAll forgives all ends; it reports whether any was not forgiven yet.
+func (r *Record) forgiveAll() bool {
 	news := r.count() > 0
 	for i := range r.Deaths {
 		r.Deaths[i].Forgiven = true
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -12,18 +12,18 @@
 	// maxRecords bounds the table, maxOfAccount the records of one account, so that one
 	// that sends many such requests does not push out what is known of others. A record
 	// takes some 300 bytes.
-	maxRecords   = 1024
-	maxOfAccount = 64
-	// maxName bounds the names in records of other gateways.
-	maxName = 200
-	// massEnds targets that end within massSpan, as this gateway sees it, end for a reason
+	maxRecords    = 1024
+	maxPerAccount = 64
+	// maxNameLen bounds the names in records of other gateways.
+	maxNameLen = 200
+	// massDeaths targets that end within massSpan, as this gateway sees it, end for a reason
 	// that lies outside their requests: a data hall that is lost, or a cut that answers
 	// every connect. Only those before them accuse anybody.
-	massEnds = 3
-	massSpan = 300 * time.Millisecond
-	// trialPause is when the caller of a request may come back of which another try is
+	massDeaths = 3
+	massWindow = 300 * time.Millisecond
+	// trialRetryAfter is when the caller of a request may come back of which another try is
 	// under way: most end within a second, whatever their end.
-	trialPause = time.Second
+	trialRetryAfter = time.Second
 )
 
 // Standing is what is thought of a request.
@@ -42,28 +42,28 @@
 	return [...]string{"unsuspected", "suspect", "on_trial", "quarantined"}[s]
 }
 
-// ending is the end of a target as this gateway has seen it.
-type ending struct {
-	at      time.Time
-	accuses bool // accuses tells that the target did not end together with many others.
+// targetDeath is the end of a target as this gateway has seen it.
+type targetDeath struct {
+	at       time.Time
+	isolated bool // accuses tells that the target did not end together with many others.
 }
 
 // Table holds what a gateway remembers. It is not safe for concurrent use.
 type Table struct {
-	records  map[Fingerprint]*Record
-	outlines map[uint64]int // outlines counts the records of each outline.
-	accounts map[string]int // accounts counts the records of each account.
-	endings  map[string]ending
-	trials   map[Fingerprint]bool
-	digest   uint64 // digest is that of the shared records.
-	changed  time.Time
+	records      map[Fingerprint]*Record
+	outlines     map[uint64]int // outlines counts the records of each outline.
+	accounts     map[string]int // accounts counts the records of each account.
+	targetDeaths map[string]targetDeath
+	trials       map[Fingerprint]bool
+	digest       uint64 // digest is that of the shared records.
+	changed      time.Time
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
 		records: map[Fingerprint]*Record{}, outlines: map[uint64]int{}, accounts: map[string]int{},
-		endings: map[string]ending{}, trials: map[Fingerprint]bool{},
+		targetDeaths: map[string]targetDeath{}, trials: map[Fingerprint]bool{},
 	}
 }
 
@@ -77,12 +77,12 @@
 // the record where that accuses the request. A request that was sent when the target had
 // ended already, or whose target ended together with many others, is not accused.
 func (t *Table) Ended(now time.Time, id Identity, target string, sent time.Time) (Record, bool) {
-	e, seen := t.endings[target]
-	if !seen || now.Sub(e.at) >= lifeLeast && sent.After(e.at) {
-		e = ending{at: now, accuses: t.endedLately(now) < massEnds-1}
-		t.endings[target] = e
+	e, seen := t.targetDeaths[target]
+	if !seen || now.Sub(e.at) >= minLifetime && sent.After(e.at) {
+		e = targetDeath{at: now, isolated: t.recentDeaths(now) < massDeaths-1}
+		t.targetDeaths[target] = e
 	}
-	if !e.accuses || sent.After(e.at) {
+	if !e.isolated || sent.After(e.at) {
 		return Record{}, false
 	}
 	r := t.record(id.Fingerprint(), id.Outline(), id.Account)
@@ -90,16 +90,16 @@
 	return r.clone(), true
 }
 
-// endedLately returns how many targets have ended within the last massSpan, and forgets
+// recentDeaths returns how many targets have ended within the last massSpan, and forgets
 // those that did long ago.
-func (t *Table) endedLately(now time.Time) int {
+func (t *Table) recentDeaths(now time.Time) int {
 	n := 0
-	for target, e := range t.endings {
+	for target, e := range t.targetDeaths {
 		switch age := now.Sub(e.at); {
-		case age < massSpan:
+		case age < massWindow:
 			n++
-		case age > kept:
-			delete(t.endings, target)
+		case age > retention:
+			delete(t.targetDeaths, target)
 		}
 	}
 	return n
@@ -116,14 +116,14 @@
 		t.drop(r)
 		return Record{}, false
 	}
-	news := t.update(now, r, r.forgive)
+	news := t.update(now, r, r.forgiveAll)
 	return r.clone(), news
 }
 
 // Merge takes a record of another gateway. It returns the record as it is known now, and
 // whether that has told anything new.
 func (t *Table) Merge(now time.Time, other Record) (Record, bool) {
-	if !sound(now, &other) {
+	if !isValid(now, &other) {
 		return Record{}, false
 	}
 	r := t.record(other.Request, other.Outline, other.Account)
@@ -138,13 +138,13 @@
 	return r.clone(), news
 }
 
-// sound tells whether a record of another gateway can be taken, and still holds.
-func sound(now time.Time, r *Record) bool {
-	if len(r.Deaths) == 0 || len(r.Deaths) > maxDeaths || len(r.Account) > maxName || !now.Before(r.expires()) {
+// isValid tells whether a record of another gateway can be taken, and still holds.
+func isValid(now time.Time, r *Record) bool {
+	if len(r.Deaths) == 0 || len(r.Deaths) > maxDeaths || len(r.Account) > maxNameLen || !now.Before(r.expires()) {
 		return false
 	}
 	return !slices.ContainsFunc(r.Deaths, func(d Death) bool {
-		return d.Target == "" || len(d.Target) > maxName || d.At.After(now)
+		return d.Target == "" || len(d.Target) > maxNameLen || d.At.After(now)
 	})
 }
 
@@ -155,8 +155,8 @@
 		return Unsuspected, 0
 	}
 	switch n := r.count(); {
-	case n >= Enough && now.Before(r.until()):
-		return Quarantined, r.until().Sub(now)
+	case n >= Enough && now.Before(r.heldUntil()):
+		return Quarantined, r.heldUntil().Sub(now)
 	case n >= Shared:
 		return OnTrial, 0
 	case n > 0:
@@ -180,7 +180,7 @@
 func (t *Table) EndTrial(f Fingerprint) { delete(t.trials, f) }
 
 // TrialPause returns when a request may come back of which another try is under way.
-func (t *Table) TrialPause() time.Duration { return trialPause }
+func (t *Table) TrialPause() time.Duration { return trialRetryAfter }
 
 // Shared returns the records that all gateways are to know.
 func (t *Table) Shared(now time.Time) []Record {
@@ -228,10 +228,10 @@
 		return r
 	}
 	switch {
-	case t.accounts[account] >= maxOfAccount:
-		t.makeRoom(func(r *Record) bool { return r.Account == account })
+	case t.accounts[account] >= maxPerAccount:
+		t.evict(func(r *Record) bool { return r.Account == account })
 	case len(t.records) >= maxRecords:
-		t.makeRoom(func(*Record) bool { return true })
+		t.evict(func(*Record) bool { return true })
 	}
 	r := &Record{Request: f, Outline: outline, Account: account}
 	t.records[f] = r
@@ -240,14 +240,14 @@
 	return r
 }
 
-// makeRoom drops the record with the fewest ends among some, of equal ones the oldest.
-func (t *Table) makeRoom(among func(r *Record) bool) {
+// evict drops the record with the fewest ends among some, of equal ones the oldest.
+func (t *Table) evict(among func(r *Record) bool) {
 	var least *Record
 	for _, r := range t.records {
 		if !among(r) {
 			continue
 		}
-		if least == nil || r.count() < least.count() || r.count() == least.count() && r.last().Before(least.last()) {
+		if least == nil || r.count() < least.count() || r.count() == least.count() && r.lastDeath().Before(least.lastDeath()) {
 			least = r
 		}
 	}
@@ -277,11 +277,11 @@
 		t.digest ^= r.digest()
 	}
 	delete(t.records, r.Request)
-	decrease(t.outlines, r.Outline)
-	decrease(t.accounts, r.Account)
+	decrement(t.outlines, r.Outline)
+	decrement(t.accounts, r.Account)
 }
 
-func decrease[K comparable](counts map[K]int, key K) {
+func decrement[K comparable](counts map[K]int, key K) {
 	counts[key]--
 	if counts[key] == 0 {
 		delete(counts, key)
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -22,8 +22,8 @@
 	return quarantine.Identity{Account: "a", Method: "POST", Host: "h", URI: "/p", Body: fmt.Appendf(nil, "%08d", n)}
 }
 
-// end ends targets under a request, a minute apart.
-func end(t *quarantine.Table, id quarantine.Identity, targets ...string) time.Time {
+// killTargets ends targets under a request, a minute apart.
+func killTargets(t *quarantine.Table, id quarantine.Identity, targets ...string) time.Time {
 	now := start
 	for _, target := range targets {
 		now = now.Add(time.Minute)
@@ -34,7 +34,7 @@
 
 // Each end raises the standing; three refuse the request, for as long as is told, and a run
 // that goes through clears it.
-func TestStandingsFollowTheEnds(t *testing.T) {
+func TestStandingRisesWithDeaths(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	f := id.Fingerprint()
 	want := []quarantine.Standing{quarantine.Suspect, quarantine.OnTrial, quarantine.Quarantined}
@@ -60,9 +60,9 @@
 }
 
 // A request that is tried again when its time is over costs a target ever less often.
-func TestTriesAfterQuarantineBecomeRare(t *testing.T) {
+func TestHoldTimeGrowsWithDeaths(t *testing.T) {
 	table, id := quarantine.New(), request(1)
-	now := end(table, id, "t1", "t2", "t3")
+	now := killTargets(table, id, "t1", "t2", "t3")
 	ends := 3
 	for day := start.Add(30 * 24 * time.Hour); now.Before(day); ends++ {
 		_, hold := table.Judge(now, id.Fingerprint())
@@ -79,9 +79,9 @@
 
 // Nobody is accused by a target that had ended before the request was sent, by a target that
 // ended together with others, or twice by the same end.
-func TestEndsThatAccuseNobody(t *testing.T) {
+func TestUnrelatedDeathsDoNotCount(t *testing.T) {
 	table, id := quarantine.New(), request(1)
-	now := end(table, id, "t1")
+	now := killTargets(table, id, "t1")
 	table.Ended(now.Add(time.Millisecond), id, "t1", now.Add(-time.Second))
 	if got, _ := table.Judge(now, id.Fingerprint()); got != quarantine.Suspect {
 		t.Errorf("one end counts as %v", got)
@@ -105,9 +105,9 @@
 
 // A worker that starts again under its name and ends again is another end, also where the
 // gateway has not heard of its new life.
-func TestSecondLifeUnderTheSameNameCounts(t *testing.T) {
+func TestRestartedTargetCountsAgain(t *testing.T) {
 	table, id := quarantine.New(), request(1)
-	end(table, id, "t1", "t1", "t1")
+	killTargets(table, id, "t1", "t1", "t1")
 	if got, _ := table.Judge(start.Add(3*time.Minute), id.Fingerprint()); got != quarantine.Quarantined {
 		t.Errorf("%v after three ends of one worker", got)
 	}
@@ -118,7 +118,7 @@
 func TestTableIsBoundedByAccount(t *testing.T) {
 	table := quarantine.New()
 	mine := request(1)
-	now := end(table, mine, "t1", "t2", "t3")
+	now := killTargets(table, mine, "t1", "t2", "t3")
 	other := quarantine.Identity{Account: "b", URI: "/q"}
 	now = now.Add(time.Minute)
 	table.Ended(now, other, "x", now.Add(-time.Second))
@@ -140,7 +140,7 @@
 // What is over is forgotten, with its outline.
 func TestRecordsExpire(t *testing.T) {
 	table, id := quarantine.New(), request(1)
-	now := end(table, id, "t1", "t2", "t3")
+	now := killTargets(table, id, "t1", "t2", "t3")
 	table.Expire(now.Add(time.Minute))
 	if !table.Knows(id.Outline()) || table.Digest() == 0 {
 		t.Error("forgotten too early")
@@ -152,7 +152,7 @@
 }
 
 // Records that cannot be, or are over, change nothing.
-func TestUnsoundRecordsChangeNothing(t *testing.T) {
+func TestInvalidRecordsIgnored(t *testing.T) {
 	table := quarantine.New()
 	long := make([]byte, 1000)
 	many := make([]quarantine.Death, 100)
@@ -176,7 +176,7 @@
 
 // Whatever the order in which gateways hear of ends and of runs that went through, once each
 // has heard all of the others they have the same digest and the same standings.
-func TestTablesAgreeInAnyOrder(t *testing.T) {
+func TestTablesConvergeInAnyOrder(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(11))
 	properties.Property("tables agree", prop.ForAll(func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -194,12 +194,12 @@
 			}
 			table.Ended(now, id, fmt.Sprint("t", rng.IntN(6)), now.Add(-100*time.Millisecond))
 		}
-		return agreeAfterExchange(tables, now, rng)
+		return convergeAfterExchange(tables, now, rng)
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-func agreeAfterExchange(tables []*quarantine.Table, now time.Time, rng *rand.Rand) bool {
+func convergeAfterExchange(tables []*quarantine.Table, now time.Time, rng *rand.Rand) bool {
 	for range 2 {
 		for _, i := range rng.Perm(len(tables)) {
 			for _, j := range rng.Perm(len(tables)) {
