--- a/core/quarantine/audience.go
+++ b/core/quarantine/audience.go
@@ -10,9 +10,9 @@
 // there for the loss of the first.
 const firstDeathReplicas = 2
 
-// Audience returns which gateways are to be told of a record: a few that are to count while
+// Recipients returns which gateways are to be told of a record: a few that are to count while
 // one target has ended, then all, each by its neighbours.
-func Audience(r Record, nodes []place.Node, neighbours []string) []string {
+func Recipients(r Record, nodes []place.Node, neighbours []string) []string {
 	if r.IsShared() {
 		return neighbours
 	}
--- a/core/quarantine/fleet_test.go
+++ b/core/quarantine/fleet_test.go
@@ -117,7 +117,7 @@
 
 func (m *model) send(gateway int, id quarantine.Identity) {
 	table, f := m.tables[gateway], id.Fingerprint()
-	standing, _ := table.Judge(m.now, f)
+	standing, _ := table.Standing(m.now, f)
 	onTrial := standing == quarantine.OnTrial
 	if m.strategy != noMemory && (standing == quarantine.Quarantined || onTrial && !table.StartTrial(f)) {
 		return
@@ -141,7 +141,7 @@
 			m.availableAt[target] = m.now.Add(restartTime)
 			m.deaths = append(m.deaths, m.now)
 		}
-		r, accused := table.Ended(m.now, id, fmt.Sprintf("t%d@%d", target, life), sent)
+		r, accused := table.TargetDied(m.now, id, fmt.Sprintf("t%d@%d", target, life), sent)
 		if accused {
 			m.share(gateway, r, -1)
 		}
@@ -156,7 +156,7 @@
 	case flooding:
 		to = m.neighbours[self]
 	case production:
-		to = quarantine.Audience(r, m.nodes, m.neighbours[self])
+		to = quarantine.Recipients(r, m.nodes, m.neighbours[self])
 	}
 	for _, id := range to {
 		j := slices.IndexFunc(m.nodes, func(n place.Node) bool { return n.ID == id })
@@ -209,12 +209,12 @@
 // lateSends returns how often the request was sent by gateways in touch later than contact after
 // the third target had ended.
 func (m *model) lateSends() int {
-	if len(m.deaths) < quarantine.Enough {
+	if len(m.deaths) < quarantine.QuarantineThreshold {
 		return 0
 	}
 	n := 0
 	for _, at := range m.sent {
-		if at.After(m.deaths[quarantine.Enough-1].Add(convergenceTime)) {
+		if at.After(m.deaths[quarantine.QuarantineThreshold-1].Add(convergenceTime)) {
 			n++
 		}
 	}
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -29,16 +29,16 @@
 }
 
 const (
-	// Enough is how many targets must have ended under a request to refuse it. One or two
+	// QuarantineThreshold is how many targets must have ended under a request to refuse it. One or two
 	// can end beside an innocent one: a target takes all its runs with it. Over the days
 	// with crashes that were counted (docs/incidents/inc-budget.md) no request but those
 	// that end targets lost more than one.
-	Enough = 3
-	// Shared is under how many ends all gateways are told of a request, so that any run
+	QuarantineThreshold = 3
+	// ShareThreshold is under how many ends all gateways are told of a request, so that any run
 	// that goes through clears it, and each gateway has one run of it at a time. After the
 	// first end only two gateways are told: the loss of a data hall makes a record of each
 	// of some thousand requests.
-	Shared = 2
+	ShareThreshold = 2
 	// retention is how long an end is remembered, and the least time for which a request is
 	// refused. Callers of today come back for two minutes at most; an operator who has
 	// repaired the targets waits for no longer than this. Each end beyond Enough doubles
@@ -78,7 +78,7 @@
 // holdTime returns for how long after the last end the request is refused.
 func (r *Record) holdTime() time.Duration {
 	d := retention
-	for n := Enough; n < r.count() && d < maxRetention; n++ {
+	for n := QuarantineThreshold; n < r.count() && d < maxRetention; n++ {
 		d *= 2
 	}
 	return min(d, maxRetention)
@@ -90,14 +90,14 @@
 // expires returns when the record is forgotten. One whose request was refused is kept for
 // as long again, so that one more end is enough to refuse it anew.
 func (r *Record) expires() time.Time {
-	if r.count() < Enough {
+	if r.count() < QuarantineThreshold {
 		return r.lastDeath().Add(retention)
 	}
 	return r.lastDeath().Add(2 * r.holdTime())
 }
 
 // IsShared tells whether all gateways are to know the record.
-func (r *Record) IsShared() bool { return len(r.Deaths) >= Shared }
+func (r *Record) IsShared() bool { return len(r.Deaths) >= ShareThreshold }
 
 // add takes an end, and reports whether it tells anything new.
 func (r *Record) add(d Death) bool {
@@ -113,7 +113,7 @@
 		}
 		return news
 	}
-	if !d.Forgiven && r.count() >= Enough && d.At.Before(r.heldUntil()) {
+	if !d.Forgiven && r.count() >= QuarantineThreshold && d.At.Before(r.heldUntil()) {
 		return false // a run that was on its way when the request was refused
 	}
 	r.Deaths = append(r.Deaths, d)
@@ -160,7 +160,7 @@
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(r.count()))
 	_, _ = d.Write(r.Request[:])
-	if r.count() >= Enough {
+	if r.count() >= QuarantineThreshold {
 		return d.Sum64()
 	}
 	for _, death := range r.Deaths {
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -73,10 +73,10 @@
 // Knows tells whether any request of this outline is remembered.
 func (t *Table) Knows(outline uint64) bool { return t.outlines[outline] > 0 }
 
-// Ended takes that a target has ended under a request that was sent to it then. It returns
+// TargetDied takes that a target has ended under a request that was sent to it then. It returns
 // the record where that accuses the request. A request that was sent when the target had
 // ended already, or whose target ended together with many others, is not accused.
-func (t *Table) Ended(now time.Time, id Identity, target string, sent time.Time) (Record, bool) {
+func (t *Table) TargetDied(now time.Time, id Identity, target string, sent time.Time) (Record, bool) {
 	e, seen := t.targetDeaths[target]
 	if !seen || now.Sub(e.at) >= minLifetime && sent.After(e.at) {
 		e = targetDeath{at: now, isolated: t.recentDeaths(now) < massDeaths-1}
@@ -105,9 +105,9 @@
 	return n
 }
 
-// Passed takes that a request has gone through at a target, which clears it of all that
+// Succeeded takes that a request has gone through at a target, which clears it of all that
 // was known. It returns the record where other gateways are to hear of that.
-func (t *Table) Passed(now time.Time, f Fingerprint) (Record, bool) {
+func (t *Table) Succeeded(now time.Time, f Fingerprint) (Record, bool) {
 	r := t.records[f]
 	if r == nil {
 		return Record{}, false
@@ -148,16 +148,16 @@
 	})
 }
 
-// Judge returns the standing of a request and, where it is quarantined, for how long.
-func (t *Table) Judge(now time.Time, f Fingerprint) (Standing, time.Duration) {
+// Standing returns the standing of a request and, where it is quarantined, for how long.
+func (t *Table) Standing(now time.Time, f Fingerprint) (Standing, time.Duration) {
 	r := t.records[f]
 	if r == nil || !now.Before(r.expires()) {
 		return Unsuspected, 0
 	}
 	switch n := r.count(); {
-	case n >= Enough && now.Before(r.heldUntil()):
+	case n >= QuarantineThreshold && now.Before(r.heldUntil()):
 		return Quarantined, r.heldUntil().Sub(now)
-	case n >= Shared:
+	case n >= ShareThreshold:
 		return OnTrial, 0
 	case n > 0:
 		return Suspect, 0
@@ -179,8 +179,8 @@
 // EndTrial tells that the run is over.
 func (t *Table) EndTrial(f Fingerprint) { delete(t.trials, f) }
 
-// TrialPause returns when a request may come back of which another try is under way.
-func (t *Table) TrialPause() time.Duration { return trialRetryAfter }
+// TrialRetryAfter returns when a request may come back of which another try is under way.
+func (t *Table) TrialRetryAfter() time.Duration { return trialRetryAfter }
 
 // Shared returns the records that all gateways are to know.
 func (t *Table) Shared(now time.Time) []Record {
@@ -203,7 +203,7 @@
 func (t *Table) Standings(now time.Time) map[Standing]int {
 	out := map[Standing]int{}
 	for f := range t.records {
-		s, _ := t.Judge(now, f)
+		s, _ := t.Standing(now, f)
 		out[s]++
 	}
 	return out
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -27,7 +27,7 @@
 	now := start
 	for _, target := range targets {
 		now = now.Add(time.Minute)
-		t.Ended(now, id, target, now.Add(-time.Second))
+		t.TargetDied(now, id, target, now.Add(-time.Second))
 	}
 	return now
 }
@@ -41,20 +41,20 @@
 	var now time.Time
 	for i, w := range want {
 		now = start.Add(time.Duration(i+1) * time.Minute)
-		table.Ended(now, id, fmt.Sprint("t", i), now.Add(-time.Second))
-		if got, _ := table.Judge(now, f); got != w {
+		table.TargetDied(now, id, fmt.Sprint("t", i), now.Add(-time.Second))
+		if got, _ := table.Standing(now, f); got != w {
 			t.Fatalf("after %d ends: %v, want %v", i+1, got, w)
 		}
 	}
-	_, hold := table.Judge(now, f)
-	if got, _ := table.Judge(now.Add(hold-1), f); got != quarantine.Quarantined {
+	_, hold := table.Standing(now, f)
+	if got, _ := table.Standing(now.Add(hold-1), f); got != quarantine.Quarantined {
 		t.Errorf("%v right before its time is over", got)
 	}
-	if got, _ := table.Judge(now.Add(hold), f); got != quarantine.OnTrial {
+	if got, _ := table.Standing(now.Add(hold), f); got != quarantine.OnTrial {
 		t.Errorf("%v when its time is over, want one try", got)
 	}
-	table.Passed(now.Add(hold), f)
-	if got, _ := table.Judge(now.Add(hold), f); got != quarantine.Unsuspected {
+	table.Succeeded(now.Add(hold), f)
+	if got, _ := table.Standing(now.Add(hold), f); got != quarantine.Unsuspected {
 		t.Errorf("%v after it went through", got)
 	}
 }
@@ -65,12 +65,12 @@
 	now := killTargets(table, id, "t1", "t2", "t3")
 	ends := 3
 	for day := start.Add(30 * 24 * time.Hour); now.Before(day); ends++ {
-		_, hold := table.Judge(now, id.Fingerprint())
+		_, hold := table.Standing(now, id.Fingerprint())
 		now = now.Add(hold)
 		if hold == 0 {
 			t.Fatal("it is not refused")
 		}
-		table.Ended(now, id, fmt.Sprint("again", ends), now.Add(-time.Millisecond))
+		table.TargetDied(now, id, fmt.Sprint("again", ends), now.Add(-time.Millisecond))
 	}
 	if ends > 45 {
 		t.Errorf("%d targets ended in thirty days", ends)
@@ -82,19 +82,19 @@
 func TestUnrelatedDeathsDoNotCount(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	now := killTargets(table, id, "t1")
-	table.Ended(now.Add(time.Millisecond), id, "t1", now.Add(-time.Second))
-	if got, _ := table.Judge(now, id.Fingerprint()); got != quarantine.Suspect {
+	table.TargetDied(now.Add(time.Millisecond), id, "t1", now.Add(-time.Second))
+	if got, _ := table.Standing(now, id.Fingerprint()); got != quarantine.Suspect {
 		t.Errorf("one end counts as %v", got)
 	}
 	late := request(2)
-	if _, accused := table.Ended(now.Add(2*time.Millisecond), late, "t1", now.Add(time.Millisecond)); accused {
+	if _, accused := table.TargetDied(now.Add(2*time.Millisecond), late, "t1", now.Add(time.Millisecond)); accused {
 		t.Error("a request was accused that was sent after the target had ended")
 	}
 	now = now.Add(time.Hour)
 	accused := 0
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Millisecond)
-		if _, ok := table.Ended(at, request(10+i), fmt.Sprint("hall", i), now.Add(-time.Second)); ok {
+		if _, ok := table.TargetDied(at, request(10+i), fmt.Sprint("hall", i), now.Add(-time.Second)); ok {
 			accused++
 		}
 	}
@@ -108,7 +108,7 @@
 func TestRestartedTargetCountsAgain(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	killTargets(table, id, "t1", "t1", "t1")
-	if got, _ := table.Judge(start.Add(3*time.Minute), id.Fingerprint()); got != quarantine.Quarantined {
+	if got, _ := table.Standing(start.Add(3*time.Minute), id.Fingerprint()); got != quarantine.Quarantined {
 		t.Errorf("%v after three ends of one worker", got)
 	}
 }
@@ -121,18 +121,18 @@
 	now := killTargets(table, mine, "t1", "t2", "t3")
 	other := quarantine.Identity{Account: "b", URI: "/q"}
 	now = now.Add(time.Minute)
-	table.Ended(now, other, "x", now.Add(-time.Second))
+	table.TargetDied(now, other, "x", now.Add(-time.Second))
 	for i := range 5000 {
 		now = now.Add(10 * time.Millisecond)
-		table.Ended(now, request(100+i), fmt.Sprint("t", i), now.Add(-time.Millisecond))
+		table.TargetDied(now, request(100+i), fmt.Sprint("t", i), now.Add(-time.Millisecond))
 	}
 	if n := table.Len(); n > 65 {
 		t.Errorf("%d records of two accounts", n)
 	}
-	if got, _ := table.Judge(now, mine.Fingerprint()); got != quarantine.Quarantined {
+	if got, _ := table.Standing(now, mine.Fingerprint()); got != quarantine.Quarantined {
 		t.Errorf("the quarantined request is %v", got)
 	}
-	if got, _ := table.Judge(now, other.Fingerprint()); got != quarantine.Suspect {
+	if got, _ := table.Standing(now, other.Fingerprint()); got != quarantine.Suspect {
 		t.Errorf("the request of another account is %v", got)
 	}
 }
@@ -189,10 +189,10 @@
 			now = now.Add(400 * time.Millisecond)
 			table, id := tables[rng.IntN(len(tables))], request(rng.IntN(4))
 			if rng.IntN(8) == 0 {
-				table.Passed(now, id.Fingerprint())
+				table.Succeeded(now, id.Fingerprint())
 				continue
 			}
-			table.Ended(now, id, fmt.Sprint("t", rng.IntN(6)), now.Add(-100*time.Millisecond))
+			table.TargetDied(now, id, fmt.Sprint("t", rng.IntN(6)), now.Add(-100*time.Millisecond))
 		}
 		return convergeAfterExchange(tables, now, rng)
 	}, gen.UInt64()))
--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -51,7 +51,7 @@
 // Tell tells peers of a request under which targets have ended: all of them where several
 // have, a few that are to count where one has.
 func (x *Records) Tell(now time.Time, r core.Record, except string) {
-	for _, id := range core.Audience(r, x.members.Nodes(), x.members.GossipPeers(now)) {
+	for _, id := range core.Recipients(r, x.members.Nodes(), x.members.GossipPeers(now)) {
 		if id != except && id != x.self {
 			f := x.out.Frame(now, id, false)
 			f.RequestRecords = append(f.RequestRecords, recordToWire(now, r))
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -71,7 +71,7 @@
 func (s *Service) Judge(f quarantine.Fingerprint) (quarantine.Standing, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Judge(s.opts.Clock.Now(), f)
+	return s.table.Standing(s.opts.Clock.Now(), f)
 }
 
 // StartTrial tells whether a request on trial may run here now, and if not, when its caller
@@ -79,7 +79,7 @@
 func (s *Service) StartTrial(f quarantine.Fingerprint) (bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.StartTrial(f), s.table.TrialPause()
+	return s.table.StartTrial(f), s.table.TrialRetryAfter()
 }
 
 // EndTrial tells that the run is over.
@@ -94,9 +94,9 @@
 	now := s.opts.Clock.Now()
 	f := id.Fingerprint()
 	s.mu.Lock()
-	before, _ := s.table.Judge(now, f)
-	r, accused := s.table.Ended(now, id, target, sent)
-	after, hold := s.table.Judge(now, f)
+	before, _ := s.table.Standing(now, f)
+	r, accused := s.table.TargetDied(now, id, target, sent)
+	after, hold := s.table.Standing(now, f)
 	s.count()
 	s.mu.Unlock()
 	if !accused {
@@ -114,14 +114,14 @@
 func (s *Service) Passed(f quarantine.Fingerprint) {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
-	before, _ := s.table.Judge(now, f)
-	r, news := s.table.Passed(now, f)
+	before, _ := s.table.Standing(now, f)
+	r, news := s.table.Succeeded(now, f)
 	s.count()
 	s.mu.Unlock()
 	if news {
 		s.logChange(r, before, quarantine.Unsuspected, 0, "")
 		s.opts.Tell(r)
-		if len(r.Deaths) >= quarantine.Enough {
+		if len(r.Deaths) >= quarantine.QuarantineThreshold {
 			s.change(change{drop: []quarantine.Fingerprint{f}})
 		}
 	}
@@ -134,9 +134,9 @@
 	var news []quarantine.Record
 	for _, other := range records {
 		s.mu.Lock()
-		before, _ := s.table.Judge(now, other.Request)
+		before, _ := s.table.Standing(now, other.Request)
 		r, changed := s.table.Merge(now, other)
-		after, hold := s.table.Judge(now, other.Request)
+		after, hold := s.table.Standing(now, other.Request)
 		s.count()
 		s.mu.Unlock()
 		if !changed {
@@ -183,7 +183,7 @@
 	s.mu.Unlock()
 	var drop []quarantine.Fingerprint
 	for _, r := range over {
-		if len(r.Deaths) >= quarantine.Enough && first(r.Request) {
+		if len(r.Deaths) >= quarantine.QuarantineThreshold && first(r.Request) {
 			drop = append(drop, r.Request)
 		}
 	}
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -152,7 +152,7 @@
 	a := newArchive()
 	first := newFixture(t, a, true)
 	a.setAway(true)
-	first.end(bad(), quarantine.Enough)
+	first.end(bad(), quarantine.QuarantineThreshold)
 	first.expect(t, a, "put")
 	a.setAway(false)
 	first.expect(t, a, "put")
@@ -178,14 +178,14 @@
 func TestWhatIsOverLeavesTheArchive(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
-	f.end(bad(), quarantine.Enough)
+	f.end(bad(), quarantine.QuarantineThreshold)
 	f.expect(t, a, "put")
 	f.clock.Advance(48 * time.Hour)
 	f.Expire(func(quarantine.Fingerprint) bool { return false })
 	if !a.has(bad().Fingerprint()) {
 		t.Fatal("dropped by another gateway")
 	}
-	f.end(bad(), quarantine.Enough)
+	f.end(bad(), quarantine.QuarantineThreshold)
 	f.expect(t, a, "put")
 	f.clock.Advance(48 * time.Hour)
 	f.Expire(func(quarantine.Fingerprint) bool { return true })
@@ -199,7 +199,7 @@
 func TestRunThatGoesThroughClears(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
-	f.end(bad(), quarantine.Enough)
+	f.end(bad(), quarantine.QuarantineThreshold)
 	f.expect(t, a, "put")
 	f.Passed(bad().Fingerprint())
 	f.expect(t, a, "drop")
@@ -226,11 +226,11 @@
 func TestRefusedRequestsAreKeptAgain(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
-	f.end(bad(), quarantine.Enough)
+	f.end(bad(), quarantine.QuarantineThreshold)
 	f.expect(t, a, "put")
 	other := bad()
 	other.URI = "/suspect"
-	f.end(other, quarantine.Shared)
+	f.end(other, quarantine.ShareThreshold)
 	a.mu.Lock()
 	clear(a.rows)
 	a.mu.Unlock()
