--- a/core/member/circle_test.go
+++ b/core/member/circle_test.go
@@ -50,7 +50,7 @@
 		monitors := slices.Clone(l.monitors)
 		slices.Sort(monitors)
 		if got := len(slices.Compact(monitors)); got != min(n, 3) {
-			t.Errorf("%d others: got %d distinct monitors, want %d", n, got, min(n, 3))
+			t.Errorf("%d others: got %d distinct monitors, want one per ring or all others", n, got)
 		}
 	}
 }
--- a/core/member/fleet_test.go
+++ b/core/member/fleet_test.go
@@ -106,7 +106,7 @@
 	}
 	f.run(8 * time.Second)
 	if got := len(f.lists[f.ids[2]].Nodes()); got > n/2 {
-		t.Errorf("smaller side still has %d members alive, want at most %d", got, n/2)
+		t.Errorf("smaller side still has %d members alive, want at most half of the fleet", got)
 	}
 	clear(f.partition)
 	f.run(8 * time.Second)
--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -41,23 +41,23 @@
 	if len(l.pendingRumors) == 0 {
 		return nil
 	}
-	var news []*entry
+	var pending []*entry
 	for id, m := range l.pendingRumors {
 		if m.transmissions >= maxTransmissions {
 			delete(l.pendingRumors, id)
 		} else if m.Incarnation != 0 {
-			news = append(news, m)
+			pending = append(pending, m)
 		}
 	}
-	sort.Slice(news, func(i, j int) bool {
-		if news[i].transmissions != news[j].transmissions {
-			return news[i].transmissions < news[j].transmissions
+	sort.Slice(pending, func(i, j int) bool {
+		if pending[i].transmissions != pending[j].transmissions {
+			return pending[i].transmissions < pending[j].transmissions
 		}
-		return news[i].ID < news[j].ID
+		return pending[i].ID < pending[j].ID
 	})
-	news = news[:min(len(news), l.cfg.MaxRumors)]
-	out := make([]Record, len(news))
-	for i, m := range news {
+	pending = pending[:min(len(pending), l.cfg.MaxRumors)]
+	out := make([]Record, len(pending))
+	for i, m := range pending {
 		m.transmissions++
 		out[i] = m.Record
 	}
--- a/core/watch/storeclock.go
+++ b/core/watch/storeclock.go
@@ -5,47 +5,48 @@
 
 import "time"
 
-// StoreTime is a time of the store's own steady clock, in milliseconds; 0 is not known. It is
-// the one clock that all gateways can compare knowledge by: an age is told in a message, and
-// would be younger by the way of that message when it comes.
+// StoreTime is a time on the store's monotonic clock, in milliseconds; 0 means unknown. All
+// gateways can compare times on this clock, whereas an age sent in a message does not include
+// the delay of the message.
 type StoreTime int64
 
-// Reading is what is told of the store's clock.
+// Reading is a reading of the store's clock, direct or relayed by a peer.
 type Reading struct {
-	Now StoreTime // Now is what it shows when the reading is told.
-	// Asked is what it showed when the store told it, to whoever asked. What has passed since
-	// was measured by the clocks of those that told it on.
+	Now StoreTime // estimate of the store's clock when the reading was sent
+	// Asked is the value that the store itself returned. The time from Asked to Now was
+	// measured by the clocks of the relaying gateways.
 	Asked StoreTime
 }
 
-// Direct returns the reading that is in an answer of the store.
+// Direct returns the reading contained in a response of the store.
 func Direct(t StoreTime) Reading { return Reading{t, t} }
 
 const (
-	// originWindow is how long a reading counts here, once or twice that. The clocks of two
-	// machines differ by some 100 parts in a million, 12 ms in that time.
+	// originWindow is the time for which a reading is used; it is used for up to twice as
+	// long. Two machine clocks drift apart by about 12 ms in two minutes (100 ppm).
 	originWindow = time.Minute
-	// maxReadingAge is how long after the store was asked a reading is still told on. Without
-	// such a bound the fastest clock of a fleet would pull the estimates of all along, by a
-	// third of a second each hour.
+	// maxReadingAge bounds the time since the store was asked for which a reading is relayed.
+	// Without it the fastest clock of a fleet would shift the estimates of all gateways, by
+	// a third of a second per hour.
 	maxReadingAge = 5 * time.Minute
 )
 
-// StoreClock estimates the store's clock from what answers and peers tell of it. Each reading
-// is late by the way it took, never early, so that the earliest origin is the best one.
+// StoreClock estimates the store's clock from readings. A reading is late by its network
+// delay and never early, so the earliest origin is the best estimate.
 type StoreClock struct {
 	current, previous origin
 }
 
-// origin is this process's time at which the store's clock was 0, as of the readings of a span.
+// origin is the local time at which the store's clock was 0, estimated from the readings of
+// one window.
 type origin struct {
 	at          time.Time
-	sampledAt   StoreTime // asked is when the store was asked for the reading that is used.
-	windowStart time.Time // since is when the span began; zero where there is none.
+	sampledAt   StoreTime // Asked of the reading in use
+	windowStart time.Time // zero if there is no reading
 }
 
-// Observe takes a reading of the store's clock, and returns by how much earlier than thought until
-// now everything was that is known by that clock.
+// Observe processes a reading. It returns by how much the estimated origin moved back: local
+// times derived from the store's clock must be shifted by as much.
 func (c *StoreClock) Observe(now time.Time, r Reading) time.Duration {
 	if r.Now <= 0 || r.Asked <= 0 || r.Asked > r.Now || r.Now-r.Asked > StoreTime(maxReadingAge.Milliseconds()) {
 		return 0
@@ -64,7 +65,7 @@
 	return 0
 }
 
-// earliest returns the earliest origin; its time is zero where none is known.
+// earliest returns the earliest origin, with a zero time if there is none.
 func (c *StoreClock) earliest() origin {
 	if !c.previous.at.IsZero() && c.previous.at.Before(c.current.at) {
 		return c.previous
@@ -72,12 +73,13 @@
 	return c.current
 }
 
-// Reading returns the reading that a peer is told.
+// Reading returns the current estimate, to be sent to peers.
 func (c *StoreClock) Reading(now time.Time) Reading {
 	return Reading{c.FromLocal(now), c.earliest().sampledAt}
 }
 
-// ToLocal returns the time of this process at which the store's clock showed a time.
+// ToLocal converts a time of the store's clock to local time. It returns false if the
+// clock or t is unknown.
 func (c *StoreClock) ToLocal(t StoreTime) (time.Time, bool) {
 	zero := c.earliest().at
 	if zero.IsZero() || t <= 0 {
@@ -86,7 +88,7 @@
 	return zero.Add(time.Duration(t) * time.Millisecond), true
 }
 
-// FromLocal returns what the store's clock showed at a time of this process, 0 where that is not known.
+// FromLocal converts a local time to the store's clock. It returns 0 if the clock is unknown.
 func (c *StoreClock) FromLocal(local time.Time) StoreTime {
 	zero := c.earliest().at
 	if zero.IsZero() || !local.After(zero) {
--- a/core/watch/storeclock_test.go
+++ b/core/watch/storeclock_test.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// Readings come late by anything up to seconds; the estimate is wrong by the least of them, and
-// never early.
+// Guards against estimates that are early, or later than the delay of the best reading.
 func TestStoreClockErrorBoundedByBestReading(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1_700_000_000, 0)
@@ -19,46 +18,44 @@
 	for i := range 400 {
 		sent := start.Add(time.Duration(i) * 50 * time.Millisecond)
 		reading := StoreTime(7_000_000 + sent.Sub(start).Milliseconds())
-		way := 2*time.Millisecond + time.Duration(rng.ExpFloat64()*float64(300*time.Millisecond))
-		now := sent.Add(way)
+		delay := 2*time.Millisecond + time.Duration(rng.ExpFloat64()*float64(300*time.Millisecond))
+		now := sent.Add(delay)
 		c.Observe(now, Direct(reading))
-		least = min(least, way)
+		least = min(least, delay)
 		truth := StoreTime(7_000_000 + now.Sub(start).Milliseconds())
 		if off := time.Duration(truth-c.FromLocal(now)) * time.Millisecond; off < 0 || off > least+time.Millisecond {
-			t.Fatalf("after %d readings it is %v behind, the best reading came %v late", i+1, off, least)
+			t.Fatalf("after %d readings the clock is %v behind, but the best reading was delayed by %v", i+1, off, least)
 		}
 	}
 }
 
-// What was known keeps its time by the store's clock when a better reading comes, and a process
-// whose clock is fast does not take the store's for ever later.
+// Guards against a better reading that does not shift earlier times, and against drift of a
+// process whose clock is fast.
 func TestStoreClockCorrectsAndExpiresReadings(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var c StoreClock
 	if _, known := c.ToLocal(5); known || c.FromLocal(now) != 0 || c.Observe(now, Reading{}) != 0 {
-		t.Error("an estimate without a reading")
+		t.Error("got an estimate without a reading")
 	}
-	c.Observe(now, Direct(10_000)) // came a second late
+	c.Observe(now, Direct(10_000)) // delayed by a second
 	before, _ := c.ToLocal(9_000)
 	shift := c.Observe(now.Add(time.Second), Direct(12_000))
 	after, _ := c.ToLocal(9_000)
 	if shift != time.Second || before.Sub(after) != time.Second {
-		t.Errorf("a reading that is better by a second moves by %v, and what was known by %v", shift, before.Sub(after))
+		t.Errorf("a reading with a second less delay shifted the origin by %v and an earlier time by %v, want 1s", shift, before.Sub(after))
 	}
-	const fast = 100 * time.Microsecond // a second
+	const fast = 100 * time.Microsecond // per second
 	reading := StoreTime(12_000)
 	for range 3600 {
 		now, reading = now.Add(time.Second+fast), reading+1000
 		c.Observe(now.Add(time.Second), Direct(reading))
 	}
 	if off := time.Duration(c.FromLocal(now.Add(time.Second))-reading) * time.Millisecond; off < 0 || off > 20*time.Millisecond {
-		t.Errorf("after an hour beside a clock that is fast it is off by %v", off)
+		t.Errorf("after an hour with a fast local clock the estimate is off by %v", off)
 	}
 }
 
-// Gateways tell each other their estimates, and the latest counts. A machine whose clock is fast
-// would pull all of them along, further each hour: an estimate is used for minutes after the
-// store was asked, whoever did.
+// Guards against one fast machine clock that shifts the relayed estimates of all gateways.
 func TestFastClockDoesNotDriftFleet(t *testing.T) {
 	const gateways, hours, fast = 5, 6, 200e-6
 	var clocks [gateways]StoreClock
@@ -72,7 +69,7 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	for at := time.Second; at < hours*time.Hour; at += time.Second {
 		store := StoreTime(at.Milliseconds())
-		clocks[0].Observe(local(0, at), Direct(store)) // the only one that asks
+		clocks[0].Observe(local(0, at), Direct(store)) // the only gateway that polls the store
 		for range 2 * gateways {
 			from, to := rng.IntN(gateways), rng.IntN(gateways)
 			clocks[to].Observe(local(to, at), clocks[from].Reading(local(from, at)))
@@ -82,7 +79,7 @@
 		}
 		for i := range clocks {
 			if off := time.Duration(clocks[i].FromLocal(local(i, at))-store) * time.Millisecond; off < -100*time.Millisecond || off > 100*time.Millisecond {
-				t.Fatalf("after %v gateway %d is off by %v", at, i, off)
+				t.Fatalf("after %v the estimate of gateway %d is off by %v", at, i, off)
 			}
 		}
 	}
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -1,11 +1,12 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package watch decides which gateways ask the platform's store for news. Each
-// call is paid for, so a few gateways ask, and all others learn from their peers:
-// heartbeats carry how old the sender's knowledge is. A gateway whose knowledge
-// grows too old, because those that ask are cut off or the store turns them
-// away, asks by itself. No agreement is needed: two that ask cost a call.
+// Package watch decides when a gateway polls the platform's store for changes.
+//
+// Store calls are billed, so only a few gateways, the watchers, poll all the time. All others
+// learn of changes from their peers, whose heartbeats carry the age of the sender's state. A
+// gateway whose state becomes stale, because the watchers are cut off or rejected by the
+// store, polls by itself. This needs no agreement: two gateways that poll only cost a call.
 package watch
 
 import (
@@ -14,106 +15,101 @@
 )
 
 const (
-	// Watchers is how many gateways ask all the time.
+	// Watchers is the number of gateways that poll all the time.
 	Watchers = 3
-	// LongPollTimeout is how long a call waits for a change.
+	// LongPollTimeout is the time for which a call waits for a change.
 	LongPollTimeout = time.Second
-	// MinPollInterval is the least time between two calls of a gateway that asks.
 	MinPollInterval = 250 * time.Millisecond
-	// staleAfter is the age of knowledge at which any gateway asks, stalePerStep
-	// longer for each doubling of the fleet, since word of mouth takes so much
-	// longer, and after a delay of its own so that not all ask at once: up to
-	// staleSpread, longer in proportion in a fleet of more than spreadMembers. Who asks
-	// first tells the others.
+	// A gateway that is no watcher polls when its state is older than staleAfter, plus
+	// stalePerDoubling for each doubling of the fleet, since gossip takes longer, plus a
+	// random delay of up to staleJitter, so that the first to poll can inform the others.
+	// The jitter grows in proportion in fleets of more than staleJitterMembers.
 	staleAfter         = 1200 * time.Millisecond
 	stalePerDoubling   = 150 * time.Millisecond
 	staleJitter        = 500 * time.Millisecond
 	staleJitterMembers = 60
-	// minBackoff and retryMost are the first and the longest pause after calls that
-	// failed. In a fleet of more than retryMembers they are longer for those that do not
-	// ask all the time, the first one by the square: they all fail together, and hear
-	// of the store's return from those that do.
+	// minBackoff and maxBackoff bound the backoff after failed calls. In a fleet of more than
+	// backoffMembers both grow for gateways that are no watchers, the first by the square:
+	// these all fail together and learn from the watchers that the store is back.
 	minBackoff     = 50 * time.Millisecond
 	maxBackoff     = time.Second
 	backoffMembers = 30
-	// fleetStartWait is how long a gateway leaves it to its peers to tell what there is when
-	// the whole fleet starts for the first time, firstSpread what others wait longer:
-	// news crosses 300 gateways within some hundred milliseconds, and they all start
-	// within a few hundred. againWait and againSpread are the same for a gateway that
-	// starts later: its peers answer within milliseconds where any is up.
+	// A starting gateway waits for its peers to send the state before it reads the store:
+	// fleetStartWait plus up to fleetStartJitter if the whole fleet starts for the first
+	// time, which allows for gossip across 300 gateways; otherwise restartWait plus up to
+	// restartJitter, as running peers answer within milliseconds.
 	fleetStartWait   = 700 * time.Millisecond
 	fleetStartJitter = 2 * time.Second
 	restartWait      = 100 * time.Millisecond
 	restartJitter    = 200 * time.Millisecond
-	// longSilence is the age of knowledge from which on entries that their owners
-	// renew may have run out; settleTime is how long after that they may still be
-	// missing.
+	// After longSilence without an update, entries that their owners renew may have expired.
+	// They may be missing for another settleTime after updates resume.
 	longSilence = 3500 * time.Millisecond
 	settleTime  = 2 * time.Second
-	// unknownAge is told as the age of what is not known at all.
+	// unknownAge is the age reported by a gateway without any state.
 	unknownAge = time.Hour
 )
 
-// Watch is what one gateway believes of the age of one table.
+// Watch tracks the age of one gateway's copy of one table and decides when to poll. It is not
+// safe for concurrent use.
 type Watch struct {
-	jitter        float64   // draw, between 0 and 1, is this gateway's own.
-	freshAt       time.Time // freshAt is the latest time at which what is known here was all there was.
+	jitter        float64   // between 0 and 1
+	freshAt       time.Time // latest time at which the local copy was complete
 	polledAt      time.Time
-	settlingSince time.Time // backAt is when a long silence ended.
-	firstPollAt   time.Time // beginAt is when to read all that peers have not told until then.
-	gap           bool      // gap tells that changes may be missing here.
+	settlingSince time.Time // end of the last long silence
+	firstPollAt   time.Time // earliest time of a poll without any state
+	gap           bool      // the local copy may miss changes
 }
 
-// New returns a watch; draw, between 0 and 1, is the gateway's own delay.
-func New(draw float64) *Watch { return &Watch{jitter: draw} }
+// New returns a watch. jitter, between 0 and 1, spreads the polls of different gateways.
+func New(jitter float64) *Watch { return &Watch{jitter: jitter} }
 
-// staleDelay returns how much later than the first one this gateway asks.
+// staleDelay returns this gateway's jitter on top of staleAge.
 func (w *Watch) staleDelay(members int) time.Duration {
 	spread := staleJitter * time.Duration(max(members, staleJitterMembers)) / staleJitterMembers
 	return time.Duration(w.jitter * float64(spread))
 }
 
-// BackoffRange returns the first and the longest pause after calls of the store that failed.
-func BackoffRange(preferred bool, members int) (first, most time.Duration) {
-	if preferred || members <= backoffMembers {
+// BackoffRange returns the first and the longest backoff after failed calls.
+func BackoffRange(watcher bool, members int) (first, longest time.Duration) {
+	if watcher || members <= backoffMembers {
 		return minBackoff, maxBackoff
 	}
-	times := float64(members) / backoffMembers
-	most = time.Duration(times * float64(maxBackoff))
-	return min(time.Duration(times*times*float64(minBackoff)), most), most
+	scale := float64(members) / backoffMembers
+	longest = time.Duration(scale * float64(maxBackoff))
+	return min(time.Duration(scale*scale*float64(minBackoff)), longest), longest
 }
 
-// Start tells how a gateway starts.
+// Start describes the circumstances in which a gateway starts.
 type Start struct {
-	Seed       bool // Seed tells that others begin with this gateway.
-	FleetStart bool // First tells that the whole fleet starts for the first time.
+	Seed       bool // other gateways join through this one
+	FleetStart bool // the whole fleet starts for the first time
 }
 
-// Wait returns how long a gateway that starts leaves it to its peers to tell it what
-// the store holds; draw is between 0 and 1. Seeds read the store at once.
-func (s Start) Wait(draw float64) time.Duration {
+// Wait returns how long a starting gateway waits for its peers to send the state before it
+// reads the store. Seeds do not wait. jitter is between 0 and 1.
+func (s Start) Wait(jitter float64) time.Duration {
 	switch {
 	case s.Seed:
 		return 0
 	case s.FleetStart:
-		return fleetStartWait + time.Duration(draw*float64(fleetStartJitter))
+		return fleetStartWait + time.Duration(jitter*float64(fleetStartJitter))
 	default:
-		return restartWait + time.Duration(draw*float64(restartJitter))
+		return restartWait + time.Duration(jitter*float64(restartJitter))
 	}
 }
 
-// DelayFirstPoll makes the first reading of all wait for peers.
+// DelayFirstPoll makes the first poll wait for peers.
 func (w *Watch) DelayFirstPoll(now time.Time, wait time.Duration) { w.firstPollAt = now.Add(wait) }
 
-// Due tells whether to ask the store now, in a fleet of so many gateways.
-// Preferred ones ask all the time.
-func (w *Watch) Due(now time.Time, preferred bool, members int) bool {
-	return w.UntilDue(now, preferred, members) == 0
+// Due reports whether to poll the store now. members is the size of the fleet.
+func (w *Watch) Due(now time.Time, watcher bool, members int) bool {
+	return w.UntilDue(now, watcher, members) == 0
 }
 
-// UntilDue returns how long it takes until Due may say so, unless something is heard
-// before; 0 where it does now.
-func (w *Watch) UntilDue(now time.Time, preferred bool, members int) time.Duration {
+// UntilDue returns the time until the next poll is due if nothing is heard before, 0 if it is
+// due now.
+func (w *Watch) UntilDue(now time.Time, watcher bool, members int) time.Duration {
 	switch {
 	case w.gap:
 		return 0
@@ -121,7 +117,7 @@
 		return max(w.firstPollAt.Sub(now), 0)
 	}
 	due := w.polledAt.Add(MinPollInterval)
-	if stale := w.freshAt.Add(staleAge(members) + w.staleDelay(members)); !preferred && stale.After(due) {
+	if stale := w.freshAt.Add(staleAge(members) + w.staleDelay(members)); !watcher && stale.After(due) {
 		due = stale
 	}
 	return max(due.Sub(now), 0)
@@ -131,45 +127,44 @@
 	return staleAfter + time.Duration(bits.Len(uint(max(members, 1)-1)))*stalePerDoubling
 }
 
-// Reason names why the store is asked.
+// Reason is the cause of a poll, as shown in logs and metrics.
 type Reason string
 
-// The reasons.
 const (
-	ReasonFirst Reason = "first" // nothing is known, and no peer has told anything
-	ReasonGap   Reason = "gap"   // changes may be missing
-	ReasonWatch Reason = "watch" // this gateway asks all the time
-	ReasonStale Reason = "stale" // what is known has grown old
+	ReasonFirst Reason = "first" // no state yet, neither from peers
+	ReasonGap   Reason = "gap"   // the local copy may miss changes
+	ReasonWatch Reason = "watch" // this gateway is a watcher
+	ReasonStale Reason = "stale" // the local copy is too old
 )
 
-// PollReason returns the reason of a call that is due.
-func (w *Watch) PollReason(preferred bool) Reason {
+// PollReason returns the cause of a poll that is due.
+func (w *Watch) PollReason(watcher bool) Reason {
 	switch {
 	case w.gap:
 		return ReasonGap
 	case w.freshAt.IsZero():
 		return ReasonFirst
-	case preferred:
+	case watcher:
 		return ReasonWatch
 	default:
 		return ReasonStale
 	}
 }
 
-// PollStarted notes that a call begins.
+// PollStarted records the start of a call.
 func (w *Watch) PollStarted(now time.Time) { w.polledAt = now }
 
-// PollSucceeded notes that the store answered with all there was at a time.
+// PollSucceeded records that the local copy was complete at the given time.
 func (w *Watch) PollSucceeded(at time.Time) {
 	w.gap = false
 	w.advance(at)
 }
 
-// MarkGap notes that what is known may have a gap and must be read anew.
+// MarkGap makes the next poll due at once, since the local copy may miss changes.
 func (w *Watch) MarkGap() { w.gap = true }
 
-// ObservePeerAge takes the age of a peer's knowledge, which is known here too. Peers that know
-// nothing themselves tell nothing.
+// ObservePeerAge records the age of a peer's state that the local copy includes. It ignores
+// peers without any state.
 func (w *Watch) ObservePeerAge(now time.Time, age time.Duration) {
 	if age < unknownAge {
 		w.advance(now.Add(-age))
@@ -186,23 +181,23 @@
 	w.freshAt = at
 }
 
-// ShiftBack moves what is known by the store's clock: a better reading has shown that it was so
-// much earlier.
+// ShiftBack corrects the time of the last update after a better reading of the store's clock,
+// see StoreClock.Observe.
 func (w *Watch) ShiftBack(d time.Duration) {
 	if !w.freshAt.IsZero() {
 		w.freshAt = w.freshAt.Add(-d)
 	}
 }
 
-// MarkUnsettled notes that what is known begins anew, from an older copy: entries may be missing
+// MarkUnsettled records that the store was restored from an older copy: entries may be missing
 // until their owners have written them again.
 func (w *Watch) MarkUnsettled(now time.Time) { w.settlingSince = now }
 
-// FreshAt returns the latest time at which what is known here was all there was.
+// FreshAt returns the latest time at which the local copy was complete.
 func (w *Watch) FreshAt() time.Time { return w.freshAt }
 
-// Unsettled tells whether a long silence lasts, or has ended just now: entries
-// that are missing may only have run out.
+// Unsettled reports whether a long silence lasts or has just ended, so that missing entries may
+// merely have expired.
 func (w *Watch) Unsettled(now time.Time) bool {
 	if w.freshAt.IsZero() {
 		return false
@@ -210,10 +205,10 @@
 	return now.Sub(w.freshAt) > longSilence || !w.settlingSince.IsZero() && now.Sub(w.settlingSince) < settleTime
 }
 
-// FreshSince tells whether what is known was all there was at some time after t.
+// FreshSince reports whether the local copy was complete at some time after t.
 func (w *Watch) FreshSince(t time.Time) bool { return w.freshAt.After(t) }
 
-// Age returns how old the knowledge is; it is very old where nothing is known.
+// Age returns the age of the local copy, unknownAge if there is none.
 func (w *Watch) Age(now time.Time) time.Duration {
 	if w.freshAt.IsZero() {
 		return unknownAge
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -12,11 +12,10 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fleet is a number of gateways that tell each other the age of what they know
-// twice a second, one in turn.
+// fleet simulates gateways that exchange the age of their state every 400 ms.
 type fleet struct {
 	watches []*Watch
-	refused map[int]bool // those that the store turns away
+	refused map[int]bool // gateways that the store rejects
 	calls   map[int]int
 	now     time.Time
 	rng     *rand.Rand
@@ -54,7 +53,7 @@
 	return oldest
 }
 
-// gossip makes each gateway hear from three others.
+// gossip sends each gateway the ages of three random others.
 func (f *fleet) gossip() {
 	ages := make([]time.Duration, len(f.watches))
 	for i, w := range f.watches {
@@ -82,17 +81,16 @@
 			oldest := f.run(20 * time.Second)
 			perSecond := float64(f.total()) / 20
 			if perSecond > float64(Watchers)/MinPollInterval.Seconds()+2 {
-				t.Errorf("%.1f calls a second", perSecond)
+				t.Errorf("got %.1f calls a second, want hardly more than those of the watchers", perSecond)
 			}
 			if oldest > staleAge(len(f.watches))+New(1).staleDelay(len(f.watches))+time.Second {
-				t.Errorf("knowledge was %v old", oldest)
+				t.Errorf("oldest state was %v old", oldest)
 			}
 		})
 	}
 }
 
-// The store turns away just those that ask: others take over in time, and only
-// a few of them.
+// Guards against stale state, or polls by all gateways, when the store rejects the watchers.
 func TestOthersPollWhenWatchersAreRejected(t *testing.T) {
 	f := newFleet(59)
 	f.run(5 * time.Second)
@@ -102,7 +100,7 @@
 	f.calls = map[int]int{}
 	oldest := f.run(10 * time.Second)
 	if oldest > staleAge(len(f.watches))+New(1).staleDelay(len(f.watches))+time.Second {
-		t.Errorf("knowledge was %v old", oldest)
+		t.Errorf("oldest state was %v old", oldest)
 	}
 	others := 0
 	for i, n := range f.calls {
@@ -111,31 +109,30 @@
 		}
 	}
 	if others == 0 || others > 200 {
-		t.Errorf("the others made %d calls in ten seconds", others)
+		t.Errorf("the others made %d calls in ten seconds, want 1 to 200", others)
 	}
 }
 
 func TestIsolatedGatewayPolls(t *testing.T) {
 	w := New(1)
 	if !w.Due(start, false, 1) {
-		t.Error("a gateway that knows nothing does not ask")
+		t.Error("a gateway without state does not poll")
 	}
 	w.PollStarted(start)
 	w.PollSucceeded(start)
 	if w.Due(start.Add(time.Second), false, 1) {
-		t.Error("a gateway with fresh knowledge asks")
+		t.Error("a gateway with fresh state polls")
 	}
 	if !w.Due(start.Add(staleAge(1)+New(1).staleDelay(1)), false, 1) {
-		t.Error("a gateway that hears nothing does not ask")
+		t.Error("a gateway with stale state does not poll")
 	}
 	w.MarkGap()
 	if !w.Due(start.Add(10*time.Millisecond), false, 1) {
-		t.Error("a gateway with a gap does not ask")
+		t.Error("a gateway with a gap does not poll")
 	}
 }
 
-// When hundreds of gateways start at once the seeds read the store, and all others
-// hear of it from their peers: each reading both tables was most of a day's calls.
+// Guards against every gateway reading the store when the whole fleet starts.
 func TestFleetStartCausesFewPolls(t *testing.T) {
 	const n = 295
 	f := newFleet(0)
@@ -152,27 +149,25 @@
 		}
 	}
 	if others > n/10 {
-		t.Errorf("%d gateways made %d calls besides the seeds'", n, others)
+		t.Errorf("gateways other than the seeds, %d in all, made %d calls", n, others)
 	}
 }
 
-// A gateway that nobody tells anything asks the store itself, soon where it starts
-// again.
+// Guards against a starting gateway that waits forever for its peers.
 func TestGatewayWithoutPeersPollsAfterStartWait(t *testing.T) {
 	for _, s := range []Start{{Seed: true}, {FleetStart: true}, {}} {
 		w := New(0)
 		w.DelayFirstPoll(start, s.Wait(1))
 		if got := w.Due(start, true, 1); got != s.Seed {
-			t.Errorf("%+v asks at once: %v", s, got)
+			t.Errorf("%+v: polls at once = %v, want only seeds to do so", s, got)
 		}
 		if !w.Due(start.Add(s.Wait(1)), false, 1) {
-			t.Errorf("%+v does not ask after %v", s, s.Wait(1))
+			t.Errorf("%+v: no poll after %v", s, s.Wait(1))
 		}
 	}
 }
 
-// While the store is away for all, a large fleet does not ask it for each gateway, and
-// all know of its return soon.
+// Guards against all gateways polling a store that is down, and against late recovery.
 func TestLargeFleetPollsLittleDuringOutage(t *testing.T) {
 	const n = 295
 	f := newFleet(n)
@@ -182,48 +177,47 @@
 	}
 	f.calls = map[int]int{}
 	f.run(3500 * time.Millisecond)
-	asked := 0
+	polled := 0
 	for i := range n {
 		if i >= Watchers && f.calls[i] > 0 {
-			asked++
+			polled++
 		}
 	}
-	if asked > n/2 {
-		t.Errorf("%d of %d gateways asked in an outage of 3.5 s", asked, n)
+	if polled > n/2 {
+		t.Errorf("%d of %d gateways polled in an outage of 3.5 s, want at most half", polled, n)
 	}
 	f.refused = map[int]bool{}
 	f.run(2 * time.Second)
 	if oldest := f.run(50 * time.Millisecond); oldest > staleAge(n) {
-		t.Errorf("some knowledge is %v old 2 s after the store's return", oldest)
+		t.Errorf("oldest state is %v old 2 s after the end of the outage", oldest)
 	}
 }
 
-// Those that ask all the time notice the store's return within a second whatever the
-// fleet's size; the others of a large fleet fail seldom together.
+// Guards against watchers that notice the end of an outage late in a large fleet, and against
+// too many failing calls by the others.
 func TestBackoffRange(t *testing.T) {
 	for _, members := range []int{1, 9, 59, 295, 1049} {
-		if first, most := BackoffRange(true, members); first != minBackoff || most != maxBackoff {
-			t.Errorf("%d members: those that ask pause %v to %v", members, first, most)
+		if first, longest := BackoffRange(true, members); first != minBackoff || longest != maxBackoff {
+			t.Errorf("%d members: backoff of watchers is %v to %v", members, first, longest)
 		}
 	}
 	calls := 0
-	for pause, at := time.Duration(0), time.Duration(0); at < 8*time.Second; calls++ {
-		first, most := BackoffRange(false, 295)
-		pause = min(max(2*pause, first), most)
-		at += pause
+	for backoff, at := time.Duration(0), time.Duration(0); at < 8*time.Second; calls++ {
+		first, longest := BackoffRange(false, 295)
+		backoff = min(max(2*backoff, first), longest)
+		at += backoff
 	}
 	if calls > 2 {
-		t.Errorf("each of 295 gateways calls %d times in an outage of 8 s", calls)
+		t.Errorf("each of 295 gateways calls %d times in an outage of 8 s, want at most 2", calls)
 	}
 }
 
-// A long silence leaves the knowledge unsettled until a while after its end; short
-// ones, and the very first word, do not.
+// Guards against entries that are taken for deleted right after a long silence.
 func TestLongSilenceMakesStateUnsettled(t *testing.T) {
 	w := New(0)
 	now := time.Unix(1_700_000_000, 0)
 	if w.Unsettled(now) {
-		t.Error("unsettled before the first word")
+		t.Error("unsettled before the first update")
 	}
 	w.PollSucceeded(now)
 	for range 20 {
@@ -231,14 +225,14 @@
 		w.ObservePeerAge(now, 0)
 	}
 	if w.Unsettled(now) {
-		t.Error("unsettled in calm")
+		t.Error("unsettled despite regular updates")
 	}
 	now = now.Add(longSilence + time.Second)
 	if !w.Unsettled(now) {
-		t.Error("settled in a long silence")
+		t.Error("settled during a long silence")
 	}
 	w.PollSucceeded(now)
 	if !w.Unsettled(now.Add(settleTime/2)) || w.Unsettled(now.Add(settleTime)) {
-		t.Error("want unsettled for a while after the first word")
+		t.Error("not unsettled for exactly settleTime after the end of the silence")
 	}
 }
