--- a/core/quarantine/audience.go
+++ b/core/quarantine/audience.go
@@ -5,16 +5,16 @@
 
 import "madderway/core/place"
 
-// firstDeathReplicas is how many gateways are told of a request under which one target has ended,
-// drawn by its fingerprint: whoever sees the next end tells the same ones. The second is
-// there for the loss of the first.
+// firstDeathReplicas is the number of gateways that receive a record with a single death.
+// They are chosen by fingerprint, so that all gateways report to the same ones; the second
+// covers the loss of the first.
 const firstDeathReplicas = 2
 
-// Recipients returns which gateways are to be told of a record: a few that are to count while
-// one target has ended, then all, each by its neighbours.
-func Recipients(r Record, nodes []place.Node, neighbours []string) []string {
+// Recipients returns the gateways to which a record is sent: a few that count deaths until
+// the record is shared, then all, each through its neighbors.
+func Recipients(r Record, nodes []place.Node, neighbors []string) []string {
 	if r.IsShared() {
-		return neighbours
+		return neighbors
 	}
 	return place.Top(nodes, string(r.Request[:]), firstDeathReplicas)
 }
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -1,10 +1,12 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package quarantine remembers requests under which targets ended, beyond the try in
-// which that happened, and tells which of them must not be sent to a target again. The
-// field calls such a request a poison message or a query of death. A Table is a pure state
-// machine; its records merge in any order, so that gateways agree without a centre.
+// Package quarantine detects poison requests ("queries of death"): requests under which
+// targets die again and again. It decides which requests must not be sent to a target any
+// more.
+//
+// A Table is a pure state machine. Records of different gateways merge in any order, so that
+// gateways converge without coordination.
 package quarantine
 
 import (
@@ -15,36 +17,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Identity is what makes two tries the same request: headers may differ.
+// Identity holds the parts that make two attempts the same request. Headers may differ.
 type Identity struct {
 	Account string
 	Method  string
 	Host    string
-	URI     string // URI is path and query.
+	URI     string // path and query
 	Body    []byte
 }
 
-// Fingerprint is a cryptographic digest of an Identity, alike at all gateways: nobody can
-// make up a request that is taken for another one.
+// Fingerprint is a truncated cryptographic digest of an Identity, the same at all gateways.
+// Nobody can forge a request with the fingerprint of another one.
 type Fingerprint [fingerprintSize]byte
 
-// fingerprintSize is how many bytes of the digest are kept: enough that two requests never
-// share one by chance.
+// fingerprintSize is the length in bytes, enough to rule out accidental collisions.
 const fingerprintSize = 16
 
-// logBytes is how much of a fingerprint log lines show.
+// logBytes is the length of the prefix shown in logs.
 const logBytes = 6
 
-// String returns the beginning of the fingerprint, for log lines.
+// String returns a prefix of the fingerprint in hex, for logs.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:logBytes]) }
 
-// Fingerprint returns the digest of all that makes the request: 14.5 microseconds for a body
-// of 16 KB (BenchmarkFingerprint).
+// Fingerprint returns the digest of all parts.
 func (i Identity) Fingerprint() Fingerprint {
 	h := sha256.New()
 	var size [8]byte
 	for _, part := range []string{i.Account, i.Method, i.Host, i.URI} {
-		// The length goes before each part, so that no two requests digest the same bytes.
+		// The length prefix keeps different requests from hashing the same bytes.
 		binary.LittleEndian.PutUint64(size[:], uint64(len(part)))
 		_, _ = h.Write(size[:])
 		_, _ = h.Write([]byte(part))
@@ -55,12 +55,12 @@
 	return f
 }
 
-// sampleSize is how much of a body an outline holds, at its beginning, middle and end each.
+// sampleSize is the length in bytes of each of the three samples of a body in an outline.
 const sampleSize = 32
 
-// Outline is a cheap hash of a request with samples of its body only. Where no record has it
-// the request is none of those remembered, and no fingerprint is needed: an account's requests
-// often have the same path and length.
+// Outline returns a cheap hash of the request with samples of its body. A request whose
+// outline no record has is not in the table, so most requests need no fingerprint. The
+// samples matter because requests of an account often have the same path and length.
 func (i Identity) Outline() uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -13,9 +13,9 @@
 	return quarantine.Identity{Account: "a", Method: "POST", Host: "h", URI: "/p?q=1", Body: []byte("body")}
 }
 
-const sample = 32
+const sample = 32 // sampleSize of the package
 
-// Whatever makes a request another one changes its fingerprint; parts do not run together.
+// Guards against parts that are left out of the fingerprint or run together.
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	seen := map[quarantine.Fingerprint]int{}
 	changes := []func(*quarantine.Identity){
@@ -43,13 +43,13 @@
 			other := i
 			other.Body = append([]byte("x"), i.Body[1:]...)
 			if i.Outline() == other.Outline() {
-				t.Errorf("size %d (%d): the outline does not tell bodies apart that differ at once", size, n)
+				t.Errorf("size %d (case %d): same outline for bodies that differ in the first byte", size, n)
 			}
 		}
 	}
 	one, same := identity(), identity()
 	if one.Fingerprint() != same.Fingerprint() || one.Outline() != same.Outline() {
-		t.Error("the same request has two fingerprints or outlines")
+		t.Error("equal requests have different fingerprints or outlines")
 	}
 }
 
--- a/core/quarantine/fleet_test.go
+++ b/core/quarantine/fleet_test.go
@@ -15,41 +15,41 @@
 	"madderway/core/quarantine"
 )
 
-// strategy is how gateways of a model tell each other of ends.
+// strategy is a way in which gateways share deaths.
 type strategy int
 
 const (
-	noMemory   strategy = iota // nobody remembers anything
-	localOnly                  // each gateway remembers what it has seen itself
-	flooding                   // all are told of each end
-	production                 // a few count the first end, all are told of the second
+	noMemory   strategy = iota // nothing is remembered
+	localOnly                  // each gateway remembers its own deaths
+	flooding                   // each death is sent to all
+	production                 // the first death is sent to a few, the second to all
 )
 
-// model is a fleet on a fake clock before targets of which one request ends each that runs
-// it. Its callers send it again and again at all gateways.
+// model simulates a fleet on a fake clock. Callers send a poison request, which kills every
+// target that runs it, to all gateways again and again.
 type model struct {
 	rng            *rand.Rand
 	strategy       strategy
 	now            time.Time
 	events         events
 	nodes          []place.Node
-	neighbours     map[string][]string
+	neighbors      map[string][]string
 	tables         []*quarantine.Table
-	partitioned    map[int]bool // cut are gateways that neither hear nor are heard.
-	connectedSince []time.Time  // touch is since when each gateway runs and is not cut.
-	availableAt    []time.Time  // back is when each target takes requests.
+	partitioned    map[int]bool // gateways cut off from all others
+	connectedSince []time.Time  // start or end of the last partition, by gateway
+	availableAt    []time.Time  // end of the last restart, by target
 	incarnations   []int
-	deaths         []time.Time // ended is when targets ended under the request.
-	sent           []time.Time // sent is when it was sent by a gateway in touch.
-	messages       int         // told counts the records that were sent.
+	deaths         []time.Time // of targets under the request
+	sent           []time.Time // sends by gateways connected for convergenceTime
+	messages       int         // records sent between gateways
 }
 
 const (
-	timeToDeath     = 150 * time.Millisecond // from the send to the end of a target
+	timeToDeath     = 150 * time.Millisecond // from the send to the death of the target
 	restartTime     = 3 * time.Second
-	hopDelay        = 20 * time.Millisecond // a message, with the time it waits for others
-	syncInterval    = time.Second           // between two tables of gateways whose digests differ
-	degree          = 8                     // neighbours of a gateway
+	hopDelay        = 20 * time.Millisecond // of a message, including batching
+	syncInterval    = time.Second           // between gateways whose digests differ
+	degree          = 8                     // neighbors of a gateway
 	resendInterval  = 500 * time.Millisecond
 	convergenceTime = 3 * time.Second
 )
@@ -74,7 +74,7 @@
 
 func newModel(w strategy, gateways, targets int, seed uint64) *model {
 	m := &model{
-		rng: rand.New(rand.NewPCG(seed, 9)), strategy: w, now: start, neighbours: map[string][]string{}, partitioned: map[int]bool{},
+		rng: rand.New(rand.NewPCG(seed, 9)), strategy: w, now: start, neighbors: map[string][]string{}, partitioned: map[int]bool{},
 		availableAt: make([]time.Time, targets), incarnations: make([]int, targets),
 	}
 	for i := range gateways {
@@ -86,8 +86,8 @@
 		for _, j := range m.rng.Perm(gateways)[:min(degree/2, gateways)] {
 			if i != j {
 				a, b := m.nodes[i].ID, m.nodes[j].ID
-				m.neighbours[a] = append(m.neighbours[a], b)
-				m.neighbours[b] = append(m.neighbours[b], a)
+				m.neighbors[a] = append(m.neighbors[a], b)
+				m.neighbors[b] = append(m.neighbors[b], a)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// sendRepeatedly has callers send the request at a gateway for as long as the model plays.
+// sendRepeatedly makes callers send the request to a gateway until the end.
 func (m *model) sendRepeatedly(gateway int, id quarantine.Identity) {
 	m.after(time.Duration(m.rng.Float64()*float64(2*resendInterval)), func() {
 		m.send(gateway, id)
@@ -130,19 +130,19 @@
 	if !m.partitioned[gateway] && m.now.Sub(m.connectedSince[gateway]) >= convergenceTime {
 		m.sent = append(m.sent, m.now)
 	}
-	sent, life := m.now, m.incarnations[target]
+	sent, incarnation := m.now, m.incarnations[target]
 	m.after(time.Duration((0.5+m.rng.Float64())*float64(timeToDeath)), func() {
 		if m.tables[gateway] != table {
-			return // the gateway has started again meanwhile
+			return // the gateway has restarted
 		}
 		table.EndTrial(f)
-		if m.incarnations[target] == life {
+		if m.incarnations[target] == incarnation {
 			m.incarnations[target]++
 			m.availableAt[target] = m.now.Add(restartTime)
 			m.deaths = append(m.deaths, m.now)
 		}
-		r, accused := table.TargetDied(m.now, id, fmt.Sprintf("t%d@%d", target, life), sent)
-		if accused {
+		r, counted := table.TargetDied(m.now, id, fmt.Sprintf("t%d@%d", target, incarnation), sent)
+		if counted {
 			m.share(gateway, r, -1)
 		}
 	})
@@ -154,9 +154,9 @@
 	case noMemory, localOnly:
 		return
 	case flooding:
-		to = m.neighbours[self]
+		to = m.neighbors[self]
 	case production:
-		to = quarantine.Recipients(r, m.nodes, m.neighbours[self])
+		to = quarantine.Recipients(r, m.nodes, m.neighbors[self])
 	}
 	for _, id := range to {
 		j := slices.IndexFunc(m.nodes, func(n place.Node) bool { return n.ID == id })
@@ -175,11 +175,11 @@
 	}
 }
 
-// syncTables has gateways that heartbeats connect exchange their tables where these differ.
+// syncTables makes neighbors exchange their records while their digests differ.
 func (m *model) syncTables() {
 	m.after(syncInterval, func() {
 		for i, a := range m.tables {
-			for _, id := range m.neighbours[m.nodes[i].ID] {
+			for _, id := range m.neighbors[m.nodes[i].ID] {
 				j := slices.IndexFunc(m.nodes, func(n place.Node) bool { return n.ID == id })
 				if m.partitioned[i] || m.partitioned[j] || a.Digest() == m.tables[j].Digest() {
 					continue
@@ -194,7 +194,7 @@
 	})
 }
 
-// restart has a gateway begin anew. The first gateway that it greets tells it what is known.
+// restart gives a gateway an empty table; the next gateway then sends it the shared records.
 func (m *model) restart(g int) {
 	m.tables[g], m.connectedSince[g] = quarantine.New(), m.now
 	j := (g + 1) % len(m.tables)
@@ -206,8 +206,8 @@
 	}
 }
 
-// lateSends returns how often the request was sent by gateways in touch later than contact after
-// the third target had ended.
+// lateSends returns the number of sends by connected gateways more than convergenceTime after
+// the death that reached the threshold.
 func (m *model) lateSends() int {
 	if len(m.deaths) < quarantine.QuarantineThreshold {
 		return 0
@@ -221,7 +221,7 @@
 	return n
 }
 
-func runFleet(w strategy, gateways int, trouble func(m *model)) *model {
+func runFleet(w strategy, gateways int, inject func(m *model)) *model {
 	m := newModel(w, gateways, max(9, 2*gateways), uint64(gateways))
 	id := request(1)
 	for g := range gateways {
@@ -230,34 +230,31 @@
 	if w == production {
 		m.syncTables()
 	}
-	if trouble != nil {
-		trouble(m)
+	if inject != nil {
+		inject(m)
 	}
 	m.run(time.Minute)
 	return m
 }
 
-// Each gateway is sent the request twice a second, for a minute. Later than three seconds
-// after it has ended the third target it is sent to no target any more, at nine gateways and
-// at three hundred. What ended before counts those that were on their way when the first
-// ends became known; ways that were not kept are played for comparison.
+// Guards against a poison request that reaches targets more than convergenceTime after its
+// third death. The other strategies run for comparison.
 func TestFleetStopsSending(t *testing.T) {
 	for _, gateways := range []int{9, 64, 300} {
 		for _, w := range []strategy{noMemory, localOnly, flooding, production} {
 			if w <= localOnly && gateways > 9 {
-				continue // some thousand ends
+				continue // thousands of deaths
 			}
 			m := runFleet(w, gateways, nil)
-			t.Logf("%d gateways, way %d: %d targets ended, %d sends in touch too late, %d records told", gateways, w, len(m.deaths), m.lateSends(), m.messages)
+			t.Logf("%d gateways, strategy %d: %d targets died, %d late sends by connected gateways, %d records sent", gateways, w, len(m.deaths), m.lateSends(), m.messages)
 			if w == production && m.lateSends() > 0 {
-				t.Errorf("%d sends later than %v after the third end", m.lateSends(), convergenceTime)
+				t.Errorf("%d sends later than %v after the third death", m.lateSends(), convergenceTime)
 			}
 		}
 	}
 }
 
-// It holds through cuts that come and go, gateways that start again and know nothing, and
-// both at once; a gateway that is cut counts for itself.
+// Guards against the same failure during partitions and restarts of gateways.
 func TestFleetStopsSendingUnderPartitionsAndRestarts(t *testing.T) {
 	const gateways = 9
 	cut := func(m *model, g int, at, length time.Duration) {
@@ -267,28 +264,28 @@
 	restart := func(m *model, g int, at time.Duration) {
 		m.after(at, func() { m.restart(g) })
 	}
-	for name, trouble := range map[string]func(m *model){
-		"cut from the start":  func(m *model) { cut(m, 3, 0, 10*time.Second) },
-		"cut again and again": func(m *model) { cut(m, 3, time.Second, 4*time.Second); cut(m, 3, 10*time.Second, 4*time.Second) },
-		"half is cut": func(m *model) {
+	for name, inject := range map[string]func(m *model){
+		"partition from the start": func(m *model) { cut(m, 3, 0, 10*time.Second) },
+		"repeated partitions":      func(m *model) { cut(m, 3, time.Second, 4*time.Second); cut(m, 3, 10*time.Second, 4*time.Second) },
+		"half is partitioned": func(m *model) {
 			cut(m, 0, 0, 8*time.Second)
 			cut(m, 1, 0, 8*time.Second)
 			cut(m, 2, 0, 8*time.Second)
 			cut(m, 4, 0, 8*time.Second)
 		},
-		"all start in turn":    func(m *model) { restartAll(m, restart) },
-		"a start during a cut": func(m *model) { cut(m, 5, 2*time.Second, 6*time.Second); restart(m, 5, 4*time.Second) },
-		"starts at every second": func(m *model) {
+		"rolling restart":            func(m *model) { restartAll(m, restart) },
+		"restart during a partition": func(m *model) { cut(m, 5, 2*time.Second, 6*time.Second); restart(m, 5, 4*time.Second) },
+		"restart every second": func(m *model) {
 			for s := range 50 {
 				restart(m, s%gateways, time.Duration(s)*time.Second)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := runFleet(production, gateways, trouble)
-			t.Logf("%d targets ended, %d sends too late", len(m.deaths), m.lateSends())
+			m := runFleet(production, gateways, inject)
+			t.Logf("%d targets died, %d late sends", len(m.deaths), m.lateSends())
 			if m.lateSends() > 3 {
-				t.Errorf("%d sends later than %v after the third end", m.lateSends(), convergenceTime)
+				t.Errorf("%d sends later than %v after the third death", m.lateSends(), convergenceTime)
 			}
 		})
 	}
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -12,49 +12,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Death is the end of a target under a request.
+// Death is the death of a target while it served a request.
 type Death struct {
-	Target string
-	At     time.Time
-	// Forgiven tells that the request has gone through at a target since, or beside it.
-	Forgiven bool
+	Target   string
+	At       time.Time
+	Forgiven bool // the request has succeeded at a target since or at the same time
 }
 
-// Record is what is remembered of a request.
+// Record holds the deaths under one request.
 type Record struct {
 	Request Fingerprint
 	Outline uint64
 	Account string
-	Deaths  []Death // Deaths are sorted by target and time.
+	Deaths  []Death // sorted by target and time
 }
 
 const (
-	// QuarantineThreshold is how many targets must have ended under a request to refuse it. One or two
-	// can end beside an innocent one: a target takes all its runs with it. Over the days
-	// with crashes that were counted (docs/incidents/inc-budget.md) no request but those
-	// that end targets lost more than one.
+	// QuarantineThreshold is the number of deaths at which a request is refused. One or two
+	// may be a coincidence: a target that dies takes all its requests with it.
 	QuarantineThreshold = 3
-	// ShareThreshold is under how many ends all gateways are told of a request, so that any run
-	// that goes through clears it, and each gateway has one run of it at a time. After the
-	// first end only two gateways are told: the loss of a data hall makes a record of each
-	// of some thousand requests.
+	// ShareThreshold is the number of deaths at which all gateways receive the record, so
+	// that any success clears the request and each gateway sends it once at a time only. A
+	// single death is not shared with all: the loss of a data hall causes one for each of
+	// some thousand requests.
 	ShareThreshold = 2
-	// retention is how long an end is remembered, and the least time for which a request is
-	// refused. Callers of today come back for two minutes at most; an operator who has
-	// repaired the targets waits for no longer than this. Each end beyond Enough doubles
-	// it, up to keptMost, so that a request that is tried again after its time costs a
-	// target ever less often.
+	// retention is the time for which a death is kept, and the shortest time for which a
+	// request is refused. Each death beyond QuarantineThreshold doubles the latter, up to
+	// maxRetention, so that a poison request that is retried kills targets ever less often.
+	// Callers retry for two minutes at most; an operator who has fixed the targets waits no
+	// longer than this.
 	retention    = 15 * time.Minute
 	maxRetention = 24 * time.Hour
-	// minLifetime is how far apart two ends of a target of the same ID are at least. Ends
-	// that are told as nearer are the same: ages are late by the way of a message.
+	// minLifetime is the shortest time between two deaths of targets with the same ID.
+	// Deaths reported closer together are the same one, as reported times are imprecise.
 	minLifetime = time.Second
-	// maxDeaths bounds the ends of one record to the newest: with so many it is refused for
-	// keptMost in any case.
+	// maxDeaths bounds a record to its newest deaths. With so many the request is refused
+	// for maxRetention in any case.
 	maxDeaths = 16
 )
 
-// count returns how many targets have ended under the request since it went through last.
+// count returns the number of deaths since the request last succeeded.
 func (r *Record) count() int {
 	n := 0
 	for _, d := range r.Deaths {
@@ -75,7 +72,7 @@
 	return last
 }
 
-// holdTime returns for how long after the last end the request is refused.
+// holdTime returns for how long after the last death the request is refused.
 func (r *Record) holdTime() time.Duration {
 	d := retention
 	for n := QuarantineThreshold; n < r.count() && d < maxRetention; n++ {
@@ -84,11 +81,10 @@
 	return min(d, maxRetention)
 }
 
-// heldUntil returns heldUntil when the request is refused.
 func (r *Record) heldUntil() time.Time { return r.lastDeath().Add(r.holdTime()) }
 
-// expires returns when the record is forgotten. One whose request was refused is kept for
-// as long again, so that one more end is enough to refuse it anew.
+// expires returns the time at which the record is deleted. That of a refused request is
+// kept for twice the hold time, so that one more death is enough to refuse it again.
 func (r *Record) expires() time.Time {
 	if r.count() < QuarantineThreshold {
 		return r.lastDeath().Add(retention)
@@ -96,25 +92,25 @@
 	return r.lastDeath().Add(2 * r.holdTime())
 }
 
-// IsShared tells whether all gateways are to know the record.
+// IsShared reports whether all gateways are to have the record.
 func (r *Record) IsShared() bool { return len(r.Deaths) >= ShareThreshold }
 
-// add takes an end, and reports whether it tells anything new.
+// add merges a death into the record and reports whether it added information.
 func (r *Record) add(d Death) bool {
 	for i := range r.Deaths {
 		known := &r.Deaths[i]
 		if known.Target != d.Target || d.At.Sub(known.At).Abs() >= minLifetime {
 			continue
 		}
-		news := d.Forgiven && !known.Forgiven
+		changed := d.Forgiven && !known.Forgiven
 		known.Forgiven = known.Forgiven || d.Forgiven
 		if d.At.Before(known.At) {
 			known.At = d.At
 		}
-		return news
+		return changed
 	}
 	if !d.Forgiven && r.count() >= QuarantineThreshold && d.At.Before(r.heldUntil()) {
-		return false // a run that was on its way when the request was refused
+		return false // sent before the request was refused
 	}
 	r.Deaths = append(r.Deaths, d)
 	if len(r.Deaths) > maxDeaths && r.dropOldest() == d {
@@ -126,7 +122,7 @@
 	return true
 }
 
-// dropOldest takes the oldest end out and returns it.
+// dropOldest removes the oldest death and returns it.
 func (r *Record) dropOldest() Death {
 	oldest := 0
 	for i, d := range r.Deaths {
@@ -139,13 +135,13 @@
 	return d
 }
 
-// forgiveAll forgives all ends; it reports whether any was not forgiven yet.
+// forgiveAll reports whether any death was not yet forgiven.
 func (r *Record) forgiveAll() bool {
-	news := r.count() > 0
+	changed := r.count() > 0
 	for i := range r.Deaths {
 		r.Deaths[i].Forgiven = true
 	}
-	return news
+	return changed
 }
 
 func (r *Record) clone() Record {
@@ -154,8 +150,9 @@
 	return out
 }
 
-// digest sums up what the record tells. Times are not in it: they differ by the way. Of a
-// request that is refused the number of ends is enough: gateways hear of different ones.
+// digest hashes the parts of the record on which gateways converge. Times are left out, as
+// they differ by message delays. For a refused request only the number of deaths counts,
+// since gateways may have seen different ones.
 func (r *Record) digest() uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(r.count()))
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -9,32 +9,31 @@
 )
 
 const (
-	// maxRecords bounds the table, maxOfAccount the records of one account, so that one
-	// that sends many such requests does not push out what is known of others. A record
-	// takes some 300 bytes.
+	// maxRecords bounds the table, some 300 bytes per record, and maxPerAccount the records
+	// of one account, so that an account with many poison requests does not evict those of
+	// others.
 	maxRecords    = 1024
 	maxPerAccount = 64
-	// maxNameLen bounds the names in records of other gateways.
+	// maxNameLen bounds the names in received records, in bytes.
 	maxNameLen = 200
-	// massDeaths targets that end within massSpan, as this gateway sees it, end for a reason
-	// that lies outside their requests: a data hall that is lost, or a cut that answers
-	// every connect. Only those before them accuse anybody.
+	// If massDeaths or more targets die within massWindow, the cause is not a request but,
+	// say, the loss of a data hall or a network partition. Only the first massDeaths-1 of
+	// these deaths count.
 	massDeaths = 3
 	massWindow = 300 * time.Millisecond
-	// trialRetryAfter is when the caller of a request may come back of which another try is
-	// under way: most end within a second, whatever their end.
+	// trialRetryAfter is the delay after which a caller may retry a request whose trial is
+	// in progress; most trials end within it.
 	trialRetryAfter = time.Second
 )
 
-// Standing is what is thought of a request.
+// Standing is the degree of suspicion against a request.
 type Standing uint8
 
-// The standings.
 const (
-	Unsuspected Standing = iota // no target has ended under it, or it has gone through since
-	Suspect                     // one has
-	OnTrial                     // two have: it runs once at a time
-	Quarantined                 // three have: it is not sent
+	Unsuspected Standing = iota // no deaths since it last succeeded
+	Suspect                     // one death
+	OnTrial                     // two deaths: each gateway sends it once at a time
+	Quarantined                 // three deaths: it is refused
 )
 
 // String returns the name of the standing.
@@ -42,21 +41,21 @@
 	return [...]string{"unsuspected", "suspect", "on_trial", "quarantined"}[s]
 }
 
-// targetDeath is the end of a target as this gateway has seen it.
+// targetDeath is the death of a target as seen by this gateway.
 type targetDeath struct {
 	at       time.Time
-	isolated bool // accuses tells that the target did not end together with many others.
+	isolated bool // false if many targets died at the same time
 }
 
-// Table holds what a gateway remembers. It is not safe for concurrent use.
+// Table holds the records known to one gateway. It is not safe for concurrent use.
 type Table struct {
 	records      map[Fingerprint]*Record
-	outlines     map[uint64]int // outlines counts the records of each outline.
-	accounts     map[string]int // accounts counts the records of each account.
-	targetDeaths map[string]targetDeath
-	trials       map[Fingerprint]bool
-	digest       uint64 // digest is that of the shared records.
-	changed      time.Time
+	outlines     map[uint64]int         // number of records by outline
+	accounts     map[string]int         // number of records by account
+	targetDeaths map[string]targetDeath // by target ID
+	trials       map[Fingerprint]bool   // in progress at this gateway
+	digest       uint64 // XOR over the shared records
+	changed      time.Time              // last change of a shared record
 }
 
 // New returns an empty table.
@@ -67,35 +66,35 @@
 	}
 }
 
-// Len returns how many requests are remembered.
+// Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// Knows tells whether any request of this outline is remembered.
+// Knows reports whether there is a record with the outline.
 func (t *Table) Knows(outline uint64) bool { return t.outlines[outline] > 0 }
 
-// TargetDied takes that a target has ended under a request that was sent to it then. It returns
-// the record where that accuses the request. A request that was sent when the target had
-// ended already, or whose target ended together with many others, is not accused.
+// TargetDied records that a target died while it served a request sent at the given time. It
+// returns the record if the death counts against the request. It does not count if the target
+// had died before, or died together with many others.
 func (t *Table) TargetDied(now time.Time, id Identity, target string, sent time.Time) (Record, bool) {
-	e, seen := t.targetDeaths[target]
-	if !seen || now.Sub(e.at) >= minLifetime && sent.After(e.at) {
-		e = targetDeath{at: now, isolated: t.recentDeaths(now) < massDeaths-1}
-		t.targetDeaths[target] = e
+	d, seen := t.targetDeaths[target]
+	if !seen || now.Sub(d.at) >= minLifetime && sent.After(d.at) {
+		d = targetDeath{at: now, isolated: t.recentDeaths(now) < massDeaths-1}
+		t.targetDeaths[target] = d
 	}
-	if !e.isolated || sent.After(e.at) {
+	if !d.isolated || sent.After(d.at) {
 		return Record{}, false
 	}
 	r := t.record(id.Fingerprint(), id.Outline(), id.Account)
-	t.update(now, r, func() bool { return r.add(Death{Target: target, At: e.at}) })
+	t.update(now, r, func() bool { return r.add(Death{Target: target, At: d.at}) })
 	return r.clone(), true
 }
 
-// recentDeaths returns how many targets have ended within the last massSpan, and forgets
-// those that did long ago.
+// recentDeaths returns the number of targets that died within massWindow, and deletes the
+// entries older than retention.
 func (t *Table) recentDeaths(now time.Time) int {
 	n := 0
-	for target, e := range t.targetDeaths {
-		switch age := now.Sub(e.at); {
+	for target, d := range t.targetDeaths {
+		switch age := now.Sub(d.at); {
 		case age < massWindow:
 			n++
 		case age > retention:
@@ -105,8 +104,8 @@
 	return n
 }
 
-// Succeeded takes that a request has gone through at a target, which clears it of all that
-// was known. It returns the record where other gateways are to hear of that.
+// Succeeded records that a request has succeeded at a target, which clears it. It returns the
+// record, and true if other gateways must be told.
 func (t *Table) Succeeded(now time.Time, f Fingerprint) (Record, bool) {
 	r := t.records[f]
 	if r == nil {
@@ -116,29 +115,29 @@
 		t.drop(r)
 		return Record{}, false
 	}
-	news := t.update(now, r, r.forgiveAll)
-	return r.clone(), news
+	updated := t.update(now, r, r.forgiveAll)
+	return r.clone(), updated
 }
 
-// Merge takes a record of another gateway. It returns the record as it is known now, and
-// whether that has told anything new.
+// Merge merges the record of another gateway. It returns the merged record and whether the
+// other one added information.
 func (t *Table) Merge(now time.Time, other Record) (Record, bool) {
 	if !isValid(now, &other) {
 		return Record{}, false
 	}
 	r := t.record(other.Request, other.Outline, other.Account)
-	news := t.update(now, r, func() bool {
-		news := false
+	updated := t.update(now, r, func() bool {
+		updated := false
 		deaths := slices.SortedFunc(slices.Values(other.Deaths), func(a, b Death) int { return a.At.Compare(b.At) })
 		for _, d := range deaths {
-			news = r.add(d) || news
+			updated = r.add(d) || updated
 		}
-		return news
+		return updated
 	})
-	return r.clone(), news
+	return r.clone(), updated
 }
 
-// isValid tells whether a record of another gateway can be taken, and still holds.
+// isValid reports whether a received record is well-formed and not expired.
 func isValid(now time.Time, r *Record) bool {
 	if len(r.Deaths) == 0 || len(r.Deaths) > maxDeaths || len(r.Account) > maxNameLen || !now.Before(r.expires()) {
 		return false
@@ -148,7 +147,7 @@
 	})
 }
 
-// Standing returns the standing of a request and, where it is quarantined, for how long.
+// Standing returns the standing of a request and, if it is quarantined, the remaining time.
 func (t *Table) Standing(now time.Time, f Fingerprint) (Standing, time.Duration) {
 	r := t.records[f]
 	if r == nil || !now.Before(r.expires()) {
@@ -166,8 +165,8 @@
 	}
 }
 
-// StartTrial tells whether a request on trial may run here now; if so, EndTrial must follow.
-// Two runs at a time would cost two targets to learn what one tells.
+// StartTrial reports whether a request on trial may be sent now; if so, the caller must call
+// EndTrial. Trials in parallel would cost several targets for the same information.
 func (t *Table) StartTrial(f Fingerprint) bool {
 	if t.trials[f] {
 		return false
@@ -176,13 +175,14 @@
 	return true
 }
 
-// EndTrial tells that the run is over.
+// EndTrial ends a trial begun by StartTrial.
 func (t *Table) EndTrial(f Fingerprint) { delete(t.trials, f) }
 
-// TrialRetryAfter returns when a request may come back of which another try is under way.
+// TrialRetryAfter returns the delay after which a caller may retry a request whose trial is in
+// progress.
 func (t *Table) TrialRetryAfter() time.Duration { return trialRetryAfter }
 
-// Shared returns the records that all gateways are to know.
+// Shared returns the records that all gateways are to have.
 func (t *Table) Shared(now time.Time) []Record {
 	var out []Record
 	for _, r := range t.records {
@@ -193,13 +193,13 @@
 	return out
 }
 
-// Digest sums up the shared records: tables with the same ones have the same digest.
+// Digest returns a hash of the shared records, equal for tables with the same ones.
 func (t *Table) Digest() uint64 { return t.digest }
 
-// ChangedAt returns when the shared records changed last.
+// ChangedAt returns the time of the last change of the shared records.
 func (t *Table) ChangedAt() time.Time { return t.changed }
 
-// Standings counts the requests of each standing.
+// Standings returns the number of requests by standing.
 func (t *Table) Standings(now time.Time) map[Standing]int {
 	out := map[Standing]int{}
 	for f := range t.records {
@@ -209,20 +209,20 @@
 	return out
 }
 
-// Expire forgets what is over and returns it.
+// Expire deletes expired records and returns them.
 func (t *Table) Expire(now time.Time) []Record {
-	var over []Record
+	var expired []Record
 	for _, r := range t.records {
 		if !now.Before(r.expires()) {
 			t.drop(r)
-			over = append(over, *r)
+			expired = append(expired, *r)
 		}
 	}
-	return over
+	return expired
 }
 
-// record returns the record of a request, a new one where there is none. Where the table
-// or the account's part of it is full, the least and oldest one makes room.
+// record returns the record of a request and creates it if needed. If the table or the
+// account's share of it is full, it evicts a record.
 func (t *Table) record(f Fingerprint, outline uint64, account string) *Record {
 	if r := t.records[f]; r != nil {
 		return r
@@ -240,36 +240,36 @@
 	return r
 }
 
-// evict drops the record with the fewest ends among some, of equal ones the oldest.
-func (t *Table) evict(among func(r *Record) bool) {
-	var least *Record
+// evict deletes the matching record with the fewest deaths, the oldest of several.
+func (t *Table) evict(match func(r *Record) bool) {
+	var victim *Record
 	for _, r := range t.records {
-		if !among(r) {
+		if !match(r) {
 			continue
 		}
-		if least == nil || r.count() < least.count() || r.count() == least.count() && r.lastDeath().Before(least.lastDeath()) {
-			least = r
+		if victim == nil || r.count() < victim.count() || r.count() == victim.count() && r.lastDeath().Before(victim.lastDeath()) {
+			victim = r
 		}
 	}
-	if least != nil {
-		t.drop(least)
+	if victim != nil {
+		t.drop(victim)
 	}
 }
 
-// update changes a record and keeps the digest right; it reports whether that told anything
-// new.
+// update applies a change to a record and adjusts the digest. change and update report whether
+// information was added.
 func (t *Table) update(now time.Time, r *Record, change func() bool) bool {
 	if r.IsShared() {
 		t.digest ^= r.digest()
 	}
-	news := change()
+	updated := change()
 	if r.IsShared() {
 		t.digest ^= r.digest()
-		if news {
+		if updated {
 			t.changed = now
 		}
 	}
-	return news
+	return updated
 }
 
 func (t *Table) drop(r *Record) {
--- a/core/quarantine/table_test.go
+++ b/core/quarantine/table_test.go
@@ -22,7 +22,7 @@
 	return quarantine.Identity{Account: "a", Method: "POST", Host: "h", URI: "/p", Body: fmt.Appendf(nil, "%08d", n)}
 }
 
-// killTargets ends targets under a request, a minute apart.
+// killTargets records the death of targets under a request, a minute apart.
 func killTargets(t *quarantine.Table, id quarantine.Identity, targets ...string) time.Time {
 	now := start
 	for _, target := range targets {
@@ -32,8 +32,7 @@
 	return now
 }
 
-// Each end raises the standing; three refuse the request, for as long as is told, and a run
-// that goes through clears it.
+// Guards against a poison request that is not refused, or never again sent.
 func TestStandingRisesWithDeaths(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	f := id.Fingerprint()
@@ -43,78 +42,76 @@
 		now = start.Add(time.Duration(i+1) * time.Minute)
 		table.TargetDied(now, id, fmt.Sprint("t", i), now.Add(-time.Second))
 		if got, _ := table.Standing(now, f); got != w {
-			t.Fatalf("after %d ends: %v, want %v", i+1, got, w)
+			t.Fatalf("after %d deaths: got %v, want %v", i+1, got, w)
 		}
 	}
 	_, hold := table.Standing(now, f)
 	if got, _ := table.Standing(now.Add(hold-1), f); got != quarantine.Quarantined {
-		t.Errorf("%v right before its time is over", got)
+		t.Errorf("just before the end of the hold time: got %v, want quarantined", got)
 	}
 	if got, _ := table.Standing(now.Add(hold), f); got != quarantine.OnTrial {
-		t.Errorf("%v when its time is over, want one try", got)
+		t.Errorf("after the hold time: got %v, want on_trial", got)
 	}
 	table.Succeeded(now.Add(hold), f)
 	if got, _ := table.Standing(now.Add(hold), f); got != quarantine.Unsuspected {
-		t.Errorf("%v after it went through", got)
+		t.Errorf("after a success: got %v, want unsuspected", got)
 	}
 }
 
-// A request that is tried again when its time is over costs a target ever less often.
+// Guards against a poison request that keeps killing targets after each hold time.
 func TestHoldTimeGrowsWithDeaths(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	now := killTargets(table, id, "t1", "t2", "t3")
-	ends := 3
-	for day := start.Add(30 * 24 * time.Hour); now.Before(day); ends++ {
+	deaths := 3
+	for day := start.Add(30 * 24 * time.Hour); now.Before(day); deaths++ {
 		_, hold := table.Standing(now, id.Fingerprint())
 		now = now.Add(hold)
 		if hold == 0 {
-			t.Fatal("it is not refused")
+			t.Fatal("request is not refused")
 		}
-		table.TargetDied(now, id, fmt.Sprint("again", ends), now.Add(-time.Millisecond))
+		table.TargetDied(now, id, fmt.Sprint("again", deaths), now.Add(-time.Millisecond))
 	}
-	if ends > 45 {
-		t.Errorf("%d targets ended in thirty days", ends)
+	if deaths > 45 {
+		t.Errorf("%d targets died in thirty days, want at most 45", deaths)
 	}
 }
 
-// Nobody is accused by a target that had ended before the request was sent, by a target that
-// ended together with others, or twice by the same end.
+// Guards against blaming a request for a death before it was sent, for a mass death, or twice
+// for the same death.
 func TestUnrelatedDeathsDoNotCount(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	now := killTargets(table, id, "t1")
 	table.TargetDied(now.Add(time.Millisecond), id, "t1", now.Add(-time.Second))
 	if got, _ := table.Standing(now, id.Fingerprint()); got != quarantine.Suspect {
-		t.Errorf("one end counts as %v", got)
+		t.Errorf("one death reported twice: got %v, want suspect", got)
 	}
 	late := request(2)
-	if _, accused := table.TargetDied(now.Add(2*time.Millisecond), late, "t1", now.Add(time.Millisecond)); accused {
-		t.Error("a request was accused that was sent after the target had ended")
+	if _, counted := table.TargetDied(now.Add(2*time.Millisecond), late, "t1", now.Add(time.Millisecond)); counted {
+		t.Error("a death counts against a request that was sent after it")
 	}
 	now = now.Add(time.Hour)
-	accused := 0
+	suspects := 0
 	for i := range 20 {
 		at := now.Add(time.Duration(i) * time.Millisecond)
 		if _, ok := table.TargetDied(at, request(10+i), fmt.Sprint("hall", i), now.Add(-time.Second)); ok {
-			accused++
+			suspects++
 		}
 	}
-	if accused > 2 {
-		t.Errorf("%d requests were accused by a data hall that was lost", accused)
+	if suspects > 2 {
+		t.Errorf("loss of a data hall counts against %d requests, want at most 2", suspects)
 	}
 }
 
-// A worker that starts again under its name and ends again is another end, also where the
-// gateway has not heard of its new life.
+// Guards against ignoring the death of a restarted worker that kept its target ID.
 func TestRestartedTargetCountsAgain(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	killTargets(table, id, "t1", "t1", "t1")
 	if got, _ := table.Standing(start.Add(3*time.Minute), id.Fingerprint()); got != quarantine.Quarantined {
-		t.Errorf("%v after three ends of one worker", got)
+		t.Errorf("after three deaths of one worker: got %v, want quarantined", got)
 	}
 }
 
-// One account that sends many such requests pushes out its own records, the weakest first,
-// and none of another account.
+// Guards against an account that evicts the records of others, or its own strongest ones.
 func TestTableIsBoundedByAccount(t *testing.T) {
 	table := quarantine.New()
 	mine := request(1)
@@ -127,31 +124,30 @@
 		table.TargetDied(now, request(100+i), fmt.Sprint("t", i), now.Add(-time.Millisecond))
 	}
 	if n := table.Len(); n > 65 {
-		t.Errorf("%d records of two accounts", n)
+		t.Errorf("got %d records of two accounts, want at most 65", n)
 	}
 	if got, _ := table.Standing(now, mine.Fingerprint()); got != quarantine.Quarantined {
-		t.Errorf("the quarantined request is %v", got)
+		t.Errorf("quarantined request: got %v", got)
 	}
 	if got, _ := table.Standing(now, other.Fingerprint()); got != quarantine.Suspect {
-		t.Errorf("the request of another account is %v", got)
+		t.Errorf("request of another account: got %v, want suspect", got)
 	}
 }
 
-// What is over is forgotten, with its outline.
 func TestRecordsExpire(t *testing.T) {
 	table, id := quarantine.New(), request(1)
 	now := killTargets(table, id, "t1", "t2", "t3")
 	table.Expire(now.Add(time.Minute))
 	if !table.Knows(id.Outline()) || table.Digest() == 0 {
-		t.Error("forgotten too early")
+		t.Error("record expired too early")
 	}
 	table.Expire(now.Add(24 * time.Hour))
 	if table.Knows(id.Outline()) || table.Len() != 0 || table.Digest() != 0 {
-		t.Error("never forgotten")
+		t.Error("record, outline or digest left after a day")
 	}
 }
 
-// Records that cannot be, or are over, change nothing.
+// Guards against malformed or expired records of other gateways.
 func TestInvalidRecordsIgnored(t *testing.T) {
 	table := quarantine.New()
 	long := make([]byte, 1000)
@@ -160,25 +156,24 @@
 		many[i] = quarantine.Death{Target: fmt.Sprint(i), At: start}
 	}
 	for name, r := range map[string]quarantine.Record{
-		"no ends":        {Account: "a"},
-		"no target":      {Deaths: []quarantine.Death{{At: start}}},
-		"a long target":  {Deaths: []quarantine.Death{{Target: string(long), At: start}}},
-		"a long account": {Account: string(long), Deaths: []quarantine.Death{{Target: "t", At: start}}},
-		"many ends":      {Deaths: many},
-		"the future":     {Deaths: []quarantine.Death{{Target: "t", At: start.Add(time.Hour)}}},
-		"long ago":       {Deaths: []quarantine.Death{{Target: "t", At: start.Add(-48 * time.Hour)}}},
+		"no deaths":           {Account: "a"},
+		"no target":           {Deaths: []quarantine.Death{{At: start}}},
+		"a long target":       {Deaths: []quarantine.Death{{Target: string(long), At: start}}},
+		"a long account":      {Account: string(long), Deaths: []quarantine.Death{{Target: "t", At: start}}},
+		"many deaths":         {Deaths: many},
+		"death in the future": {Deaths: []quarantine.Death{{Target: "t", At: start.Add(time.Hour)}}},
+		"expired":             {Deaths: []quarantine.Death{{Target: "t", At: start.Add(-48 * time.Hour)}}},
 	} {
-		if _, news := table.Merge(start, r); news || table.Len() != 0 {
-			t.Errorf("a record with %s was taken", name)
+		if _, changed := table.Merge(start, r); changed || table.Len() != 0 {
+			t.Errorf("invalid record accepted: %s", name)
 		}
 	}
 }
 
-// Whatever the order in which gateways hear of ends and of runs that went through, once each
-// has heard all of the others they have the same digest and the same standings.
+// Guards against tables that differ after all gateways have exchanged their records.
 func TestTablesConvergeInAnyOrder(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(11))
-	properties.Property("tables agree", prop.ForAll(func(seed uint64) bool {
+	properties.Property("tables converge", prop.ForAll(func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		tables := make([]*quarantine.Table, 3+rng.IntN(4))
 		for i := range tables {
