--- a/core/leaving/leaving.go
+++ b/core/leaving/leaving.go
@@ -37,8 +37,8 @@
 // New returns an empty set.
 func New() *Set { return &Set{incarnations: map[string]*incarnation{}} }
 
-// Told is a life that leaves, as one process tells it to another.
-type Told struct {
+// Announcement is a life that leaves, as one process tells it to another.
+type Announcement struct {
 	ID string `json:"id"`
 	// Age is how long ago the life was last listed or told of. With it, what one process has
 	// forgotten does not come back from another for as long again.
@@ -46,10 +46,10 @@
 }
 
 // Add takes that a life says that it leaves, and reports whether that is new.
-func (s *Set) Add(now time.Time, id string) bool { return s.Merge(now, Told{ID: id}) }
+func (s *Set) Add(now time.Time, id string) bool { return s.Merge(now, Announcement{ID: id}) }
 
 // Merge takes what another process tells, and reports whether that is new.
-func (s *Set) Merge(now time.Time, told Told) bool {
+func (s *Set) Merge(now time.Time, told Announcement) bool {
 	if told.ID == "" || len(told.ID) > maxIDLen || told.Age < 0 || told.Age >= retention {
 		return false
 	}
@@ -76,8 +76,8 @@
 	return l.since, true
 }
 
-// Listed takes that a life is listed, and tells whether it leaves.
-func (s *Set) Listed(now time.Time, id string) bool {
+// MarkListed takes that a life is listed, and tells whether it leaves.
+func (s *Set) MarkListed(now time.Time, id string) bool {
 	l := s.incarnations[id]
 	if l != nil {
 		l.seen = now
@@ -95,10 +95,10 @@
 }
 
 // All returns all lives, as another process is told of them.
-func (s *Set) All(now time.Time) []Told {
-	out := make([]Told, 0, len(s.incarnations))
+func (s *Set) All(now time.Time) []Announcement {
+	out := make([]Announcement, 0, len(s.incarnations))
 	for id, l := range s.incarnations {
-		out = append(out, Told{ID: id, Age: max(now.Sub(l.seen), 0)})
+		out = append(out, Announcement{ID: id, Age: max(now.Sub(l.seen), 0)})
 	}
 	return out
 }
--- a/core/leaving/leaving_test.go
+++ b/core/leaving/leaving_test.go
@@ -48,7 +48,7 @@
 	if tell(late, a, b) != 0 {
 		t.Error("news that are none")
 	}
-	a.Listed(late, "a0")
+	a.MarkListed(late, "a0")
 	for _, s := range []*Set{a, b} {
 		s.Expire(start.Add(retention))
 	}
@@ -58,7 +58,7 @@
 	if tell(start.Add(retention), a, b); b.Len() != 1 {
 		t.Error("a life that is still listed was not taken again")
 	}
-	if b.Merge(start.Add(retention), Told{ID: "old", Age: retention}) || b.Merge(start, Told{ID: "x", Age: -1}) {
+	if b.Merge(start.Add(retention), Announcement{ID: "old", Age: retention}) || b.Merge(start, Announcement{ID: "x", Age: -1}) {
 		t.Error("a life that is over, or of the future, was taken")
 	}
 }
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -85,10 +85,10 @@
 		return
 	}
 	s.setEra(revision.Era(), from)
-	var told []leaving.Told
+	var told []leaving.Announcement
 	for _, ch := range s.table.known {
 		if ch.Target.Leaving {
-			told = append(told, leaving.Told{ID: ch.Target.ID})
+			told = append(told, leaving.Announcement{ID: ch.Target.ID})
 		}
 	}
 	s.opts.Leavers.MergeLeaving(told)
--- a/services/follow/leaving.go
+++ b/services/follow/leaving.go
@@ -16,9 +16,9 @@
 	// Leaves tells whether a life that is listed here leaves.
 	Leaves(target string) bool
 	// Leaving returns all such lives.
-	Leaving() []leaving.Told
+	Leaving() []leaving.Announcement
 	// MergeLeaving takes what another gateway knows, and returns the lives that are news.
-	MergeLeaving(told []leaving.Told) []string
+	MergeLeaving(told []leaving.Announcement) []string
 }
 
 // fromAnswer is where a list has changed since a target said that it leaves.
@@ -65,7 +65,7 @@
 }
 
 // mergeLeaving takes what a peer knows of lives that leave; mu is held.
-func (s *Service) mergeLeaving(peer string, told []leaving.Told) bool {
+func (s *Service) mergeLeaving(peer string, told []leaving.Announcement) bool {
 	news := s.opts.Leavers.MergeLeaving(told)
 	if len(news) > 0 {
 		s.log.Info("Targets leave, a peer has heard.", "targets", news, "from", peer)
@@ -76,6 +76,6 @@
 // nobodyLeaves is used where no answers are heard.
 type nobodyLeaves struct{}
 
-func (nobodyLeaves) Leaves(string) bool                   { return false }
-func (nobodyLeaves) Leaving() []leaving.Told              { return nil }
-func (nobodyLeaves) MergeLeaving([]leaving.Told) []string { return nil }
+func (nobodyLeaves) Leaves(string) bool                           { return false }
+func (nobodyLeaves) Leaving() []leaving.Announcement              { return nil }
+func (nobodyLeaves) MergeLeaving([]leaving.Announcement) []string { return nil }
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -68,7 +68,7 @@
 // asks once for it.
 func TestPeerTellsOfTargetsThatLeave(t *testing.T) {
 	id := routing.TargetID("a", 100)
-	told, err := json.Marshal(targetNews{Revision: 5, Leaving: []leaving.Told{{ID: id, Age: time.Second}}})
+	told, err := json.Marshal(targetNews{Revision: 5, Leaving: []leaving.Announcement{{ID: id, Age: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/services/follow/targets.go
+++ b/services/follow/targets.go
@@ -149,7 +149,7 @@
 	Whole    bool             `json:"whole"` // Whole tells that what is not named is gone.
 	Changes  []TargetChange   `json:"changes"`
 	// Leaving are the lives that have said that they leave, listed or not.
-	Leaving []leaving.Told `json:"leaving,omitempty"`
+	Leaving []leaving.Announcement `json:"leaving,omitempty"`
 }
 
 // since returns what has changed after a revision.
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -224,12 +224,12 @@
 		return false
 	}
 	leaves := false
-	s.locked(func(now time.Time) { leaves = s.leaving.Listed(now, target) })
+	s.locked(func(now time.Time) { leaves = s.leaving.MarkListed(now, target) })
 	return leaves
 }
 
 // Leaving implements follow.Leavers.
-func (s *Service) Leaving() []leaving.Told {
+func (s *Service) Leaving() []leaving.Announcement {
 	if s.known.Load() == 0 {
 		return nil
 	}
@@ -239,7 +239,7 @@
 }
 
 // MergeLeaving implements follow.Leavers.
-func (s *Service) MergeLeaving(told []leaving.Told) (news []string) {
+func (s *Service) MergeLeaving(told []leaving.Announcement) (news []string) {
 	if len(told) == 0 {
 		return nil
 	}
