--- a/core/pushback/pushback_test.go
+++ b/core/pushback/pushback_test.go
@@ -19,7 +19,7 @@
 	return ok
 }
 
-func TestNothingIsSentInARest(t *testing.T) {
+func TestNoRequestsDuringPause(t *testing.T) {
 	for _, d := range []time.Duration{200 * time.Millisecond, 3 * time.Second, 30 * time.Second} {
 		table := New()
 		table.Ask(start, "t", d)
@@ -39,7 +39,7 @@
 }
 
 // The latest end holds, whichever answer comes first.
-func TestLatestEndHolds(t *testing.T) {
+func TestLatestPauseEndWins(t *testing.T) {
 	table := New()
 	table.Ask(at(0), "t", 3*time.Second)
 	if until := table.Ask(at(1), "t", time.Second); until != at(3) {
@@ -55,13 +55,13 @@
 
 // After a rest one request goes first; each that the target takes doubles how many may be under
 // way, and one that it turns away begins anew.
-func TestReturnAfterARest(t *testing.T) {
+func TestSlowStartAfterPause(t *testing.T) {
 	table := New()
 	table.Ask(at(0), "t", time.Second)
 	under := func() int {
 		n := 0
 		for mayStart(table, at(1)) {
-			if n++; n > 2*returnsLast {
+			if n++; n > 2*slowStartDone {
 				break
 			}
 		}
@@ -75,7 +75,7 @@
 			table.End("t", i == 0)
 		}
 	}
-	if n := under(); n <= returnsLast || table.Len() != 0 {
+	if n := under(); n <= slowStartDone || table.Len() != 0 {
 		t.Errorf("%d under way to a target that has returned", n)
 	}
 	table.Ask(at(1), "t", time.Second)
@@ -89,16 +89,16 @@
 
 // A target to which nothing is sent after its rest is soon like any other; one whose answer has
 // not begun is not.
-func TestReturnsAreForgotten(t *testing.T) {
+func TestSlowStartExpires(t *testing.T) {
 	table := New()
 	table.Ask(at(0), "t", time.Second)
 	table.Start(at(1), "t")
-	table.Expire(at(1).Add(returnsFor))
+	table.Expire(at(1).Add(slowStartTimeout))
 	if table.Len() != 1 {
 		t.Error("forgotten while a request is under way")
 	}
 	table.End("t", false)
-	table.Expire(at(1).Add(returnsFor))
+	table.Expire(at(1).Add(slowStartTimeout))
 	if table.Len() != 0 {
 		t.Error("not forgotten")
 	}
@@ -107,13 +107,13 @@
 
 func TestTableIsBounded(t *testing.T) {
 	table := New()
-	for i := range 2 * maxRests {
+	for i := range 2 * maxPauses {
 		table.Ask(at(float64(i)/1000), fmt.Sprint("t", i), time.Minute)
 	}
-	if table.Len() > maxRests {
+	if table.Len() > maxPauses {
 		t.Errorf("%d rests", table.Len())
 	}
-	if _, closed := table.Closed(at(8), fmt.Sprint("t", 2*maxRests-1)); !closed {
+	if _, closed := table.Closed(at(8), fmt.Sprint("t", 2*maxPauses-1)); !closed {
 		t.Error("the latest was dropped")
 	}
 }
