--- a/core/pushback/pushback.go
+++ b/core/pushback/pushback.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// Most bounds a rest. It is no less than any that a target means: one that has to be
+	// MaxPause bounds a rest. It is no less than any that a target means: one that has to be
 	// absent for longer leaves. More, such as a wrong unit, would take the target out of use
 	// for good.
-	Most = time.Hour
+	MaxPause = time.Hour
 	// maxPauses bounds the table, some hundred bytes each, to well more targets than a fleet has.
 	maxPauses = 4096
 	// slowStartInitial is how many requests are under way at once to a target whose rest is over,
@@ -49,9 +49,9 @@
 // Len returns how many targets rest or return.
 func (t *Table) Len() int { return len(t.pauses) }
 
-// Ask takes that a target wants nothing for a time, and returns when its rest ends. The latest
+// Pause takes that a target wants nothing for a time, and returns when its rest ends. The latest
 // end holds: an answer to a request that was sent before may come after one that asks for more.
-func (t *Table) Ask(now time.Time, target string, d time.Duration) time.Time {
+func (t *Table) Pause(now time.Time, target string, d time.Duration) time.Time {
 	r := t.pauses[target]
 	if r == nil {
 		t.evict(now)
@@ -59,14 +59,14 @@
 		t.pauses[target] = r
 	}
 	r.limit = slowStartInitial
-	if until := now.Add(min(d, Most)); until.After(r.until) {
+	if until := now.Add(min(d, MaxPause)); until.After(r.until) {
 		r.until = until
 	}
 	return r.until
 }
 
-// Left returns how much longer a target rests, 0 where it does not.
-func (t *Table) Left(now time.Time, target string) time.Duration {
+// Remaining returns how much longer a target rests, 0 where it does not.
+func (t *Table) Remaining(now time.Time, target string) time.Duration {
 	r := t.pauses[target]
 	if r == nil {
 		return 0
@@ -74,8 +74,8 @@
 	return max(r.until.Sub(now), 0)
 }
 
-// Closed tells whether nothing may be sent to a target now, and how long until something may.
-func (t *Table) Closed(now time.Time, target string) (left time.Duration, closed bool) {
+// Blocked tells whether nothing may be sent to a target now, and how long until something may.
+func (t *Table) Blocked(now time.Time, target string) (left time.Duration, closed bool) {
 	r := t.pauses[target]
 	if r == nil {
 		return 0, false
@@ -89,23 +89,23 @@
 	return 0, false
 }
 
-// Start takes that a request is sent to a target; it reports false where it may not be.
+// TryStart takes that a request is sent to a target; it reports false where it may not be.
 // Counted tells that its end must be told by End.
-func (t *Table) Start(now time.Time, target string) (counted, ok bool) {
+func (t *Table) TryStart(now time.Time, target string) (counted, ok bool) {
 	r := t.pauses[target]
 	if r == nil {
 		return false, true
 	}
-	if _, closed := t.Closed(now, target); closed {
+	if _, closed := t.Blocked(now, target); closed {
 		return false, false
 	}
 	r.inFlight++
 	return true, true
 }
 
-// End takes that the answer to a counted request has begun, and whether the target took the
+// Done takes that the answer to a counted request has begun, and whether the target took the
 // request, or that none will come.
-func (t *Table) End(target string, taken bool) {
+func (t *Table) Done(target string, taken bool) {
 	r := t.pauses[target]
 	if r == nil {
 		return
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -113,8 +113,8 @@
 	var before, left time.Duration
 	now := s.opts.Clock.Now()
 	s.locked(func(now time.Time) {
-		before = s.rests.Left(now, target)
-		left = s.rests.Ask(now, target, d).Sub(now)
+		before = s.rests.Remaining(now, target)
+		left = s.rests.Pause(now, target, d).Sub(now)
 	})
 	s.counters.rests.Inc()
 	if tell, hidden := s.lines.Allow(now); tell {
@@ -149,7 +149,7 @@
 			return
 		}
 		ok := false
-		if counted, ok = s.rests.Start(now, target); !ok {
+		if counted, ok = s.rests.TryStart(now, target); !ok {
 			err = ErrRests
 		}
 	})
@@ -167,7 +167,7 @@
 // will come.
 func (p Permit) End(taken bool) {
 	if p.s != nil {
-		p.s.locked(func(time.Time) { p.s.rests.End(p.target, taken) })
+		p.s.locked(func(time.Time) { p.s.rests.Done(p.target, taken) })
 	}
 }
 
@@ -176,7 +176,7 @@
 	if s.known.Load() == 0 {
 		return 0, false
 	}
-	s.locked(func(now time.Time) { left, closed = s.rests.Closed(now, target) })
+	s.locked(func(now time.Time) { left, closed = s.rests.Blocked(now, target) })
 	return left, closed
 }
 
@@ -203,7 +203,7 @@
 			return
 		}
 		for target := range targets {
-			left, closed := s.rests.Closed(now, target)
+			left, closed := s.rests.Blocked(now, target)
 			if !closed {
 				others++
 				continue
