--- a/core/cold/cold.go
+++ b/core/cold/cold.go
@@ -14,13 +14,13 @@
 	// its cell uses, nextShare of what the one before it used, each further one. Where
 	// gateways disagree on who lives, two or three of them schedule at the same time;
 	// all together stay near the rate.
-	schedulerShare = 0.9
-	nextShare      = 0.5
-	// plainShare is the part of the rate that all gateways together use where each
+	schedulerShare      = 0.9
+	nextSchedulerFactor = 0.5
+	// independentShare is the part of the rate that all gateways together use where each
 	// chooses targets by itself.
-	plainShare = 0.8
-	// rounding is the part of a request that is lost in sums of fractions.
-	rounding = 1e-6
+	independentShare = 0.8
+	// roundingTolerance is the part of a request that is lost in sums of fractions.
+	roundingTolerance = 1e-6
 )
 
 // SchedulerShare returns the part of a cold target's rate that one scheduler of its cell
@@ -33,21 +33,21 @@
 	}
 	share := schedulerShare
 	for range rank {
-		share *= nextShare
+		share *= nextSchedulerFactor
 	}
 	return share * float64(alive) / float64(max(known, alive, 1))
 }
 
 // PlainShare returns the part of a cold target's rate that one of so many gateways may
 // use where each of them chooses by itself.
-func PlainShare(known int) float64 { return plainShare / float64(max(known, 1)) }
+func PlainShare(known int) float64 { return independentShare / float64(max(known, 1)) }
 
 // Pacer paces the requests to one target. It saves up one request at most, so that no
 // second sees more than the rate and one.
 type Pacer struct {
-	until time.Time // until is the end of the cold period that it was made for.
-	at    time.Time
-	level float64 // level is what was saved up at that time, in requests.
+	until     time.Time // until is the end of the cold period that it was made for.
+	updatedAt time.Time
+	tokens    float64 // level is what was saved up at that time, in requests.
 }
 
 // Wait returns how long it takes until the target may get a request, 0 where it may
@@ -59,21 +59,23 @@
 		return 0
 	}
 	if !p.until.Equal(until) {
-		*p = Pacer{until: until, at: now, level: first}
+		*p = Pacer{until: until, updatedAt: now, tokens: first}
 	}
 	if rate <= 0 {
 		return left
 	}
-	missing := 1 - p.saved(now, rate)
-	if missing <= rounding {
+	missing := 1 - p.available(now, rate)
+	if missing <= roundingTolerance {
 		return 0
 	}
 	return min(time.Duration(missing/rate*float64(time.Second)), left)
 }
 
 // Take notes that the target gets a request now.
-func (p *Pacer) Take(now time.Time, rate float64) { p.level, p.at = p.saved(now, rate)-1, now }
+func (p *Pacer) Take(now time.Time, rate float64) {
+	p.tokens, p.updatedAt = p.available(now, rate)-1, now
+}
 
-func (p *Pacer) saved(now time.Time, rate float64) float64 {
-	return min(p.level+rate*max(now.Sub(p.at), 0).Seconds(), 1)
+func (p *Pacer) available(now time.Time, rate float64) float64 {
+	return min(p.tokens+rate*max(now.Sub(p.updatedAt), 0).Seconds(), 1)
 }
--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -17,8 +17,8 @@
 	rate, first float64
 }
 
-// play lets senders send for a while and returns when the target got something.
-func play(senders []*sender, from time.Time, length time.Duration) []time.Time {
+// run lets senders send for a while and returns when the target got something.
+func run(senders []*sender, from time.Time, length time.Duration) []time.Time {
 	var out []time.Time
 	until := from.Add(length)
 	for now := from; now.Before(until); now = now.Add(time.Millisecond) {
@@ -32,8 +32,8 @@
 	return out
 }
 
-// busiest returns the most that any second saw.
-func busiest(at []time.Time) int {
+// maxPerSecond returns the most that any second saw.
+func maxPerSecond(at []time.Time) int {
 	most := 0
 	for i := range at {
 		n := 0
@@ -45,18 +45,18 @@
 	return most
 }
 
-func TestNoSecondSeesMoreThanTheRateAndOne(t *testing.T) {
+func TestPacerBoundsEachSecond(t *testing.T) {
 	for _, rate := range []float64{0.3, 1, 5.5, 40} {
 		s := &sender{rate: rate, first: 1}
-		got := play([]*sender{s}, start, 10*time.Second)
-		if n := busiest(got); float64(n) > rate+1 {
+		got := run([]*sender{s}, start, 10*time.Second)
+		if n := maxPerSecond(got); float64(n) > rate+1 {
 			t.Errorf("rate %v: %d within a second", rate, n)
 		}
 		if float64(len(got)) < 10*rate-1 {
 			t.Errorf("rate %v: only %d in ten seconds", rate, len(got))
 		}
 		// A pause saves no more than one request.
-		if got = play([]*sender{s}, start.Add(time.Minute), time.Second); float64(len(got)) > rate+1 {
+		if got = run([]*sender{s}, start.Add(time.Minute), time.Second); float64(len(got)) > rate+1 {
 			t.Errorf("rate %v: %d in the second after a pause", rate, len(got))
 		}
 	}
@@ -71,7 +71,7 @@
 
 // Whoever schedules a cell while gateways disagree on who lives, a cold target gets no
 // more than half as much again as it bears, and five.
-func TestGatewaysTogetherStayNearTheRate(t *testing.T) {
+func TestCombinedRateStaysNearLimit(t *testing.T) {
 	const bears, fleet, cut = 6.1, 64, 22
 	scheduler := func(rank, alive int) *sender {
 		share := SchedulerShare(rank, alive, fleet)
@@ -92,8 +92,8 @@
 		cases["plain"] = append(cases["plain"], &sender{rate: PlainShare(fleet) * bears, first: rng.Float64()})
 	}
 	for name, senders := range cases {
-		got := play(senders, start, 3*time.Second)
-		if n := busiest(got); float64(n) > bears*1.5+5 {
+		got := run(senders, start, 3*time.Second)
+		if n := maxPerSecond(got); float64(n) > bears*1.5+5 {
 			t.Errorf("%s: %d within a second", name, n)
 		}
 		if name == "last resorts" && len(got) > 0 {
