--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -164,7 +164,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	cold := &routing.Target{ID: "cold", DataHall: "h1", Address: "a", ColdUntil: start.Add(3 * time.Second)}
 	warm := &routing.Target{ID: "warm", DataHall: "h1", Address: "b"}
-	limits := Limits{ColdRate: bears, ColdShare: pacing.PlainShare(gateways)}
+	limits := Limits{ColdRate: bears, ColdShare: pacing.IndependentShare(gateways)}
 	var fleet []*Balancer
 	for range gateways {
 		fleet = append(fleet, New("h1", rng.Float64))
--- a/core/cold/cold.go
+++ b/core/cold/cold.go
@@ -38,9 +38,9 @@
 	return share * float64(alive) / float64(max(known, alive, 1))
 }
 
-// PlainShare returns the part of a cold target's rate that one of so many gateways may
+// IndependentShare returns the part of a cold target's rate that one of so many gateways may
 // use where each of them chooses by itself.
-func PlainShare(known int) float64 { return independentShare / float64(max(known, 1)) }
+func IndependentShare(known int) float64 { return independentShare / float64(max(known, 1)) }
 
 // Pacer paces the requests to one target. It saves up one request at most, so that no
 // second sees more than the rate and one.
--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -89,7 +89,7 @@
 	}
 	for range fleet {
 		cases["last resorts"] = append(cases["last resorts"], scheduler(-1, fleet))
-		cases["plain"] = append(cases["plain"], &sender{rate: PlainShare(fleet) * bears, first: rng.Float64()})
+		cases["plain"] = append(cases["plain"], &sender{rate: IndependentShare(fleet) * bears, first: rng.Float64()})
 	}
 	for name, senders := range cases {
 		got := run(senders, start, 3*time.Second)
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -151,7 +151,7 @@
 
 // limitsOf returns what this gateway may send to the targets of a plain service.
 func (s *Service) limitsOf(service *routing.Service) balance.Limits {
-	return balance.Limits{ColdRate: service.ColdRate, ColdShare: cold.PlainShare(s.opts.Mesh.Known())}
+	return balance.Limits{ColdRate: service.ColdRate, ColdShare: cold.IndependentShare(s.opts.Mesh.Known())}
 }
 
 func (p *plainPlace) target() *routing.Target { return p.pick.Target }
