--- a/core/drain/drain.go
+++ b/core/drain/drain.go
@@ -38,15 +38,15 @@
 func (p Plan) Phase(now time.Time, open int) Phase {
 	since := now.Sub(p.Started)
 	switch {
-	case since >= share(p.Grace, exitShare):
+	case since >= fraction(p.Grace, exitShare):
 		return Exit
-	case open == 0 && since >= min(p.Linger, share(p.Grace, exitShare)):
+	case open == 0 && since >= min(p.Linger, fraction(p.Grace, exitShare)):
 		return Exit
-	case since >= share(p.Grace, serveShare):
+	case since >= fraction(p.Grace, serveShare):
 		return Refuse
 	default:
 		return Serve
 	}
 }
 
-func share(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
+func fraction(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestPhases(t *testing.T) {
+func TestPhaseByTimeAndRequestsInFlight(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	plan := Plan{Started: start, Linger: 2200 * time.Millisecond, Grace: 8 * time.Second}
 	for _, c := range []struct {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestShortGrace(t *testing.T) {
+func TestExitWhenGraceIsShorterThanLinger(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	plan := Plan{Started: start, Linger: 2200 * time.Millisecond, Grace: time.Second}
 	if got := plan.Phase(start.Add(960*time.Millisecond), 5); got != Exit {
