--- a/core/watch/storeclock.go
+++ b/core/watch/storeclock.go
@@ -41,7 +41,7 @@
 // one window.
 type origin struct {
 	at          time.Time
-	sampledAt   StoreTime // Asked of the reading in use
+	asked       StoreTime // Asked of the reading in use
 	windowStart time.Time // zero if there is no reading
 }
 
@@ -57,7 +57,7 @@
 	}
 	at := now.Add(-time.Duration(r.Now) * time.Millisecond)
 	if c.current.at.IsZero() || at.Before(c.current.at) {
-		c.current.at, c.current.sampledAt = at, r.Asked
+		c.current.at, c.current.asked = at, r.Asked
 	}
 	if after := c.earliest(); !before.at.IsZero() && after.at.Before(before.at) {
 		return before.at.Sub(after.at)
@@ -75,7 +75,7 @@
 
 // Reading returns the current estimate, to be sent to peers.
 func (c *StoreClock) Reading(now time.Time) Reading {
-	return Reading{c.FromLocal(now), c.earliest().sampledAt}
+	return Reading{c.FromLocal(now), c.earliest().asked}
 }
 
 // ToLocal converts a time of the store's clock to local time. It returns false if the
