--- a/core/watch/storeclock.go
+++ b/core/watch/storeclock.go
@@ -22,8 +22,8 @@
 func Direct(t StoreTime) Reading { return Reading{t, t} }
 
 const (
-	// originWindow is the time for which a reading is used; it is used for up to twice as
-	// long. Two machine clocks drift apart by about 12 ms in two minutes (100 ppm).
+	// A reading is used for one to two windows of originWindow. Two machine clocks drift apart
+	// by about 12 ms in two minutes (100 ppm).
 	originWindow = time.Minute
 	// maxReadingAge bounds the time since the store was asked for which a reading is relayed.
 	// Without it the fastest clock of a fleet would shift the estimates of all gateways, by
@@ -41,7 +41,7 @@
 // one window.
 type origin struct {
 	at          time.Time
-	asked       StoreTime // Asked of the reading in use
+	asked       StoreTime // of the reading in use
 	windowStart time.Time // zero if there is no reading
 }
 
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -4,8 +4,8 @@
 // Package watch decides when a gateway polls the platform's store for changes.
 //
 // Store calls are billed, so only a few gateways, the watchers, poll all the time. All others
-// learn of changes from their peers, whose heartbeats carry the age of the sender's state. A
-// gateway whose state becomes stale, because the watchers are cut off or rejected by the
+// learn of changes from their peers, whose heartbeats carry the age of the sender's copy. A
+// gateway whose copy becomes stale, because the watchers are cut off or rejected by the
 // store, polls by itself. This needs no agreement: two gateways that poll only cost a call.
 package watch
 
@@ -19,8 +19,9 @@
 	Watchers = 3
 	// LongPollTimeout is the time for which a call waits for a change.
 	LongPollTimeout = time.Second
+	// MinPollInterval is the shortest time between two calls of a gateway.
 	MinPollInterval = 250 * time.Millisecond
-	// A gateway that is no watcher polls when its state is older than staleAfter, plus
+	// A gateway that is not a watcher polls when its copy is older than staleAfter, plus
 	// stalePerDoubling for each doubling of the fleet, since gossip takes longer, plus a
 	// random delay of up to staleJitter, so that the first to poll can inform the others.
 	// The jitter grows in proportion in fleets of more than staleJitterMembers.
@@ -29,12 +30,12 @@
 	staleJitter        = 500 * time.Millisecond
 	staleJitterMembers = 60
 	// minBackoff and maxBackoff bound the backoff after failed calls. In a fleet of more than
-	// backoffMembers both grow for gateways that are no watchers, the first by the square:
+	// backoffMembers both grow for gateways that are not watchers, the first by the square:
 	// these all fail together and learn from the watchers that the store is back.
 	minBackoff     = 50 * time.Millisecond
 	maxBackoff     = time.Second
 	backoffMembers = 30
-	// A starting gateway waits for its peers to send the state before it reads the store:
+	// A starting gateway waits for its peers to send a copy before it reads the store:
 	// fleetStartWait plus up to fleetStartJitter if the whole fleet starts for the first
 	// time, which allows for gossip across 300 gateways; otherwise restartWait plus up to
 	// restartJitter, as running peers answer within milliseconds.
@@ -46,7 +47,7 @@
 	// They may be missing for another settleTime after updates resume.
 	longSilence = 3500 * time.Millisecond
 	settleTime  = 2 * time.Second
-	// unknownAge is the age reported by a gateway without any state.
+	// unknownAge is the age reported by a gateway without a copy.
 	unknownAge = time.Hour
 )
 
@@ -57,7 +58,7 @@
 	freshAt       time.Time // latest time at which the local copy was complete
 	polledAt      time.Time
 	settlingSince time.Time // end of the last long silence
-	firstPollAt   time.Time // earliest time of a poll without any state
+	firstPollAt   time.Time // earliest time of a poll without a copy
 	gap           bool      // the local copy may miss changes
 }
 
@@ -86,7 +87,7 @@
 	FleetStart bool // the whole fleet starts for the first time
 }
 
-// Wait returns how long a starting gateway waits for its peers to send the state before it
+// Wait returns how long a starting gateway waits for its peers to send a copy before it
 // reads the store. Seeds do not wait. jitter is between 0 and 1.
 func (s Start) Wait(jitter float64) time.Duration {
 	switch {
@@ -131,7 +132,7 @@
 type Reason string
 
 const (
-	ReasonFirst Reason = "first" // no state yet, neither from peers
+	ReasonFirst Reason = "first" // no copy yet, and none from peers
 	ReasonGap   Reason = "gap"   // the local copy may miss changes
 	ReasonWatch Reason = "watch" // this gateway is a watcher
 	ReasonStale Reason = "stale" // the local copy is too old
@@ -163,8 +164,8 @@
 // MarkGap makes the next poll due at once, since the local copy may miss changes.
 func (w *Watch) MarkGap() { w.gap = true }
 
-// ObservePeerAge records the age of a peer's state that the local copy includes. It ignores
-// peers without any state.
+// ObservePeerAge records the age of a peer's copy that the local one includes. It ignores
+// peers without a copy.
 func (w *Watch) ObservePeerAge(now time.Time, age time.Duration) {
 	if age < unknownAge {
 		w.advance(now.Add(-age))
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fleet simulates gateways that exchange the age of their state every 400 ms.
+// fleet simulates gateways that exchange the age of their copy every 400 ms.
 type fleet struct {
 	watches []*Watch
 	refused map[int]bool // gateways that the store rejects
@@ -84,13 +84,13 @@
 				t.Errorf("got %.1f calls a second, want hardly more than those of the watchers", perSecond)
 			}
 			if oldest > staleAge(len(f.watches))+New(1).staleDelay(len(f.watches))+time.Second {
-				t.Errorf("oldest state was %v old", oldest)
+				t.Errorf("oldest copy was %v old", oldest)
 			}
 		})
 	}
 }
 
-// Guards against stale state, or polls by all gateways, when the store rejects the watchers.
+// Guards against stale copies, or polls by all gateways, when the store rejects the watchers.
 func TestOthersPollWhenWatchersAreRejected(t *testing.T) {
 	f := newFleet(59)
 	f.run(5 * time.Second)
@@ -100,7 +100,7 @@
 	f.calls = map[int]int{}
 	oldest := f.run(10 * time.Second)
 	if oldest > staleAge(len(f.watches))+New(1).staleDelay(len(f.watches))+time.Second {
-		t.Errorf("oldest state was %v old", oldest)
+		t.Errorf("oldest copy was %v old", oldest)
 	}
 	others := 0
 	for i, n := range f.calls {
@@ -116,15 +116,15 @@
 func TestIsolatedGatewayPolls(t *testing.T) {
 	w := New(1)
 	if !w.Due(start, false, 1) {
-		t.Error("a gateway without state does not poll")
+		t.Error("a gateway without a copy does not poll")
 	}
 	w.PollStarted(start)
 	w.PollSucceeded(start)
 	if w.Due(start.Add(time.Second), false, 1) {
-		t.Error("a gateway with fresh state polls")
+		t.Error("a gateway with a fresh copy polls")
 	}
 	if !w.Due(start.Add(staleAge(1)+New(1).staleDelay(1)), false, 1) {
-		t.Error("a gateway with stale state does not poll")
+		t.Error("a gateway with a stale copy does not poll")
 	}
 	w.MarkGap()
 	if !w.Due(start.Add(10*time.Millisecond), false, 1) {
@@ -189,7 +189,7 @@
 	f.refused = map[int]bool{}
 	f.run(2 * time.Second)
 	if oldest := f.run(50 * time.Millisecond); oldest > staleAge(n) {
-		t.Errorf("oldest state is %v old 2 s after the end of the outage", oldest)
+		t.Errorf("oldest copy is %v old 2 s after the end of the outage", oldest)
 	}
 }
 
