--- a/core/quarantine/fleet_test.go
+++ b/core/quarantine/fleet_test.go
@@ -169,9 +169,9 @@
 }
 
 func (m *model) receive(from, to int, r quarantine.Record) {
-	now, news := m.tables[to].Merge(m.now, r)
-	if news && (now.IsShared() || m.strategy == flooding) {
-		m.share(to, now, from)
+	merged, updated := m.tables[to].Merge(m.now, r)
+	if updated && (merged.IsShared() || m.strategy == flooding) {
+		m.share(to, merged, from)
 	}
 }
 
--- a/core/quarantine/table.go
+++ b/core/quarantine/table.go
@@ -54,7 +54,7 @@
 	accounts     map[string]int         // number of records by account
 	targetDeaths map[string]targetDeath // by target ID
 	trials       map[Fingerprint]bool   // in progress at this gateway
-	digest       uint64 // XOR over the shared records
+	digest       uint64                 // XOR over the shared records
 	changed      time.Time              // last change of a shared record
 }
 
