--- a/core/pushback/pushback.go
+++ b/core/pushback/pushback.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package pushback keeps until when targets want nothing from this process: one that turns a
-// request away may say for how long (server pushback, Retry-After in RFC 9110). After that the
-// target gets one request first, and more as it takes them. It is a pure state machine without
-// a goroutine of its own.
+// Package pushback holds back requests to targets that asked for a pause: a target that
+// rejects a request may say for how long (server pushback, Retry-After in RFC 9110). After the
+// pause a target gets a slow start: one request first, then more as it accepts them. A Table
+// is a pure state machine.
 package pushback
 
 import (
@@ -12,33 +12,32 @@
 )
 
 const (
-	// MaxPause bounds a rest. It is no less than any that a target means: one that has to be
-	// absent for longer leaves. More, such as a wrong unit, would take the target out of use
-	// for good.
+	// MaxPause bounds a pause, so that a wrong unit does not take a target out of use for
+	// good. A target that has to be absent for longer leaves instead.
 	MaxPause = time.Hour
-	// maxPauses bounds the table, some hundred bytes each, to well more targets than a fleet has.
+	// maxPauses bounds the table, some hundred bytes per entry. It exceeds the number of
+	// targets of any fleet.
 	maxPauses = 4096
-	// slowStartInitial is how many requests are under way at once to a target whose rest is over,
-	// until it has taken one; each that it takes doubles that. At returnsLast it is a target
-	// like any other.
+	// slowStartInitial is the number of requests in flight allowed after a pause. Each
+	// accepted request doubles the limit; at slowStartDone the target is back to normal.
 	slowStartInitial = 1
 	slowStartDone    = 8
-	// slowStartTimeout is how long after its rest a target is still returning to which nothing is
-	// sent. By then what waited for it is served or gone.
+	// slowStartTimeout ends the slow start of a target that gets no requests. By then the
+	// requests that waited for it are served or gone.
 	slowStartTimeout = 2 * time.Second
-	// slowStartRetryAfter is when another request may try a target to which as many are under way as
-	// it gets now: most heads of answers come within that.
+	// slowStartRetryAfter is the delay after which to retry a target at its limit. Most
+	// response headers arrive within it.
 	slowStartRetryAfter = 100 * time.Millisecond
 )
 
-// pause is the pause that one life of a target has asked for.
+// pause is the pause and the slow start of one target incarnation.
 type pause struct {
 	until    time.Time
-	limit    int // allowed is how many requests may be under way once it is over.
-	inFlight int // underWay counts the requests sent since it was over whose answers have not begun.
+	limit    int // requests in flight allowed during the slow start
+	inFlight int // requests of the slow start without a response header
 }
 
-// Table holds the rests of all targets. It is not safe for concurrent use.
+// Table holds the pauses of all targets. It is not safe for concurrent use.
 type Table struct {
 	pauses map[string]*pause // by target ID
 }
@@ -46,11 +45,11 @@
 // New returns an empty table.
 func New() *Table { return &Table{pauses: map[string]*pause{}} }
 
-// Len returns how many targets rest or return.
+// Len returns the number of targets in a pause or a slow start.
 func (t *Table) Len() int { return len(t.pauses) }
 
-// Pause takes that a target wants nothing for a time, and returns when its rest ends. The latest
-// end holds: an answer to a request that was sent before may come after one that asks for more.
+// Pause records that a target asks for a pause of d, and returns the end of its pause. The
+// latest end wins, as responses may arrive out of order.
 func (t *Table) Pause(now time.Time, target string, d time.Duration) time.Time {
 	r := t.pauses[target]
 	if r == nil {
@@ -65,7 +64,7 @@
 	return r.until
 }
 
-// Remaining returns how much longer a target rests, 0 where it does not.
+// Remaining returns the rest of a target's pause, 0 if there is none.
 func (t *Table) Remaining(now time.Time, target string) time.Duration {
 	r := t.pauses[target]
 	if r == nil {
@@ -74,14 +73,14 @@
 	return max(r.until.Sub(now), 0)
 }
 
-// Blocked tells whether nothing may be sent to a target now, and how long until something may.
-func (t *Table) Blocked(now time.Time, target string) (left time.Duration, closed bool) {
+// Blocked reports whether a target must not get a request now, and when to retry.
+func (t *Table) Blocked(now time.Time, target string) (retryAfter time.Duration, blocked bool) {
 	r := t.pauses[target]
 	if r == nil {
 		return 0, false
 	}
-	if left := r.until.Sub(now); left > 0 {
-		return left, true
+	if retryAfter := r.until.Sub(now); retryAfter > 0 {
+		return retryAfter, true
 	}
 	if r.inFlight >= r.limit {
 		return slowStartRetryAfter, true
@@ -89,29 +88,28 @@
 	return 0, false
 }
 
-// TryStart takes that a request is sent to a target; it reports false where it may not be.
-// Counted tells that its end must be told by End.
+// TryStart reports whether a request may be sent to a target. If counted is true, the caller
+// must call Done when the response begins or the request fails.
 func (t *Table) TryStart(now time.Time, target string) (counted, ok bool) {
 	r := t.pauses[target]
 	if r == nil {
 		return false, true
 	}
-	if _, closed := t.Blocked(now, target); closed {
+	if _, blocked := t.Blocked(now, target); blocked {
 		return false, false
 	}
 	r.inFlight++
 	return true, true
 }
 
-// Done takes that the answer to a counted request has begun, and whether the target took the
-// request, or that none will come.
-func (t *Table) Done(target string, taken bool) {
+// Done ends a request counted by TryStart.
+func (t *Table) Done(target string, accepted bool) {
 	r := t.pauses[target]
 	if r == nil {
 		return
 	}
 	r.inFlight = max(r.inFlight-1, 0)
-	if !taken {
+	if !accepted {
 		return
 	}
 	r.limit *= 2
@@ -120,7 +118,7 @@
 	}
 }
 
-// Expire forgets the targets that have returned, or that nothing was sent to since.
+// Expire deletes targets without requests in flight whose slow start has timed out.
 func (t *Table) Expire(now time.Time) {
 	for target, r := range t.pauses {
 		if r.inFlight == 0 && now.Sub(r.until) >= slowStartTimeout {
@@ -129,7 +127,8 @@
 	}
 }
 
-// evict drops what is over, or else the rest that ends first, where the table is full.
+// evict makes room in a full table: it deletes expired entries or else the pause that ends
+// first.
 func (t *Table) evict(now time.Time) {
 	if len(t.pauses) < maxPauses {
 		return
--- a/core/pushback/pushback_test.go
+++ b/core/pushback/pushback_test.go
@@ -25,40 +25,39 @@
 		table.Pause(start, "t", d)
 		for _, share := range []float64{0, 0.5, 0.999} {
 			now := start.Add(time.Duration(share * float64(d)))
-			if left, closed := table.Blocked(now, "t"); mayStart(table, now) || !closed || left != start.Add(d).Sub(now) {
-				t.Errorf("%v of a rest of %v: sent, or closed %v for %v", share, d, closed, left)
+			if retryAfter, blocked := table.Blocked(now, "t"); mayStart(table, now) || !blocked || retryAfter != start.Add(d).Sub(now) {
+				t.Errorf("at %v of a pause of %v: request allowed, or blocked = %v for %v", share, d, blocked, retryAfter)
 			}
 		}
 		if !mayStart(table, start.Add(d)) {
-			t.Errorf("nothing is sent after a rest of %v", d)
+			t.Errorf("request blocked after a pause of %v", d)
 		}
 		if _, ok := table.TryStart(start, "other"); !ok {
-			t.Error("another target rests, too")
+			t.Error("another target is blocked, too")
 		}
 	}
 }
 
-// The latest end holds, whichever answer comes first.
+// Guards against a late response that shortens a pause, and against a pause without end.
 func TestLatestPauseEndWins(t *testing.T) {
 	table := New()
 	table.Pause(at(0), "t", 3*time.Second)
 	if until := table.Pause(at(1), "t", time.Second); until != at(3) {
-		t.Errorf("a shorter rest ends at %v", until)
+		t.Errorf("after a shorter pause: end at %v, want 3 s after the start", until)
 	}
 	if until := table.Pause(at(2), "t", 3*time.Second); until != at(5) {
-		t.Errorf("a later rest ends at %v", until)
+		t.Errorf("after a later pause: end at %v, want 5 s after the start", until)
 	}
 	if until := table.Pause(at(2), "t", math.MaxInt64); until != at(2).Add(MaxPause) {
-		t.Errorf("a rest without end ends at %v", until)
+		t.Errorf("after an excessive pause: end at %v, want MaxPause after its request", until)
 	}
 }
 
-// After a rest one request goes first; each that the target takes doubles how many may be under
-// way, and one that it turns away begins anew.
+// Guards against a burst of requests to a target whose pause has just ended.
 func TestSlowStartAfterPause(t *testing.T) {
 	table := New()
 	table.Pause(at(0), "t", time.Second)
-	under := func() int {
+	startAll := func() int {
 		n := 0
 		for mayStart(table, at(1)) {
 			if n++; n > 2*slowStartDone {
@@ -68,41 +67,41 @@
 		return n
 	}
 	for _, want := range []int{1, 2, 4} {
-		if n := under(); n != want {
-			t.Errorf("%d under way at once, want %d", n, want)
+		if n := startAll(); n != want {
+			t.Errorf("got %d requests in flight, want %d", n, want)
 		}
 		for i := range want {
 			table.Done("t", i == 0)
 		}
 	}
-	if n := under(); n <= slowStartDone || table.Len() != 0 {
-		t.Errorf("%d under way to a target that has returned", n)
+	if n := startAll(); n <= slowStartDone || table.Len() != 0 {
+		t.Errorf("after the slow start: got %d requests in flight, want no limit and no entry", n)
 	}
 	table.Pause(at(1), "t", time.Second)
 	table.TryStart(at(2), "t")
 	table.Pause(at(2), "t", time.Second)
 	table.Done("t", false)
 	if mayStart(table, at(2.5)) || !mayStart(table, at(3)) || mayStart(table, at(3)) {
-		t.Error("a second rest is no rest, or more than one goes first after it")
+		t.Error("second pause: request allowed during it, or not exactly one after it")
 	}
 }
 
-// A target to which nothing is sent after its rest is soon like any other; one whose answer has
-// not begun is not.
+// Guards against an endless slow start without requests, and one that ends while a request is
+// in flight.
 func TestSlowStartExpires(t *testing.T) {
 	table := New()
 	table.Pause(at(0), "t", time.Second)
 	table.TryStart(at(1), "t")
 	table.Expire(at(1).Add(slowStartTimeout))
 	if table.Len() != 1 {
-		t.Error("forgotten while a request is under way")
+		t.Error("expired with a request in flight")
 	}
 	table.Done("t", false)
 	table.Expire(at(1).Add(slowStartTimeout))
 	if table.Len() != 0 {
-		t.Error("not forgotten")
+		t.Error("not expired")
 	}
-	table.Done("t", true) // of a send that began before
+	table.Done("t", true) // late response
 }
 
 func TestTableIsBounded(t *testing.T) {
@@ -111,9 +110,9 @@
 		table.Pause(at(float64(i)/1000), fmt.Sprint("t", i), time.Minute)
 	}
 	if table.Len() > maxPauses {
-		t.Errorf("%d rests", table.Len())
+		t.Errorf("got %d pauses, want a bounded table", table.Len())
 	}
-	if _, closed := table.Blocked(at(8), fmt.Sprint("t", 2*maxPauses-1)); !closed {
-		t.Error("the latest was dropped")
+	if _, blocked := table.Blocked(at(8), fmt.Sprint("t", 2*maxPauses-1)); !blocked {
+		t.Error("latest pause was evicted")
 	}
 }
