--- a/core/cold/cold.go
+++ b/core/cold/cold.go
@@ -1,32 +1,32 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package cold bounds what a target gets while it is cold: one that has just started,
-// or lost what it had in memory, bears few requests a second and falls over above that.
-// Gateways decide without a centre, so each one takes a part of the rate that leaves
-// room for those that it cannot hear.
+// Package cold limits the request rate of cold targets. A target that has just started, or
+// lost its caches, handles few requests a second and fails above that. Gateways decide
+// without coordination, so each uses a share of the rate that leaves room for those that it
+// cannot hear.
 package cold
 
 import "time"
 
 const (
-	// schedulerShare is the part of a cold target's rate that the first scheduler of
-	// its cell uses, nextShare of what the one before it used, each further one. Where
-	// gateways disagree on who lives, two or three of them schedule at the same time;
-	// all together stay near the rate.
+	// schedulerShare is the share of a cold target's rate that the first scheduler of its
+	// cell uses. Each further one uses nextSchedulerFactor times the share of the one before:
+	// gateways with different views may schedule at the same time, and together they must
+	// stay near the rate.
 	schedulerShare      = 0.9
 	nextSchedulerFactor = 0.5
-	// independentShare is the part of the rate that all gateways together use where each
-	// chooses targets by itself.
+	// independentShare is the share that all gateways use together where each chooses
+	// targets independently.
 	independentShare = 0.8
-	// roundingTolerance is the part of a request that is lost in sums of fractions.
+	// roundingTolerance, in requests, absorbs floating-point errors.
 	roundingTolerance = 1e-6
 )
 
-// SchedulerShare returns the part of a cold target's rate that one scheduler of its cell
-// may use. Rank is its place among the cell's schedulers, -1 for a gateway that is none
-// and schedules since it reaches none; it places nothing there. Alive of the known
-// gateways are heard of: the others may schedule, too.
+// SchedulerShare returns the share of a cold target's rate that a scheduler of its cell may
+// use. rank is its place among the cell's schedulers; it is -1 for a gateway that schedules
+// only because it reaches no scheduler, which gets no share. Of the known gateways, those not
+// alive may be scheduling, too, on the other side of a partition.
 func SchedulerShare(rank, alive, known int) float64 {
 	if rank < 0 {
 		return 0
@@ -38,21 +38,21 @@
 	return share * float64(alive) / float64(max(known, alive, 1))
 }
 
-// IndependentShare returns the part of a cold target's rate that one of so many gateways may
-// use where each of them chooses by itself.
+// IndependentShare returns the share of a cold target's rate that one of the known gateways may
+// use where each chooses targets independently.
 func IndependentShare(known int) float64 { return independentShare / float64(max(known, 1)) }
 
-// Pacer paces the requests to one target. It saves up one request at most, so that no
-// second sees more than the rate and one.
+// Pacer is a token bucket for the requests to one target. It holds one token at most, so that
+// no second sees more than the rate plus one request.
 type Pacer struct {
-	until     time.Time // until is the end of the cold period that it was made for.
+	until     time.Time // end of the cold period of this bucket
 	updatedAt time.Time
-	tokens    float64 // level is what was saved up at that time, in requests.
+	tokens    float64 // in requests, at updatedAt
 }
 
-// Wait returns how long it takes until the target may get a request, 0 where it may
-// now: it is warm, or bears one more. It is cold until a time, and the rate is in
-// requests a second. A new cold period begins with first, a part of a request, saved up.
+// Wait returns the time until the target may get a request, 0 if it may now. The target is cold
+// until the given time. rate is in requests a second. first is the number of tokens, at most 1,
+// at the start of a new cold period.
 func (p *Pacer) Wait(now, until time.Time, rate, first float64) time.Duration {
 	left := until.Sub(now)
 	if left <= 0 {
@@ -71,7 +71,7 @@
 	return min(time.Duration(missing/rate*float64(time.Second)), left)
 }
 
-// Take notes that the target gets a request now.
+// Take takes a token for a request sent now.
 func (p *Pacer) Take(now time.Time, rate float64) {
 	p.tokens, p.updatedAt = p.available(now, rate)-1, now
 }
--- a/core/cold/cold_test.go
+++ b/core/cold/cold_test.go
@@ -11,13 +11,13 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// sender is a gateway that sends a cold target all that it may.
+// sender is a gateway that sends a cold target as many requests as it may.
 type sender struct {
 	Pacer
 	rate, first float64
 }
 
-// run lets senders send for a while and returns when the target got something.
+// run simulates the senders and returns the times of their requests.
 func run(senders []*sender, from time.Time, length time.Duration) []time.Time {
 	var out []time.Time
 	until := from.Add(length)
@@ -32,7 +32,7 @@
 	return out
 }
 
-// maxPerSecond returns the most that any second saw.
+// maxPerSecond returns the highest number of requests within any second.
 func maxPerSecond(at []time.Time) int {
 	most := 0
 	for i := range at {
@@ -50,57 +50,56 @@
 		s := &sender{rate: rate, first: 1}
 		got := run([]*sender{s}, start, 10*time.Second)
 		if n := maxPerSecond(got); float64(n) > rate+1 {
-			t.Errorf("rate %v: %d within a second", rate, n)
+			t.Errorf("rate %v: %d requests within a second, want at most the rate plus one", rate, n)
 		}
 		if float64(len(got)) < 10*rate-1 {
-			t.Errorf("rate %v: only %d in ten seconds", rate, len(got))
+			t.Errorf("rate %v: only %d requests in ten seconds", rate, len(got))
 		}
-		// A pause saves no more than one request.
+		// An idle period must save up one request at most.
 		if got = run([]*sender{s}, start.Add(time.Minute), time.Second); float64(len(got)) > rate+1 {
-			t.Errorf("rate %v: %d in the second after a pause", rate, len(got))
+			t.Errorf("rate %v: %d requests in the second after an idle period", rate, len(got))
 		}
 	}
 	var p Pacer
 	if p.Wait(start, start.Add(time.Second), 0, 1) != time.Second {
-		t.Error("a rate of nothing lets a request go before the target is warm")
+		t.Error("rate 0: request allowed before the target is warm")
 	}
 	if p.Wait(start, start, 0, 0) != 0 {
-		t.Error("a warm target is waited for")
+		t.Error("request to a warm target has to wait")
 	}
 }
 
-// Whoever schedules a cell while gateways disagree on who lives, a cold target gets no
-// more than half as much again as it bears, and five.
+// Guards against overloading a cold target while gateways disagree on who schedules its cell.
 func TestCombinedRateStaysNearLimit(t *testing.T) {
-	const bears, fleet, cut = 6.1, 64, 22
+	const limit, fleet, isolated = 6.1, 64, 22
 	scheduler := func(rank, alive int) *sender {
 		share := SchedulerShare(rank, alive, fleet)
-		return &sender{rate: share * bears, first: share}
+		return &sender{rate: share * limit, first: share}
 	}
 	rng := rand.New(rand.NewPCG(3, 3))
 	cases := map[string][]*sender{
-		"one":                   {scheduler(0, fleet)},
-		"three of one view":     {scheduler(0, fleet), scheduler(1, fleet), scheduler(2, fleet)},
-		"before a cut is known": {scheduler(0, fleet), scheduler(0, fleet)},
-		"each of a cut alone":   {scheduler(0, fleet-cut)},
+		"one scheduler":                       {scheduler(0, fleet)},
+		"three schedulers with the same view": {scheduler(0, fleet), scheduler(1, fleet), scheduler(2, fleet)},
+		"before a partition is detected":      {scheduler(0, fleet), scheduler(0, fleet)},
+		"isolated gateways":                   {scheduler(0, fleet-isolated)},
 	}
-	for range cut {
-		cases["each of a cut alone"] = append(cases["each of a cut alone"], scheduler(0, 1))
+	for range isolated {
+		cases["isolated gateways"] = append(cases["isolated gateways"], scheduler(0, 1))
 	}
 	for range fleet {
-		cases["last resorts"] = append(cases["last resorts"], scheduler(-1, fleet))
-		cases["plain"] = append(cases["plain"], &sender{rate: IndependentShare(fleet) * bears, first: rng.Float64()})
+		cases["without a reachable scheduler"] = append(cases["without a reachable scheduler"], scheduler(-1, fleet))
+		cases["independent"] = append(cases["independent"], &sender{rate: IndependentShare(fleet) * limit, first: rng.Float64()})
 	}
 	for name, senders := range cases {
 		got := run(senders, start, 3*time.Second)
-		if n := maxPerSecond(got); float64(n) > bears*1.5+5 {
-			t.Errorf("%s: %d within a second", name, n)
+		if n := maxPerSecond(got); float64(n) > limit*1.5+5 {
+			t.Errorf("%s: %d requests within a second", name, n)
 		}
-		if name == "last resorts" && len(got) > 0 {
-			t.Errorf("gateways that schedule as a last resort sent %d", len(got))
+		if name == "without a reachable scheduler" && len(got) > 0 {
+			t.Errorf("gateways without a reachable scheduler sent %d requests, want 0", len(got))
 		}
-		if name == "one" && float64(len(got)) < 3*bears*0.8 {
-			t.Errorf("one scheduler sent %d in three seconds", len(got))
+		if name == "one scheduler" && float64(len(got)) < 3*limit*0.8 {
+			t.Errorf("one scheduler sent only %d requests in three seconds", len(got))
 		}
 	}
 }
