--- a/core/leaving/leaving.go
+++ b/core/leaving/leaving.go
@@ -55,9 +55,9 @@
 		return false
 	}
 	seen := now.Add(-a.Age)
-	if l := s.incarnations[a.ID]; l != nil {
-		if seen.After(l.seen) {
-			l.seen = seen
+	if e := s.incarnations[a.ID]; e != nil {
+		if seen.After(e.seen) {
+			e.seen = seen
 		}
 		return false
 	}
@@ -71,26 +71,26 @@
 // Since returns the time at which this process learned that an incarnation leaves, and false if
 // it does not leave.
 func (s *Set) Since(id string) (time.Time, bool) {
-	l := s.incarnations[id]
-	if l == nil {
+	e := s.incarnations[id]
+	if e == nil {
 		return time.Time{}, false
 	}
-	return l.since, true
+	return e.since, true
 }
 
 // MarkListed records that the store lists an incarnation, and reports whether it leaves.
 func (s *Set) MarkListed(now time.Time, id string) bool {
-	l := s.incarnations[id]
-	if l != nil {
-		l.seen = now
+	e := s.incarnations[id]
+	if e != nil {
+		e.seen = now
 	}
-	return l != nil
+	return e != nil
 }
 
 // Expire deletes entries older than retention.
 func (s *Set) Expire(now time.Time) {
-	for id, l := range s.incarnations {
-		if now.Sub(l.seen) >= retention {
+	for id, e := range s.incarnations {
+		if now.Sub(e.seen) >= retention {
 			delete(s.incarnations, id)
 		}
 	}
@@ -99,8 +99,8 @@
 // All returns an announcement of each incarnation.
 func (s *Set) All(now time.Time) []Announcement {
 	out := make([]Announcement, 0, len(s.incarnations))
-	for id, l := range s.incarnations {
-		out = append(out, Announcement{ID: id, Age: max(now.Sub(l.seen), 0)})
+	for id, e := range s.incarnations {
+		out = append(out, Announcement{ID: id, Age: max(now.Sub(e.seen), 0)})
 	}
 	return out
 }
@@ -113,8 +113,8 @@
 
 func (s *Set) dropOldest() {
 	oldest := ""
-	for id, l := range s.incarnations {
-		if oldest == "" || l.seen.Before(s.incarnations[oldest].seen) {
+	for id, e := range s.incarnations {
+		if oldest == "" || e.seen.Before(s.incarnations[oldest].seen) {
 			oldest = id
 		}
 	}
