--- a/core/pushback/pushback.go
+++ b/core/pushback/pushback.go
@@ -51,38 +51,38 @@
 // Pause records that a target asks for a pause of d, and returns the end of its pause. The
 // latest end wins, as responses may arrive out of order.
 func (t *Table) Pause(now time.Time, target string, d time.Duration) time.Time {
-	r := t.pauses[target]
-	if r == nil {
+	p := t.pauses[target]
+	if p == nil {
 		t.evict(now)
-		r = &pause{}
-		t.pauses[target] = r
+		p = &pause{}
+		t.pauses[target] = p
 	}
-	r.limit = slowStartInitial
-	if until := now.Add(min(d, MaxPause)); until.After(r.until) {
-		r.until = until
+	p.limit = slowStartInitial
+	if until := now.Add(min(d, MaxPause)); until.After(p.until) {
+		p.until = until
 	}
-	return r.until
+	return p.until
 }
 
 // Remaining returns the rest of a target's pause, 0 if there is none.
 func (t *Table) Remaining(now time.Time, target string) time.Duration {
-	r := t.pauses[target]
-	if r == nil {
+	p := t.pauses[target]
+	if p == nil {
 		return 0
 	}
-	return max(r.until.Sub(now), 0)
+	return max(p.until.Sub(now), 0)
 }
 
 // Blocked reports whether a target must not get a request now, and when to retry.
 func (t *Table) Blocked(now time.Time, target string) (retryAfter time.Duration, blocked bool) {
-	r := t.pauses[target]
-	if r == nil {
+	p := t.pauses[target]
+	if p == nil {
 		return 0, false
 	}
-	if retryAfter := r.until.Sub(now); retryAfter > 0 {
+	if retryAfter := p.until.Sub(now); retryAfter > 0 {
 		return retryAfter, true
 	}
-	if r.inFlight >= r.limit {
+	if p.inFlight >= p.limit {
 		return slowStartRetryAfter, true
 	}
 	return 0, false
@@ -91,37 +91,37 @@
 // TryStart reports whether a request may be sent to a target. If counted is true, the caller
 // must call Done when the response begins or the request fails.
 func (t *Table) TryStart(now time.Time, target string) (counted, ok bool) {
-	r := t.pauses[target]
-	if r == nil {
+	p := t.pauses[target]
+	if p == nil {
 		return false, true
 	}
 	if _, blocked := t.Blocked(now, target); blocked {
 		return false, false
 	}
-	r.inFlight++
+	p.inFlight++
 	return true, true
 }
 
 // Done ends a request counted by TryStart.
 func (t *Table) Done(target string, accepted bool) {
-	r := t.pauses[target]
-	if r == nil {
+	p := t.pauses[target]
+	if p == nil {
 		return
 	}
-	r.inFlight = max(r.inFlight-1, 0)
+	p.inFlight = max(p.inFlight-1, 0)
 	if !accepted {
 		return
 	}
-	r.limit *= 2
-	if r.limit >= slowStartDone {
+	p.limit *= 2
+	if p.limit >= slowStartDone {
 		delete(t.pauses, target)
 	}
 }
 
 // Expire deletes targets without requests in flight whose slow start has timed out.
 func (t *Table) Expire(now time.Time) {
-	for target, r := range t.pauses {
-		if r.inFlight == 0 && now.Sub(r.until) >= slowStartTimeout {
+	for target, p := range t.pauses {
+		if p.inFlight == 0 && now.Sub(p.until) >= slowStartTimeout {
 			delete(t.pauses, target)
 		}
 	}
@@ -138,8 +138,8 @@
 		return
 	}
 	first := ""
-	for target, r := range t.pauses {
-		if first == "" || r.until.Before(t.pauses[first].until) {
+	for target, p := range t.pauses {
+		if first == "" || p.until.Before(t.pauses[first].until) {
 			first = target
 		}
 	}
