--- a/core/drain/drain.go
+++ b/core/drain/drain.go
@@ -10,7 +10,7 @@
 
 import "time"
 
-// Phase is a phase of a graceful shutdown.
+// Phase determines how a stopping process treats requests.
 type Phase uint8
 
 const (
