--- a/core/quarantine/fleet_test.go
+++ b/core/quarantine/fleet_test.go
@@ -72,9 +72,9 @@
 	return x
 }
 
-func newModel(w strategy, gateways, targets int, seed uint64) *model {
+func newModel(s strategy, gateways, targets int, seed uint64) *model {
 	m := &model{
-		rng: rand.New(rand.NewPCG(seed, 9)), strategy: w, now: start, neighbors: map[string][]string{}, partitioned: map[int]bool{},
+		rng: rand.New(rand.NewPCG(seed, 9)), strategy: s, now: start, neighbors: map[string][]string{}, partitioned: map[int]bool{},
 		availableAt: make([]time.Time, targets), incarnations: make([]int, targets),
 	}
 	for i := range gateways {
@@ -221,13 +221,13 @@
 	return n
 }
 
-func runFleet(w strategy, gateways int, inject func(m *model)) *model {
-	m := newModel(w, gateways, max(9, 2*gateways), uint64(gateways))
+func runFleet(s strategy, gateways int, inject func(m *model)) *model {
+	m := newModel(s, gateways, max(9, 2*gateways), uint64(gateways))
 	id := request(1)
 	for g := range gateways {
 		m.sendRepeatedly(g, id)
 	}
-	if w == production {
+	if s == production {
 		m.syncTables()
 	}
 	if inject != nil {
@@ -241,13 +241,13 @@
 // third death. The other strategies run for comparison.
 func TestFleetStopsSending(t *testing.T) {
 	for _, gateways := range []int{9, 64, 300} {
-		for _, w := range []strategy{noMemory, localOnly, flooding, production} {
-			if w <= localOnly && gateways > 9 {
+		for _, s := range []strategy{noMemory, localOnly, flooding, production} {
+			if s <= localOnly && gateways > 9 {
 				continue // thousands of deaths
 			}
-			m := runFleet(w, gateways, nil)
-			t.Logf("%d gateways, strategy %d: %d targets died, %d late sends by connected gateways, %d records sent", gateways, w, len(m.deaths), m.lateSends(), m.messages)
-			if w == production && m.lateSends() > 0 {
+			m := runFleet(s, gateways, nil)
+			t.Logf("%d gateways, strategy %d: %d targets died, %d late sends by connected gateways, %d records sent", gateways, s, len(m.deaths), m.lateSends(), m.messages)
+			if s == production && m.lateSends() > 0 {
 				t.Errorf("%d sends later than %v after the third death", m.lateSends(), convergenceTime)
 			}
 		}
