--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -14,15 +14,15 @@
 
 // fleet simulates gateways that exchange the age of their copy every 400 ms.
 type fleet struct {
-	watches []*Watch
-	refused map[int]bool // gateways that the store rejects
-	calls   map[int]int
-	now     time.Time
-	rng     *rand.Rand
+	watches  []*Watch
+	rejected map[int]bool // gateways that the store rejects
+	calls    map[int]int
+	now      time.Time
+	rng      *rand.Rand
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{refused: map[int]bool{}, calls: map[int]int{}, now: start, rng: rand.New(rand.NewPCG(5, 6))}
+	f := &fleet{rejected: map[int]bool{}, calls: map[int]int{}, now: start, rng: rand.New(rand.NewPCG(5, 6))}
 	for i := range n {
 		w := New(float64(i) / float64(n))
 		w.PollSucceeded(start)
@@ -38,7 +38,7 @@
 			if w.Due(f.now, i < Watchers, len(f.watches)) {
 				f.calls[i]++
 				w.PollStarted(f.now)
-				if !f.refused[i] {
+				if !f.rejected[i] {
 					w.PollSucceeded(f.now)
 				}
 			}
@@ -95,7 +95,7 @@
 	f := newFleet(59)
 	f.run(5 * time.Second)
 	for i := range Watchers {
-		f.refused[i] = true
+		f.rejected[i] = true
 	}
 	f.calls = map[int]int{}
 	oldest := f.run(10 * time.Second)
@@ -173,7 +173,7 @@
 	f := newFleet(n)
 	f.run(5 * time.Second)
 	for i := range n {
-		f.refused[i] = true
+		f.rejected[i] = true
 	}
 	f.calls = map[int]int{}
 	f.run(3500 * time.Millisecond)
@@ -186,7 +186,7 @@
 	if polled > n/2 {
 		t.Errorf("%d of %d gateways polled in an outage of 3.5 s, want at most half", polled, n)
 	}
-	f.refused = map[int]bool{}
+	f.rejected = map[int]bool{}
 	f.run(2 * time.Second)
 	if oldest := f.run(50 * time.Millisecond); oldest > staleAge(n) {
 		t.Errorf("oldest copy is %v old 2 s after the end of the outage", oldest)
