--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -92,7 +92,7 @@
 		}
 		for _, at := range keys(g.lists) {
 			if got := len(g.lists[at].Nodes()); got != n {
-				t.Errorf("%s has %d nodes, want %d", at, got, n)
+				t.Errorf("%d members: %s has %d nodes", n, at, got)
 			}
 		}
 	}
--- a/core/member/seeds_test.go
+++ b/core/member/seeds_test.go
@@ -20,7 +20,7 @@
 		for at := range g.lists {
 			for of := range g.lists {
 				if s := g.state(at, of); s == StateSuspect || s == StateDead {
-					t.Fatalf("state of %s at %s = %v, but all members are running", of, at, s)
+					t.Fatalf("%s sees %s as %v, but all members are running", at, of, s)
 				}
 			}
 		}
@@ -40,7 +40,7 @@
 					continue
 				}
 				if s := g.state(at, of); s == StateSuspect || s == StateDead {
-					t.Fatalf("state of %s at %s = %v, but only %s is cut off", of, at, s, id(4))
+					t.Fatalf("%s sees %s as %v, but only %s is cut off", at, of, s, id(4))
 				}
 			}
 		}
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -128,7 +128,7 @@
 	return staleAfter + time.Duration(bits.Len(uint(max(members, 1)-1)))*stalePerDoubling
 }
 
-// Reason is the cause of a poll, as shown in logs and metrics.
+// Reason is the cause of a poll, a label of the metric of store reads.
 type Reason string
 
 const (
