--- a/cmd/madderway/gateway.go
+++ b/cmd/madderway/gateway.go
@@ -27,7 +27,7 @@
 	out := log.NewAsync(os.Stdout, clock.System{}, log.DefaultBudget())
 	defer out.Close()
 	log.Setup(out, s.Verbosity)
-	clock.OnError(func(err error) { log.New("clock").Error(err, "Time in suspension is not counted.") })
+	clock.OnReadError(func(err error) { log.New("clock").Error(err, "Time in suspension is not counted.") })
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	g, err := router.StartGateway(s)
--- a/cmd/madderway/main.go
+++ b/cmd/madderway/main.go
@@ -73,7 +73,7 @@
 		fmt.Fprintln(os.Stderr, "madderway:", usage.Message)
 		return exitUsage
 	}
-	if e, ok := result.From(err); ok {
+	if e, ok := result.FromError(err); ok {
 		fmt.Fprintf(os.Stderr, "madderway: %d %s: %s\n", e.Code, e.Code, e.Detail)
 		return exitFailed
 	}
--- a/cmd/madderway/settings.go
+++ b/cmd/madderway/settings.go
@@ -19,7 +19,7 @@
 
 // Execute implements flags.Commander.
 func (c *settingsCheckCommand) Execute([]string) error {
-	if setting.IsGateway(c.Config) {
+	if setting.IsGatewayFile(c.Config) {
 		return c.checkGateway()
 	}
 	s, err := setting.Load(c.Config)
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -40,11 +40,11 @@
 
 // Balancer chooses targets.
 type Balancer struct {
-	dataHall string
-	states   map[string]*state
-	usual    time.Duration // of all targets, for those that have not answered yet
-	next     uint64
-	draw     func() float64
+	dataHall   string
+	states     map[string]*state
+	usual      time.Duration // of all targets, for those that have not answered yet
+	lastNumber uint64
+	draw       func() float64
 }
 
 // New returns a balancer of a gateway in a data hall; draw returns random numbers
@@ -83,9 +83,9 @@
 func (b *Balancer) Choose(now time.Time, targets []*routing.Target, deny []string, l Limits) *Pick {
 	var best *routing.Target
 	bestAvoided, bestCost := true, 0.0
-	b.next++
+	b.lastNumber++
 	for i := range targets {
-		t := targets[(i+int(b.next))%len(targets)]
+		t := targets[(i+int(b.lastNumber))%len(targets)]
 		if !t.TakesWork() || slices.Contains(deny, t.ID) {
 			continue
 		}
@@ -106,11 +106,11 @@
 		return nil
 	}
 	s := b.state(best.ID)
-	s.underWay[b.next] = now
+	s.underWay[b.lastNumber] = now
 	if l.cold(now, best) {
 		s.cold.Take(now, l.ColdShare*l.ColdRate)
 	}
-	return &Pick{best, b.next}
+	return &Pick{best, b.lastNumber}
 }
 
 // cold tells whether a target gets no more than a cold one bears. Each gateway begins a
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -42,22 +42,22 @@
 
 // Engine is the model of one target. It is not safe for concurrent use.
 type Engine struct {
-	slots int
-	cache *cache
-	runs  map[*Run]struct{}
-	queue []*Run // queue holds the runs without a first event, in the order of their grants.
-	pace  pace
-	state health
+	slots  int
+	cache  *cache
+	runs   map[*Run]struct{}
+	queue  []*Run // queue holds the runs without a first event, in the order of their grants.
+	pace   pace
+	health health
 }
 
 // NewEngine returns the model of an idle engine that is thought to read this
 // many tokens a second.
 func NewEngine(slots, cacheTokens int, tokensPerSecond float64) *Engine {
-	return NewEngineLike(slots, cacheTokens, NewPrior(tokensPerSecond))
+	return NewEngineWithPrior(slots, cacheTokens, NewPrior(tokensPerSecond))
 }
 
-// NewEngineLike returns an engine that is expected to be as fast as others of its kind.
-func NewEngineLike(slots, cacheTokens int, p *Prior) *Engine {
+// NewEngineWithPrior returns an engine that is expected to be as fast as others of its kind.
+func NewEngineWithPrior(slots, cacheTokens int, p *Prior) *Engine {
 	return &Engine{
 		slots: max(slots, 1), cache: newCache(cacheTokens), runs: map[*Run]struct{}{}, pace: pace{prior: p},
 	}
@@ -140,7 +140,7 @@
 	e.pace.count(now, e.queue)
 	e.unqueue(r)
 	e.cache.markRead(r.Prompt.Parts)
-	e.state.begun()
+	e.health.begun()
 	e.pace.learn(now, r)
 	e.pace.resume(now, e.queue)
 }
@@ -183,7 +183,7 @@
 	if r.begun && o == OutcomeDone {
 		e.pace.ended(now.Sub(r.granted))
 	}
-	e.state.ended(now, r, o, e.silent(now))
+	e.health.ended(now, r, o, e.silent(now))
 	if !r.begun {
 		e.pace.count(now, e.queue)
 		e.unqueue(r)
@@ -198,10 +198,10 @@
 }
 
 // Usable tells whether new work may be sent to the engine.
-func (e *Engine) Usable(now time.Time) bool { return e.state.usable(now) && !e.silent(now) }
+func (e *Engine) Usable(now time.Time) bool { return e.health.usable(now) && !e.silent(now) }
 
 // Errors returns the share of runs that failed lately.
-func (e *Engine) Errors(now time.Time) float64 { return e.state.share(now) }
+func (e *Engine) Errors(now time.Time) float64 { return e.health.share(now) }
 
 // silent tells whether the engine owes a first event for far too long and has
 // given no other sign since.
--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -139,10 +139,10 @@
 	}
 }
 
-// order returns the accounts with waiting requests, the lowest level first.
-// Ranks order the requests of one account only: no account can take another's
+// orderAccounts returns the accounts with waiting requests, the lowest level first.
+// Ranks orderAccounts the requests of one account only: no account can take another's
 // share by calling its work urgent.
-func (c *Cell) order(now time.Time) []*account {
+func (c *Cell) orderAccounts(now time.Time) []*account {
 	waiting := c.queued[:0]
 	for _, a := range c.accounts {
 		if len(a.queue) > 0 {
@@ -184,10 +184,10 @@
 	if c.siblings > 0 && c.starved(now, a) {
 		return false // another cell may have what this one has not
 	}
-	if a.underserved(c.most) {
+	if a.underserved(c.maxWaitingLevel) {
 		return true
 	}
-	if a.level >= c.most && len(c.queued) > 1 || !c.soon(now, w, a) {
+	if a.level >= c.maxWaitingLevel && len(c.queued) > 1 || !c.soon(now, w, a) {
 		return false
 	}
 	w.until = now.Add(waitOnStep)
@@ -228,7 +228,7 @@
 		return false
 	}
 	if c.siblings == 0 {
-		return a.underserved(c.most)
+		return a.underserved(c.maxWaitingLevel)
 	}
 	best := c.bestLevel(now)
 	return best > a.level && best*elsewhereLevel >= a.level
@@ -237,14 +237,14 @@
 // bestLevel returns the highest level of all accounts, in all cells.
 func (c *Cell) bestLevel(now time.Time) float64 {
 	if now.Sub(c.bestAt) < bestEvery {
-		return max(c.best, c.most)
+		return max(c.maxLevel, c.maxWaitingLevel)
 	}
-	c.best, c.bestAt = 0, now
+	c.maxLevel, c.bestAt = 0, now
 	for _, a := range c.accounts {
 		a.fade(now)
-		c.best = max(c.best, a.level)
+		c.maxLevel = max(c.maxLevel, a.level)
 	}
-	return c.best
+	return c.maxLevel
 }
 
 // retryAfter tells a refused caller when its account's queue will have moved
--- a/core/cell/account_test.go
+++ b/core/cell/account_test.go
@@ -107,7 +107,7 @@
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{
 		{ID: "keeper", Slots: 8, CacheTokens: 500_000}, {ID: "free", Slots: 8, CacheTokens: 500_000},
 	}})
-	c.Step(epoch, KeptSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 2_400}}})
+	c.Step(epoch, CachedPartsSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 2_400}}})
 	for _, target := range c.sorted {
 		for range 20 {
 			target.engine.End(epoch, target.engine.Start(epoch, &routing.Prompt{Tokens: 1}, 1), batch.OutcomeFailed)
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -45,51 +45,51 @@
 
 // Cell is the scheduler of a few targets.
 type Cell struct {
-	targets    map[string]*target
-	sorted     []*target
-	gone       map[string]*target // gone holds targets that are no longer listed but still run something.
-	accounts   map[string]*account
-	waiting    map[requestKey]*waiter
-	runs       map[requestKey]*run
-	foreign    map[string]*foreign
-	swept      time.Time
-	speed      float64
-	prior      *batch.Prior // prior is how fast the engines here read, as far as any has shown.
-	siblings   int
-	transfer   *routing.Transfer
-	fairWindow time.Duration
-	coldRate   float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
-	coldShare  float64           // coldShare is the part of them that is placed here.
-	inHall     map[string]keeper // inHall is what keepers returns, kept for its memory.
-	counts     Counts
-	layout     uint64  // layout counts the changes of the list of targets.
-	most       float64 // most is the highest level of an account that waits.
-	best       float64 // best is the highest level of any account, as of bestAt.
-	bestAt     time.Time
-	views      []view     // views are the targets as one decision sees them, in the order of sorted.
-	unheard    []*waiter  // unheard are waiters that arrived since the last decision.
-	queued     []*account // queued is what order returns, kept for its memory.
-	scratch    []option
-	out        []Action
+	targets         map[string]*target
+	sorted          []*target
+	draining        map[string]*target // gone holds targets that are no longer listed but still run something.
+	accounts        map[string]*account
+	waiting         map[requestKey]*waiter
+	runs            map[requestKey]*run
+	foreign         map[string]*foreign
+	swept           time.Time
+	speed           float64
+	prior           *batch.Prior // prior is how fast the engines here read, as far as any has shown.
+	siblings        int
+	transfer        *routing.Transfer
+	fairWindow      time.Duration
+	coldRate        float64           // coldRate is how many requests a second a cold target bears, 0 for any number.
+	coldShare       float64           // coldShare is the part of them that is placed here.
+	inHall          map[string]keeper // inHall is what keepers returns, kept for its memory.
+	counts          Counts
+	layout          uint64  // layout counts the changes of the list of targets.
+	maxWaitingLevel float64 // most is the highest level of an account that waits.
+	maxLevel        float64 // best is the highest level of any account, as of bestAt.
+	bestAt          time.Time
+	views           []view     // views are the targets as one decision sees them, in the order of sorted.
+	unheard         []*waiter  // unheard are waiters that arrived since the last decision.
+	queued          []*account // queued is what order returns, kept for its memory.
+	scratch         []option
+	out             []Action
 }
 
 // New returns a cell without targets.
 func New() *Cell {
 	return &Cell{
-		targets: map[string]*target{}, gone: map[string]*target{}, accounts: map[string]*account{},
+		targets: map[string]*target{}, draining: map[string]*target{}, accounts: map[string]*account{},
 		waiting: map[requestKey]*waiter{}, runs: map[requestKey]*run{}, foreign: map[string]*foreign{}, inHall: map[string]keeper{}, fairWindow: defaultFairWindow,
 	}
 }
 
 // Step takes one event and returns what is to be done.
 func (c *Cell) Step(now time.Time, ev Event) []Action {
-	c.Take(now, ev)
+	c.Apply(now, ev)
 	return c.Decide(now)
 }
 
-// Take notes one event. What follows from it is decided by the next Decide, so
+// Apply notes one event. What follows from it is decided by the next Decide, so
 // that events that come together cost one decision.
-func (c *Cell) Take(now time.Time, ev Event) {
+func (c *Cell) Apply(now time.Time, ev Event) {
 	switch e := ev.(type) {
 	case AskSeen:
 		c.ask(now, e)
@@ -100,7 +100,7 @@
 			r.target.engine.Begin(now, r.model)
 		}
 	case EndedSeen:
-		c.end(now, requestKey{e.Entry, e.ID}, e.Outcome)
+		c.endRun(now, requestKey{e.Entry, e.ID}, e.Outcome)
 	case InventorySeen:
 		c.inventory(now, e)
 	case EntryGone:
@@ -112,9 +112,9 @@
 		c.coldShare = e.Share
 	case TallySeen:
 		c.takeTally(now, e)
-	case GivenSeen:
+	case SiblingTallySeen:
 		c.takeGiven(now, e.Rows)
-	case KeptSeen:
+	case CachedPartsSeen:
 		if t := c.targets[e.Target]; t != nil {
 			t.engine.Learn(e.At, e.Parts)
 		}
@@ -157,28 +157,28 @@
 
 func (c *Cell) withdraw(now time.Time, key requestKey) {
 	if w := c.waiting[key]; w != nil {
-		c.drop(w)
+		c.dequeue(w)
 		return
 	}
-	c.end(now, key, batch.OutcomeCanceled)
+	c.endRun(now, key, batch.OutcomeCanceled)
 }
 
-func (c *Cell) drop(w *waiter) {
+func (c *Cell) dequeue(w *waiter) {
 	delete(c.waiting, w.key)
 	a := c.account(w.ask.Account)
 	a.remove(w)
 }
 
-func (c *Cell) end(now time.Time, key requestKey, o batch.Outcome) {
+func (c *Cell) endRun(now time.Time, key requestKey, o batch.Outcome) {
 	r := c.runs[key]
 	if r == nil {
 		return
 	}
 	delete(c.runs, key)
 	r.target.engine.End(now, r.model, o)
-	if gone := c.gone[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
+	if gone := c.draining[r.target.info.ID]; gone == r.target && gone.engine.Empty() {
 		c.countTarget(now, gone)
-		delete(c.gone, r.target.info.ID)
+		delete(c.draining, r.target.info.ID)
 	}
 }
 
@@ -193,7 +193,7 @@
 			continue
 		}
 		if w := c.waiting[key]; w != nil {
-			c.drop(w)
+			c.dequeue(w)
 		}
 		t := c.targets[h.Target]
 		if t == nil {
@@ -204,7 +204,7 @@
 	}
 	for key := range c.runs {
 		if key.entry == e.Entry && !told[key.id] {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -212,12 +212,12 @@
 func (c *Cell) entryGone(now time.Time, entry string) {
 	for key, w := range c.waiting {
 		if key.entry == entry {
-			c.drop(w)
+			c.dequeue(w)
 		}
 	}
 	for key := range c.runs {
 		if key.entry == entry {
-			c.end(now, key, batch.OutcomeCanceled)
+			c.endRun(now, key, batch.OutcomeCanceled)
 		}
 	}
 }
@@ -236,7 +236,7 @@
 		seen[info.ID] = true
 		t := c.targets[info.ID]
 		if t == nil {
-			t = &target{engine: batch.NewEngineLike(info.Slots, info.CacheTokens, c.prior)}
+			t = &target{engine: batch.NewEngineWithPrior(info.Slots, info.CacheTokens, c.prior)}
 			c.targets[info.ID] = t
 		}
 		t.info = info
@@ -247,7 +247,7 @@
 		}
 		delete(c.targets, id)
 		if !t.engine.Empty() {
-			c.gone[id] = t
+			c.draining[id] = t
 		}
 	}
 	c.sorted = c.sorted[:0]
@@ -261,7 +261,7 @@
 func (c *Cell) place(now time.Time, w *waiter, o option, why Reason) {
 	p, t, x := w.ask.Prompt, c.views[o.at].target, o.transfer
 	anew := sharedOf(p, o.missing-x.tokens)
-	if anew > 0 && why == ReasonCheapest && !c.kept(p) {
+	if anew > 0 && why == ReasonCheapest && !c.cachedInCell(p) {
 		why = ReasonUnseen
 	}
 	c.counts.Placed++
@@ -269,7 +269,7 @@
 	c.counts.Read += uint64(max(o.missing-x.tokens, 0))
 	c.counts.Anew[why] += uint64(anew)
 	c.account(w.ask.Account).placed++
-	c.start(now, w.key, w.ask.Account, t, p, x)
+	c.startRun(now, w.key, w.ask.Account, t, p, x)
 	placed := Place{
 		Entry: w.key.entry, ID: w.key.id, Target: t.info.ID, Waited: now.Sub(w.arrived),
 		Account: w.ask.Account, Subject: p.Affinity(), Anew: anew, Copied: x.tokens, Why: why,
@@ -282,8 +282,8 @@
 	c.emit(placed)
 }
 
-// kept tells whether some engine of the cell keeps all the shared parts.
-func (c *Cell) kept(p *routing.Prompt) bool {
+// cachedInCell tells whether some engine of the cell keeps all the shared parts.
+func (c *Cell) cachedInCell(p *routing.Prompt) bool {
 	for _, t := range c.sorted {
 		if sharedOf(p, t.engine.Missing(p)) == 0 {
 			return true
@@ -292,11 +292,11 @@
 	return false
 }
 
-func (c *Cell) start(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
+func (c *Cell) startRun(now time.Time, key requestKey, account string, t *target, p *routing.Prompt, x transfer) {
 	r := &run{key: key, account: account, target: t}
 	r.model = t.engine.StartCopy(now, p, p.OutputEstimate(), x.tokens, x.takes)
 	x.take(now, t)
-	if c.cold(now, t) {
+	if c.isCold(now, t) {
 		t.cold.Take(now, c.coldShare*c.coldRate)
 	}
 	c.runs[key] = r
@@ -306,15 +306,15 @@
 	a.served += service
 }
 
-// cold tells whether a target gets no more than a cold one bears.
-func (c *Cell) cold(now time.Time, t *target) bool {
+// isCold tells whether a target gets no more than a isCold one bears.
+func (c *Cell) isCold(now time.Time, t *target) bool {
 	return c.coldRate > 0 && now.Before(t.info.ColdUntil)
 }
 
 // coldWait returns how long it takes until a target may get a request, for its being
 // cold: until it bears the next one, or is warm.
 func (c *Cell) coldWait(now time.Time, t *target) time.Duration {
-	if !c.cold(now, t) {
+	if !c.isCold(now, t) {
 		return 0
 	}
 	return t.cold.Wait(now, t.info.ColdUntil, c.coldShare*c.coldRate, c.coldShare)
--- a/core/cell/cold_test.go
+++ b/core/cell/cold_test.go
@@ -114,17 +114,17 @@
 		set.Targets = append(set.Targets, routing.Target{ID: fmt.Sprint("t", i), Service: "s"})
 	}
 	l := NewLayout(x, set.Build(), nil)
-	first := l.Of("s", 77)
+	first := l.GroupFor("s", 77)
 	for _, target := range first.Targets {
 		target.Evacuated = true
 	}
-	if g := l.Of("s", 77); g == nil || g.Key == first.Key {
+	if g := l.GroupFor("s", 77); g == nil || g.Key == first.Key {
 		t.Errorf("asks %v of a cell without targets", g)
 	}
 	for i := range set.Targets {
 		set.Targets[i].Evacuated = true
 	}
-	if g := l.Of("s", 77); g != nil {
+	if g := l.GroupFor("s", 77); g != nil {
 		t.Errorf("asks cell %s though all halls are evacuated", g.Key)
 	}
 }
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -67,8 +67,8 @@
 	for _, w := range c.unheard {
 		c.prefer(w, c.options(now, w))
 	}
-	accounts := c.order(now)
-	c.most = accounts[len(accounts)-1].level
+	accounts := c.orderAccounts(now)
+	c.maxWaitingLevel = accounts[len(accounts)-1].level
 	all := slices.Clone(accounts)
 	for open && len(accounts) > 0 {
 		a := accounts[0]
@@ -114,7 +114,7 @@
 			if hopeless {
 				after = max(after, hopelessRetry)
 			}
-			c.drop(w)
+			c.dequeue(w)
 			c.counts.Refused++
 			if c.anyOpen() {
 				c.counts.RefusedWithRoom++
@@ -174,7 +174,7 @@
 			a.tried++
 			continue
 		}
-		c.drop(w)
+		c.dequeue(w)
 		c.place(now, w, o, why)
 		c.views[o.at] = c.makeView(now, c.views[o.at].target)
 		return true
--- a/core/cell/dispatch_test.go
+++ b/core/cell/dispatch_test.go
@@ -47,10 +47,10 @@
 				continue // the others stay busy, and what waits for them is passed by
 			}
 			if !r.model.Begun() {
-				c.Take(now, BeganSeen{key.entry, key.id})
+				c.Apply(now, BeganSeen{key.entry, key.id})
 			}
 			if i%2 == 0 {
-				c.Take(now, EndedSeen{key.entry, key.id, batch.OutcomeDone})
+				c.Apply(now, EndedSeen{key.entry, key.id, batch.OutcomeDone})
 			}
 		}
 		waiting, before, placed := c.Waiting(), c.counts.Tried, c.counts.Placed
@@ -87,7 +87,7 @@
 	ask.Ask.Hold, ask.Ask.Objective = 100*time.Millisecond, 180*time.Millisecond
 	c.Step(epoch, ask)
 	now := epoch.Add(110 * time.Millisecond)
-	c.Take(now, BeganSeen{"e", 1})
+	c.Apply(now, BeganSeen{"e", 1})
 	actions := c.Step(now, EndedSeen{"e", 1, batch.OutcomeDone})
 	if _, ok := placed(actions, 2); !ok || len(actions) != 1 {
 		t.Errorf("%+v, want a place at the target that is free", actions)
--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -118,9 +118,9 @@
 	Rows        []TallyRow
 }
 
-// GivenSeen tells what each account has just been given in another cell of the service
+// SiblingTallySeen tells what each account has just been given in another cell of the service
 // that this gateway schedules.
-type GivenSeen struct{ Rows []TallyRow }
+type SiblingTallySeen struct{ Rows []TallyRow }
 
 // TallyRow is the service of one account.
 type TallyRow struct {
@@ -129,8 +129,8 @@
 	Before  float64 // Before is the sum as it was told last, where Service is a sum.
 }
 
-// KeptSeen tells which parts of prompts a target says it keeps.
-type KeptSeen struct {
+// CachedPartsSeen tells which parts of prompts a target says it keeps.
+type CachedPartsSeen struct {
 	Target string
 	At     time.Time // At is when it was asked.
 	Parts  []routing.PromptPart
@@ -139,18 +139,18 @@
 // Tick lets time pass.
 type Tick struct{}
 
-func (AskSeen) isEvent()       {}
-func (WithdrawSeen) isEvent()  {}
-func (BeganSeen) isEvent()     {}
-func (EndedSeen) isEvent()     {}
-func (InventorySeen) isEvent() {}
-func (EntryGone) isEvent()     {}
-func (TargetsSeen) isEvent()   {}
-func (ColdShareSeen) isEvent() {}
-func (TallySeen) isEvent()     {}
-func (GivenSeen) isEvent()     {}
-func (KeptSeen) isEvent()      {}
-func (Tick) isEvent()          {}
+func (AskSeen) isEvent()          {}
+func (WithdrawSeen) isEvent()     {}
+func (BeganSeen) isEvent()        {}
+func (EndedSeen) isEvent()        {}
+func (InventorySeen) isEvent()    {}
+func (EntryGone) isEvent()        {}
+func (TargetsSeen) isEvent()      {}
+func (ColdShareSeen) isEvent()    {}
+func (TallySeen) isEvent()        {}
+func (SiblingTallySeen) isEvent() {}
+func (CachedPartsSeen) isEvent()  {}
+func (Tick) isEvent()             {}
 
 // Action is something that the owner of a Cell must do.
 type Action interface{ isAction() }
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -76,7 +76,7 @@
 		for range k.subjects {
 			number++
 			p := routing.Prompt{Parts: []routing.PromptPart{{ID: number * 0x9E3779B97F4A7C15, Tokens: k.shared}, {ID: 1, Tokens: 1}}}
-			c := &cells[byKey[l.Of("s", p.Affinity()).Key]]
+			c := &cells[byKey[l.GroupFor("s", p.Affinity()).Key]]
 			c.subjects[k.name] = append(c.subjects[k.name], number<<20)
 		}
 	}
--- a/core/cell/kept_test.go
+++ b/core/cell/kept_test.go
@@ -23,8 +23,8 @@
 		c := New()
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "a", Slots: 8, CacheTokens: 500_000}, {ID: "b", Slots: 8, CacheTokens: 500_000}}})
 		if learned {
-			c.Step(epoch, KeptSeen{Target: keeper, At: epoch, Parts: p.Parts[:1]})
-			c.Step(epoch, KeptSeen{Target: "gone", At: epoch, Parts: p.Parts[:1]})
+			c.Step(epoch, CachedPartsSeen{Target: keeper, At: epoch, Parts: p.Parts[:1]})
+			c.Step(epoch, CachedPartsSeen{Target: "gone", At: epoch, Parts: p.Parts[:1]})
 		}
 		actions := c.Step(epoch.Add(time.Second), AskSeen{"e", Ask{ID: 1, Account: "x", Prompt: p, Hold: 200 * time.Millisecond, Objective: 800 * time.Millisecond}})
 		placed, ok := actions[0].(Place)
--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -66,7 +66,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		l.divide(s.Name, targets.Of(s.Name), most)
+		l.divide(s.Name, targets.ByService(s.Name), most)
 	}
 	return l
 }
@@ -115,9 +115,11 @@
 	return n
 }
 
-// Of returns the cell of a service that serves requests with this affinity: the
+// GroupFor returns the cell of a service that serves requests with this affinity: the
 // highest weighted hash, the weight being the number of targets.
-func (l *Layout) Of(service string, affinity uint64) *Group { return l.Other(service, affinity, "") }
+func (l *Layout) GroupFor(service string, affinity uint64) *Group {
+	return l.Other(service, affinity, "")
+}
 
 // Other returns the cell that would serve requests with this affinity if there
 // were not another one, or nil.
--- a/core/cell/layout_test.go
+++ b/core/cell/layout_test.go
@@ -57,7 +57,7 @@
 	hits := map[Key]int{}
 	const keys = 100_000
 	for i := range keys {
-		hits[l.Of("s", uint64(i)*2654435761).Key]++
+		hits[l.GroupFor("s", uint64(i)*2654435761).Key]++
 	}
 	for key, g := range l.Groups() {
 		want := float64(keys) * float64(len(g.Targets)) / 140
@@ -82,11 +82,11 @@
 func TestNoCellWithoutEngines(t *testing.T) {
 	x, set := world(3)
 	l := NewLayout(x, set, nodes(3))
-	if l.Of("plain", 1) != nil || l.Of("unknown", 1) != nil {
+	if l.GroupFor("plain", 1) != nil || l.GroupFor("unknown", 1) != nil {
 		t.Error("a service without engines has a cell")
 	}
 	empty := NewLayout(nil, nil, nil)
-	if empty.Of("s", 1) != nil {
+	if empty.GroupFor("s", 1) != nil {
 		t.Error("an empty layout has a cell")
 	}
 }
--- a/core/cell/reborn_test.go
+++ b/core/cell/reborn_test.go
@@ -40,7 +40,7 @@
 		now = now.Add(time.Second)
 	}
 	c.Step(now, BeganSeen{Entry: "e", ID: 1})
-	c.Step(now, KeptSeen{Target: life(1), At: now, Parts: prompt.Parts})
+	c.Step(now, CachedPartsSeen{Target: life(1), At: now, Parts: prompt.Parts})
 	c.Step(now, EndedSeen{Entry: "e", ID: 2, Outcome: batch.OutcomeBroken})
 	if placed == 0 || c.State(now).Targets[0].Running == 0 {
 		t.Fatalf("nothing runs: %d placed, %+v", placed, c.State(now).Targets)
@@ -54,7 +54,7 @@
 			t.Errorf("%+v, a new one is %+v", got[i], want[i])
 		}
 	}
-	c.Step(now, KeptSeen{Target: life(1), At: now, Parts: prompt.Parts}) // asked before, answered now
+	c.Step(now, CachedPartsSeen{Target: life(1), At: now, Parts: prompt.Parts}) // asked before, answered now
 	for _, a := range c.Step(now, AskSeen{"e", Ask{ID: 9, Account: "a", Prompt: prompt, Hold: time.Second, Objective: time.Minute}}) {
 		if p, ok := a.(Place); ok && (p.Source != "" || p.Target == life(1)) {
 			t.Errorf("placed at %s, copied from %q", p.Target, p.Source)
--- a/core/cell/state.go
+++ b/core/cell/state.go
@@ -48,7 +48,7 @@
 		s.Targets = append(s.Targets, TargetState{
 			ID: t.info.ID, Running: t.engine.Running(), Backlog: t.engine.Backlog(now), Booked: t.engine.Booked(now),
 			Speed: t.engine.Speed(), Errors: t.engine.Errors(now), Usable: t.engine.Usable(now), Leaving: t.info.Leaving,
-			Evacuated: t.info.Evacuated, Cold: c.cold(now, t),
+			Evacuated: t.info.Evacuated, Cold: c.isCold(now, t),
 		})
 	}
 	for _, a := range c.accounts {
--- a/core/cell/tally_test.go
+++ b/core/cell/tally_test.go
@@ -49,8 +49,8 @@
 			}
 			if tell && at%(500*time.Millisecond) == 0 {
 				first, second := cells[0].Tally(), cells[1].Tally()
-				cells[0].Step(now, GivenSeen{Rows: second})
-				cells[1].Step(now, GivenSeen{Rows: first})
+				cells[0].Step(now, SiblingTallySeen{Rows: second})
+				cells[1].Step(now, SiblingTallySeen{Rows: first})
 			}
 		}
 		t.Logf("tallies %v: %v", tell, got)
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -66,7 +66,7 @@
 	for _, t := range c.sorted {
 		c.countTarget(now, t)
 	}
-	for _, t := range c.gone {
+	for _, t := range c.draining {
 		c.countTarget(now, t)
 	}
 }
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -72,7 +72,7 @@
 // where reading is about as fast.
 func (c *Cell) transferTo(now time.Time, v *view, p *routing.Prompt, missing int, best keeper, inHall map[string]keeper) transfer {
 	near := inHall[v.target.info.DataHall]
-	a, b := c.plan(now, v, p, missing, best), c.plan(now, v, p, missing, near)
+	a, b := c.planTransfer(now, v, p, missing, best), c.planTransfer(now, v, p, missing, near)
 	if b.source != nil && (a.source == nil || v.afterTransfer(missing, b) <= v.afterTransfer(missing, a)) {
 		return b
 	}
@@ -84,7 +84,7 @@
 	return x.takes + seconds(float64(missing-x.tokens)/v.speed)
 }
 
-func (c *Cell) plan(now time.Time, v *view, p *routing.Prompt, missing int, k keeper) transfer {
+func (c *Cell) planTransfer(now time.Time, v *view, p *routing.Prompt, missing int, k keeper) transfer {
 	if c.transfer == nil || k.target == nil || k.target == v.target {
 		return transfer{}
 	}
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -23,7 +23,7 @@
 		{ID: "keeper", Slots: 1, CacheTokens: 500_000, DataHall: "a"},
 		{ID: "near", Slots: 1, CacheTokens: 500_000, DataHall: "a"},
 	}})
-	c.Step(epoch, KeptSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
+	c.Step(epoch, CachedPartsSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
 	c.Step(epoch, InventorySeen{"e", []Held{{ID: 1, Target: "keeper", Prompt: transferPrompt(1000), Begun: true}}})
 	return c
 }
@@ -163,7 +163,7 @@
 		c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Transfer: links, Targets: []TargetInfo{
 			{ID: "keeper", Slots: 8, CacheTokens: 500_000}, {ID: "other", Slots: 8, CacheTokens: 500_000},
 		}})
-		c.Step(epoch, KeptSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
+		c.Step(epoch, CachedPartsSeen{Target: "keeper", At: epoch, Parts: []routing.PromptPart{{ID: 7, Tokens: 8_000}}})
 		keeper, other := c.targets["keeper"].engine, c.targets["other"].engine
 		keeper.Start(epoch, &routing.Prompt{Tokens: 6_000}, 1) // 150 ms, more than may be given away
 		for range 6 {
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -75,8 +75,8 @@
 // Deadline tells that the caller will not wait any longer.
 type Deadline struct{}
 
-// HolderGone tells that the router that holds another attempt is dead.
-type HolderGone struct{}
+// HolderDead tells that the router that holds another attempt is dead.
+type HolderDead struct{}
 
 // Ended tells what became of the call after Send. Ran is false only where the
 // call provably did not run.
@@ -90,7 +90,7 @@
 func (Read) isEvent()       {}
 func (Waited) isEvent()     {}
 func (Deadline) isEvent()   {}
-func (HolderGone) isEvent() {}
+func (HolderDead) isEvent() {}
 func (Ended) isEvent()      {}
 func (NotRun) isEvent()     {}
 
@@ -165,7 +165,7 @@
 	condition uint64 // condition is the version that the last write of the claim named.
 	version   uint64 // version is the version of the own row.
 	backoff   time.Duration
-	other     Row
+	holder    Row
 	final     Row
 	out       []Action
 }
@@ -190,7 +190,7 @@
 		c.onWaited()
 	case Deadline:
 		c.onDeadline()
-	case HolderGone:
+	case HolderDead:
 		c.onHolderGone()
 	case Ended:
 		c.onEnded(e.Row)
@@ -202,7 +202,7 @@
 
 // Holder returns the router that holds another attempt, while it is waited for.
 func (c *Claim) Holder() (router string, incarnation uint64, waiting bool) {
-	return c.other.Router, c.other.Incarnation, c.phase == phaseWaiting
+	return c.holder.Router, c.holder.Incarnation, c.phase == phaseWaiting
 }
 
 func (c *Claim) emit(a Action) { c.out = append(c.out, a) }
@@ -262,7 +262,7 @@
 	case v.Row.State == StateUnknown:
 		c.finish(VerdictUnknown, v.Row)
 	default:
-		c.phase, c.other = phaseWaiting, v.Row
+		c.phase, c.holder = phaseWaiting, v.Row
 		c.wait()
 	}
 }
@@ -304,13 +304,13 @@
 		c.emit(Reply{Verdict: VerdictUnavailable})
 		c.release()
 	case phaseWaiting:
-		c.finish(VerdictInProgress, c.other)
+		c.finish(VerdictInProgress, c.holder)
 	}
 }
 
 func (c *Claim) onHolderGone() {
 	if c.phase == phaseWaiting {
-		c.finish(VerdictUnknown, c.other)
+		c.finish(VerdictUnknown, c.holder)
 	}
 }
 
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -265,7 +265,7 @@
 	if router, inc, waiting := other.Holder(); router != "r1" || inc != 1 || !waiting {
 		t.Fatal("the holder is not known")
 	}
-	if r := firstOf[Reply](t, other.Step(HolderGone{})); r.Verdict != VerdictUnknown {
+	if r := firstOf[Reply](t, other.Step(HolderDead{})); r.Verdict != VerdictUnknown {
 		t.Fatalf("verdict %d", r.Verdict)
 	}
 }
--- a/core/entry/event.go
+++ b/core/entry/event.go
@@ -67,9 +67,9 @@
 // PeerRestarted tells that a gateway has ended or begun a new life.
 type PeerRestarted struct{ ID string }
 
-// StrainSeen tells whether this gateway's link is full, so that what schedulers answer
+// LinkStateSeen tells whether this gateway's link is full, so that what schedulers answer
 // is late here. A short processor is told by the lag of ticks.
-type StrainSeen struct{ Strained bool }
+type LinkStateSeen struct{ Strained bool }
 
 // Tick lets time pass. Lag is how late it comes: in that time the gateway did
 // not hear what it was sent.
@@ -85,7 +85,7 @@
 func (LayoutSeen) isEvent()    {}
 func (PeerHeard) isEvent()     {}
 func (PeerRestarted) isEvent() {}
-func (StrainSeen) isEvent()    {}
+func (LinkStateSeen) isEvent() {}
 func (Tick) isEvent()          {}
 
 // Action is something that the owner of a Machine must do.
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -58,7 +58,7 @@
 	suspects map[string]*suspicion
 	lag      time.Duration // lag is how late all ticks came, together.
 	strained bool          // strained tells that this gateway's link is full.
-	out      []Action
+	actions  []Action
 }
 
 // New returns a machine of the gateway with this ID.
@@ -71,7 +71,7 @@
 
 // Step takes one event and returns what is to be done.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
-	m.out = nil
+	m.actions = nil
 	switch e := ev.(type) {
 	case Submitted:
 		m.submit(now, e)
@@ -95,16 +95,16 @@
 		delete(m.suspects, e.ID)
 	case PeerRestarted:
 		m.forget(e.ID)
-	case StrainSeen:
+	case LinkStateSeen:
 		m.strained = e.Strained
 	case Tick:
 		m.lag += e.Lag
 		m.tick(now)
 	}
-	return m.out
+	return m.actions
 }
 
-func (m *Machine) emit(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
 // Pending returns how many requests wait for a scheduler's word.
 func (m *Machine) Pending() int { return len(m.pending) }
@@ -113,7 +113,7 @@
 func (m *Machine) Running() int { return len(m.running) }
 
 func (m *Machine) submit(now time.Time, e Submitted) {
-	g := m.layout.Of(e.Service, e.Ask.Prompt.Affinity())
+	g := m.layout.GroupFor(e.Service, e.Ask.Prompt.Affinity())
 	if g == nil {
 		m.emit(Refuse{e.Ask.ID, m.self, noTargetRetry})
 		return
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -295,7 +295,7 @@
 // whose load it did not know.
 func TestStrainedGatewayPlacesNothingItself(t *testing.T) {
 	f := setUp(t)
-	f.after(0, StrainSeen{true})
+	f.after(0, LinkStateSeen{true})
 	f.after(0, submit(1))
 	if actions := f.after(2*silentAfter, Tick{}); asked(actions) != "" {
 		t.Fatalf("asked another scheduler already: %+v", actions)
@@ -313,7 +313,7 @@
 	if p, ok := find[ProgressOut](last); !ok || p.Step != StepWithdrawn {
 		t.Errorf("%+v: the scheduler is not told", last)
 	}
-	f.after(0, StrainSeen{false})
+	f.after(0, LinkStateSeen{false})
 	f.now = f.now.Add(suspectMax)
 	f.after(0, submit(2))
 	if to := asked(f.after(2*silentAfter, Tick{})); to != f.second {
--- a/core/fair/ledger.go
+++ b/core/fair/ledger.go
@@ -62,13 +62,13 @@
 
 // Ledger sums the service of the accounts of one pool.
 type Ledger struct {
-	accounts map[string]*account
-	pending  map[string]*account
-	floor    float64
-	maxDebt  float64
-	changes  uint64
-	reports  map[Reporter]uint64 // reports holds the latest sequence number of each reporter.
-	round    uint64
+	accounts  map[string]*account
+	pending   map[string]*account
+	floor     float64
+	maxDebt   float64
+	changeSeq uint64
+	latestSeq map[Reporter]uint64 // reports holds the latest sequence number of each reporter.
+	round     uint64
 	// reference is the level that keys are relative to.
 	reference float64
 }
@@ -77,7 +77,7 @@
 // above the floor after partitions rejoin, in virtual units; it must be larger
 // than the fairness bound.
 func NewLedger(maxDebt float64) *Ledger {
-	return &Ledger{accounts: map[string]*account{}, pending: map[string]*account{}, reports: map[Reporter]uint64{}, maxDebt: maxDebt}
+	return &Ledger{accounts: map[string]*account{}, pending: map[string]*account{}, latestSeq: map[Reporter]uint64{}, maxDebt: maxDebt}
 }
 
 // SetMaxDebt replaces the debt limit, in virtual units.
@@ -110,13 +110,13 @@
 }
 
 func (l *Ledger) touch(a *account) {
-	l.changes++
-	a.dirty = l.changes
+	l.changeSeq++
+	a.dirty = l.changeSeq
 }
 
 // Heard tells that a report of another reporter came; its rows follow by Merge.
 func (l *Ledger) Heard(from Reporter, seq uint64) {
-	l.reports[from] = max(l.reports[from], seq)
+	l.latestSeq[from] = max(l.latestSeq[from], seq)
 }
 
 // Merge takes one row of another reporter. seq orders the reports of one
@@ -219,7 +219,7 @@
 func (l *Ledger) serving(a *account) int {
 	n := 1
 	for from, c := range a.rows {
-		if c.seq == l.reports[from] {
+		if c.seq == l.latestSeq[from] {
 			n++
 		}
 	}
@@ -275,7 +275,7 @@
 			rows = append(rows, Row{name, a.own, a.lift, a.forgive})
 		}
 	}
-	return rows, l.changes
+	return rows, l.changeSeq
 }
 
 // ForeignRow is a row of another reporter as this ledger knows it.
--- a/core/head/follow.go
+++ b/core/head/follow.go
@@ -21,8 +21,8 @@
 	Exists  bool
 }
 
-// PeerSeen is the version that a peer has in force.
-type PeerSeen struct {
+// PeerVersionSeen is the version that a peer has in force.
+type PeerVersionSeen struct {
 	Peer    string
 	Version Version
 }
@@ -37,11 +37,11 @@
 // FollowTick lets time pass.
 type FollowTick struct{}
 
-func (HeadSeen) isFollowEvent()   {}
-func (PeerSeen) isFollowEvent()   {}
-func (Loaded) isFollowEvent()     {}
-func (LoadFailed) isFollowEvent() {}
-func (FollowTick) isFollowEvent() {}
+func (HeadSeen) isFollowEvent()        {}
+func (PeerVersionSeen) isFollowEvent() {}
+func (Loaded) isFollowEvent()          {}
+func (LoadFailed) isFollowEvent()      {}
+func (FollowTick) isFollowEvent()      {}
 
 // FollowAction is something that the owner of a Follower must do.
 type FollowAction interface{ isFollowAction() }
@@ -65,35 +65,35 @@
 
 // Follower tracks which version is in force at one router. It never goes back.
 type Follower struct {
-	isolation time.Duration
-	force     Version
-	adopted   bool
-	confirmed bool // confirmed tells that the head or two peers vouched for a version since the start.
-	empty     bool // empty tells that the head was read and holds nothing.
-	wanted    Version
-	fetching  time.Time
-	peers     map[string]Version
-	contact   time.Time
+	isolation   time.Duration
+	force       Version
+	adopted     bool
+	confirmed   bool // confirmed tells that the head or two peers vouched for a version since the start.
+	empty       bool // empty tells that the head was read and holds nothing.
+	wanted      Version
+	fetching    time.Time
+	peers       map[string]Version
+	lastContact time.Time
 }
 
 // NewFollower returns a follower with no memory. isolation is how long it may
 // reach neither the store nor a peer before it stops admitting.
 func NewFollower(now time.Time, isolation time.Duration) *Follower {
-	return &Follower{isolation: isolation, peers: map[string]Version{}, contact: now}
+	return &Follower{isolation: isolation, peers: map[string]Version{}, lastContact: now}
 }
 
 // Step takes one event and returns what is to be done.
 func (f *Follower) Step(now time.Time, ev FollowEvent) []FollowAction {
 	switch e := ev.(type) {
 	case HeadSeen:
-		f.contact = now
+		f.lastContact = now
 		f.confirmed = true
 		f.empty = !e.Exists
 		if e.Exists {
 			f.want(e.Version)
 		}
-	case PeerSeen:
-		f.contact = now
+	case PeerVersionSeen:
+		f.lastContact = now
 		f.peers[e.Peer] = e.Version
 		f.heedPeer(e.Version)
 	case Loaded:
@@ -175,5 +175,5 @@
 // Admits tells whether requests may be admitted: a version is in force and the
 // store or a peer was reached within the isolation time.
 func (f *Follower) Admits(now time.Time) bool {
-	return f.adopted && now.Sub(f.contact) <= f.isolation
+	return f.adopted && now.Sub(f.lastContact) <= f.isolation
 }
--- a/core/head/head_test.go
+++ b/core/head/head_test.go
@@ -117,28 +117,28 @@
 	f := NewFollower(epoch, time.Minute)
 	f.Step(epoch, HeadSeen{Version{5, "h5"}, true})
 	f.Step(epoch, Loaded{Version{5, "h5"}})
-	for _, ev := range []FollowEvent{HeadSeen{Version{4, "h4"}, true}, PeerSeen{"p", Version{3, "h3"}}, Loaded{Version{4, "h4"}}} {
+	for _, ev := range []FollowEvent{HeadSeen{Version{4, "h4"}, true}, PeerVersionSeen{"p", Version{3, "h3"}}, Loaded{Version{4, "h4"}}} {
 		if _, ok := fetched(f.Step(epoch, ev)); ok || f.Version().Number != 5 {
 			t.Fatalf("%+v: went to %+v", ev, f.Version())
 		}
 	}
-	if v, ok := fetched(f.Step(epoch, PeerSeen{"p", Version{6, "h6"}})); !ok || v.Number != 6 {
+	if v, ok := fetched(f.Step(epoch, PeerVersionSeen{"p", Version{6, "h6"}})); !ok || v.Number != 6 {
 		t.Fatal("a peer's higher version was not followed")
 	}
 }
 
 func TestStartWithNoMemoryWhileStoreIsDown(t *testing.T) {
 	f := NewFollower(epoch, time.Minute)
-	if _, ok := fetched(f.Step(epoch, PeerSeen{"p1", Version{7, "h7"}})); ok {
+	if _, ok := fetched(f.Step(epoch, PeerVersionSeen{"p1", Version{7, "h7"}})); ok {
 		t.Fatal("one peer alone was believed")
 	}
-	if _, ok := fetched(f.Step(epoch, PeerSeen{"p2", Version{6, "h6"}})); ok {
+	if _, ok := fetched(f.Step(epoch, PeerVersionSeen{"p2", Version{6, "h6"}})); ok {
 		t.Fatal("two peers that disagree were believed")
 	}
 	if f.Admits(epoch) {
 		t.Fatal("admits without a configuration")
 	}
-	if v, ok := fetched(f.Step(epoch, PeerSeen{"p2", Version{7, "h7"}})); !ok || v.Number != 7 {
+	if v, ok := fetched(f.Step(epoch, PeerVersionSeen{"p2", Version{7, "h7"}})); !ok || v.Number != 7 {
 		t.Fatal("two peers that agree were not believed")
 	}
 	f.Step(epoch, Loaded{Version{7, "h7"}})
@@ -157,7 +157,7 @@
 	if f.Admits(epoch.Add(11 * time.Second)) {
 		t.Fatal("admits without store and peers")
 	}
-	f.Step(epoch.Add(12*time.Second), PeerSeen{"p", Version{1, "h"}})
+	f.Step(epoch.Add(12*time.Second), PeerVersionSeen{"p", Version{1, "h"}})
 	if !f.Admits(epoch.Add(12 * time.Second)) {
 		t.Fatal("a peer was reached, but nothing is admitted")
 	}
--- a/core/head/submit.go
+++ b/core/head/submit.go
@@ -78,15 +78,15 @@
 
 // Submission is one operator's change.
 type Submission struct {
-	hash      string
-	author    string
-	operation string
-	base      uint64 // base is the version the operator started from; AnyBase accepts the current one.
-	at        time.Time
-	backoff   time.Duration
-	written   bool // written tells that a transaction may have taken effect.
-	condition uint64
-	started   Row
+	hash         string
+	author       string
+	operation    string
+	base         uint64 // base is the version the operator started from; AnyBase accepts the current one.
+	at           time.Time
+	backoff      time.Duration
+	mayBeWritten bool // written tells that a transaction may have taken effect.
+	condition    uint64
+	baseRow      Row
 }
 
 // AnyBase submits on top of whatever version is current.
@@ -110,13 +110,13 @@
 	}
 	// The transaction names a table version, so once the head has moved on, a
 	// delayed one can no longer take effect.
-	if s.written && o.HeadVersion != s.condition {
-		return Conflict{Base: s.started, Current: o.Head}
+	if s.mayBeWritten && o.HeadVersion != s.condition {
+		return Conflict{Base: s.baseRow, Current: o.Head}
 	}
 	if s.base != AnyBase && o.Head.Version != s.base {
 		return Conflict{Base: Row{Version: s.base}, Current: o.Head}
 	}
-	s.condition, s.started = o.HeadVersion, o.Head
+	s.condition, s.baseRow = o.HeadVersion, o.Head
 	return WriteHead{
 		Head:      Row{Version: o.Head.Version + 1, Hash: s.hash, Author: s.author, Operation: s.operation, At: s.at},
 		IfVersion: o.HeadVersion,
@@ -127,14 +127,14 @@
 func (s *Submission) OnWritten(r Result) SubmitAction {
 	switch r {
 	case ResultOK:
-		return Accepted{s.started.Version + 1}
+		return Accepted{s.baseRow.Version + 1}
 	case ResultUnknown:
-		s.written = true
+		s.mayBeWritten = true
 		return ReadHead{}
 	case ResultConflict:
 		// Either this operation took effect before or another one came first;
 		// only a read tells. A conflict ends the write that was conditional.
-		s.written = true
+		s.mayBeWritten = true
 		return ReadHead{}
 	default:
 		return s.readLater()
@@ -142,7 +142,7 @@
 }
 
 // OnDeadline ends the submission without a decision.
-func (s *Submission) OnDeadline() SubmitAction { return Undecided{MayHaveHappened: s.written} }
+func (s *Submission) OnDeadline() SubmitAction { return Undecided{MayHaveHappened: s.mayBeWritten} }
 
 func (s *Submission) readLater() SubmitAction {
 	d := s.backoff
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -70,9 +70,9 @@
 
 // Lease is the way to one order.
 type Lease struct {
-	cfg    Config
-	me     Row
-	checks bool // checks tells that the target refuses lower epochs itself.
+	cfg         Config
+	me          Row
+	checksEpoch bool // checks tells that the target refuses lower epochs itself.
 
 	seen      Row
 	seenVer   uint64
@@ -84,7 +84,7 @@
 
 // New returns the lease of a router for one order to a target.
 func New(cfg Config, holder string, incarnation uint64, checks bool) *Lease {
-	return &Lease{cfg: cfg, me: Row{Holder: holder, Incarnation: incarnation}, checks: checks}
+	return &Lease{cfg: cfg, me: Row{Holder: holder, Incarnation: incarnation}, checksEpoch: checks}
 }
 
 // Begin returns the first action.
@@ -98,12 +98,12 @@
 	}
 	if l.mayBeMine && row == l.written {
 		// The answer to the write was lost, but it took effect.
-		return l.order(now, row.Epoch)
+		return l.permitOrder(now, row.Epoch)
 	}
 	if l.seenAt.IsZero() || version != l.seenVer {
 		l.seen, l.seenVer, l.seenAt = row, version, now
 	}
-	if !l.checks && l.foreign(row, version) {
+	if !l.checksEpoch && l.foreign(row, version) {
 		if left := l.cfg.Duration + l.cfg.Grace - now.Sub(l.seenAt); left > 0 {
 			return ReadRow{min(left, readAgain)}
 		}
@@ -128,7 +128,7 @@
 func (l *Lease) OnWritten(now time.Time, r Result) Action {
 	switch r {
 	case ResultOK:
-		return l.order(now, l.written.Epoch)
+		return l.permitOrder(now, l.written.Epoch)
 	case ResultUnknown:
 		l.mayBeMine = true
 		return ReadRow{}
@@ -139,11 +139,11 @@
 	}
 }
 
-// order allows the order if enough of the lease is left. The lease counts from
+// permitOrder allows the permitOrder if enough of the lease is left. The lease counts from
 // when the write was sent, so a pause of this process only shortens it.
-func (l *Lease) order(now time.Time, epoch uint64) Action {
+func (l *Lease) permitOrder(now time.Time, epoch uint64) Action {
 	until := l.sentAt.Add(l.cfg.Duration)
-	if l.checks {
+	if l.checksEpoch {
 		return GiveOrder{epoch, now.Add(l.cfg.MaxSend)}
 	}
 	if now.Add(l.cfg.MaxSend).After(until) {
@@ -154,7 +154,7 @@
 
 // MaySend tells, right before the order goes out, whether it still may.
 func (l *Lease) MaySend(now time.Time, g GiveOrder) bool {
-	return l.checks || !now.Add(l.cfg.MaxSend).After(g.Until)
+	return l.checksEpoch || !now.Add(l.cfg.MaxSend).After(g.Until)
 }
 
 // Release returns the row that gives the lease back.
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -71,7 +71,7 @@
 // Observe takes the sample of one finished request.
 func (l *Limiter) Observe(now time.Time, s Sample) {
 	if l.overloaded(s) {
-		l.drop(now)
+		l.decrease(now)
 		return
 	}
 	l.limit = min(l.limit+1/l.limit, float64(l.cfg.Ceiling))
@@ -87,7 +87,7 @@
 	return l.cfg.TokenGapGoal > 0 && s.TokenGap > l.cfg.TokenGapGoal
 }
 
-func (l *Limiter) drop(now time.Time) {
+func (l *Limiter) decrease(now time.Time) {
 	if !l.lastDrop.IsZero() && now.Sub(l.lastDrop) < l.cfg.Cooldown {
 		return
 	}
--- a/core/overload/duties.go
+++ b/core/overload/duties.go
@@ -16,27 +16,27 @@
 // Duties decides whether a gateway schedules for others while it cannot keep up with
 // its own callers. It is not safe for concurrent use.
 type Duties struct {
-	dropped bool
-	since   time.Time // since is when what is observed began to say otherwise; zero while it agrees.
+	dropped        bool
+	disagreesSince time.Time // since is when what is observed began to say otherwise; zero while it agrees.
 }
 
 // Observe takes the share of requests that is admitted and how much of the link is in
 // use. It reports whether the gateway keeps its duties, and whether that has changed.
 func (d *Duties) Observe(now time.Time, share, link float64) (keeps, changed bool) {
 	if (share < 1 || Full(link)) == d.dropped {
-		d.since = time.Time{}
+		d.disagreesSince = time.Time{}
 		return !d.dropped, false
 	}
-	if d.since.IsZero() {
-		d.since = now
+	if d.disagreesSince.IsZero() {
+		d.disagreesSince = now
 	}
 	patience := dropAfter
 	if d.dropped {
 		patience = takeAfter
 	}
-	if now.Sub(d.since) < patience {
+	if now.Sub(d.disagreesSince) < patience {
 		return !d.dropped, false
 	}
-	d.dropped, d.since = !d.dropped, time.Time{}
+	d.dropped, d.disagreesSince = !d.dropped, time.Time{}
 	return !d.dropped, true
 }
--- a/core/overload/link.go
+++ b/core/overload/link.go
@@ -17,14 +17,14 @@
 // Link tells how much of a machine's link is in use. It is not safe for concurrent
 // use.
 type Link struct {
-	perSecond      float64 // perSecond is how many bytes cross the link in a second, each way; 0 where that is not known.
-	at             time.Time
+	bytesPerSecond float64 // perSecond is how many bytes cross the link in a second, each way; 0 where that is not known.
+	sampledAt      time.Time
 	sent, received uint64
-	use            float64
+	utilization    float64
 }
 
 // NewLink returns a link of so many megabits a second, 0 where that is not known.
-func NewLink(mbps float64) *Link { return &Link{perSecond: mbps * 1e6 / 8} }
+func NewLink(mbps float64) *Link { return &Link{bytesPerSecond: mbps * 1e6 / 8} }
 
 // Full tells whether so much use of a link makes what crosses it late.
 func Full(use float64) bool { return use >= linkHigh }
@@ -32,17 +32,17 @@
 // Observe takes the bytes sent and received since the start and returns the use of
 // the busier direction, 1 where it is full.
 func (l *Link) Observe(now time.Time, sent, received uint64) float64 {
-	if l.perSecond <= 0 {
+	if l.bytesPerSecond <= 0 {
 		return 0
 	}
-	span := now.Sub(l.at)
-	if !l.at.IsZero() && span < linkSpan {
-		return l.use
+	span := now.Sub(l.sampledAt)
+	if !l.sampledAt.IsZero() && span < linkSpan {
+		return l.utilization
 	}
-	if !l.at.IsZero() {
+	if !l.sampledAt.IsZero() {
 		most := max(sent-l.sent, received-l.received)
-		l.use = float64(most) / span.Seconds() / l.perSecond
+		l.utilization = float64(most) / span.Seconds() / l.bytesPerSecond
 	}
-	l.at, l.sent, l.received = now, sent, received
-	return l.use
+	l.sampledAt, l.sent, l.received = now, sent, received
+	return l.utilization
 }
--- a/core/overload/overload.go
+++ b/core/overload/overload.go
@@ -51,28 +51,28 @@
 
 // Governor decides which requests a gateway admits.
 type Governor struct {
-	relief bool // relief tells that there is a gateway to hand requests over to.
-	costs  costs
-	came   arrivals
+	relief   bool // relief tells that there is a gateway to hand requests over to.
+	costs    costs
+	arrivals arrivals
 
-	window   samples
-	handled  tally         // handled counts the requests since the window before.
-	begun    tally         // begun counts requests of which a part of the work is still to come.
-	judged   time.Time     // judged is when the window before ended.
-	lateness time.Duration // lateness is that of the window before.
+	window     samples
+	handled    tally         // handled counts the requests since the window before.
+	unfinished tally         // begun counts requests of which a part of the work is still to come.
+	judged     time.Time     // judged is when the window before ended.
+	lateness   time.Duration // lateness is that of the window before.
 
-	own float64 // own is the part of the requests that there is time to serve here.
+	servable float64 // own is the part of the requests that there is time to serve here.
 	// lateSince is when the process was last late by less than movesTo while it could hand over.
-	lateSince time.Time
-	kept      float64 // kept is the part that was admitted of the requests that come back now.
+	lateSince     time.Time
+	smoothedShare float64 // kept is the part that was admitted of the requests that come back now.
 
-	asked   map[string]*count
-	total   float64 // total is how many requests a second are asked for, by what was counted.
-	bound   float64 // bound is how many of them are served here; 0 for all.
-	reach   float64 // reach is how many are served here or handed over.
-	level   float64 // level is the most that is served here of an account.
-	most    float64 // most is the most that is served here or handed over of an account.
-	refused uint64
+	demands     map[string]*count
+	totalRate   float64 // total is how many requests a second are asked for, by what was counted.
+	serveRate   float64 // bound is how many of them are served here; 0 for all.
+	reach       float64 // reach is how many are served here or handed over.
+	level       float64 // level is the most that is served here of an account.
+	acceptLevel float64 // most is the most that is served here or handed over of an account.
+	refused     uint64
 }
 
 // samples sums up the lateness in a window.
@@ -116,7 +116,7 @@
 
 // New returns a governor that admits everything.
 func New() *Governor {
-	return &Governor{asked: map[string]*count{}, costs: newCosts(), own: 1, kept: 1, level: math.Inf(1), most: math.Inf(1)}
+	return &Governor{demands: map[string]*count{}, costs: newCosts(), servable: 1, smoothedShare: 1, level: math.Inf(1), acceptLevel: math.Inf(1)}
 }
 
 // SetRelief tells whether there is another gateway to hand requests over to.
@@ -132,13 +132,13 @@
 	if g.judged.IsZero() {
 		g.lateSince = now
 	}
-	before := g.bound > 0
+	before := g.serveRate > 0
 	late := g.window.mean()
 	g.learn(now, late)
 	g.control(now, late)
 	g.window, g.handled, g.judged, g.lateness = samples{}, tally{}, now, late
 	g.setLevel(now)
-	return before != (g.bound > 0)
+	return before != (g.serveRate > 0)
 }
 
 // learn takes what a window tells of the requests in it. A process that is late all the time is
@@ -153,7 +153,7 @@
 	rise := late - g.lateness
 	// A request waits before it is judged, and what it causes waits again: between none and all
 	// of what lateness has risen by is work of the requests that were handled.
-	g.came.note(g.handled.sum(), max(length-rise/2, length/4))
+	g.arrivals.note(g.handled.sum(), max(length-rise/2, length/4))
 	took := length.Seconds()
 	switch {
 	case late >= busy && g.lateness >= busy:
@@ -170,10 +170,10 @@
 // countAsked returns how many requests a second are asked for, and forgets who asks no more.
 func (g *Governor) countAsked(now time.Time) float64 {
 	total := 0.0
-	for name, c := range g.asked {
+	for name, c := range g.demands {
 		c.fade(now)
 		if c.requests < forget {
-			delete(g.asked, name)
+			delete(g.demands, name)
 			continue
 		}
 		total += c.requests
@@ -193,18 +193,18 @@
 }
 
 func (g *Governor) judge(now time.Time, account string, draw float64, movable bool) Verdict {
-	c := g.asked[account]
+	c := g.demands[account]
 	if c == nil {
 		c = &count{at: now}
-		g.asked[account] = c
+		g.demands[account] = c
 	}
 	c.fade(now)
 	c.requests++
 	place := draw * c.requests
 	switch {
-	case place <= g.level, place <= g.most && !movable:
+	case place <= g.level, place <= g.acceptLevel && !movable:
 		return Serve
-	case place <= g.most:
+	case place <= g.acceptLevel:
 		return HandOver
 	default:
 		return Refuse
@@ -214,20 +214,20 @@
 // setLevel finds the most that is served of an account, so that all accounts together are
 // within the bounds.
 func (g *Governor) setLevel(now time.Time) {
-	g.total = g.countAsked(now)
-	g.level, g.most = math.Inf(1), math.Inf(1)
-	if g.bound <= 0 {
+	g.totalRate = g.countAsked(now)
+	g.level, g.acceptLevel = math.Inf(1), math.Inf(1)
+	if g.serveRate <= 0 {
 		return
 	}
-	asked := make([]float64, 0, len(g.asked))
-	for _, c := range g.asked {
+	asked := make([]float64, 0, len(g.demands))
+	for _, c := range g.demands {
 		asked = append(asked, c.requests)
 	}
 	sort.Float64s(asked)
-	g.level = maxMin(asked, g.bound/perSecond)
-	g.most = g.level
+	g.level = maxMin(asked, g.serveRate/perSecond)
+	g.acceptLevel = g.level
 	if g.relief {
-		g.most = maxMin(asked, g.reach/perSecond)
+		g.acceptLevel = maxMin(asked, g.reach/perSecond)
 	}
 }
 
@@ -253,14 +253,14 @@
 }
 
 // Own returns the part of what is asked that there is time to serve here.
-func (g *Governor) Own() float64 { return g.admitted(g.bound) }
+func (g *Governor) Own() float64 { return g.admitted(g.serveRate) }
 
 // admitted returns what part of all that is asked a bound lets through.
 func (g *Governor) admitted(bound float64) float64 {
-	if g.bound <= 0 || bound >= g.total {
+	if g.serveRate <= 0 || bound >= g.totalRate {
 		return 1
 	}
-	return bound / g.total
+	return bound / g.totalRate
 }
 
 // Refused returns how many requests were refused since the start.
--- a/core/overload/overload_test.go
+++ b/core/overload/overload_test.go
@@ -131,10 +131,10 @@
 		g := New()
 		total := 0.0
 		for i, n := range asks {
-			g.asked[string(rune('a'+i))] = &count{requests: n, at: epoch}
+			g.demands[string(rune('a'+i))] = &count{requests: n, at: epoch}
 			total += n
 		}
-		g.bound = share * total * perSecond
+		g.serveRate = share * total * perSecond
 		g.setLevel(epoch)
 		admitted := 0.0
 		for _, n := range asks {
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -76,9 +76,9 @@
 	for _, v := range []Verdict{Serve, HandOver} {
 		i := v - 1
 		later := laterWork * g.handled[i]
-		ended := part * g.begun[i]
+		ended := part * g.unfinished[i]
 		done[i] += ended - later
-		g.begun[i] += later - ended
+		g.unfinished[i] += later - ended
 	}
 	return done
 }
@@ -86,14 +86,14 @@
 // control decides what part of the requests there is time for, with what waits worked off
 // meanwhile.
 func (g *Governor) control(now time.Time, late time.Duration) {
-	g.kept += (1 - math.Exp(-window.Seconds()/returnTime.Seconds())) * (g.Share() - g.kept)
-	g.total = g.countAsked(now)
-	g.bound, g.reach = 0, 0
-	if g.came.perSecond() <= 0 {
+	g.smoothedShare += (1 - math.Exp(-window.Seconds()/returnTime.Seconds())) * (g.Share() - g.smoothedShare)
+	g.totalRate = g.countAsked(now)
+	g.serveRate, g.reach = 0, 0
+	if g.arrivals.perSecond() <= 0 {
 		return
 	}
 	off := late - standing
-	own, taken := g.parts(1 - off.Seconds()/drainTime.Seconds())
+	own, taken := g.sharesFor(1 - off.Seconds()/drainTime.Seconds())
 	if hold := fall(late, heldTo, noneFrom); off > 0 {
 		ownHeld, takenHeld := g.partsOf(1, 1)
 		own, taken = max(own, hold*min(ownHeld, heldMost)), max(taken, hold*min(takenHeld, heldMost))
@@ -102,12 +102,12 @@
 		g.lateSince = now
 	} else {
 		taken = max(taken, g.moves(now, late))
-		own = min(own, g.own*mostRise+leastRise)
+		own = min(own, g.servable*mostRise+leastRise)
 	}
-	if g.own = own; own >= 1 {
+	if g.servable = own; own >= 1 {
 		return
 	}
-	g.bound, g.reach = max(own, leastShare)*g.total, max(taken, leastShare)*g.total
+	g.serveRate, g.reach = max(own, leastShare)*g.totalRate, max(taken, leastShare)*g.totalRate
 	if taken >= 1 {
 		g.reach = math.Inf(1)
 	}
@@ -130,13 +130,13 @@
 // many come in a second.
 func (g *Governor) Costs() (serve, handOver, refuse time.Duration, arriving float64) {
 	in := func(v Verdict) time.Duration { return time.Duration(g.costs.of(v) * float64(time.Second)) }
-	return in(Serve), in(HandOver), in(Refuse), g.came.perSecond()
+	return in(Serve), in(HandOver), in(Refuse), g.arrivals.perSecond()
 }
 
-// parts returns which parts of the requests that come can be served here, and served or handed
+// sharesFor returns which sharesFor of the requests that come can be served here, and served or handed
 // over, in so much of the process's time: both in the long run and with what is owed now.
-func (g *Governor) parts(free float64) (own, taken float64) {
-	owed := g.costs.expect(g.begun) / laterTime.Seconds()
+func (g *Governor) sharesFor(free float64) (own, taken float64) {
+	owed := g.costs.expect(g.unfinished) / laterTime.Seconds()
 	own, taken = g.partsOf(free, 1)
 	ownNow, takenNow := g.partsOf(free-owed, 1-laterWork)
 	return min(own, ownNow), min(taken, takenNow)
@@ -145,7 +145,7 @@
 // partsOf is parts where so much of the work of each request counts.
 func (g *Governor) partsOf(free, counts float64) (own, taken float64) {
 	serve, handOver, refuse := counts*g.costs.of(Serve), counts*g.costs.of(HandOver), g.costs.of(Refuse)
-	come := g.came.perSecond()
+	come := g.arrivals.perSecond()
 	if !g.relief {
 		own = g.largest(free, serve, refuse)
 		return own, own
@@ -160,7 +160,7 @@
 // takes so much and one that is refused so much. Those that are refused come back soon: the
 // fewer are taken, the more come.
 func (g *Governor) largest(free, take, refuse float64) float64 {
-	first := g.came.perSecond() / (1 + returns*(1-g.kept))
+	first := g.arrivals.perSecond() / (1 + returns*(1-g.smoothedShare))
 	fits := func(p float64) bool {
 		return first*(1+returns*(1-p))*(refuse+p*(take-refuse)) <= free
 	}
--- a/core/policy/call.go
+++ b/core/policy/call.go
@@ -70,7 +70,7 @@
 	return v, true, nil
 }
 
-func (p *Program) wrong(name string, got starlark.Value, want string) error {
+func (p *Program) typeError(name string, got starlark.Value, want string) error {
 	line, column := 0, 0
 	if fn, ok := p.globals[name].(*starlark.Function); ok {
 		line, column = int(fn.Position().Line), int(fn.Position().Col)
@@ -88,7 +88,7 @@
 	}
 	dict, isDict := v.(*starlark.Dict)
 	if !isDict {
-		return o, p.wrong("order", v, "dict")
+		return o, p.typeError("order", v, "dict")
 	}
 	got := o
 	for _, item := range dict.Items() {
@@ -105,13 +105,13 @@
 	case "class":
 		s, ok := starlark.AsString(v)
 		if !ok {
-			return p.wrong("order", v, "a string for class")
+			return p.typeError("order", v, "a string for class")
 		}
 		o.Class = s
 	case "rank":
 		n, err := starlark.AsInt32(v)
 		if err != nil {
-			return p.wrong("order", v, "an int for rank")
+			return p.typeError("order", v, "an int for rank")
 		}
 		o.Rank = n
 	case "interactive":
@@ -119,7 +119,7 @@
 	case "keep":
 		o.Keep = bool(v.Truth())
 	default:
-		return p.wrong("order", key, "one of class, rank, interactive, keep as key")
+		return p.typeError("order", key, "one of class, rank, interactive, keep as key")
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 	}
 	b, isBool := v.(starlark.Bool)
 	if !isBool {
-		return safe, p.wrong("retry", v, "bool")
+		return safe, p.typeError("retry", v, "bool")
 	}
 	return bool(b), nil
 }
@@ -153,7 +153,7 @@
 	}
 	f, isNumber := starlark.AsFloat(v)
 	if !isNumber {
-		return open, p.wrong("place", v, "a number or None")
+		return open, p.typeError("place", v, "a number or None")
 	}
 	return Placement{Allowed: true, Score: f}, nil
 }
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -71,15 +71,15 @@
 	if total == 0 {
 		return "", false
 	}
-	first, second := c.at(now, draw()*total), c.at(now, draw()*total)
+	first, second := c.peerAt(now, draw()*total), c.peerAt(now, draw()*total)
 	if float64(second.open)/second.Strength < float64(first.open)/first.Strength {
 		first = second
 	}
 	return first.ID, true
 }
 
-// at returns the gateway at a point of the sum of all strengths.
-func (c *Chooser) at(now time.Time, point float64) *peer {
+// peerAt returns the gateway peerAt a point of the sum of all strengths.
+func (c *Chooser) peerAt(now time.Time, point float64) *peer {
 	var last *peer
 	for _, p := range c.peers {
 		if now.Before(p.avoid) {
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		if t := s.pickTarget(now, p, e); t != nil {
-			s.give(now, p, account, e, t, free-1, reserved)
+			s.issueGrant(now, p, account, e, t, free-1, reserved)
 			return true
 		}
 	}
@@ -76,7 +76,7 @@
 func (s *Scheduler) pickTarget(now time.Time, p *pool, e *entryDemand) *target {
 	var best *target
 	bestScore := -1
-	hall := s.halls[e.from]
+	hall := s.entryDataHalls[e.from]
 	for _, t := range p.targets {
 		free := t.free(now)
 		if free <= 0 || slices.Contains(e.deny, t.spec.Name) {
@@ -96,7 +96,7 @@
 	return best
 }
 
-func (s *Scheduler) give(now time.Time, p *pool, account string, e *entryDemand, t *target, free int, reserved bool) {
+func (s *Scheduler) issueGrant(now time.Time, p *pool, account string, e *entryDemand, t *target, free int, reserved bool) {
 	s.nextID++
 	g := &grant{to: e.from, account: account, pool: p, target: t, at: now, seenAt: now}
 	s.grants[s.nextID] = g
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -411,7 +411,7 @@
 	sc, now := configuredOne(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 1, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
-	if got := grantsOf(sc.Step(now.Add(UnconfirmedLimit+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
+	if got := grantsOf(sc.Step(now.Add(UnconfirmedGrantTimeout+time.Second), Tick{})); len(got) != 1 || got[0].Account != "b" {
 		t.Fatalf("after the limit: %v", got)
 	}
 }
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -14,19 +14,19 @@
 
 // Times of the grant protocol.
 const (
-	UnconfirmedLimit  = 20 * time.Second       // after it a grant that no inventory names is released
-	InventoryGrace    = 3 * time.Second        // a younger grant may be missing from an inventory
-	TakeoverWait      = 300 * time.Millisecond // a new owner waits for adoptions
-	TakeoverTrust     = 3 * time.Second        // so long a new owner heeds the target's own count
-	reserveWindow     = 2 * time.Second        // so long after interactive work slots stay reserved
-	fullTallyEvery    = 32                     // every so many tallies all rows are sent
-	prefixMaxAge      = 5 * time.Minute        // an older cache hint is not heeded
-	prefixMaxSize     = 512                    // cache hints kept for one target
-	tallyFreshness    = 3                      // intervals after which a peer's floor is not heeded
-	settleAge         = 12                     // tenths of an interval after which a lift is fixed
-	persistentAfter   = 500 * time.Millisecond // an account that waits for less does not hold the floor
-	defaultTally      = time.Second
-	incarnationWindow = 24 // bits of grant IDs left to the counter
+	UnconfirmedGrantTimeout = 20 * time.Second       // after it a grant that no inventory names is released
+	InventoryGrace          = 3 * time.Second        // a younger grant may be missing from an inventory
+	TakeoverWait            = 300 * time.Millisecond // a new owner waits for adoptions
+	TakeoverCountPeriod     = 3 * time.Second        // so long a new owner heeds the target's own count
+	reserveWindow           = 2 * time.Second        // so long after interactive work slots stay reserved
+	fullTallyEvery          = 32                     // every so many tallies all rows are sent
+	prefixMaxAge            = 5 * time.Minute        // an older cache hint is not heeded
+	prefixMaxSize           = 512                    // cache hints kept for one target
+	tallyFreshness          = 3                      // intervals after which a peer's floor is not heeded
+	settleAge               = 12                     // tenths of an interval after which a lift is fixed
+	persistentAfter         = 500 * time.Millisecond // an account that waits for less does not hold the floor
+	defaultTally            = time.Second
+	incarnationWindow       = 24 // bits of grant IDs left to the counter
 )
 
 // Options of a Scheduler.
@@ -61,16 +61,16 @@
 
 // Scheduler hands out the slots of the targets it owns.
 type Scheduler struct {
-	opts    Options
-	pools   map[string]*pool
-	targets map[string]*target
-	grants  map[message.GrantID]*grant
-	weights map[string]float64
-	halls   map[string]string
-	nextID  message.GrantID
-	out     []Action
-	Granted uint64 // Granted counts the grants given out.
-	Expired uint64 // Expired counts the grants released without a report.
+	opts           Options
+	pools          map[string]*pool
+	targets        map[string]*target
+	grants         map[message.GrantID]*grant
+	weights        map[string]float64
+	entryDataHalls map[string]string
+	nextID         message.GrantID
+	out            []Action
+	Granted        uint64 // Granted counts the grants given out.
+	Expired        uint64 // Expired counts the grants released without a report.
 }
 
 // New returns a scheduler that owns nothing.
@@ -79,12 +79,12 @@
 		opts.TallyInterval = defaultTally
 	}
 	return &Scheduler{
-		opts:    opts,
-		pools:   map[string]*pool{},
-		targets: map[string]*target{},
-		grants:  map[message.GrantID]*grant{},
-		weights: map[string]float64{},
-		halls:   map[string]string{},
+		opts:           opts,
+		pools:          map[string]*pool{},
+		targets:        map[string]*target{},
+		grants:         map[message.GrantID]*grant{},
+		weights:        map[string]float64{},
+		entryDataHalls: map[string]string{},
 		// The incarnation keeps the IDs of two lives of one router apart.
 		nextID: message.GrantID(opts.Self.Incarnation%(1<<incarnationWindow)) << incarnationWindow,
 	}
@@ -99,15 +99,15 @@
 	case DemandSeen:
 		s.demand(now, e.From, e.Demand)
 	case ReportSeen:
-		s.report(now, e.From, e.Report)
+		s.applyReport(now, e.From, e.Report)
 	case InventorySeen:
 		s.inventory(now, e.From, e.Inventory)
 	case TallySeen:
 		s.tally(now, e.From, e.Tally)
 	case LoadSeen:
-		s.load(now, e)
+		s.applyLoad(now, e)
 	case CacheSeen:
-		s.cache(now, e)
+		s.applyCacheEvents(now, e)
 	case EntryGone:
 		s.entryGone(now, e.ID)
 	case Tick:
@@ -124,7 +124,7 @@
 }
 
 func (s *Scheduler) configure(now time.Time, c Configured) {
-	s.weights, s.halls = c.Weights, c.Halls
+	s.weights, s.entryDataHalls = c.Weights, c.Halls
 	s.configurePools(c.Pools)
 	s.configureTargets(now, c.Targets)
 	for _, p := range s.pools {
@@ -210,7 +210,7 @@
 		}),
 		prefixes: place.NewPrefixMap(prefixMaxAge, prefixMaxSize),
 		openAt:   now.Add(TakeoverWait),
-		trustAt:  now.Add(TakeoverTrust),
+		trustAt:  now.Add(TakeoverCountPeriod),
 	}
 }
 
@@ -244,7 +244,7 @@
 	g.target.inflight--
 }
 
-func (s *Scheduler) report(now time.Time, from string, r message.Report) {
+func (s *Scheduler) applyReport(now time.Time, from string, r message.Report) {
 	g := s.grants[r.Grant]
 	if g == nil || g.to != from {
 		return
@@ -306,7 +306,7 @@
 	s.dispatch(now, g.pool)
 }
 
-func (s *Scheduler) load(now time.Time, l LoadSeen) {
+func (s *Scheduler) applyLoad(now time.Time, l LoadSeen) {
 	t := s.targets[l.Target]
 	if t == nil {
 		return
@@ -315,7 +315,7 @@
 	s.dispatch(now, s.pools[t.spec.Pool])
 }
 
-func (s *Scheduler) cache(now time.Time, c CacheSeen) {
+func (s *Scheduler) applyCacheEvents(now time.Time, c CacheSeen) {
 	t := s.targets[c.Target]
 	if t == nil {
 		return
@@ -343,7 +343,7 @@
 
 func (s *Scheduler) tick(now time.Time) {
 	for id, g := range s.grants {
-		if now.Sub(g.seenAt) > 2*UnconfirmedLimit || g.seenAt.Equal(g.at) && now.Sub(g.at) > UnconfirmedLimit {
+		if now.Sub(g.seenAt) > 2*UnconfirmedGrantTimeout || g.seenAt.Equal(g.at) && now.Sub(g.at) > UnconfirmedGrantTimeout {
 			s.expire(now, id, g)
 		}
 	}
--- a/handlers/api/api.go
+++ b/handlers/api/api.go
@@ -37,7 +37,7 @@
 
 // NewError returns the body for err.
 func NewError(err error, requestID string) (ErrorBody, *result.ErrResult) {
-	e := result.Of(err)
+	e := result.Convert(err)
 	info := result.Lookup(e.Code)
 	return ErrorBody{Error{
 		Code: e.Code, Name: info.Name, Message: e.Detail, Ran: e.Execution(), Retry: info.Retry,
--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -107,11 +107,11 @@
 			return n, err
 		}
 		head, plain := httphead.Parse(p[:n])
-		rest := head.Body - int64(n-head.Length)
+		rest := head.ContentLength - int64(n-head.Length)
 		if !plain || rest < 0 {
 			return n, c.toServer(NotJudged, endless)
 		}
-		if head.Body > earlyBody || !c.server.judges() {
+		if head.ContentLength > earlyBody || !c.server.judges() {
 			return n, c.toServer(NotJudged, rest)
 		}
 		if c.hasLeft() {
@@ -144,7 +144,7 @@
 // hasLeft tells whether the caller has closed the connection. A process that is late reads
 // requests whose callers have given up; what is done for them is done for nobody.
 func (c *callerConn) hasLeft() bool {
-	return len(c.ahead) == 0 && netopt.Peek(c.counted.Conn) == netopt.End
+	return len(c.ahead) == 0 && netopt.Peek(c.counted.Conn) == netopt.PeekClosed
 }
 
 // readBack leaves a request to the HTTP server that was read to be handed over.
@@ -165,7 +165,7 @@
 		return nil
 	}
 	c.early = false
-	return c.SetReadDeadline(netopt.In(headerTime(c.limits)))
+	return c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits)))
 }
 
 // refuse reads the rest of a request and answers it.
@@ -177,7 +177,7 @@
 	if _, err := c.counted.Write(answer); err != nil {
 		return err
 	}
-	return c.SetReadDeadline(netopt.In(idleTime(c.limits)))
+	return c.SetReadDeadline(netopt.DeadlineIn(idleTime(c.limits)))
 }
 
 // drop reads so many bytes that nobody looks at.
@@ -185,7 +185,7 @@
 	if rest == 0 {
 		return nil
 	}
-	if err := c.SetReadDeadline(netopt.In(headerTime(c.limits))); err != nil {
+	if err := c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits))); err != nil {
 		return err
 	}
 	buffer := earlyBuffers.Get().(*[earlyBuffer]byte)
@@ -217,7 +217,7 @@
 // the HTTP server reads from it.
 func connectionEnded(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
-	return ok && netopt.Peek(c.counted.Conn) == netopt.End
+	return ok && netopt.Peek(c.counted.Conn) == netopt.PeekClosed
 }
 
 // takeAdmitted tells whether a request was counted and admitted before the HTTP server
--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -86,7 +86,7 @@
 		return Judgement{}
 	}
 	limits := x.Configuration.Limits
-	if limits.MaxHeaderBytes > 0 && head.Length > limits.MaxHeaderBytes || limits.MaxBodyBytes > 0 && head.Body > limits.MaxBodyBytes {
+	if limits.MaxHeaderBytes > 0 && head.Length > limits.MaxHeaderBytes || limits.MaxBodyBytes > 0 && head.ContentLength > limits.MaxBodyBytes {
 		return Judgement{}
 	}
 	call, ok := h.opts.Dialect.PeekCall(head.Get)
@@ -136,7 +136,7 @@
 
 // earlyAnswer writes the same answer as refuse does.
 func (h *Handler) earlyAnswer(err error, id string, closes bool) []byte {
-	e := result.Of(err)
+	e := result.Convert(err)
 	body := append([]byte(nil), earlyBodyOf(e)...)
 	body = strconv.AppendInt(body, e.RetryAfter.Milliseconds(), 10)
 	body = append(append(append(body, `,"request_id":"`...), id...), "\"}}\n"...)
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -49,7 +49,7 @@
 	h.Get(key, "Authorization")
 	switch key[0] {
 	case "Bearer flood":
-		return Judgement{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").After(notReadyAfter), "id-1", o.Closes)}
+		return Judgement{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").WithRetryAfter(notReadyAfter), "id-1", o.Closes)}
 	case "Bearer known":
 		return Judgement{Verdict: Admitted}
 	case "Bearer moved":
@@ -187,7 +187,7 @@
 // An early answer says the same as that of the HTTP server.
 func TestEarlyAnswerIsTheOrdinaryOne(t *testing.T) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
-	err := result.New(result.Overloaded, "asked for more than it can serve").After(notReadyAfter)
+	err := result.New(result.Overloaded, "asked for more than it can serve").WithRetryAfter(notReadyAfter)
 	want := httptest.NewRecorder()
 	h.refuse(want, "id-1", err)
 	resp, readErr := http.ReadResponse(bufio.NewReader(bytes.NewReader(h.earlyAnswer(err, "id-1", false))), nil)
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -85,7 +85,7 @@
 	}
 	call := h.opts.Dialect.ReadCall(r.Header)
 	if mode == RefuseAll {
-		h.refuse(w, call.ID, result.New(result.Draining, "the gateway is stopping").After(drainingAfter))
+		h.refuse(w, call.ID, result.New(result.Draining, "the gateway is stopping").WithRetryAfter(drainingAfter))
 		return
 	}
 	request, err := h.read(w, r, call)
@@ -104,7 +104,7 @@
 }
 
 func (h *Handler) refuse(w http.ResponseWriter, id string, err error) {
-	e := result.Of(err)
+	e := result.Convert(err)
 	if e.RetryAfter > 0 {
 		name, value := h.opts.Dialect.RefusalHeader(e.RetryAfter)
 		w.Header().Set(name, value)
@@ -121,10 +121,10 @@
 	received := h.opts.Clock.Now()
 	x := h.opts.Follow.Index()
 	if x == nil {
-		return nil, result.New(result.NotReady, "no configuration is known").After(notReadyAfter)
+		return nil, result.New(result.NotReady, "no configuration is known").WithRetryAfter(notReadyAfter)
 	}
 	if h.opts.Unsettled != nil && h.opts.Unsettled() {
-		return nil, result.New(result.NotReady, "the process stood still and has not heard anew what holds").After(notReadyAfter)
+		return nil, result.New(result.NotReady, "the process stood still and has not heard anew what holds").WithRetryAfter(notReadyAfter)
 	}
 	if over(r.Header, x.Configuration.Limits.MaxHeaderBytes) {
 		return nil, result.New(result.HeaderTooLarge, "over %d bytes", x.Configuration.Limits.MaxHeaderBytes)
@@ -143,7 +143,7 @@
 	}
 	service := x.Service(route.PickService(rand.Float64()))
 	if service == nil {
-		return nil, result.New(result.NoTarget, "the route has no service").After(notReadyAfter)
+		return nil, result.New(result.NoTarget, "the route has no service").WithRetryAfter(notReadyAfter)
 	}
 	if !takeAdmitted(r.Context()) {
 		if _, err := h.opts.Forward.Admit(&call, service, account, false); err != nil {
@@ -176,10 +176,10 @@
 		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	}
 	if h.bodies.Load()+max(r.ContentLength, smallBody) > h.opts.MaxBodies {
-		return nil, result.New(result.QueueFull, "too many bytes are held").After(notReadyAfter)
+		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyAfter)
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(netopt.In(deadline.Sub(h.opts.Clock.Now())))
+	_ = control.SetReadDeadline(netopt.DeadlineIn(deadline.Sub(h.opts.Clock.Now())))
 	reader := io.Reader(r.Body)
 	if limits.MaxBodyBytes > 0 {
 		reader = http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -102,7 +102,7 @@
 	if to.Lost && !c.gone {
 		_, _ = c.counted.Write(c.server.early.Lost(j.ID))
 	}
-	if !whole || c.gone || c.SetReadDeadline(netopt.In(idleTime(c.limits))) != nil {
+	if !whole || c.gone || c.SetReadDeadline(netopt.DeadlineIn(idleTime(c.limits))) != nil {
 		return ended
 	}
 	return answered
@@ -126,7 +126,7 @@
 	buffer := *pooled
 	held := relay.HeadSize + copy(buffer[relay.HeadSize:], begun)
 	if rest > 0 {
-		err := c.SetReadDeadline(netopt.In(headerTime(c.limits)))
+		err := c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits)))
 		if err == nil {
 			_, err = io.ReadFull(c.counted, buffer[held:size])
 		}
@@ -150,7 +150,7 @@
 
 // await waits until an answer is over, the caller has left, or it is time to give up.
 func (c *callerConn) await(handed *relay.Handed, end time.Time) {
-	if c.SetReadDeadline(netopt.In(end.Sub(now()))) != nil {
+	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
 		c.gone = true
 		handed.Cancel()
 		return
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peernet.NewCarryingServer(&owner, log.New("far"), peernet.NewSharedKey("far", key), &peernet.Meter{}, l, noFrames{}, relay.NewServer(log.New("far"), h))
+	peernet.NewRelayServer(&owner, log.New("far"), peernet.NewSharedKey("far", key), &peernet.Meter{}, l, noFrames{}, relay.NewServer(log.New("far"), h))
 	s := relay.New(&owner, log.New("relay"), relay.Options{Auth: peernet.NewSharedKey("near", key), Meter: &peernet.Meter{}, Clock: clock.System{}})
 	s.SetPeers([]relay.Peer{{ID: "far", Address: l.Addr().String(), Strength: 1}})
 	return s
@@ -213,7 +213,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &callerConn{counted: &counted{Conn: s.traffic.Count(conn), open: &s.open}, server: s, stop: make(chan struct{}, 1)}
+		c := &callerConn{counted: &counted{Conn: s.traffic.Wrap(conn), open: &s.open}, server: s, stop: make(chan struct{}, 1)}
 		awaitEnd(t, conn)
 		out = append(out, c)
 	}
--- a/handlers/gateway/server.go
+++ b/handlers/gateway/server.go
@@ -162,7 +162,7 @@
 			s.turnAway(c)
 			continue
 		}
-		s.hand(&callerConn{counted: &counted{Conn: s.traffic.Count(c), open: &s.open}, server: s, stop: make(chan struct{}, 1)})
+		s.hand(&callerConn{counted: &counted{Conn: s.traffic.Wrap(c), open: &s.open}, server: s, stop: make(chan struct{}, 1)})
 	}
 }
 
@@ -173,7 +173,7 @@
 	if n := s.turned.Add(1); n&(n-1) == 0 {
 		s.log.Warn("Connections turned away.", "count", n, "open", open, "most", s.most)
 	}
-	_ = c.SetWriteDeadline(netopt.In(turnAwayTime))
+	_ = c.SetWriteDeadline(netopt.DeadlineIn(turnAwayTime))
 	_, _ = io.WriteString(c, tooMany)
 	_ = c.Close()
 }
--- a/lab/fleet/config_test.go
+++ b/lab/fleet/config_test.go
@@ -48,7 +48,7 @@
 		o := <-results
 		if o.err == nil && o.receipt.State == config.StateInForce {
 			won++
-		} else if e, ok := result.From(o.err); ok && e.Code == result.ConfigConflict && strings.Contains(e.Detail, "version 1") {
+		} else if e, ok := result.FromError(o.err); ok && e.Code == result.ConfigConflict && strings.Contains(e.Detail, "version 1") {
 			lost++
 		} else {
 			t.Errorf("got %+v, %v", o.receipt, o.err)
--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -370,7 +370,7 @@
 	d := f.document(t)
 	d.Policies[0].Source = "def order(request, account):\n    return nothing\n"
 	_, err = f.Apply(context.Background(), d, "bad")
-	if e, ok := result.From(err); !ok || e.Code != result.BadPolicy || !strings.Contains(e.Detail, "line 2, column 12") {
+	if e, ok := result.FromError(err); !ok || e.Code != result.BadPolicy || !strings.Contains(e.Detail, "line 2, column 12") {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/models/result/code_test.go
+++ b/models/result/code_test.go
@@ -35,10 +35,10 @@
 func TestErrResult(t *testing.T) {
 	cause := errors.New("cause")
 	err := fmt.Errorf("outer: %w", Wrap(QueueFull, cause))
-	if !IsErrResult(err) || !errors.Is(err, cause) || Of(err).Code != QueueFull || Of(err).Execution() != RanNo {
+	if !IsErrResult(err) || !errors.Is(err, cause) || Convert(err).Code != QueueFull || Convert(err).Execution() != RanNo {
 		t.Errorf("%v", err)
 	}
-	if Of(cause).Code != Internal {
-		t.Errorf("%v", Of(cause))
+	if Convert(cause).Code != Internal {
+		t.Errorf("%v", Convert(cause))
 	}
 }
--- a/models/result/error.go
+++ b/models/result/error.go
@@ -28,8 +28,8 @@
 	return &ErrResult{Code: code, Detail: cause.Error(), Cause: cause}
 }
 
-// After sets the time after which the caller may come back.
-func (e *ErrResult) After(d time.Duration) *ErrResult {
+// WithRetryAfter sets the time after which the caller may come back.
+func (e *ErrResult) WithRetryAfter(d time.Duration) *ErrResult {
 	e.RetryAfter = d
 	return e
 }
@@ -52,20 +52,20 @@
 
 // IsErrResult reports whether err carries a numbered code.
 func IsErrResult(err error) bool {
-	_, ok := From(err)
+	_, ok := FromError(err)
 	return ok
 }
 
-// From returns the ErrResult inside err.
-func From(err error) (*ErrResult, bool) {
+// FromError returns the ErrResult inside err.
+func FromError(err error) (*ErrResult, bool) {
 	var e *ErrResult
 	ok := errors.As(err, &e)
 	return e, ok
 }
 
-// Of returns the ErrResult inside err, or an Internal one around it.
-func Of(err error) *ErrResult {
-	if e, ok := From(err); ok {
+// Convert returns the ErrResult inside err, or an Internal one around it.
+func Convert(err error) *ErrResult {
+	if e, ok := FromError(err); ok {
 		return e
 	}
 	return Wrap(Internal, err)
--- a/models/routing/index.go
+++ b/models/routing/index.go
@@ -58,8 +58,8 @@
 // Account returns the account that has the key, or nil.
 func (x *Index) Account(key string) *ClientAccount { return x.byKey[key] }
 
-// RankOf returns the rank of an account's request on a route.
-func RankOf(r *Route, a *ClientAccount) int {
+// EffectiveRank returns the rank of an account's request on a route.
+func EffectiveRank(r *Route, a *ClientAccount) int {
 	if a != nil && a.Rank != nil {
 		return *a.Rank
 	}
--- a/models/routing/target.go
+++ b/models/routing/target.go
@@ -78,11 +78,11 @@
 	return s
 }
 
-// Of returns the targets of a service, sorted by ID, those included that take no work.
-func (s *TargetSet) Of(service string) []*Target { return s.byService[service] }
+// ByService returns the targets of a service, sorted by ID, those included that take no work.
+func (s *TargetSet) ByService(service string) []*Target { return s.byService[service] }
 
-// Leaving returns the IDs of the targets that leave.
-func (s *TargetSet) Leaving() []string {
+// LeavingIDs returns the IDs of the targets that leave.
+func (s *TargetSet) LeavingIDs() []string {
 	var out []string
 	for i := range s.Targets {
 		if s.Targets[i].Leaving {
--- a/modules/clock/system.go
+++ b/modules/clock/system.go
@@ -66,9 +66,9 @@
 
 var onError atomic.Pointer[func(error)]
 
-// OnError has it reported, once, where the machine's clock cannot be read: time in suspension
+// OnReadError has it reported, once, where the machine's clock cannot be read: time in suspension
 // is not counted then.
-func OnError(report func(error)) {
+func OnReadError(report func(error)) {
 	onError.Store(&report)
 	if machine.failed.Load() {
 		machine.report(errUnreadable)
--- a/modules/httphead/httphead.go
+++ b/modules/httphead/httphead.go
@@ -22,11 +22,11 @@
 
 // Head is a plain head. Its bytes are those that were parsed.
 type Head struct {
-	Path   []byte // Path is the target of the request without its query.
-	Host   []byte
-	Length int   // Length is that of the head, the blank line included.
-	Body   int64 // Body is the length of the body.
-	lines  []byte
+	Path          []byte // Path is the target of the request without its query.
+	Host          []byte
+	Length        int   // Length is that of the head, the blank line included.
+	ContentLength int64 // Body is the length of the body.
+	lines         []byte
 }
 
 // Parse reads the head at the beginning of b. It reports false where the head is not whole
@@ -85,7 +85,7 @@
 			if err != nil {
 				return false
 			}
-			h.Body = int64(n)
+			h.ContentLength = int64(n)
 		case is(name, "Connection"):
 			if !is(value, "keep-alive") {
 				return false
--- a/modules/httphead/httphead_test.go
+++ b/modules/httphead/httphead_test.go
@@ -16,7 +16,7 @@
 
 func TestPlainHead(t *testing.T) {
 	h, ok := Parse([]byte(plain))
-	if !ok || string(h.Path) != "/a/b" || string(h.Host) != "h.example" || h.Body != 3 || h.Length != len(plain)-3 {
+	if !ok || string(h.Path) != "/a/b" || string(h.Host) != "h.example" || h.ContentLength != 3 || h.Length != len(plain)-3 {
 		t.Fatalf("%v, %+v", ok, h)
 	}
 	values := make([]string, 2)
@@ -76,12 +76,12 @@
 		if err != nil {
 			return // the library refuses more
 		}
-		if r.Host != string(h.Host) || r.URL.Path != string(h.Path) || r.ContentLength != h.Body || len(r.TransferEncoding) > 0 {
+		if r.Host != string(h.Host) || r.URL.Path != string(h.Path) || r.ContentLength != h.ContentLength || len(r.TransferEncoding) > 0 {
 			t.Fatalf("%+v, the library has %q %q %d", h, r.Host, r.URL.Path, r.ContentLength)
 		}
 		body, _ := io.ReadAll(r.Body)
-		if int64(len(b)-h.Length) >= h.Body && int64(len(body)) != h.Body {
-			t.Fatalf("the library reads a body of %d, not %d", len(body), h.Body)
+		if int64(len(b)-h.Length) >= h.ContentLength && int64(len(body)) != h.ContentLength {
+			t.Fatalf("the library reads a body of %d, not %d", len(body), h.ContentLength)
 		}
 	})
 }
--- a/modules/lateness/lateness.go
+++ b/modules/lateness/lateness.go
@@ -29,15 +29,15 @@
 
 // Probe sends itself bytes until its tomb dies.
 type Probe struct {
-	t      *tomb.Tomb
-	every  time.Duration
-	report func(lateness time.Duration)
-	reader *os.File
-	writer *os.File
-	due    chan time.Time // due holds the time of the byte that is under way.
-	start  time.Time
-	unread atomic.Int64 // unread is the same time in nanoseconds since start, 0 where none is under way.
-	inTime atomic.Int64 // inTime counts the latest samples in a row that were in time.
+	t        *tomb.Tomb
+	interval time.Duration
+	report   func(lateness time.Duration)
+	reader   *os.File
+	writer   *os.File
+	due      chan time.Time // due holds the time of the byte that is under way.
+	start    time.Time
+	unread   atomic.Int64 // unread is the same time in nanoseconds since start, 0 where none is under way.
+	inTime   atomic.Int64 // inTime counts the latest samples in a row that were in time.
 }
 
 // Start runs a probe that reports a lateness for each span of time, more seldom while
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Probe{t: t, every: every, report: report, reader: reader, writer: writer, due: make(chan time.Time, 1), start: now()}
+	p := &Probe{t: t, interval: every, report: report, reader: reader, writer: writer, due: make(chan time.Time, 1), start: now()}
 	t.Go(p.send)
 	t.Go(p.receive)
 	return p, nil
@@ -69,7 +69,7 @@
 // send writes a byte at each time, unless the last one has not been read yet.
 func (p *Probe) send() error {
 	defer p.writer.Close()
-	due := now().Add(p.pause())
+	due := now().Add(p.nextInterval())
 	timer := time.NewTimer(due.Sub(now()))
 	defer timer.Stop()
 	for {
@@ -86,7 +86,7 @@
 			}
 		default:
 		}
-		due = now().Add(p.pause())
+		due = now().Add(p.nextInterval())
 		timer.Reset(due.Sub(now()))
 	}
 }
@@ -99,12 +99,12 @@
 	}
 }
 
-// pause returns how long to wait before the next byte.
-func (p *Probe) pause() time.Duration {
+// nextInterval returns how long to wait before the next byte.
+func (p *Probe) nextInterval() time.Duration {
 	if p.inTime.Load() >= calmSamples {
-		return calmFactor * p.every
+		return calmFactor * p.interval
 	}
-	return p.every
+	return p.interval
 }
 
 func (p *Probe) receive() error {
--- a/modules/lateness/lateness_test.go
+++ b/modules/lateness/lateness_test.go
@@ -63,19 +63,19 @@
 
 // A process that is late now and then is measured as often as one that always is.
 func TestSeldomOnlyAfterLongCalm(t *testing.T) {
-	p := &Probe{every: time.Millisecond}
+	p := &Probe{interval: time.Millisecond}
 	for i := range 2 * calmSamples {
-		want := p.every
+		want := p.interval
 		if i >= calmSamples {
-			want = calmFactor * p.every
+			want = calmFactor * p.interval
 		}
-		if got := p.pause(); got != want {
+		if got := p.nextInterval(); got != want {
 			t.Fatalf("after %d samples in time it waits %v, want %v", i, got, want)
 		}
 		p.note(0)
 	}
 	p.note(calm + 1)
-	if got := p.pause(); got != p.every {
+	if got := p.nextInterval(); got != p.interval {
 		t.Errorf("after a late sample it waits %v", got)
 	}
 }
--- a/modules/log/async.go
+++ b/modules/log/async.go
@@ -55,10 +55,10 @@
 	ring   *ring.Ring[[]byte]
 	flush  chan chan struct{}
 
-	second  atomic.Int64 // second is the one that the counts below belong to.
-	lines   atomic.Int64
-	bytes   atomic.Int64
-	leftOut atomic.Uint64
+	budgetSecond atomic.Int64 // second is the one that the counts below belong to.
+	lines        atomic.Int64
+	bytes        atomic.Int64
+	leftOut      atomic.Uint64
 }
 
 // NewAsync starts a writer to out.
@@ -70,7 +70,7 @@
 
 // Write implements io.Writer. It takes one line and never fails.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
-	if !w.within(len(line)) || !w.ring.TryPut(append([]byte(nil), line...)) {
+	if !w.takeBudget(len(line)) || !w.ring.TryPut(append([]byte(nil), line...)) {
 		w.leftOut.Add(1)
 	}
 	return len(line), nil
@@ -83,17 +83,17 @@
 	if kind == aboutRequest {
 		lines, bytes = int64(requestShare*float64(lines)), int64(requestShare*float64(bytes))
 	}
-	if w.second.Load() != w.clock.Now().Unix() || w.lines.Load() < lines && w.bytes.Load() < bytes {
+	if w.budgetSecond.Load() != w.clock.Now().Unix() || w.lines.Load() < lines && w.bytes.Load() < bytes {
 		return false
 	}
 	w.leftOut.Add(1)
 	return true
 }
 
-// within takes a line from the budget of this second.
-func (w *AsyncWriter) within(size int) bool {
+// takeBudget takes a line from the budget of this second.
+func (w *AsyncWriter) takeBudget(size int) bool {
 	now := w.clock.Now().Unix()
-	if w.second.Swap(now) != now {
+	if w.budgetSecond.Swap(now) != now {
 		w.lines.Store(0)
 		w.bytes.Store(0)
 	}
--- a/modules/log/limit.go
+++ b/modules/log/limit.go
@@ -8,33 +8,35 @@
 	"time"
 )
 
-// Limit bounds lines of one kind that others decide the number of, such as what a peer sends
+// RateLimiter bounds lines of one kind that others decide the number of, such as what a peer sends
 // and cannot be read: they would take the whole log's budget. Counters hold all.
-type Limit struct {
-	every  time.Duration
-	atOnce int
+type RateLimiter struct {
+	interval time.Duration
+	atOnce   int
 
-	mu     sync.Mutex
-	since  time.Time
-	told   int
-	hidden int
+	mu          sync.Mutex
+	windowStart time.Time
+	written     int
+	hidden      int
 }
 
-// NewLimit returns a limit of so many lines in a time.
-func NewLimit(every time.Duration, atOnce int) *Limit { return &Limit{every: every, atOnce: atOnce} }
+// NewRateLimiter returns a limit of so many lines in a time.
+func NewRateLimiter(every time.Duration, atOnce int) *RateLimiter {
+	return &RateLimiter{interval: every, atOnce: atOnce}
+}
 
 // Allow reports whether a line is written, and how many were not since the last one.
-func (l *Limit) Allow(now time.Time) (allowed bool, hidden int) {
+func (l *RateLimiter) Allow(now time.Time) (allowed bool, hidden int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.since) >= l.every {
-		l.since, l.told = now, 0
+	if now.Sub(l.windowStart) >= l.interval {
+		l.windowStart, l.written = now, 0
 	}
-	if l.told >= l.atOnce {
+	if l.written >= l.atOnce {
 		l.hidden++
 		return false, 0
 	}
-	l.told++
+	l.written++
 	hidden, l.hidden = l.hidden, 0
 	return true, hidden
 }
--- a/modules/netopt/ended.go
+++ b/modules/netopt/ended.go
@@ -31,9 +31,9 @@
 	at    time.Time
 }
 
-// Endings finds out whether servers have ended, once for all answers of a server that break
+// ExitDetector finds out whether servers have ended, once for all answers of a server that break
 // off together.
-type Endings struct {
+type ExitDetector struct {
 	dialer *net.Dialer
 	clock  clock.Clock
 
@@ -41,15 +41,15 @@
 	findings map[string]*finding
 }
 
-// NewEndings returns an Endings that has found out nothing.
-func NewEndings() *Endings {
-	return &Endings{dialer: Dialer(endedTime), clock: clock.System{}, findings: map[string]*finding{}}
+// NewExitDetector returns an Endings that has found out nothing.
+func NewExitDetector() *ExitDetector {
+	return &ExitDetector{dialer: Dialer(endedTime), clock: clock.System{}, findings: map[string]*finding{}}
 }
 
 // Ended tells whether the server of this ID, whose answer broke off, has ended: one that has
 // only lost a connection, or cuts its answers, still takes connects, and one that has ended
 // refuses them. Known is false where the context ended first. It is asked after a failure only.
-func (e *Endings) Ended(ctx context.Context, id, address string) (ended, known bool) {
+func (e *ExitDetector) Ended(ctx context.Context, id, address string) (ended, known bool) {
 	f := e.find(id, address)
 	select {
 	case <-f.done:
@@ -60,7 +60,7 @@
 }
 
 // find returns the finding about a server, and begins one where none holds.
-func (e *Endings) find(id, address string) *finding {
+func (e *ExitDetector) find(id, address string) *finding {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
@@ -78,7 +78,7 @@
 	return f
 }
 
-func (e *Endings) connect(f *finding, address string) {
+func (e *ExitDetector) connect(f *finding, address string) {
 	defer close(f.done)
 	conn, err := e.dialer.Dial("tcp4", address)
 	if err == nil {
--- a/modules/netopt/ended_test.go
+++ b/modules/netopt/ended_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, address := NewEndings(), l.Addr().String()
+	e, address := NewExitDetector(), l.Addr().String()
 	if ended, known := e.Ended(context.Background(), "w@1", address); ended || !known {
 		t.Errorf("a server that lives: ended %t, known %t", ended, known)
 	}
--- a/modules/netopt/netopt.go
+++ b/modules/netopt/netopt.go
@@ -49,8 +49,8 @@
 	return lc.Listen(context.Background(), "tcp4", address)
 }
 
-// In returns the time at which a deadline of a connection ends. Connections and their timers
+// DeadlineIn returns the time at which a deadline of a connection ends. Connections and their timers
 // go by the steady clock of the runtime, which does not count suspension: such a deadline ends
 // late by it. It bounds how long a read or a write may take, and promises nothing; what does is
 // a timer of modules/clock, which closes the connection.
-func In(d time.Duration) time.Time { return time.Now().Add(d) }
+func DeadlineIn(d time.Duration) time.Time { return time.Now().Add(d) }
--- a/modules/netopt/peek.go
+++ b/modules/netopt/peek.go
@@ -9,44 +9,44 @@
 	"syscall"
 )
 
-// Pending is what can be read of a connection now.
-type Pending int
+// PeekResult is what can be read of a connection now.
+type PeekResult int
 
 // What can be pending.
 const (
-	Unknown Pending = iota // it is no TCP connection
-	Nothing
-	Bytes
-	End // the other side has closed it, or it was reset
+	PeekUnknown PeekResult = iota // it is no TCP connection
+	PeekEmpty
+	PeekData
+	PeekClosed // the other side has closed it, or it was reset
 )
 
 // Peek tells what can be read of a connection, and leaves it there. It does not wait.
-func Peek(c net.Conn) Pending {
+func Peek(c net.Conn) PeekResult {
 	if counted, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = counted.NetConn()
 	}
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
-		return Unknown
+		return PeekUnknown
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return End
+		return PeekClosed
 	}
-	pending := End
+	pending := PeekClosed
 	var one [1]byte
 	// Control does not wait for a read that is under way, as Read would.
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			pending = Nothing
+			pending = PeekEmpty
 		case err == nil && n > 0:
-			pending = Bytes
+			pending = PeekData
 		}
 	})
 	if err != nil {
-		return End // it is closed here
+		return PeekClosed // it is closed here
 	}
 	return pending
 }
--- a/modules/netopt/traffic.go
+++ b/modules/netopt/traffic.go
@@ -18,8 +18,8 @@
 // Bytes returns the bytes sent and received so far.
 func (t *Traffic) Bytes() (sent, received uint64) { return t.sent.Load(), t.received.Load() }
 
-// Count returns a connection whose bytes are counted.
-func (t *Traffic) Count(conn net.Conn) net.Conn { return &countedConn{conn, t} }
+// Wrap returns a connection whose bytes are counted.
+func (t *Traffic) Wrap(conn net.Conn) net.Conn { return &countedConn{conn, t} }
 
 type countedConn struct {
 	net.Conn
--- a/modules/peernet/auth.go
+++ b/modules/peernet/auth.go
@@ -103,7 +103,7 @@
 	} else {
 		tc = tls.Server(conn, a.tls)
 	}
-	_ = conn.SetDeadline(netopt.In(handshakeTimeout))
+	_ = conn.SetDeadline(netopt.DeadlineIn(handshakeTimeout))
 	if err := tc.Handshake(); err != nil {
 		return nil, ErrHandshake{err.Error()}
 	}
@@ -140,7 +140,7 @@
 
 // dial exchanges hellos with the peer that was dialled and returns its ID.
 func (a *Auth) dial(conn net.Conn) (string, error) {
-	_ = conn.SetDeadline(netopt.In(handshakeTimeout))
+	_ = conn.SetDeadline(netopt.DeadlineIn(handshakeTimeout))
 	defer conn.SetDeadline(time.Time{})
 	mine, err := a.hello(protocolVersion)
 	if err != nil {
@@ -160,7 +160,7 @@
 // accept exchanges hellos with a peer that has dialled. It returns the peer's ID and
 // whether the connection carries requests.
 func (a *Auth) accept(conn net.Conn) (id string, carries bool, err error) {
-	_ = conn.SetDeadline(netopt.In(handshakeTimeout))
+	_ = conn.SetDeadline(netopt.DeadlineIn(handshakeTimeout))
 	defer conn.SetDeadline(time.Time{})
 	r := newByteReader(conn)
 	theirs, err := readHello(r)
--- a/modules/peernet/carry.go
+++ b/modules/peernet/carry.go
@@ -13,17 +13,17 @@
 // would cost a gateway that passes a thousand requests a second on more than it has, since
 // each piece of an answer is one more goroutine's work and one more copy.
 
-// CarryOptions say whom to connect to.
-type CarryOptions struct {
+// RelayOptions say whom to connect to.
+type RelayOptions struct {
 	Auth        *Auth
 	Meter       *Meter
 	Address     string
 	DialTimeout time.Duration
 }
 
-// DialCarrying connects to a peer that takes requests of callers over. It proves who this
+// DialRelay connects to a peer that takes requests of callers over. It proves who this
 // process is and waits for nothing.
-func DialCarrying(ctx context.Context, o CarryOptions) (net.Conn, error) {
+func DialRelay(ctx context.Context, o RelayOptions) (net.Conn, error) {
 	conn, err := dialWrapped(ctx, o.Auth, o.Meter, o.Address, o.DialTimeout)
 	if err != nil {
 		return nil, err
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -32,14 +32,14 @@
 
 // Link sends to one peer. It dials when there is something to send.
 type Link struct {
-	t       *tomb.Tomb
-	auth    *Auth
-	meter   *Meter
-	id      string
-	timeout time.Duration
-	idle    time.Duration
-	frames  *ring.Ring[*wire.Frame]
-	renewal renewal
+	t           *tomb.Tomb
+	auth        *Auth
+	meter       *Meter
+	peerID      string
+	dialTimeout time.Duration
+	idleTimeout time.Duration
+	frames      *ring.Ring[*wire.Frame]
+	renewal     renewal
 
 	mu      sync.Mutex
 	address string
@@ -66,7 +66,7 @@
 // NewLink starts the goroutine that sends to a peer; it ends with the tomb.
 func NewLink(t *tomb.Tomb, o LinkOptions) *Link {
 	l := &Link{
-		t: t, auth: o.Auth, meter: o.Meter, id: o.PeerID, address: o.Address, timeout: o.DialTimeout, idle: o.Idle,
+		t: t, auth: o.Auth, meter: o.Meter, peerID: o.PeerID, address: o.Address, dialTimeout: o.DialTimeout, idleTimeout: o.Idle,
 		frames: ring.New[*wire.Frame]("peer "+o.PeerID, o.Ring), backoff: redialFirst,
 	}
 	t.Go(l.run)
@@ -113,29 +113,29 @@
 			l.close()
 			return nil
 		case f := <-l.frames.Out():
-			stream = l.deliver(stream, f)
+			stream = l.writeFrame(stream, f)
 			used = now()
-			if unused == nil && l.idle > 0 {
-				unused = time.After(l.idle)
+			if unused == nil && l.idleTimeout > 0 {
+				unused = time.After(l.idleTimeout)
 			}
 		case <-unused:
 			unused = nil
-			if left := l.idle - now().Sub(used); left > 0 {
+			if left := l.idleTimeout - now().Sub(used); left > 0 {
 				unused = time.After(left)
 				continue
 			}
 			if stream != nil {
 				closeAfterLast(stream)
 			}
-			l.drop()
+			l.closeSession()
 			stream = nil
 		}
 	}
 }
 
-// deliver writes a frame and returns the stream for the next one. A frame that
+// writeFrame writes a frame and returns the stream for the next one. A frame that
 // cannot be written is lost: all of it is state that will be sent again.
-func (l *Link) deliver(stream *yamux.Stream, f *wire.Frame) *yamux.Stream {
+func (l *Link) writeFrame(stream *yamux.Stream, f *wire.Frame) *yamux.Stream {
 	if l.renewal.session.Load() {
 		stream = nil
 	}
@@ -149,7 +149,7 @@
 		if err := writeMessage(stream, f); err == nil {
 			return stream
 		}
-		l.drop()
+		l.closeSession()
 		stream = nil
 	}
 	return nil
@@ -164,11 +164,11 @@
 	defer cancel()
 	stream, err := session.OpenStream(ctx)
 	if err != nil {
-		l.drop()
+		l.closeSession()
 		return nil, err
 	}
 	if _, err := stream.Write([]byte{kind}); err != nil {
-		l.drop()
+		l.closeSession()
 		return nil, err
 	}
 	return stream, nil
@@ -208,7 +208,7 @@
 func (l *Link) dial() (*yamux.Session, error) {
 	ctx, end := l.renewal.begin()
 	defer end()
-	conn, err := dialPeer(ctx, l.auth, l.meter, l.id, l.address, l.timeout)
+	conn, err := dialPeer(ctx, l.auth, l.meter, l.peerID, l.address, l.dialTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -245,7 +245,7 @@
 	return conn, nil
 }
 
-func (l *Link) drop() {
+func (l *Link) closeSession() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session != nil {
@@ -254,7 +254,7 @@
 	}
 }
 
-func (l *Link) close() { l.drop() }
+func (l *Link) close() { l.closeSession() }
 
 // Call sends a request on a stream of its own and waits for the reply.
 func (l *Link) Call(ctx context.Context, call *wire.Call) (*wire.Reply, error) {
--- a/modules/peernet/server.go
+++ b/modules/peernet/server.go
@@ -30,8 +30,8 @@
 	HandleCall(peer string, c *wire.Call) *wire.Reply
 }
 
-// Carrier takes connections on which a peer carries requests of its callers.
-type Carrier interface {
+// RelayHandler takes connections on which a peer carries requests of its callers.
+type RelayHandler interface {
 	// HandleCarried serves a connection until it is closed.
 	HandleCarried(peer string, c net.Conn)
 }
@@ -43,7 +43,7 @@
 	auth     *Auth
 	meter    *Meter
 	handler  Handler
-	carrier  Carrier // carrier is nil where none are taken.
+	carrier  RelayHandler // carrier is nil where none are taken.
 	listener net.Listener
 	slots    chan struct{}
 
@@ -55,11 +55,11 @@
 
 // NewServer starts to accept on the listener; it ends with the tomb.
 func NewServer(t *tomb.Tomb, logger log.Logger, auth *Auth, meter *Meter, l net.Listener, h Handler) *Server {
-	return NewCarryingServer(t, logger, auth, meter, l, h, nil)
+	return NewRelayServer(t, logger, auth, meter, l, h, nil)
 }
 
-// NewCarryingServer is NewServer that also takes what peers carry.
-func NewCarryingServer(t *tomb.Tomb, logger log.Logger, auth *Auth, meter *Meter, l net.Listener, h Handler, c Carrier) *Server {
+// NewRelayServer is NewServer that also takes what peers carry.
+func NewRelayServer(t *tomb.Tomb, logger log.Logger, auth *Auth, meter *Meter, l net.Listener, h Handler, c RelayHandler) *Server {
 	s := &Server{
 		t: t, log: logger, auth: auth, meter: meter, handler: h, carrier: c, listener: l,
 		slots: make(chan struct{}, maxConnections), conns: map[net.Conn]string{}, blocked: map[string]bool{},
@@ -197,7 +197,7 @@
 	case streamFrames:
 		s.readFrames(peer, r)
 	case streamCall:
-		_ = stream.SetDeadline(netopt.In(callTimeout))
+		_ = stream.SetDeadline(netopt.DeadlineIn(callTimeout))
 		call := &wire.Call{}
 		if readMessage(r, call) == nil {
 			_ = writeMessage(stream, s.handler.HandleCall(peer, call))
--- a/modules/peernet/session.go
+++ b/modules/peernet/session.go
@@ -63,7 +63,7 @@
 // all: yamux's writes return before anything is sent, and the end of a session drops
 // what waits.
 func closeAfterLast(stream *yamux.Stream) {
-	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.In(closeTime)) != nil {
+	if stream.CloseWrite() != nil || stream.SetReadDeadline(netopt.DeadlineIn(closeTime)) != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, stream)
--- a/modules/retryafter/retryafter.go
+++ b/modules/retryafter/retryafter.go
@@ -16,16 +16,16 @@
 // Header is the name of the field.
 const Header = "Retry-After"
 
-// Rest is for how long a sender wants nothing.
-type Rest struct {
-	For    time.Duration // For is 0 where it asks for none.
+// Result is for how long a sender wants nothing.
+type Result struct {
+	Delay  time.Duration // For is 0 where it asks for none.
 	Unread int           // Unread counts the values that could not be read.
 }
 
 // Read reads the field from the head of an answer that turns a request away: 503 or 429. Where
 // it is named several times the longest holds.
-func Read(status int, h http.Header) Rest {
-	var r Rest
+func Read(status int, h http.Header) Result {
+	var r Result
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return r
 	}
@@ -35,7 +35,7 @@
 			r.Unread++
 			continue
 		}
-		r.For = max(r.For, d)
+		r.Delay = max(r.Delay, d)
 	}
 	return r
 }
--- a/modules/retryafter/retryafter_test.go
+++ b/modules/retryafter/retryafter_test.go
@@ -17,28 +17,28 @@
 		name   string
 		status int
 		values []string
-		want   Rest
+		want   Result
 	}{
-		{"none", 503, nil, Rest{}},
-		{"whole", 503, []string{"3"}, Rest{For: 3 * time.Second}},
-		{"fraction", 503, []string{"0.2"}, Rest{For: 200 * time.Millisecond}},
-		{"blanks", 503, []string{" 1.5 "}, Rest{For: 1500 * time.Millisecond}},
-		{"nothing", 503, []string{"0"}, Rest{}},
-		{"too many requests", 429, []string{"2"}, Rest{For: 2 * time.Second}},
-		{"a failure of its own", 500, []string{"2"}, Rest{}},
-		{"a success", 200, []string{"2"}, Rest{}},
-		{"date", 503, []string{"Tue, 03 Jun 2025 10:00:04 GMT"}, Rest{For: 4 * time.Second}},
-		{"date that is over", 503, []string{"Tue, 03 Jun 2025 09:00:00 GMT"}, Rest{}},
-		{"twice", 503, []string{"1", "4"}, Rest{For: 4 * time.Second}},
-		{"twice, one of them text", 503, []string{"soon", "4"}, Rest{For: 4 * time.Second, Unread: 1}},
-		{"negative", 503, []string{"-1"}, Rest{Unread: 1}},
-		{"not a number", 503, []string{"NaN"}, Rest{Unread: 1}},
-		{"empty", 503, []string{""}, Rest{Unread: 1}},
-		{"text", 503, []string{"later"}, Rest{Unread: 1}},
-		{"list", 503, []string{"1, 2"}, Rest{Unread: 1}},
-		{"far too much", 503, []string{"1e18"}, Rest{For: 1e9 * time.Second}},
-		{"without end", 503, []string{"+Inf"}, Rest{For: 1e9 * time.Second}},
-		{"more than a number holds", 503, []string{"1e999"}, Rest{Unread: 1}},
+		{"none", 503, nil, Result{}},
+		{"whole", 503, []string{"3"}, Result{Delay: 3 * time.Second}},
+		{"fraction", 503, []string{"0.2"}, Result{Delay: 200 * time.Millisecond}},
+		{"blanks", 503, []string{" 1.5 "}, Result{Delay: 1500 * time.Millisecond}},
+		{"nothing", 503, []string{"0"}, Result{}},
+		{"too many requests", 429, []string{"2"}, Result{Delay: 2 * time.Second}},
+		{"a failure of its own", 500, []string{"2"}, Result{}},
+		{"a success", 200, []string{"2"}, Result{}},
+		{"date", 503, []string{"Tue, 03 Jun 2025 10:00:04 GMT"}, Result{Delay: 4 * time.Second}},
+		{"date that is over", 503, []string{"Tue, 03 Jun 2025 09:00:00 GMT"}, Result{}},
+		{"twice", 503, []string{"1", "4"}, Result{Delay: 4 * time.Second}},
+		{"twice, one of them text", 503, []string{"soon", "4"}, Result{Delay: 4 * time.Second, Unread: 1}},
+		{"negative", 503, []string{"-1"}, Result{Unread: 1}},
+		{"not a number", 503, []string{"NaN"}, Result{Unread: 1}},
+		{"empty", 503, []string{""}, Result{Unread: 1}},
+		{"text", 503, []string{"later"}, Result{Unread: 1}},
+		{"list", 503, []string{"1, 2"}, Result{Unread: 1}},
+		{"far too much", 503, []string{"1e18"}, Result{Delay: 1e9 * time.Second}},
+		{"without end", 503, []string{"+Inf"}, Result{Delay: 1e9 * time.Second}},
+		{"more than a number holds", 503, []string{"1e999"}, Result{Unread: 1}},
 	} {
 		h := http.Header{"Retry-After": c.values, "Date": {date}}
 		if got := Read(c.status, h); got != c.want {
@@ -50,7 +50,7 @@
 // A date without the sender's own is compared with this machine's clock.
 func TestDateToRestWithoutTheSendersClock(t *testing.T) {
 	h := http.Header{"Retry-After": {time.Now().Add(time.Minute).UTC().Format(http.TimeFormat)}}
-	if got := Read(503, h).For; got < 30*time.Second || got > time.Minute {
+	if got := Read(503, h).Delay; got < 30*time.Second || got > time.Minute {
 		t.Errorf("%v, want about a minute", got)
 	}
 }
@@ -62,7 +62,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value, date string) {
 		r := Read(http.StatusServiceUnavailable, http.Header{Header: {value}, "Date": {date}})
-		if r.For < 0 || r.Unread > 1 || r.Unread == 1 && r.For != 0 {
+		if r.Delay < 0 || r.Unread > 1 || r.Unread == 1 && r.Delay != 0 {
 			t.Errorf("%q with the date %q: %+v", value, date, r)
 		}
 	})
--- a/modules/setting/gateway.go
+++ b/modules/setting/gateway.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// IsGateway tells whether a settings file has the section of a gateway.
-func IsGateway(path string) bool {
+// IsGatewayFile tells whether a settings file has the section of a gateway.
+func IsGatewayFile(path string) bool {
 	var sections map[string]any
 	if _, err := toml.DecodeFile(path, &sections); err != nil {
 		return false
--- a/modules/setting/gateway_test.go
+++ b/modules/setting/gateway_test.go
@@ -57,7 +57,7 @@
 	if err := os.WriteFile(path, []byte(gatewaySample), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if !IsGateway(path) || IsGateway("../../madderway.example.toml") || IsGateway(path+".none") {
+	if !IsGatewayFile(path) || IsGatewayFile("../../madderway.example.toml") || IsGatewayFile(path+".none") {
 		t.Error("a gateway's file is not told from others")
 	}
 	if g, err := LoadGateway(path); err != nil || g.ID != "front-1" {
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -119,7 +119,7 @@
 	}
 	g.assemble()
 	g.serve(listeners[1:])
-	peernet.NewCarryingServer(&g.t, log.New("peer").With(s.ID), peernet.NewSharedKey(s.ID, s.PeerKey), g.meter, listeners[0], g.loop, relay.NewServer(log.New("relay").With(s.ID), g.handler))
+	peernet.NewRelayServer(&g.t, log.New("peer").With(s.ID), peernet.NewSharedKey(s.ID, s.PeerKey), g.meter, listeners[0], g.loop, relay.NewServer(log.New("relay").With(s.ID), g.handler))
 	probe, err := lateness.Start(&g.t, probeEvery, g.late)
 	if err != nil {
 		g.log.Error(err, "No probe of lateness; overload is not noticed.")
--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -192,7 +192,7 @@
 
 func (r *runner) wait(d time.Duration, gone bool) {
 	if gone {
-		r.send(core.HolderGone{})
+		r.send(core.HolderDead{})
 		return
 	}
 	select {
--- a/services/config/config.go
+++ b/services/config/config.go
@@ -111,7 +111,7 @@
 
 // PeerVersion takes the version in force at a peer.
 func (s *Service) PeerVersion(peer string, v head.Version) {
-	s.events.TryPut(head.PeerSeen{Peer: peer, Version: v})
+	s.events.TryPut(head.PeerVersionSeen{Peer: peer, Version: v})
 }
 
 // Ring returns the state of the ring of events.
@@ -252,7 +252,7 @@
 
 // Notified takes a peer's word that a version was accepted.
 func (s *Service) Notified(peer string, v head.Version) {
-	s.events.Put(s.t.Dying(), head.PeerSeen{Peer: peer, Version: v})
+	s.events.Put(s.t.Dying(), head.PeerVersionSeen{Peer: peer, Version: v})
 }
 
 // Chunk returns a chunk that this router holds.
--- a/services/config/submit.go
+++ b/services/config/submit.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	if err := s.source.store(ctx, manifest, chunks); err != nil {
-		return Receipt{}, result.Wrap(result.PlatformDown, err).After(time.Second)
+		return Receipt{}, result.Wrap(result.PlatformDown, err).WithRetryAfter(time.Second)
 	}
 	version, err := s.accept(ctx, c, manifest.Hash)
 	if err != nil {
@@ -96,9 +96,9 @@
 				a.Base.Version, a.Current.Version, a.Current.Hash, a.Current.Author)
 		case head.Undecided:
 			if !a.MayHaveHappened {
-				return 0, result.New(result.PlatformDown, "the platform's table gave no answer").After(time.Second)
+				return 0, result.New(result.PlatformDown, "the platform's table gave no answer").WithRetryAfter(time.Second)
 			}
-			return 0, result.New(result.ConfigUnknown, "submit again with operation ID %s", c.Operation).After(time.Second)
+			return 0, result.New(result.ConfigUnknown, "submit again with operation ID %s", c.Operation).WithRetryAfter(time.Second)
 		}
 	}
 }
--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -62,7 +62,7 @@
 	if err == nil {
 		return "done"
 	}
-	switch result.Of(err).Execution() {
+	switch result.Convert(err).Execution() {
 	case result.RanNo:
 		return outcomeNotRun
 	case result.RanYes:
@@ -76,7 +76,7 @@
 	if err == nil {
 		return "done"
 	}
-	return outcomeLabel(err) + ": " + result.Of(err).Error()
+	return outcomeLabel(err) + ": " + result.Convert(err).Error()
 }
 
 func (s *Service) chatJob(c Chat) (*job, error) {
@@ -134,7 +134,7 @@
 			return nil
 		}
 		err = withHistory(err, ran)
-		ran = result.Of(err).Execution()
+		ran = result.Convert(err).Execution()
 		if st.callerGone && !st.j.order.Keep {
 			return err
 		}
@@ -150,7 +150,7 @@
 // withHistory corrects an error that says "not run" of the last attempt when an
 // earlier attempt ran or may have run.
 func withHistory(err error, ran result.Ran) error {
-	e := result.Of(err)
+	e := result.Convert(err)
 	if ran == result.RanNo || e.Execution() != result.RanNo {
 		return err
 	}
@@ -215,7 +215,7 @@
 	a, _ := engine.AsAttempt(err)
 	st.s.opts.Book.Note(st.j.requestID, st.j.account.Name, "attempt", "%d at %s did not start: %v", st.attempt, target.Name, err)
 	if !a.Ran {
-		return outcomeNotRun, a.Status, result.Wrap(result.TargetRefused, err).After(time.Second)
+		return outcomeNotRun, a.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
 	st.s.lookAtEnd(ctx, st.j, target)
 	return outcomeUnknown, 0, result.Wrap(result.OutcomeUnknown, err)
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -71,7 +71,7 @@
 	log      log.Logger
 	opts     Options
 	counters *counters
-	endings  *netopt.Endings
+	endings  *netopt.ExitDetector
 
 	mu         sync.Mutex
 	budgets    *budget.Set
@@ -83,7 +83,7 @@
 // New returns a service whose detached work ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	return &Service{
-		t: t, log: logger, opts: o, counters: newCounters(), endings: netopt.NewEndings(),
+		t: t, log: logger, opts: o, counters: newCounters(), endings: netopt.NewExitDetector(),
 		budgets:   budget.NewSet(o.RetryRatio, o.RetryBurst),
 		estimates: estimates{},
 		prefixes:  map[string]*place.PrefixMap{},
@@ -115,7 +115,7 @@
 // Admit tells whether requests may be admitted now.
 func (s *Service) Admit() error {
 	if s.opts.Config.Snapshot() == nil || !s.opts.Config.Admits() {
-		return result.New(result.NotReady, "no configuration is known to be in force").After(time.Second)
+		return result.New(result.NotReady, "no configuration is known to be in force").WithRetryAfter(time.Second)
 	}
 	return nil
 }
@@ -204,7 +204,7 @@
 		}
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 	}
-	return 0, nil, result.New(result.NoTarget, "%d targets in a row want rest", maxWithheld).After(time.Second)
+	return 0, nil, result.New(result.NoTarget, "%d targets in a row want rest", maxWithheld).WithRetryAfter(time.Second)
 }
 
 // submitOnce queues the request and waits for a target.
@@ -228,7 +228,7 @@
 	if d.Refused != 0 {
 		s.opts.Book.Note(j.requestID, j.account.Name, "refused", "%s, retry after %s", d.Refused, d.RetryAfter)
 		s.counters.refused(d.Refused)
-		return id, nil, result.New(d.Refused, "account %s, pool %s", j.account.Name, j.pool.Name).After(d.RetryAfter)
+		return id, nil, result.New(d.Refused, "account %s, pool %s", j.account.Name, j.pool.Name).WithRetryAfter(d.RetryAfter)
 	}
 	s.counters.waited(j.order.Class, d.Waited)
 	s.opts.Book.Note(j.requestID, j.account.Name, "grant", "target %s, granted by %s (grant %d) after %s",
@@ -242,7 +242,7 @@
 	}
 	if !ok {
 		s.opts.Loop.Finish(admit.Finished{ID: id})
-		return id, nil, result.New(result.NoTarget, "target %s has left", d.Target).After(time.Second)
+		return id, nil, result.New(result.NoTarget, "target %s has left", d.Target).WithRetryAfter(time.Second)
 	}
 	if err := s.mayBeSent(j); err != nil { // another router may have seen a target end meanwhile
 		s.opts.Loop.Finish(admit.Finished{ID: id})
@@ -277,10 +277,10 @@
 
 // final returns the error of a request that gets no further attempt.
 func (j *job) final(err error) error {
-	if !j.budgetSpent || result.Of(err).Execution() != result.RanNo {
+	if !j.budgetSpent || result.Convert(err).Execution() != result.RanNo {
 		return err
 	}
-	return result.New(result.RetryBudgetSpent, "last attempt: %v", err).After(time.Second)
+	return result.New(result.RetryBudgetSpent, "last attempt: %v", err).WithRetryAfter(time.Second)
 }
 
 // repeatable asks the policy whether a request may be sent again.
--- a/services/dispatch/history_test.go
+++ b/services/dispatch/history_test.go
@@ -18,7 +18,7 @@
 		{result.RanUnknown, result.RanUnknown},
 		{result.RanYes, result.RanYes},
 	} {
-		if got := result.Of(withHistory(refusal, c.before)).Execution(); got != c.want {
+		if got := result.Convert(withHistory(refusal, c.before)).Execution(); got != c.want {
 			t.Errorf("after %q: %q, want %q", c.before, got, c.want)
 		}
 	}
@@ -26,7 +26,7 @@
 		t.Error("the original error was changed")
 	}
 	unknown := result.New(result.OutcomeUnknown, "cut")
-	if got := result.Of(withHistory(unknown, result.RanNo)).Execution(); got != result.RanUnknown {
+	if got := result.Convert(withHistory(unknown, result.RanNo)).Execution(); got != result.RanUnknown {
 		t.Errorf("unknown became %q", got)
 	}
 }
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -38,7 +38,7 @@
 	}
 	s.opts.Book.Note(j.requestID, j.account.Name, "claim", "held by attempt %s", row.Attempt)
 	a, err := s.plainAttempts(ctx, j, c, true)
-	if err != nil && result.Of(err).Execution() == result.RanNo {
+	if err != nil && result.Convert(err).Execution() == result.RanNo {
 		outcome.Held.Release()
 		return a, err
 	}
@@ -88,11 +88,11 @@
 	case core.VerdictKeyReused:
 		return PlainAnswer{}, result.New(result.KeyReused, "the key belongs to request %s", o.Row.RequestID)
 	case core.VerdictInProgress:
-		return PlainAnswer{}, result.New(result.ClaimInProgress, "request %s at router %s has not ended", o.Row.RequestID, o.Row.Router).After(time.Second)
+		return PlainAnswer{}, result.New(result.ClaimInProgress, "request %s at router %s has not ended", o.Row.RequestID, o.Row.Router).WithRetryAfter(time.Second)
 	case core.VerdictUnknown:
 		return PlainAnswer{}, result.New(result.OutcomeUnknown, "request %s may have run and will not be repeated", o.Row.RequestID)
 	default:
-		return PlainAnswer{}, result.New(result.ClaimUnavailable, "the table did not confirm the claim in time").After(time.Second)
+		return PlainAnswer{}, result.New(result.ClaimUnavailable, "the table did not confirm the claim in time").WithRetryAfter(time.Second)
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	body, err := s.opts.Answers.GetBody(ctx, row.Object)
 	if err != nil {
-		return PlainAnswer{}, result.Wrap(result.AnswerUnavailable, err).After(time.Second)
+		return PlainAnswer{}, result.Wrap(result.AnswerUnavailable, err).WithRetryAfter(time.Second)
 	}
 	a.Body = body
 	return a, nil
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -92,7 +92,7 @@
 		a, outcome, status, err := s.tryPlain(ctx, j, c, once)
 		if err != nil {
 			err = withHistory(err, ran)
-			ran = result.Of(err).Execution()
+			ran = result.Convert(err).Execution()
 		} else {
 			ran = result.RanYes
 		}
@@ -145,7 +145,7 @@
 	j.deny = append(j.deny, target.Name)
 	if !at.Ran {
 		fin.Failed = true
-		return a, outcomeNotRun, at.Status, result.Wrap(result.TargetRefused, err).After(time.Second)
+		return a, outcomeNotRun, at.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
 	fin.Failed = ctx.Err() == nil
 	s.lookAtEnd(ctx, j, target)
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -33,7 +33,7 @@
 func (s *Service) allRest(j *job, r notice.Rests) error {
 	s.counters.refused(result.NoTarget)
 	s.opts.Book.Note(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.First.Round(time.Millisecond))
-	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).After(max(r.First, time.Second))
+	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.First, time.Second))
 }
 
 // startSending takes the permit to send to a target that was granted, and reports false where
--- a/services/dispatch/resume.go
+++ b/services/dispatch/resume.go
@@ -71,7 +71,7 @@
 			return true, nil
 		}
 	}
-	return true, result.New(result.StreamBroken, "stream of %s ended at offset %d", token.Target, last).After(time.Second)
+	return true, result.New(result.StreamBroken, "stream of %s ended at offset %d", token.Target, last).WithRetryAfter(time.Second)
 }
 
 func engineBroke(err error) bool {
@@ -101,12 +101,12 @@
 func (s *Service) resumeKept(ctx context.Context, r Resume, sink Sink) error {
 	kept, err := s.opts.Answers.Fetch(ctx, r.Account.Name, r.RequestID)
 	if platform.IsErrObjectNotExist(err) {
-		absent := result.New(result.NotFound, "no answer %s is kept for this account; it may not be complete yet", r.RequestID).After(time.Second)
+		absent := result.New(result.NotFound, "no answer %s is kept for this account; it may not be complete yet", r.RequestID).WithRetryAfter(time.Second)
 		absent.Ran = result.RanUnknown
 		return absent
 	}
 	if err != nil {
-		return result.Wrap(result.AnswerUnavailable, err).After(time.Second)
+		return result.Wrap(result.AnswerUnavailable, err).WithRetryAfter(time.Second)
 	}
 	s.opts.Book.Note(r.RequestID, r.Account.Name, "resume", "kept answer from offset %d", r.Offset)
 	if err := sink.Begin(r.Token, 0); err != nil {
--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -80,7 +80,7 @@
 // Client reaches targets over HTTP.
 type Client struct {
 	// OnRest is told that a target wants rest; nil tells nobody. It is set before the first call.
-	OnRest func(target string, r retryafter.Rest)
+	OnRest func(target string, r retryafter.Result)
 
 	http  *http.Client
 	fresh *http.Client // fresh never reuses a connection that may be dead already.
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, ErrAttempt{Target: target, Ran: !notSent(err), Cause: err}
 	}
-	if r := retryafter.Read(resp.StatusCode, resp.Header); c.OnRest != nil && r != (retryafter.Rest{}) {
+	if r := retryafter.Read(resp.StatusCode, resp.Header); c.OnRest != nil && r != (retryafter.Result{}) {
 		c.OnRest(target, r)
 	}
 	if saidNotRun(resp) {
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -83,7 +83,7 @@
 	packs    packs
 	fetches  atomic.Uint64
 	counters *metrics.Set
-	bad      *log.Limit // bad bounds the lines about rows that cannot be read.
+	bad      *log.RateLimiter // bad bounds the lines about rows that cannot be read.
 	calls    atomic.Uint64
 }
 
@@ -93,7 +93,7 @@
 		o.Leavers = nobodyLeaves{}
 	}
 	s := &Service{
-		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), lapses: newLapses(), peerNews: make(chan peerNews, newsRing), counters: metrics.NewSet(), bad: log.NewLimit(badEvery, badAtOnce),
+		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), lapses: newLapses(), peerNews: make(chan peerNews, newsRing), counters: metrics.NewSet(), bad: log.NewRateLimiter(badEvery, badAtOnce),
 		watchConfiguration: watch.New(rand.Float64()), watchTargets: watch.New(rand.Float64()),
 	}
 	s.targets.Store((&routing.TargetSet{}).Build())
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -126,7 +126,7 @@
 
 // Bad rows are told of a few times a second, and how many were not.
 func TestBadRowsAreToldAtABoundedRate(t *testing.T) {
-	b := log.NewLimit(badEvery, badAtOnce)
+	b := log.NewRateLimiter(badEvery, badAtOnce)
 	now, told := time.Unix(1_700_000_000, 0), 0
 	for range 1000 {
 		if tell, _ := b.Allow(now); tell {
--- a/services/forward/counters.go
+++ b/services/forward/counters.go
@@ -59,7 +59,7 @@
 // note counts a request of a service that ended so, so long after it was read.
 func (c *counters) note(service *routing.Service, err error, after time.Duration) {
 	outcome := "done"
-	switch e, numbered := result.From(err); {
+	switch e, numbered := result.FromError(err); {
 	case numbered:
 		outcome = e.Code.String()
 	case errors.Is(err, context.Canceled):
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -189,7 +189,7 @@
 		s.outcomes.noteTaken(name, call.Prompt.Tokens)
 		return HandOver, nil
 	case !s.underThrottle(name):
-		err = result.New(result.QueueFull, "the account asks for far more than it is given").After(throttledAfter)
+		err = result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(throttledAfter)
 	default:
 		s.outcomes.noteTaken(name, call.Prompt.Tokens)
 		return Serve, nil
@@ -197,7 +197,7 @@
 	s.counters.note(service, err, 0)
 	// A flood is told in full at the beginning of each second, then by a sample and by
 	// the counts in the lines of a second: the budget of the log is for what tells more.
-	if n := s.outcomes.noteRefused(account.NameOf(), result.Of(err).Code, call.Prompt.Tokens); n <= refusalLines || sampled(call.ID) {
+	if n := s.outcomes.noteRefused(account.NameOf(), result.Convert(err).Code, call.Prompt.Tokens); n <= refusalLines || sampled(call.ID) {
 		s.log.Request("Request refused at the entry.", "id", call.ID, "account", account.NameOf(), "service", service.Name, "error", err)
 	}
 	return 0, err
@@ -205,7 +205,7 @@
 
 // overloaded is the refusal of a request for which this gateway has no time.
 func (s *Service) overloaded() *result.ErrResult {
-	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").After(s.opts.Guard.returnAfter())
+	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").WithRetryAfter(s.opts.Guard.returnAfter())
 }
 
 // RefuseBusy returns the refusal of a request that could not be handed over in time.
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -113,7 +113,7 @@
 		case attempt.Deliver:
 			return j.deliver(answer)
 		case attempt.Refuse:
-			return result.New(result.TargetRefused, "%s", j.reason).After(soonAfter)
+			return result.New(result.TargetRefused, "%s", j.reason).WithRetryAfter(soonAfter)
 		case attempt.Unclear:
 			return result.New(result.OutcomeUnknown, "%s", j.reason)
 		case attempt.TimedOut:
@@ -122,7 +122,7 @@
 			return ErrAborted
 		}
 	}
-	return j.notPlaced(result.New(result.NoTarget, "no target after %d rounds", maxRounds).After(soonAfter))
+	return j.notPlaced(result.New(result.NoTarget, "no target after %d rounds", maxRounds).WithRetryAfter(soonAfter))
 }
 
 // placeOrWait finds a target. One for a stream that another target has begun is
@@ -163,7 +163,7 @@
 		return result.New(result.OutcomeUnknown, "%s; then %v", j.reason, err)
 	}
 	if j.ctx.Err() != nil {
-		return result.New(result.QueueTimeout, "the time is over").After(soonAfter)
+		return result.New(result.QueueTimeout, "the time is over").WithRetryAfter(soonAfter)
 	}
 	return err
 }
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -40,7 +40,7 @@
 // told with each ask: only this gateway knows what it was asked for, and they may change.
 func (s *Service) restsOf(service string) notice.Rests {
 	return s.opts.Notices.RestsAmong(func(yield func(string) bool) {
-		for _, t := range s.opts.Follow.Targets().Of(service) {
+		for _, t := range s.opts.Follow.Targets().ByService(service) {
 			if t.TakesWork() && !yield(t.ID) {
 				return
 			}
@@ -51,7 +51,7 @@
 // allRest returns the error of a request that only targets at rest could serve: to wait would
 // be in vain, and the caller is told when the first of them may be tried.
 func allRest(service string, r notice.Rests) error {
-	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).After(max(r.First, soonAfter))
+	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.First, soonAfter))
 }
 
 // denied returns the targets that a scheduler is not to choose.
@@ -79,7 +79,7 @@
 // leave, one after the other would come back until the request is given up.
 func (j *job) denyUnusable(id string) {
 	j.deny = append(j.deny, id)
-	for _, t := range j.s.opts.Follow.Targets().Of(j.r.Service.Name) {
+	for _, t := range j.s.opts.Follow.Targets().ByService(j.r.Service.Name) {
 		if !t.TakesWork() && !slices.Contains(j.deny, t.ID) {
 			j.deny = append(j.deny, t.ID)
 		}
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -54,15 +54,15 @@
 		hold = max(hold, j.r.Route.Objective/8)
 	}
 	d, err := j.s.opts.Mesh.Submit(j.ctx, j.r.Service.Name, cell.Ask{
-		ID: id, Account: j.r.account(), Rank: routing.RankOf(j.r.Route, j.r.Account), Prompt: j.r.Call.Prompt,
+		ID: id, Account: j.r.account(), Rank: routing.EffectiveRank(j.r.Route, j.r.Account), Prompt: j.r.Call.Prompt,
 		Hold: max(hold, 0), Objective: max(j.r.Route.Objective-j.s.opts.Clock.Now().Sub(j.r.Received), time.Millisecond), Deny: j.denied(rests),
 	})
 	j.number, j.scheduler = id, d.Scheduler
 	if err != nil {
-		return nil, result.Wrap(result.Draining, err).After(soonAfter)
+		return nil, result.Wrap(result.Draining, err).WithRetryAfter(soonAfter)
 	}
 	if d.Target == "" {
-		return nil, result.New(result.NotInTime, "refused by %s", d.Scheduler).After(d.RetryAfter)
+		return nil, result.New(result.NotInTime, "refused by %s", d.Scheduler).WithRetryAfter(d.RetryAfter)
 	}
 	j.s.accepted(j.r.account())
 	j.waited, j.source = d.Waited, d.Source
@@ -77,7 +77,7 @@
 		j.denyUnusable(d.Target)
 		j.history.Unsent++
 		if j.history.Unsent > maxRounds/2 {
-			return nil, result.New(result.NoTarget, "target %s is not known here", d.Target).After(soonAfter)
+			return nil, result.New(result.NoTarget, "target %s is not known here", d.Target).WithRetryAfter(soonAfter)
 		}
 		return j.placeEngine()
 	}
@@ -134,7 +134,7 @@
 }
 
 func (j *job) placePlain() (place, error) {
-	targets, rests := j.s.opts.Follow.Targets().Of(j.r.Service.Name), j.s.restsOf(j.r.Service.Name)
+	targets, rests := j.s.opts.Follow.Targets().ByService(j.r.Service.Name), j.s.restsOf(j.r.Service.Name)
 	j.s.mu.Lock()
 	pick := j.s.balancer.Choose(j.s.opts.Clock.Now(), targets, j.denied(rests), j.s.limitsOf(j.r.Service))
 	j.s.mu.Unlock()
@@ -142,9 +142,9 @@
 	case pick == nil && rests.All:
 		return nil, allRest(j.r.Service.Name, rests)
 	case pick == nil && !slices.ContainsFunc(targets, (*routing.Target).TakesWork):
-		return nil, result.New(result.NoTarget, "no target of %s takes work, %d listed", j.r.Service.Name, len(targets)).After(listAfter)
+		return nil, result.New(result.NoTarget, "no target of %s takes work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(listAfter)
 	case pick == nil:
-		return nil, result.New(result.NoTarget, "no target of %s, %d listed", j.r.Service.Name, len(targets)).After(soonAfter)
+		return nil, result.New(result.NoTarget, "no target of %s, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(soonAfter)
 	}
 	return &plainPlace{j, pick}, nil
 }
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -33,7 +33,7 @@
 		}
 	case err != nil:
 		code, after := "aborted", time.Duration(0)
-		if e, ok := result.From(err); ok {
+		if e, ok := result.FromError(err); ok {
 			code, after = e.Code.String(), e.RetryAfter
 		}
 		s.log.Request("Request failed.", append(j.story(), "code", code, "retry_after", after, "reason", j.reason, "detail", err)...)
@@ -46,7 +46,7 @@
 
 // outcomeOf names how a request ended.
 func outcomeOf(j *job, err error) string {
-	if e, numbered := result.From(err); numbered {
+	if e, numbered := result.FromError(err); numbered {
 		return e.Code.String()
 	}
 	switch {
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -84,7 +84,7 @@
 // percent of a core; strained tells that its link is full, so that answers come late here.
 func (l *Loop) SetStrength(percent uint32, strained bool) {
 	l.put(memberIn{member.StrengthSeen{Percent: percent}})
-	l.put(entryIn{entry.StrainSeen{Strained: strained}})
+	l.put(entryIn{entry.LinkStateSeen{Strained: strained}})
 }
 
 // NextID returns an ID for a request to submit.
--- a/services/mesh/layout.go
+++ b/services/mesh/layout.go
@@ -76,7 +76,7 @@
 	}
 	s.coldShare = l.coldShare(g)
 	ev.ColdRate, ev.ColdShare = service.ColdRate, s.coldShare
-	if n := len(l.targets.Of(g.Service)); n > 0 {
+	if n := len(l.targets.ByService(g.Service)); n > 0 {
 		ev.TokensPerSecond = l.index.Configuration.Limits.TokensPerSecond / float64(n)
 	}
 	l.schedule(now, key, s, ev)
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -238,7 +238,7 @@
 		l.announce(now)
 	case keptIn:
 		if s := l.cells[e.key]; s != nil {
-			l.schedule(now, e.key, s, cell.KeptSeen{Target: e.target, At: e.at, Parts: e.parts})
+			l.schedule(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
 		}
 	case inspectIn:
 		e.run()
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -157,7 +157,7 @@
 }
 
 func (l *Loop) schedule(now time.Time, key cell.Key, s *scheduled, ev cell.Event) {
-	s.cell.Take(now, ev)
+	s.cell.Apply(now, ev)
 	l.undecided[key] = s
 }
 
--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -78,7 +78,7 @@
 		l.given[g.Service].add(rows)
 		for _, other := range l.layout.Siblings(g) {
 			if sibling := l.cells[other.Key]; sibling != nil {
-				l.schedule(now, other.Key, sibling, cell.GivenSeen{Rows: rows})
+				l.schedule(now, other.Key, sibling, cell.SiblingTallySeen{Rows: rows})
 			}
 		}
 	}
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -51,13 +51,13 @@
 	expired time.Time
 
 	counters counters
-	lines    *log.Limit
+	lines    *log.RateLimiter
 }
 
 // New returns a service that has heard nothing.
 func New(logger log.Logger, o Options) *Service {
 	return &Service{
-		log: logger, opts: o, leaving: leaving.New(), rests: pushback.New(), counters: newCounters(o.Figures), lines: log.NewLimit(linesEvery, linesAtOnce),
+		log: logger, opts: o, leaving: leaving.New(), rests: pushback.New(), counters: newCounters(o.Figures), lines: log.NewRateLimiter(linesEvery, linesAtOnce),
 	}
 }
 
@@ -87,9 +87,9 @@
 }
 
 // WantsRest takes what a target of a service says of the rest that it wants.
-func (s *Service) WantsRest(target, service string, r retryafter.Rest) {
-	if r.For > 0 {
-		s.rest(target, service, r.For)
+func (s *Service) WantsRest(target, service string, r retryafter.Result) {
+	if r.Delay > 0 {
+		s.rest(target, service, r.Delay)
 	}
 	if r.Unread > 0 {
 		s.unread(target, service, r.Unread)
--- a/services/notice/notice_test.go
+++ b/services/notice/notice_test.go
@@ -33,8 +33,8 @@
 	for range 2 {
 		s.Answered(a, upstream.Verdict{Leaving: true})
 	}
-	s.Answered(b, upstream.Verdict{Rest: retryafter.Rest{For: 3 * time.Second}})
-	s.Answered(&routing.Target{ID: "c"}, upstream.Verdict{Rest: retryafter.Rest{Unread: 1}})
+	s.Answered(b, upstream.Verdict{Rest: retryafter.Result{Delay: 3 * time.Second}})
+	s.Answered(&routing.Target{ID: "c"}, upstream.Verdict{Rest: retryafter.Result{Unread: 1}})
 	if *told != 1 || !s.Leaves("a") || s.Leaves("b") {
 		t.Errorf("told %d times, a leaves %v, b %v", *told, s.Leaves("a"), s.Leaves("b"))
 	}
@@ -89,7 +89,7 @@
 
 func BenchmarkStartWhileSomeRest(b *testing.B) {
 	s, _, _ := newService()
-	s.WantsRest("other", "", retryafter.Rest{For: time.Minute})
+	s.WantsRest("other", "", retryafter.Result{Delay: time.Minute})
 	for b.Loop() {
 		permit, err := s.Start("a")
 		if err != nil {
--- a/services/order/order.go
+++ b/services/order/order.go
@@ -56,7 +56,7 @@
 	version := uint64(0)
 	for {
 		if ctx.Err() != nil {
-			return 0, result.New(result.OrderRefused, "the lease of %s was not to be had in time", target.Name).After(time.Second)
+			return 0, result.New(result.OrderRefused, "the lease of %s was not to be had in time", target.Name).WithRetryAfter(time.Second)
 		}
 		switch a := action.(type) {
 		case lease.ReadRow:
@@ -64,7 +64,7 @@
 		case lease.WriteRow:
 			action, version = s.write(ctx, l, key, a)
 		case lease.GiveUp:
-			return 0, result.New(result.OrderRefused, "%s: %s", target.Name, a.Reason).After(time.Second)
+			return 0, result.New(result.OrderRefused, "%s: %s", target.Name, a.Reason).WithRetryAfter(time.Second)
 		case lease.GiveOrder:
 			return a.Epoch, s.send(ctx, l, key, version, target, a, o)
 		}
@@ -117,7 +117,7 @@
 
 func (s *Service) send(ctx context.Context, l *lease.Lease, key string, version uint64, target *conf.Target, g lease.GiveOrder, o engine.Order) error {
 	if !l.MaySend(s.opts.Clock.Now(), g) {
-		return result.New(result.OrderRefused, "the lease of %s lapsed before the order was sent", target.Name).After(time.Second)
+		return result.New(result.OrderRefused, "the lease of %s lapsed before the order was sent", target.Name).WithRetryAfter(time.Second)
 	}
 	o.Epoch = g.Epoch
 	sendCtx, cancel := context.WithTimeout(ctx, s.opts.Lease.MaxSend)
--- a/services/quarantine/try.go
+++ b/services/quarantine/try.go
@@ -59,7 +59,7 @@
 
 func (t *Try) refuse(why string, after time.Duration) error {
 	t.s.refused.Inc()
-	return result.New(result.EndsTargets, why, t.Request()).After(after)
+	return result.New(result.EndsTargets, why, t.Request()).WithRetryAfter(after)
 }
 
 // Passed tells that a target has run the request to its end. A failure tells nothing: a target
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -204,7 +204,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTime)
 	defer cancel()
-	conn, err := peernet.DialCarrying(ctx, peernet.CarryOptions{
+	conn, err := peernet.DialRelay(ctx, peernet.RelayOptions{
 		Auth: s.opts.Auth, Meter: s.opts.Meter, Address: p.Address, DialTimeout: dialTime,
 	})
 	if err != nil {
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -66,7 +66,7 @@
 		Peer: Peer{ID: id, Incarnation: 1, Address: l.Addr().String(), Strength: 0.2}, t: &tomb.Tomb{},
 		waiting: make(chan struct{}, 8), release: make(chan struct{}),
 	}
-	peernet.NewCarryingServer(f.t, log.New("far"), peernet.NewSharedKey(id, key), &peernet.Meter{}, l, f, NewServer(log.New("far"), f))
+	peernet.NewRelayServer(f.t, log.New("far"), peernet.NewSharedKey(id, key), &peernet.Meter{}, l, f, NewServer(log.New("far"), f))
 	t.Cleanup(f.stop)
 	return f
 }
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -168,7 +168,7 @@
 func (f *farEnd) write(b []byte) error {
 	f.writing.Lock()
 	defer f.writing.Unlock()
-	err := f.conn.SetWriteDeadline(netopt.In(frameTime))
+	err := f.conn.SetWriteDeadline(netopt.DeadlineIn(frameTime))
 	if err == nil {
 		_, err = f.conn.Write(b)
 	}
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -241,7 +241,7 @@
 }
 
 func (t *tunnel) writeNow(b []byte) error {
-	err := t.conn.SetWriteDeadline(netopt.In(frameTime))
+	err := t.conn.SetWriteDeadline(netopt.DeadlineIn(frameTime))
 	if err == nil {
 		_, err = t.conn.Write(b)
 	}
@@ -415,7 +415,7 @@
 func (h *Handed) write(b []byte) (int, error) {
 	if h.bytes+int64(len(b)) > freeBytes {
 		h.timed = true
-		if err := h.caller.SetWriteDeadline(netopt.In(pieceTime)); err != nil {
+		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(pieceTime)); err != nil {
 			return 0, err
 		}
 	}
@@ -438,7 +438,7 @@
 		b := h.kept
 		h.kept = nil
 		h.mu.Unlock()
-		err := h.caller.SetWriteDeadline(netopt.In(keptTime))
+		err := h.caller.SetWriteDeadline(netopt.DeadlineIn(keptTime))
 		n := 0
 		if err == nil {
 			n, err = h.caller.Write(b)
--- a/services/upstream/dialect.go
+++ b/services/upstream/dialect.go
@@ -43,7 +43,7 @@
 	// Leaving tells that the target will end soon and is to get nothing new.
 	Leaving bool
 	// Rest is for how long the target wants nothing from this process.
-	Rest retryafter.Rest
+	Rest retryafter.Result
 }
 
 // Observer is told of the head of each answer of a target, late answers and lists of kept parts
--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -85,7 +85,7 @@
 	pool    *Pool
 	dialect Dialect
 	observe Observer
-	endings *netopt.Endings
+	endings *netopt.ExitDetector
 }
 
 // NewClient returns a client that takes its connections from the pool and tells the observer
@@ -94,7 +94,7 @@
 	if observe == nil {
 		observe = func(*routing.Target, Verdict) {}
 	}
-	return &Client{pool: pool, dialect: d, observe: observe, endings: netopt.NewEndings()}
+	return &Client{pool: pool, dialect: d, observe: observe, endings: netopt.NewExitDetector()}
 }
 
 // readVerdict reads what the head of an answer says, and tells the observer. Who answers that
@@ -126,7 +126,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	// The context ends it earlier where the machine is suspended meanwhile.
-	_ = connection.SetDeadline(netopt.In(r.Deadline.Sub(c.pool.clock.Now())))
+	_ = connection.SetDeadline(netopt.DeadlineIn(r.Deadline.Sub(c.pool.clock.Now())))
 	a := &Answer{client: c, target: t, conn: connection, stop: stop}
 	if err := a.write(c.head(r), r.Body); err != nil {
 		a.Close()
--- a/services/upstream/notice_test.go
+++ b/services/upstream/notice_test.go
@@ -21,7 +21,7 @@
 	v := plainDialect{}.ReadAnswer(status, h)
 	v.Leaving = h.Get("Leaving") != ""
 	if h.Get("Rest") != "" {
-		v.Rest.For = time.Second
+		v.Rest.Delay = time.Second
 	}
 	return v
 }
@@ -49,7 +49,7 @@
 			s := script(t, func(int, int, string) answer { return answer{text: c.text, close: true} })
 			heard := 0
 			client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), tellingDialect{}, func(target *routing.Target, v Verdict) {
-				if target.ID == "t" && v.Leaving && v.Rest.For == time.Second {
+				if target.ID == "t" && v.Leaving && v.Rest.Delay == time.Second {
 					heard++
 				}
 			})
--- a/services/upstream/pool.go
+++ b/services/upstream/pool.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	counted := p.traffic.Count(raw)
+	counted := p.traffic.Wrap(raw)
 	return &conn{Conn: counted, reader: bufio.NewReaderSize(counted, readBuffer), keep: idleDefault}, nil
 }
 
@@ -152,5 +152,5 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	return netopt.Peek(c.Conn) == netopt.Nothing
+	return netopt.Peek(c.Conn) == netopt.PeekEmpty
 }
