--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -128,7 +128,7 @@
 				s.adopt(news.Configuration, fromStore)
 			}}, err
 		}
-		news, err := s.opts.Source.OperatorAfter(ctx, since, watch.LongPollTimeout)
+		news, err := s.opts.Source.WatchOperator(ctx, since, watch.LongPollTimeout)
 		return answer{news.Stamp, func() {
 			s.changeHalls(fromStore, func(time.Time) []HallChange { return s.halls.apply(news.Halls) })
 			s.adopt(news.Configuration, fromStore)
@@ -148,7 +148,7 @@
 				})
 			}}, err
 		}
-		news, err := s.opts.Source.TargetsAfter(ctx, since, watch.LongPollTimeout)
+		news, err := s.opts.Source.WatchTargets(ctx, since, watch.LongPollTimeout)
 		return answer{news.Stamp, func() {
 			s.change(func(now time.Time) bool { return s.table.apply(s.table.stampChanges(now, news.Changes)) })
 		}}, err
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -31,7 +31,7 @@
 	targets []routing.Target
 	version routing.Revision
 	// operator answers the watches of the operator's settings.
-	operator chan OperatorNews
+	operator chan OperatorUpdate
 }
 
 type watchAnswer struct {
@@ -41,38 +41,38 @@
 }
 
 func newFakeSource() *fakeSource {
-	return &fakeSource{watches: make(chan routing.Revision, 64), changes: make(chan watchAnswer), operator: make(chan OperatorNews)}
+	return &fakeSource{watches: make(chan routing.Revision, 64), changes: make(chan watchAnswer), operator: make(chan OperatorUpdate)}
 }
 
-func (f *fakeSource) Operator(context.Context) (OperatorNews, error) {
+func (f *fakeSource) Operator(context.Context) (OperatorUpdate, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return OperatorNews{Configuration: f.config, Halls: f.halls, Stamp: Stamp{Revision: f.version}}, nil
+	return OperatorUpdate{Configuration: f.config, Halls: f.halls, Stamp: Stamp{Revision: f.version}}, nil
 }
 
-func (f *fakeSource) OperatorAfter(ctx context.Context, since routing.Revision, _ time.Duration) (OperatorNews, error) {
+func (f *fakeSource) WatchOperator(ctx context.Context, since routing.Revision, _ time.Duration) (OperatorUpdate, error) {
 	select {
 	case news := <-f.operator:
 		return news, nil
 	case <-ctx.Done():
-		return OperatorNews{Stamp: Stamp{Revision: since}}, ctx.Err()
+		return OperatorUpdate{Stamp: Stamp{Revision: since}}, ctx.Err()
 	}
 }
 
-func (f *fakeSource) Targets(context.Context) (TargetNews, error) {
+func (f *fakeSource) Targets(context.Context) (TargetUpdate, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reads++
-	return TargetNews{Targets: f.targets, Stamp: Stamp{Revision: f.version}}, nil
+	return TargetUpdate{Targets: f.targets, Stamp: Stamp{Revision: f.version}}, nil
 }
 
-func (f *fakeSource) TargetsAfter(ctx context.Context, since routing.Revision, _ time.Duration) (TargetNews, error) {
+func (f *fakeSource) WatchTargets(ctx context.Context, since routing.Revision, _ time.Duration) (TargetUpdate, error) {
 	f.watches <- since
 	select {
 	case a := <-f.changes:
-		return TargetNews{Changes: a.changes, Stamp: Stamp{Revision: a.revision}}, a.err
+		return TargetUpdate{Changes: a.changes, Stamp: Stamp{Revision: a.revision}}, a.err
 	case <-ctx.Done():
-		return TargetNews{Stamp: Stamp{Revision: since}}, ctx.Err()
+		return TargetUpdate{Stamp: Stamp{Revision: since}}, ctx.Err()
 	}
 }
 
--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -30,7 +30,7 @@
 }
 
 // operator answers the next watch of the operator's settings; time passes until then.
-func (h *harness) operator(news OperatorNews) {
+func (h *harness) operator(news OperatorUpdate) {
 	for {
 		select {
 		case h.source.operator <- news:
@@ -63,7 +63,7 @@
 	source := twoHalls()
 	h := start(t, source, nil)
 	h.await()
-	h.operator(OperatorNews{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9, Evacuated: true}}})
+	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9, Evacuated: true}}})
 	h.awaitEvacuated("a")
 	if h.Targets().Find("a").AcceptsWork() || !h.Targets().Find("b").AcceptsWork() {
 		t.Errorf("%+v", h.Targets().Targets)
@@ -71,9 +71,9 @@
 	if got := h.Evacuated(); !slices.Equal(got, []string{"h1"}) || h.Versions().Evacuations != 9 {
 		t.Errorf("evacuated %v at revision %d", got, h.Versions().Evacuations)
 	}
-	h.operator(OperatorNews{Stamp: Stamp{Revision: 12}, Halls: []HallChange{{DataHall: "h1", Revision: 8}, {DataHall: "h2", Revision: 12, Evacuated: true}}})
+	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 12}, Halls: []HallChange{{DataHall: "h1", Revision: 8}, {DataHall: "h2", Revision: 12, Evacuated: true}}})
 	h.awaitEvacuated("a", "b")
-	h.operator(OperatorNews{Stamp: Stamp{Revision: 14}, Halls: []HallChange{{DataHall: "h1", Revision: 14}, {DataHall: "h2", Revision: 13}}})
+	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 14}, Halls: []HallChange{{DataHall: "h1", Revision: 14}, {DataHall: "h2", Revision: 13}}})
 	h.awaitEvacuated()
 }
 
@@ -162,7 +162,7 @@
 	if a, now := h.Targets().Find("a"), h.clock.Now(); a.Cold(now.Add(period)) {
 		t.Errorf("cold until %v at %v", a.ColdUntil, now)
 	}
-	h.operator(OperatorNews{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9}}})
+	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9}}})
 	h.awaitEvacuated()
 	if b := h.Targets().Find("b"); b.Cold(h.clock.Now()) {
 		t.Error("a target of another hall is cold")
--- a/services/follow/source.go
+++ b/services/follow/source.go
@@ -37,16 +37,16 @@
 	Evacuated bool             `json:"evacuated"`
 }
 
-// OperatorNews is what the operator has written: all of it, or what came after a
+// OperatorUpdate is what the operator has written: all of it, or what came after a
 // revision.
-type OperatorNews struct {
+type OperatorUpdate struct {
 	Configuration *routing.Configuration // Configuration is nil where there is none, or no new one.
 	Halls         []HallChange
 	Stamp
 }
 
-// TargetNews is what targets have written: all of them, or what came after a revision.
-type TargetNews struct {
+// TargetUpdate is what targets have written: all of them, or what came after a revision.
+type TargetUpdate struct {
 	Targets []routing.Target // Targets are all of them, where all were asked for.
 	Changes []TargetChange   // Changes are what came after the revision.
 	Stamp
@@ -64,11 +64,11 @@
 // Source is where the operator's settings and the targets are kept.
 type Source interface {
 	// Operator returns all that the operator has set.
-	Operator(ctx context.Context) (OperatorNews, error)
-	// OperatorAfter waits for changes after a revision.
-	OperatorAfter(ctx context.Context, since routing.Revision, wait time.Duration) (OperatorNews, error)
+	Operator(ctx context.Context) (OperatorUpdate, error)
+	// WatchOperator waits for changes after a revision.
+	WatchOperator(ctx context.Context, since routing.Revision, wait time.Duration) (OperatorUpdate, error)
 	// Targets returns all targets.
-	Targets(ctx context.Context) (TargetNews, error)
-	// TargetsAfter waits for changes after a revision.
-	TargetsAfter(ctx context.Context, since routing.Revision, wait time.Duration) (TargetNews, error)
+	Targets(ctx context.Context) (TargetUpdate, error)
+	// WatchTargets waits for changes after a revision.
+	WatchTargets(ctx context.Context, since routing.Revision, wait time.Duration) (TargetUpdate, error)
 }
