--- a/router/gateway.go
+++ b/router/gateway.go
@@ -156,12 +156,12 @@
 	store := platform.NewStore(s.Store, s.StoreCall.Duration)
 	g.notices = notice.New(log.New("notice").With(s.ID), notice.Options{Clock: g.clock, Figures: "madderway_gateway", OnLeaving: func() { g.follow.LeavingChanged() }})
 	g.follow = follow.New(&g.t, log.New("follow").With(s.ID), follow.Options{
-		Source: store, Peers: fetcher{g}, Clock: g.clock, Leavers: g.notices, OnChange: g.changed, OnEra: g.storeCameBack,
+		Source: store, Peers: fetcher{g}, Clock: g.clock, Leavers: g.notices, OnChange: g.changed, OnNewEra: g.storeCameBack,
 		Fleet: func() (bool, int) { return g.loop.Watches(), g.loop.Members() },
 		Start: watch.Start{Seed: len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers), FleetStart: s.FirstStart},
 	})
-	store.OnBadRow(g.follow.NoteBadRow)
-	store.OnEra(g.follow.NoteEra)
+	store.OnBadRow(g.follow.ReportBadRow)
+	store.OnEra(g.follow.ObserveEra)
 	g.pool = upstream.NewPool(dialTimeout, idlePerTarget, g.traffic)
 	members := member.DefaultConfig()
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
@@ -279,7 +279,7 @@
 type fetcher struct{ g *Gateway }
 
 // FetchState implements follow.Peers.
-func (f fetcher) FetchState(ctx context.Context, peer string, want follow.StateWanted) ([]byte, error) {
+func (f fetcher) FetchState(ctx context.Context, peer string, want follow.StateRequest) ([]byte, error) {
 	return f.g.loop.FetchState(ctx, peer, want)
 }
 
--- a/router/gatewaystate.go
+++ b/router/gatewaystate.go
@@ -47,7 +47,7 @@
 func (g *Gateway) Dump() GatewayDump {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	calls, fetches := g.follow.Calls()
+	calls, fetches := g.follow.CallCounts()
 	return GatewayDump{
 		ID: g.self.ID, Incarnation: g.self.Incarnation, DataHall: g.self.DataHall, Ready: g.Ready(), Draining: g.isDraining(),
 		Open: g.open(), Relaying: g.callers.Relaying(), Callers: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, Dials: g.pool.Dials(),
--- a/services/follow/age_test.go
+++ b/services/follow/age_test.go
@@ -54,7 +54,7 @@
 		}
 		for i, h := range gateways {
 			if n := len(told[1-i]) - 1 - int(late/ageStep); n >= 0 {
-				h.PeerVersions("peer", told[1-i][n])
+				h.ObservePeerVersions("peer", told[1-i][n])
 			}
 		}
 	}
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -20,10 +20,10 @@
 // fromRelease is where evacuations end that a store which came back older does not name.
 const fromRelease = "the end of a hold"
 
-// NoteEra takes the era that the store names in an answer, a refusal or the answer to a write
+// ObserveEra takes the era that the store names in an answer, a refusal or the answer to a write
 // among them. In a new one everything is read anew: what follows in it counts the same numbers
 // for other changes.
-func (s *Service) NoteEra(era uint64) {
+func (s *Service) ObserveEra(era uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.setEra(era, fromStore) {
@@ -48,9 +48,9 @@
 	cameBack := !s.watchTargets.FreshAt().IsZero()
 	s.log.Info("Store in another era.", "era", era, "before", s.era, "from", from, "came_back", cameBack)
 	s.era = era
-	if cameBack && s.opts.OnEra != nil {
+	if cameBack && s.opts.OnNewEra != nil {
 		s.t.Go(func() error {
-			s.opts.OnEra()
+			s.opts.OnNewEra()
 			return nil
 		})
 	}
@@ -60,7 +60,7 @@
 // judgeEra tells whether an answer may be applied: it belongs to the newest era, and where it
 // holds changes after a revision, to the era of that.
 func (s *Service) judgeEra(revision, since routing.Revision, all bool) error {
-	s.NoteEra(revision.Era())
+	s.ObserveEra(revision.Era())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
--- a/services/follow/era_test.go
+++ b/services/follow/era_test.go
@@ -164,7 +164,7 @@
 	old := s.Versions()
 	s.table.read([]routing.Target{{ID: "a"}}, in(1, 3))
 	old.TargetsAsOf, old.TargetsAge = old.Store.Now, 0
-	s.PeerVersions("peer", old)
+	s.ObservePeerVersions("peer", old)
 	if age := s.Versions().TargetsAge; age < 9*time.Second {
 		t.Errorf("a list of the older era is taken for %v old", age)
 	}
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -52,9 +52,9 @@
 	Start watch.Start
 	// Leavers knows the targets that have said that they leave; nil where nobody hears them.
 	Leavers Leavers
-	// OnEra is called when the store has come back from an older copy: what this process has
+	// OnNewEra is called when the store has come back from an older copy: what this process has
 	// written may be gone. nil where it has written nothing.
-	OnEra func()
+	OnNewEra func()
 	// OnChange is called after each change, from one goroutine at a time.
 	OnChange func()
 }
@@ -116,8 +116,8 @@
 // Targets returns the targets as they are known.
 func (s *Service) Targets() *routing.TargetSet { return s.targets.Load() }
 
-// Calls returns how many calls went to the source, and how many to peers.
-func (s *Service) Calls() (source, peers uint64) { return s.calls.Load(), s.fetches.Load() }
+// CallCounts returns how many calls went to the source, and how many to peers.
+func (s *Service) CallCounts() (source, peers uint64) { return s.calls.Load(), s.fetches.Load() }
 
 func (s *Service) followConfiguration() error {
 	s.follow("configuration", s.watchConfiguration, func(ctx context.Context, all bool, since routing.Revision) (answer, error) {
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -84,7 +84,7 @@
 
 type fakePeers map[string][]byte
 
-func (f fakePeers) FetchState(_ context.Context, peer string, want StateWanted) ([]byte, error) {
+func (f fakePeers) FetchState(_ context.Context, peer string, want StateRequest) ([]byte, error) {
 	if want.Targets {
 		return f[peer+"/targets"], nil
 	}
@@ -221,7 +221,7 @@
 	source.config = &routing.Configuration{Version: 7}
 	h := start(t, source, fakePeers{"peer": newer})
 	h.await()
-	h.PeerVersions("peer", Versions{Configuration: 9})
+	h.ObservePeerVersions("peer", Versions{Configuration: 9})
 	for {
 		select {
 		case <-h.changed:
@@ -246,7 +246,7 @@
 	h := start(t, source, fakePeers{"peer/targets": set})
 	h.await()
 	h.await()
-	h.PeerVersions("peer", Versions{Targets: 12})
+	h.ObservePeerVersions("peer", Versions{Targets: 12})
 	for {
 		select {
 		case <-h.changed:
@@ -278,7 +278,7 @@
 		h.watched()
 		source.changes <- watchAnswer{err: errors.New("the store is down")}
 	}
-	h.PeerVersions("peer", Versions{Targets: 6, TargetsAge: time.Minute}) // the store is away for the peer, too
+	h.ObservePeerVersions("peer", Versions{Targets: 6, TargetsAge: time.Minute}) // the store is away for the peer, too
 	if a := h.Targets().Find("a"); a == nil || !a.Leaving {
 		t.Fatalf("%+v while the store was away", h.Targets().Targets)
 	}
--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -99,12 +99,12 @@
 	peers["peer"], peers["later"] = state(HallChange{"h1", 20, true}), state(HallChange{"h1", 21, false})
 	h := start(t, source, peers)
 	h.await()
-	h.PeerVersions("peer", Versions{Configuration: 7, Evacuations: 20})
+	h.ObservePeerVersions("peer", Versions{Configuration: 7, Evacuations: 20})
 	h.awaitEvacuated("a")
-	h.PeerVersions("later", Versions{Configuration: 7, Evacuations: 21})
+	h.ObservePeerVersions("later", Versions{Configuration: 7, Evacuations: 21})
 	h.awaitEvacuated()
 	// What this gateway tells, others can read.
-	content, err := h.State(StateWanted{})
+	content, err := h.State(StateRequest{})
 	var told operatorState
 	if err != nil || json.Unmarshal(content, &told) != nil || told.Version != 7 || !slices.Equal(told.Halls, []HallChange{{"h1", 21, false}}) {
 		t.Errorf("told %s, %v", content, err)
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -78,12 +78,12 @@
 	h.await()
 	h.watched()
 	theirs := leaving.Digest(id)
-	h.PeerVersions("peer", Versions{Targets: 5, Leaving: theirs})
+	h.ObservePeerVersions("peer", Versions{Targets: 5, Leaving: theirs})
 	h.await()
 	if !leaves(h, id) || h.Versions().Leaving != theirs {
 		t.Errorf("%+v, digest %d, want %d", h.Targets().Targets, h.Versions().Leaving, theirs)
 	}
-	content, err := h.State(StateWanted{Targets: true, Since: 5})
+	content, err := h.State(StateRequest{Targets: true, Since: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/services/follow/packed.go
+++ b/services/follow/packed.go
@@ -32,7 +32,7 @@
 }
 
 // state returns the state that is wanted, packed where it is large.
-func (p *packs) state(want StateWanted, v Versions, plain func() ([]byte, error)) ([]byte, error) {
+func (p *packs) state(want StateRequest, v Versions, plain func() ([]byte, error)) ([]byte, error) {
 	of := operatorVersions{v.Configuration, v.Evacuations}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/services/follow/packed_test.go
+++ b/services/follow/packed_test.go
@@ -43,14 +43,14 @@
 	for h.Index() == nil {
 		h.await()
 	}
-	content, err := h.State(StateWanted{Packed: true})
+	content, err := h.State(StateRequest{Packed: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if seconds := float64(neighbors*8*len(content)) / linkBits; seconds > within {
 		t.Errorf("%d neighbors fetch %d bytes each within %.2f s, want %.1f s", neighbors, len(content), seconds, within)
 	}
-	plain, err := h.State(StateWanted{})
+	plain, err := h.State(StateRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -36,11 +36,11 @@
 // Peers asks other gateways for what they know.
 type Peers interface {
 	// FetchState returns what a peer's State does.
-	FetchState(ctx context.Context, peer string, want StateWanted) ([]byte, error)
+	FetchState(ctx context.Context, peer string, want StateRequest) ([]byte, error)
 }
 
-// StateWanted is what a gateway asks a peer for.
-type StateWanted struct {
+// StateRequest is what a gateway asks a peer for.
+type StateRequest struct {
 	// Targets asks for what has changed of the targets after the revision Since, else for the
 	// configuration and evacuations.
 	Targets bool
@@ -68,9 +68,9 @@
 	return v
 }
 
-// PeerVersions takes what a peer says that it knows. Where that is no more than
+// ObservePeerVersions takes what a peer says that it knows. Where that is no more than
 // what is known here, this gateway's knowledge is as fresh as the peer's.
-func (s *Service) PeerVersions(peer string, v Versions) {
+func (s *Service) ObservePeerVersions(peer string, v Versions) {
 	if s.hear(v) {
 		return
 	}
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), fetchTimeout)
 	defer cancel()
 	s.fetches.Add(1)
-	content, err := s.opts.Peers.FetchState(ctx, peer, StateWanted{Targets: targets, Since: since, Packed: true})
+	content, err := s.opts.Peers.FetchState(ctx, peer, StateRequest{Targets: targets, Since: since, Packed: true})
 	if err == nil && !isJSON(content) {
 		content, err = unpack(content)
 	}
@@ -182,14 +182,14 @@
 func isJSON(content []byte) bool { return len(content) > 0 && content[0] == '{' }
 
 // State returns what a peer that fetches gets: JSON, packed where it may be.
-func (s *Service) State(want StateWanted) ([]byte, error) {
+func (s *Service) State(want StateRequest) ([]byte, error) {
 	if !want.Packed {
 		return s.plainState(want)
 	}
 	return s.packs.state(want, s.Versions(), func() ([]byte, error) { return s.plainState(want) })
 }
 
-func (s *Service) plainState(want StateWanted) ([]byte, error) {
+func (s *Service) plainState(want StateRequest) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if want.Targets {
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -32,7 +32,7 @@
 	if !ok {
 		return &wire.Reply{Error: "unknown call"}
 	}
-	content, err := l.opts.Follow.State(follow.StateWanted{Targets: fetch.StateFetch.Targets, Since: routing.Revision(fetch.StateFetch.Since), Packed: fetch.StateFetch.Packed})
+	content, err := l.opts.Follow.State(follow.StateRequest{Targets: fetch.StateFetch.Targets, Since: routing.Revision(fetch.StateFetch.Since), Packed: fetch.StateFetch.Packed})
 	if err != nil {
 		return &wire.Reply{Error: err.Error()}
 	}
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -54,7 +54,7 @@
 		l.takeHeartbeat(now, peer, f.Heartbeat)
 	}
 	if f.Versions != nil {
-		l.opts.Follow.PeerVersions(peer, versionsFromWire(f.Versions))
+		l.opts.Follow.ObservePeerVersions(peer, versionsFromWire(f.Versions))
 	}
 	l.enter(now, entry.PeerHeard{ID: peer})
 	if len(f.RequestRecords) > 0 || f.RequestRecordsAsk {
@@ -92,7 +92,7 @@
 		return
 	}
 	l.member(now, seen)
-	l.opts.Follow.PeerVersions(peer, versionsFromWire(hb.Versions))
+	l.opts.Follow.ObservePeerVersions(peer, versionsFromWire(hb.Versions))
 	l.records.Compare(now, peer, hb.RequestDigest)
 }
 
