--- a/services/follow/bad.go
+++ b/services/follow/bad.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// badEvery is how often a bad row is told of: a writer that goes wrong may do so a
+	// badRowLogInterval is how often a bad row is told of: a writer that goes wrong may do so a
 	// thousand times a second.
-	badEvery = time.Second
-	// badAtOnce is how many bad rows are told of in that time.
-	badAtOnce = 5
+	badRowLogInterval = time.Second
+	// badRowLogBurst is how many bad rows are told of in that time.
+	badRowLogBurst = 5
 )
 
 // ReportBadRow counts a row that could not be read and tells of it.
--- a/services/follow/cold.go
+++ b/services/follow/cold.go
@@ -9,9 +9,9 @@
 	"madderway/models/routing"
 )
 
-// samePeriod is how far apart two tellings of one cold period may be: the target's
+// coldTolerance is how far apart two tellings of one cold period may be: the target's
 // writes, the store's feed and messages between gateways come with some delay.
-const samePeriod = 500 * time.Millisecond
+const coldTolerance = 500 * time.Millisecond
 
 // stampCold puts the end of a target's cold period on this process's clock. One that is
 // known already, or over, stays as it is, so that counting down is no change. The end
@@ -29,7 +29,7 @@
 		return told
 	}
 	told.ColdUntil = now.Add(left)
-	if known.Cold(now) && told.ColdUntil.Sub(known.ColdUntil).Abs() < samePeriod {
+	if known.Cold(now) && told.ColdUntil.Sub(known.ColdUntil).Abs() < coldTolerance {
 		told.ColdUntil = known.ColdUntil
 	}
 	return told
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -17,8 +17,8 @@
 	errOldEra = errors.New("a late answer of the store as it was before it came back")
 )
 
-// fromRelease is where evacuations end that a store which came back older does not name.
-const fromRelease = "the end of a hold"
+// fromHallHold is where evacuations end that a store which came back older does not name.
+const fromHallHold = "the end of a hold"
 
 // ObserveEra takes the era that the store names in an answer, a refusal or the answer to a write
 // among them. In a new one everything is read anew: what follows in it counts the same numbers
@@ -108,7 +108,7 @@
 		s.releasing = false
 		s.mu.Unlock()
 		if alive {
-			s.changeHalls(fromRelease, func(now time.Time) []HallChange {
+			s.changeHalls(fromHallHold, func(now time.Time) []HallChange {
 				return s.halls.release(now)
 			})
 		}
--- a/services/follow/era_test.go
+++ b/services/follow/era_test.go
@@ -35,7 +35,7 @@
 		select {
 		case <-h.changed:
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 			runtime.Gosched()
 		}
 	}
@@ -62,7 +62,7 @@
 	become(h, "old", "gone")
 	h.watched()
 	for h.Index() == nil {
-		h.clock.Advance(lookLeast)
+		h.clock.Advance(minRecheck)
 		runtime.Gosched()
 	}
 	source.mu.Lock()
@@ -126,13 +126,13 @@
 		t.Errorf("%+v", table.all())
 	}
 	table.apply([]HallChange{{DataHall: "again", Revision: in(2, 17), Evacuated: true}, {DataHall: "over", Revision: in(2, 18)}})
-	if moved := table.release(now.Add(holdEvacuated - time.Second)); len(moved) > 0 {
+	if moved := table.release(now.Add(evacuationHold - time.Second)); len(moved) > 0 {
 		t.Errorf("released early: %+v", moved)
 	}
-	if wait := table.nextRelease(now.Add(holdEvacuated - time.Second)); wait != time.Second || !table.evacuated("lost") || table.evacuated("over") {
+	if wait := table.nextRelease(now.Add(evacuationHold - time.Second)); wait != time.Second || !table.evacuated("lost") || table.evacuated("over") {
 		t.Errorf("%+v, released after %v", table.all(), wait)
 	}
-	moved := table.release(now.Add(holdEvacuated))
+	moved := table.release(now.Add(evacuationHold))
 	if len(moved) != 1 || table.evacuated("lost") || !table.evacuated("again") {
 		t.Errorf("%+v after the hold, moved %+v", table.all(), moved)
 	}
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -23,20 +23,20 @@
 )
 
 const (
-	// lookLeast and lookMost bound how long it is waited before it is decided again
+	// minRecheck and lookMost bound how long it is waited before it is decided again
 	// whether to ask the store: what peers tell only puts that off, but who asks all
 	// the time changes with the members.
-	lookLeast = 20 * time.Millisecond
-	lookMost  = 500 * time.Millisecond
-	fromStore = "store"
-	fromLapse = "the end of a hold"
-	// answerTime is how old the store's answer may be when it comes. A call that
+	minRecheck     = 20 * time.Millisecond
+	maxRecheck     = 500 * time.Millisecond
+	fromStore      = "store"
+	fromTargetHold = "the end of a hold"
+	// assumedAnswerAge is how old the store's answer may be when it comes. A call that
 	// waits for changes tells of the end of its wait, not of its beginning.
-	answerTime = 200 * time.Millisecond
-	// answerMost is how long a call may take that waits for changes, with room for a slow
+	assumedAnswerAge = 200 * time.Millisecond
+	// maxCallTime is how long a call may take that waits for changes, with room for a slow
 	// store. One that took longer was answered while this process stood still, perhaps at
 	// its beginning.
-	answerMost = watch.LongPollTimeout + time.Second
+	maxCallTime = watch.LongPollTimeout + time.Second
 )
 
 // Options are the parts of a Service.
@@ -93,7 +93,7 @@
 		o.Leavers = nobodyLeaves{}
 	}
 	s := &Service{
-		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), lapses: newLapses(), peerNews: make(chan peerNews, newsRing), counters: metrics.NewSet(), bad: log.NewRateLimiter(badEvery, badAtOnce),
+		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), lapses: newLapses(), peerNews: make(chan peerNews, peerQueueSize), counters: metrics.NewSet(), bad: log.NewRateLimiter(badRowLogInterval, badRowLogBurst),
 		watchConfiguration: watch.New(rand.Float64()), watchTargets: watch.New(rand.Float64()),
 	}
 	s.targets.Store((&routing.TargetSet{}).BuildIndex())
@@ -232,7 +232,7 @@
 		if wait == 0 {
 			return why, true
 		}
-		if !s.sleep(min(max(wait, lookLeast), lookMost)) {
+		if !s.sleep(min(max(wait, minRecheck), maxRecheck)) {
 			return why, false
 		}
 	}
@@ -329,7 +329,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.publishing = false
-			s.publish(fromLapse)
+			s.publish(fromTargetHold)
 		}
 		return nil
 	})
@@ -337,8 +337,8 @@
 
 // answeredAt returns a time at which what the store has answered was all there was.
 func answeredAt(began, now time.Time) time.Time {
-	at := now.Add(-answerTime)
-	if at.Before(began) || now.Sub(began) > answerMost {
+	at := now.Add(-assumedAnswerAge)
+	if at.Before(began) || now.Sub(began) > maxCallTime {
 		return began
 	}
 	return at
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -125,7 +125,7 @@
 		case since := <-h.source.watches:
 			return since
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 		case <-h.changed:
 			return
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
@@ -230,7 +230,7 @@
 			}
 			return
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 			}
 			return
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
@@ -295,11 +295,11 @@
 func TestAnswerReadAfterAStandstillIsOld(t *testing.T) {
 	began := time.Unix(1_700_000_000, 0)
 	for took, age := range map[time.Duration]time.Duration{
-		10 * time.Millisecond:        10 * time.Millisecond,
-		900 * time.Millisecond:       answerTime,
-		answerMost:                   answerTime,
-		answerMost + time.Nanosecond: answerMost + time.Nanosecond,
-		8 * time.Second:              8 * time.Second,
+		10 * time.Millisecond:         10 * time.Millisecond,
+		900 * time.Millisecond:        assumedAnswerAge,
+		maxCallTime:                   assumedAnswerAge,
+		maxCallTime + time.Nanosecond: maxCallTime + time.Nanosecond,
+		8 * time.Second:               8 * time.Second,
 	} {
 		now := began.Add(took)
 		if got := now.Sub(answeredAt(began, now)); got != age {
--- a/services/follow/halls.go
+++ b/services/follow/halls.go
@@ -21,10 +21,10 @@
 	held map[string]time.Time
 }
 
-// holdEvacuated is how long a hall stays evacuated that a store which came back older does not
+// evacuationHold is how long a hall stays evacuated that a store which came back older does not
 // name: its operator writes what was lost again. To hold too long costs the hall's capacity for
 // some seconds, too short sends requests into a hall that nothing may be sent to.
-const holdEvacuated = 10 * time.Second
+const evacuationHold = 10 * time.Second
 
 func newHallTable() *hallTable {
 	return &hallTable{halls: map[string]HallChange{}, held: map[string]time.Time{}}
@@ -63,7 +63,7 @@
 			continue
 		}
 		if cameBack {
-			t.held[hall] = now.Add(holdEvacuated)
+			t.held[hall] = now.Add(evacuationHold)
 		}
 		if _, held := t.held[hall]; !held {
 			changes = append(changes, HallChange{DataHall: hall, Revision: revision})
--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -37,7 +37,7 @@
 			return
 		case <-h.changed:
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
--- a/services/follow/lapse.go
+++ b/services/follow/lapse.go
@@ -9,11 +9,11 @@
 	"madderway/models/routing"
 )
 
-// holdLapsed is how long a target is used on whose entry is gone when the store
+// expiredHold is how long a target is used on whose entry is gone when the store
 // comes back after a long silence. Targets renew their entries; while the store
 // is away entries run out, and are back within two seconds of its return. It is
 // less than the time in which a leaving target may still get work.
-const holdLapsed = 1500 * time.Millisecond
+const expiredHold = 1500 * time.Millisecond
 
 // lapses holds targets whose entries may only have run out.
 type lapses struct {
@@ -38,7 +38,7 @@
 			if !unsettled {
 				continue
 			}
-			until = now.Add(holdLapsed)
+			until = now.Add(expiredHold)
 			l.until[t.ID] = until
 		}
 		if !now.Before(until) {
--- a/services/follow/lapse_test.go
+++ b/services/follow/lapse_test.go
@@ -23,16 +23,16 @@
 	before := targetsOf(routing.Target{ID: "lapsed"}, routing.Target{ID: "leaving", Leaving: true}, routing.Target{ID: "stays"})
 	l := newLapses()
 	set, wait := l.hold(lapseStart, true, before, targetsOf(routing.Target{ID: "stays"}))
-	if set.Find("lapsed") == nil || set.Find("leaving") != nil || set.Find("stays") == nil || wait != holdLapsed {
+	if set.Find("lapsed") == nil || set.Find("leaving") != nil || set.Find("stays") == nil || wait != expiredHold {
 		t.Fatalf("%+v, for %v", set.Targets, wait)
 	}
 	// Later news do not hold it any longer.
-	now := lapseStart.Add(holdLapsed / 2)
+	now := lapseStart.Add(expiredHold / 2)
 	set, wait = l.hold(now, true, set, targetsOf(routing.Target{ID: "stays"}, routing.Target{ID: "new"}))
-	if set.Find("lapsed") == nil || set.Find("new") == nil || wait != holdLapsed/2 {
+	if set.Find("lapsed") == nil || set.Find("new") == nil || wait != expiredHold/2 {
 		t.Errorf("%+v, for %v", set.Targets, wait)
 	}
-	set, wait = l.hold(lapseStart.Add(holdLapsed), true, set, targetsOf(routing.Target{ID: "stays"}, routing.Target{ID: "new"}))
+	set, wait = l.hold(lapseStart.Add(expiredHold), true, set, targetsOf(routing.Target{ID: "stays"}, routing.Target{ID: "new"}))
 	if set.Find("lapsed") != nil || wait != 0 {
 		t.Errorf("%+v still held, for %v", set.Targets, wait)
 	}
--- a/services/follow/leaving.go
+++ b/services/follow/leaving.go
@@ -24,9 +24,9 @@
 // fromAnswer is where a list has changed since a target said that it leaves.
 const fromAnswer = "an answer"
 
-// leavingAgain is how long a peer is not asked once more for the lives that leave, while what it
+// leavingFetchInterval is how long a peer is not asked once more for the lives that leave, while what it
 // and this gateway know of them differs in the same way: its list of targets may be another one.
-const leavingAgain = time.Second
+const leavingFetchInterval = time.Second
 
 // leavingAsked is what a peer was last asked for.
 type leavingAsked struct {
@@ -36,7 +36,7 @@
 
 // due tells whether a peer that knows other lives is to be asked for them.
 func (a *leavingAsked) due(now time.Time, mine, theirs uint64) bool {
-	if theirs == 0 || theirs == mine || a.mine == mine && a.theirs == theirs && now.Sub(a.at) < leavingAgain {
+	if theirs == 0 || theirs == mine || a.mine == mine && a.theirs == theirs && now.Sub(a.at) < leavingFetchInterval {
 		return false
 	}
 	*a = leavingAsked{now, mine, theirs}
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -107,7 +107,7 @@
 		{2 * time.Millisecond, 3, 7, true},
 		{3 * time.Millisecond, 7, 7, false},
 		{4 * time.Millisecond, 3, 0, false},
-		{leavingAgain + 2*time.Millisecond, 3, 7, true},
+		{leavingFetchInterval + 2*time.Millisecond, 3, 7, true},
 	} {
 		if due := asked.due(now.Add(c.after), c.mine, c.theirs); due != c.want {
 			t.Errorf("%d: %v", i, due)
--- a/services/follow/packed.go
+++ b/services/follow/packed.go
@@ -14,8 +14,8 @@
 	"madderway/models/routing"
 )
 
-// packLeast is the size in bytes from which on a state is packed: less crosses any link at once.
-const packLeast = 4 << 10
+// minPackSize is the size in bytes from which on a state is packed: less crosses any link at once.
+const minPackSize = 4 << 10
 
 // packs packs states, and remembers the operator's: up to a hundred gateways fetch the same one
 // within a second, and packing 400 KB takes some milliseconds of a processor.
@@ -40,7 +40,7 @@
 		return p.content, nil
 	}
 	content, err := plain()
-	if err != nil || len(content) < packLeast {
+	if err != nil || len(content) < minPackSize {
 		return content, err
 	}
 	packed, err := pack(content)
@@ -50,9 +50,9 @@
 	return packed, err
 }
 
-// maxState bounds what a peer's state may grow to when it is unpacked, in bytes: a
+// maxStateSize bounds what a peer's state may grow to when it is unpacked, in bytes: a
 // configuration of 1,500 routes takes some 400 KB.
-const maxState = 64 << 20
+const maxStateSize = 64 << 20
 
 // errStateTooLarge tells that a peer sent more than any state can be.
 var errStateTooLarge = errors.New("the state is too large")
@@ -75,11 +75,11 @@
 
 // unpack returns what pack was given.
 func unpack(packed []byte) ([]byte, error) {
-	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxState+1))
+	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxStateSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("unpack: %w", err)
 	}
-	if len(content) > maxState {
+	if len(content) > maxStateSize {
 		return nil, errStateTooLarge
 	}
 	return content, nil
--- a/services/follow/packed_test.go
+++ b/services/follow/packed_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endless, err := pack(make([]byte, maxState+2))
+	endless, err := pack(make([]byte, maxStateSize+2))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	fetchTimeout = time.Second
-	newsRing     = 64
+	fetchTimeout  = time.Second
+	peerQueueSize = 64
 )
 
 // Versions are what a gateway knows, and how old that is.
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -126,17 +126,17 @@
 
 // Bad rows are told of a few times a second, and how many were not.
 func TestBadRowsAreToldAtABoundedRate(t *testing.T) {
-	b := log.NewRateLimiter(badEvery, badAtOnce)
+	b := log.NewRateLimiter(badRowLogInterval, badRowLogBurst)
 	now, told := time.Unix(1_700_000_000, 0), 0
 	for range 1000 {
 		if tell, _ := b.Allow(now); tell {
 			told++
 		}
 	}
-	if told != badAtOnce {
+	if told != badRowLogBurst {
 		t.Errorf("told of %d rows at once", told)
 	}
-	if tell, hidden := b.Allow(now.Add(badEvery)); !tell || hidden != 1000-badAtOnce {
+	if tell, hidden := b.Allow(now.Add(badRowLogInterval)); !tell || hidden != 1000-badRowLogBurst {
 		t.Errorf("told %v, %d hidden", tell, hidden)
 	}
 }
