--- a/services/follow/age_test.go
+++ b/services/follow/age_test.go
@@ -69,7 +69,7 @@
 func knowing(c *clock.Fake) *Service {
 	var t tomb.Tomb
 	s := New(&t, log.New("test"), Options{Clock: c, Fleet: func() (bool, int) { return true, 2 }, OnChange: func() {}})
-	s.change(func(time.Time) bool { return s.table.replace([]routing.Target{{ID: "a"}}, 5) })
-	s.answered(s.watchTargets, c.Now(), 7_000_000)
+	s.applyTargets(func(time.Time) bool { return s.table.replace([]routing.Target{{ID: "a"}}, 5) })
+	s.callSucceeded(s.watchTargets, c.Now(), 7_000_000)
 	return s
 }
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -26,7 +26,7 @@
 func (s *Service) ObserveEra(era uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.setEra(era, fromStore) {
+	if s.advanceEra(era, fromStore) {
 		s.watchConfiguration.MarkGap()
 		s.watchTargets.MarkGap()
 	}
@@ -39,9 +39,9 @@
 	return s.era
 }
 
-// setEra takes an era, and reports whether the store has come back since something was known of
+// advanceEra takes an era, and reports whether the store has come back since something was known of
 // it; mu is held.
-func (s *Service) setEra(era uint64, from string) bool {
+func (s *Service) advanceEra(era uint64, from string) bool {
 	if era <= s.era {
 		return false
 	}
@@ -57,9 +57,9 @@
 	return cameBack
 }
 
-// judgeEra tells whether an answer may be applied: it belongs to the newest era, and where it
+// checkEra tells whether an answer may be applied: it belongs to the newest era, and where it
 // holds changes after a revision, to the era of that.
-func (s *Service) judgeEra(revision, since routing.Revision, all bool) error {
+func (s *Service) checkEra(revision, since routing.Revision, all bool) error {
 	s.ObserveEra(revision.Era())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	if revision.Era() <= s.table.revision.Era() {
 		return
 	}
-	s.setEra(revision.Era(), from)
+	s.advanceEra(revision.Era(), from)
 	var told []leaving.Announcement
 	for _, ch := range s.table.known {
 		if ch.Target.Leaving {
@@ -95,8 +95,8 @@
 	s.watchTargets.MarkUnsettled(now)
 }
 
-// releaseLater ends evacuations that are only held when their time is over; mu is held.
-func (s *Service) releaseLater(now time.Time) {
+// scheduleRelease ends evacuations that are only held when their time is over; mu is held.
+func (s *Service) scheduleRelease(now time.Time) {
 	wait := s.halls.nextRelease(now)
 	if wait == 0 || s.releasing {
 		return
--- a/services/follow/evacuate.go
+++ b/services/follow/evacuate.go
@@ -16,7 +16,7 @@
 	defer s.mu.Unlock()
 	now := s.opts.Clock.Now()
 	moved := apply(now)
-	s.releaseLater(now)
+	s.scheduleRelease(now)
 	if len(moved) == 0 {
 		return
 	}
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -142,7 +142,7 @@
 		if all {
 			news, err := s.opts.Source.Targets(ctx)
 			return answer{news.Stamp, func() {
-				s.change(func(now time.Time) bool {
+				s.applyTargets(func(now time.Time) bool {
 					s.enterEra(now, news.Revision, fromStore)
 					return s.table.read(s.table.stampAll(now, news.Targets), news.Revision)
 				})
@@ -150,7 +150,7 @@
 		}
 		news, err := s.opts.Source.WatchTargets(ctx, since, watch.LongPollTimeout)
 		return answer{news.Stamp, func() {
-			s.change(func(now time.Time) bool { return s.table.apply(s.table.stampChanges(now, news.Changes)) })
+			s.applyTargets(func(now time.Time) bool { return s.table.apply(s.table.stampChanges(now, news.Changes)) })
 		}}, err
 	})
 	return nil
@@ -176,12 +176,12 @@
 		s.countCall(what, why)
 		news, err := step(ctx, all, since)
 		if err == nil {
-			err = s.judgeEra(news.Revision, since, all)
+			err = s.checkEra(news.Revision, since, all)
 		}
 		switch {
 		case err == nil:
 			news.apply()
-			s.answered(w, began, news.AsOf)
+			s.callSucceeded(w, began, news.AsOf)
 			all, since, pause = false, news.Revision, 0
 			if lost {
 				lost = false
@@ -191,7 +191,7 @@
 		case IsErrHistoryGone(err) || errors.Is(err, errNewEra):
 			s.log.Info("History gone, reading all.", "what", what, "since", since, "reason", err)
 			all = true
-			s.lost(w)
+			s.markGap(w)
 			continue
 		case !s.t.Alive():
 			return
@@ -248,13 +248,13 @@
 	}
 }
 
-// answered takes that the store has answered a call that began then. Its clock tells when, also
+// callSucceeded takes that the store has callSucceeded a call that began then. Its clock tells when, also
 // where the answer lay in a buffer while this process stood still.
-func (s *Service) answered(w *watch.Watch, began time.Time, asOf watch.StoreTime) {
+func (s *Service) callSucceeded(w *watch.Watch, began time.Time, asOf watch.StoreTime) {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readStoreClock(now, watch.Direct(asOf))
+	s.observeStoreClock(now, watch.Direct(asOf))
 	at, known := s.storeClock.ToLocal(asOf)
 	if !known {
 		at = answeredAt(began, now)
@@ -262,15 +262,15 @@
 	w.PollSucceeded(at)
 }
 
-// readStoreClock takes a reading of the store's clock; mu is held.
-func (s *Service) readStoreClock(now time.Time, reading watch.Reading) {
+// observeStoreClock takes a reading of the store's clock; mu is held.
+func (s *Service) observeStoreClock(now time.Time, reading watch.Reading) {
 	if earlier := s.storeClock.Observe(now, reading); earlier > 0 {
 		s.watchConfiguration.ShiftBack(earlier)
 		s.watchTargets.ShiftBack(earlier)
 	}
 }
 
-func (s *Service) lost(w *watch.Watch) {
+func (s *Service) markGap(w *watch.Watch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.MarkGap()
@@ -291,7 +291,7 @@
 	s.opts.OnChange()
 }
 
-func (s *Service) change(apply func(now time.Time) bool) {
+func (s *Service) applyTargets(apply func(now time.Time) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if apply(s.opts.Clock.Now()) {
@@ -313,13 +313,13 @@
 	s.targets.Store(set)
 	s.log.Info("Targets changed.", "revision", set.Revision, "from", from, "targets", len(listed.Targets), "leaving", leaving, "leaving_told", told, "held", len(set.Targets)-len(listed.Targets), "evacuated", evacuated)
 	if wait > 0 {
-		s.publishLater(wait)
+		s.schedulePublish(wait)
 	}
 	s.opts.OnChange()
 }
 
-// publishLater gives held targets up when their time is over; mu is held.
-func (s *Service) publishLater(wait time.Duration) {
+// schedulePublish gives held targets up when their time is over; mu is held.
+func (s *Service) schedulePublish(wait time.Duration) {
 	if s.publishing {
 		return
 	}
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -71,7 +71,7 @@
 // ObservePeerVersions takes what a peer says that it knows. Where that is no more than
 // what is known here, this gateway's knowledge is as fresh as the peer's.
 func (s *Service) ObservePeerVersions(peer string, v Versions) {
-	if s.hear(v) {
+	if s.observePeer(v) {
 		return
 	}
 	select {
@@ -80,28 +80,28 @@
 	}
 }
 
-// hear tells whether all that the peer knows is known here.
-func (s *Service) hear(v Versions) bool {
+// observePeer tells whether all that the peer knows is known here.
+func (s *Service) observePeer(v Versions) bool {
 	mine, now := s.Versions(), s.opts.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readStoreClock(now, v.Store)
+	s.observeStoreClock(now, v.Store)
 	sameOperator := v.Configuration <= mine.Configuration && v.Evacuations <= mine.Evacuations
 	// What a peer has of an older era is fresh as of a history that no longer is.
 	sameEra := v.Targets.Era() == mine.Targets.Era()
 	if sameEra && sameOperator && v.Configuration > 0 {
-		s.watchConfiguration.ObservePeerAge(now, s.ageOf(now, v.ConfigurationAsOf, v.ConfigurationAge))
+		s.watchConfiguration.ObservePeerAge(now, s.localAge(now, v.ConfigurationAsOf, v.ConfigurationAge))
 	}
 	if sameEra && v.Targets <= mine.Targets {
-		s.watchTargets.ObservePeerAge(now, s.ageOf(now, v.TargetsAsOf, v.TargetsAge))
+		s.watchTargets.ObservePeerAge(now, s.localAge(now, v.TargetsAsOf, v.TargetsAge))
 	}
 	sameLeaving := v.Leaving == 0 || v.Leaving == mine.Leaving
 	return sameOperator && sameLeaving && v.Targets <= mine.Targets
 }
 
-// ageOf returns how old knowledge is that was all there was at a time of the store; told is its
+// localAge returns how old knowledge is that was all there was at a time of the store; told is its
 // age as the sender told it. mu is held.
-func (s *Service) ageOf(now time.Time, asOf watch.StoreTime, told time.Duration) time.Duration {
+func (s *Service) localAge(now time.Time, asOf watch.StoreTime, told time.Duration) time.Duration {
 	at, known := s.storeClock.ToLocal(asOf)
 	if !known {
 		return told
