--- a/services/follow/bad.go
+++ b/services/follow/bad.go
@@ -19,7 +19,7 @@
 // ReportBadRow counts a row that could not be read and tells of it.
 func (s *Service) ReportBadRow(r BadRow) {
 	s.counters.GetOrCreateCounter(fmt.Sprintf("madderway_gateway_bad_rows_total{table=%q}", r.Table)).Inc()
-	if tell, hidden := s.bad.Allow(s.opts.Clock.Now()); tell {
+	if tell, hidden := s.badRowLog.Allow(s.opts.Clock.Now()); tell {
 		s.log.Warn("Row not understood.", "table", r.Table, "key", r.Key, "reason", r.Reason, "not told of", hidden)
 	}
 }
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -98,14 +98,14 @@
 // scheduleRelease ends evacuations that are only held when their time is over; mu is held.
 func (s *Service) scheduleRelease(now time.Time) {
 	wait := s.halls.nextRelease(now)
-	if wait == 0 || s.releasing {
+	if wait == 0 || s.releaseScheduled {
 		return
 	}
-	s.releasing = true
+	s.releaseScheduled = true
 	s.t.Go(func() error {
 		alive := s.sleep(wait)
 		s.mu.Lock()
-		s.releasing = false
+		s.releaseScheduled = false
 		s.mu.Unlock()
 		if alive {
 			s.changeHalls(fromHallHold, func(now time.Time) []HallChange {
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -68,10 +68,10 @@
 	mu                 sync.Mutex // mu orders changes.
 	table              *targetTable
 	halls              *hallTable
-	lapses             *lapses
-	leaving            uint64 // leaving sums up the listed targets that have said that they leave.
-	releasing          bool   // releasing tells that the end of a held evacuation is waited for.
-	publishing         bool   // publishing tells that the end of a hold is waited for.
+	held               *lapses
+	leavingDigest      uint64 // leaving sums up the listed targets that have said that they leave.
+	releaseScheduled   bool   // releasing tells that the end of a held evacuation is waited for.
+	publishScheduled   bool   // publishing tells that the end of a hold is waited for.
 	watchConfiguration *watch.Watch
 	watchTargets       *watch.Watch
 	storeClock         watch.StoreClock
@@ -79,12 +79,12 @@
 	index              atomic.Pointer[routing.Index]
 	targets            atomic.Pointer[routing.TargetSet]
 
-	peerNews chan peerNews
-	packs    packs
-	fetches  atomic.Uint64
-	counters *metrics.Set
-	bad      *log.RateLimiter // bad bounds the lines about rows that cannot be read.
-	calls    atomic.Uint64
+	peerReports chan peerNews
+	packCache   packs
+	fetches     atomic.Uint64
+	counters    *metrics.Set
+	badRowLog   *log.RateLimiter // bad bounds the lines about rows that cannot be read.
+	calls       atomic.Uint64
 }
 
 // New returns a service; Start starts it.
@@ -93,7 +93,7 @@
 		o.Leavers = nobodyLeaves{}
 	}
 	s := &Service{
-		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), lapses: newLapses(), peerNews: make(chan peerNews, peerQueueSize), counters: metrics.NewSet(), bad: log.NewRateLimiter(badRowLogInterval, badRowLogBurst),
+		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), held: newLapses(), peerReports: make(chan peerNews, peerQueueSize), counters: metrics.NewSet(), badRowLog: log.NewRateLimiter(badRowLogInterval, badRowLogBurst),
 		watchConfiguration: watch.New(rand.Float64()), watchTargets: watch.New(rand.Float64()),
 	}
 	s.targets.Store((&routing.TargetSet{}).BuildIndex())
@@ -306,10 +306,10 @@
 	}
 	listed, leaving := s.table.set()
 	now := s.opts.Clock.Now()
-	set, wait := s.lapses.hold(now, s.watchTargets.Unsettled(now), s.targets.Load(), listed)
+	set, wait := s.held.hold(now, s.watchTargets.Unsettled(now), s.targets.Load(), listed)
 	evacuated := s.markEvacuated(set)
 	told, digest := s.markLeaving(set)
-	s.leaving = digest
+	s.leavingDigest = digest
 	s.targets.Store(set)
 	s.log.Info("Targets changed.", "revision", set.Revision, "from", from, "targets", len(listed.Targets), "leaving", leaving, "leaving_told", told, "held", len(set.Targets)-len(listed.Targets), "evacuated", evacuated)
 	if wait > 0 {
@@ -320,15 +320,15 @@
 
 // schedulePublish gives held targets up when their time is over; mu is held.
 func (s *Service) schedulePublish(wait time.Duration) {
-	if s.publishing {
+	if s.publishScheduled {
 		return
 	}
-	s.publishing = true
+	s.publishScheduled = true
 	s.t.Go(func() error {
 		if s.sleep(wait) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.publishing = false
+			s.publishScheduled = false
 			s.publish(fromTargetHold)
 		}
 		return nil
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -59,7 +59,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := Versions{
-		Targets: s.table.revision, Leaving: s.leaving, Evacuations: s.halls.revision, ConfigurationAge: s.watchConfiguration.Age(now), TargetsAge: s.watchTargets.Age(now),
+		Targets: s.table.revision, Leaving: s.leavingDigest, Evacuations: s.halls.revision, ConfigurationAge: s.watchConfiguration.Age(now), TargetsAge: s.watchTargets.Age(now),
 		Store: s.storeClock.Reading(now), ConfigurationAsOf: s.storeClock.FromLocal(s.watchConfiguration.FreshAt()), TargetsAsOf: s.storeClock.FromLocal(s.watchTargets.FreshAt()),
 	}
 	if x := s.index.Load(); x != nil {
@@ -75,7 +75,7 @@
 		return
 	}
 	select {
-	case s.peerNews <- peerNews{peer, v}:
+	case s.peerReports <- peerNews{peer, v}:
 	default: // the peer will say it again
 	}
 }
@@ -116,7 +116,7 @@
 		select {
 		case <-s.t.Dying():
 			return nil
-		case n := <-s.peerNews:
+		case n := <-s.peerReports:
 			mine := s.Versions()
 			if n.versions.Configuration > mine.Configuration || n.versions.Evacuations > mine.Evacuations {
 				s.fetchOperator(n.peer)
@@ -186,7 +186,7 @@
 	if !want.Packed {
 		return s.plainState(want)
 	}
-	return s.packs.state(want, s.Versions(), func() ([]byte, error) { return s.plainState(want) })
+	return s.packCache.state(want, s.Versions(), func() ([]byte, error) { return s.plainState(want) })
 }
 
 func (s *Service) plainState(want StateRequest) ([]byte, error) {
