--- a/services/follow/cold.go
+++ b/services/follow/cold.go
@@ -53,7 +53,7 @@
 
 // tell returns changes as a peer is told them: with the time that is left of a
 // cold period, since clocks differ.
-func tell(now time.Time, news targetNews) targetNews {
+func tell(now time.Time, news targetState) targetState {
 	for i := range news.Changes {
 		t := &news.Changes[i].Target
 		t.ColdFor = max(t.ColdUntil.Sub(now), 0)
--- a/services/follow/cold_test.go
+++ b/services/follow/cold_test.go
@@ -49,7 +49,7 @@
 	mine, theirs, now := newTargetTable(), newTargetTable(), coldStartAt
 	tellCold(mine, now, 1, 3*time.Second)
 	content, err := json.Marshal(tell(now.Add(time.Second), mine.since(0)))
-	var news targetNews
+	var news targetState
 	if err != nil || json.Unmarshal(content, &news) != nil {
 		t.Fatal(err)
 	}
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -68,7 +68,7 @@
 	mu                 sync.Mutex // mu orders changes.
 	table              *targetTable
 	halls              *hallTable
-	held               *lapses
+	held               *heldTargets
 	leavingDigest      uint64 // leaving sums up the listed targets that have said that they leave.
 	releaseScheduled   bool   // releasing tells that the end of a held evacuation is waited for.
 	publishScheduled   bool   // publishing tells that the end of a hold is waited for.
@@ -79,8 +79,8 @@
 	index              atomic.Pointer[routing.Index]
 	targets            atomic.Pointer[routing.TargetSet]
 
-	peerReports chan peerNews
-	packCache   packs
+	peerReports chan peerReport
+	packCache   packCache
 	fetches     atomic.Uint64
 	counters    *metrics.Set
 	badRowLog   *log.RateLimiter // bad bounds the lines about rows that cannot be read.
@@ -90,10 +90,10 @@
 // New returns a service; Start starts it.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	if o.Leavers == nil {
-		o.Leavers = nobodyLeaves{}
+		o.Leavers = noLeavers{}
 	}
 	s := &Service{
-		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), held: newLapses(), peerReports: make(chan peerNews, peerQueueSize), counters: metrics.NewSet(), badRowLog: log.NewRateLimiter(badRowLogInterval, badRowLogBurst),
+		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), held: newHeldTargets(), peerReports: make(chan peerReport, peerQueueSize), counters: metrics.NewSet(), badRowLog: log.NewRateLimiter(badRowLogInterval, badRowLogBurst),
 		watchConfiguration: watch.New(rand.Float64()), watchTargets: watch.New(rand.Float64()),
 	}
 	s.targets.Store((&routing.TargetSet{}).BuildIndex())
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -236,7 +236,7 @@
 }
 
 func TestPeersTargetsReplaceOlderOnes(t *testing.T) {
-	set, err := json.Marshal(targetNews{Revision: 12, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a", Leaving: true}}}})
+	set, err := json.Marshal(targetState{Revision: 12, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a", Leaving: true}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +265,7 @@
 func TestLeavingOutlastsTheStore(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}, {ID: "b"}}
-	older, err := json.Marshal(targetNews{Revision: 6, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 5, Target: routing.Target{ID: "a"}}}})
+	older, err := json.Marshal(targetState{Revision: 6, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 5, Target: routing.Target{ID: "a"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/services/follow/lapse.go
+++ b/services/follow/lapse.go
@@ -15,17 +15,17 @@
 // less than the time in which a leaving target may still get work.
 const expiredHold = 1500 * time.Millisecond
 
-// lapses holds targets whose entries may only have run out.
-type lapses struct {
+// heldTargets holds targets whose entries may only have run out.
+type heldTargets struct {
 	until map[string]time.Time
 }
 
-func newLapses() *lapses { return &lapses{until: map[string]time.Time{}} }
+func newHeldTargets() *heldTargets { return &heldTargets{until: map[string]time.Time{}} }
 
 // hold returns the listed targets and those that are held, and how long until
 // the next of these is given up, 0 for never. Before is what was returned last;
 // unsettled tells that the store has come back just now.
-func (l *lapses) hold(now time.Time, unsettled bool, before, listed *routing.TargetSet) (*routing.TargetSet, time.Duration) {
+func (l *heldTargets) hold(now time.Time, unsettled bool, before, listed *routing.TargetSet) (*routing.TargetSet, time.Duration) {
 	wait := time.Duration(0)
 	set := &routing.TargetSet{Revision: listed.Revision, Targets: append([]routing.Target(nil), listed.Targets...)}
 	for _, t := range before.Targets {
--- a/services/follow/lapse_test.go
+++ b/services/follow/lapse_test.go
@@ -21,7 +21,7 @@
 // they leave are not.
 func TestLapsedTargetsAreHeldForAWhile(t *testing.T) {
 	before := targetsOf(routing.Target{ID: "lapsed"}, routing.Target{ID: "leaving", Leaving: true}, routing.Target{ID: "stays"})
-	l := newLapses()
+	l := newHeldTargets()
 	set, wait := l.hold(lapseStart, true, before, targetsOf(routing.Target{ID: "stays"}))
 	if set.Find("lapsed") == nil || set.Find("leaving") != nil || set.Find("stays") == nil || wait != expiredHold {
 		t.Fatalf("%+v, for %v", set.Targets, wait)
@@ -40,7 +40,7 @@
 
 // An entry that is back is no longer held: what it says now counts.
 func TestListedTargetIsNotHeld(t *testing.T) {
-	l := newLapses()
+	l := newHeldTargets()
 	set, _ := l.hold(lapseStart, true, targetsOf(routing.Target{ID: "a"}), targetsOf())
 	set, _ = l.hold(lapseStart.Add(time.Millisecond), true, set, targetsOf(routing.Target{ID: "a", Leaving: true}))
 	if a := set.Find("a"); a == nil || !a.Leaving {
@@ -53,7 +53,7 @@
 
 // While the store answers, who is gone is gone.
 func TestNothingIsHeldInCalm(t *testing.T) {
-	l := newLapses()
+	l := newHeldTargets()
 	if set, wait := l.hold(lapseStart, false, targetsOf(routing.Target{ID: "a"}), targetsOf()); set.Find("a") != nil || wait != 0 {
 		t.Errorf("%+v, for %v", set.Targets, wait)
 	}
--- a/services/follow/leaving.go
+++ b/services/follow/leaving.go
@@ -28,18 +28,18 @@
 // and this gateway know of them differs in the same way: its list of targets may be another one.
 const leavingFetchInterval = time.Second
 
-// leavingAsked is what a peer was last asked for.
-type leavingAsked struct {
+// leavingFetch is what a peer was last asked for.
+type leavingFetch struct {
 	at           time.Time
 	mine, theirs uint64 // the digests at that time
 }
 
 // due tells whether a peer that knows other lives is to be asked for them.
-func (a *leavingAsked) due(now time.Time, mine, theirs uint64) bool {
+func (a *leavingFetch) due(now time.Time, mine, theirs uint64) bool {
 	if theirs == 0 || theirs == mine || a.mine == mine && a.theirs == theirs && now.Sub(a.at) < leavingFetchInterval {
 		return false
 	}
-	*a = leavingAsked{now, mine, theirs}
+	*a = leavingFetch{now, mine, theirs}
 	return true
 }
 
@@ -73,9 +73,9 @@
 	return len(news) > 0
 }
 
-// nobodyLeaves is used where no answers are heard.
-type nobodyLeaves struct{}
+// noLeavers is used where no answers are heard.
+type noLeavers struct{}
 
-func (nobodyLeaves) Leaves(string) bool                           { return false }
-func (nobodyLeaves) Leaving() []leaving.Announcement              { return nil }
-func (nobodyLeaves) MergeLeaving([]leaving.Announcement) []string { return nil }
+func (noLeavers) Leaves(string) bool                           { return false }
+func (noLeavers) Leaving() []leaving.Announcement              { return nil }
+func (noLeavers) MergeLeaving([]leaving.Announcement) []string { return nil }
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -68,7 +68,7 @@
 // asks once for it.
 func TestPeerTellsOfTargetsThatLeave(t *testing.T) {
 	id := routing.TargetID("a", 100)
-	told, err := json.Marshal(targetNews{Revision: 5, Leaving: []leaving.Announcement{{ID: id, Age: time.Second}}})
+	told, err := json.Marshal(targetState{Revision: 5, Leaving: []leaving.Announcement{{ID: id, Age: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var state targetNews
+	var state targetState
 	if err := json.Unmarshal(content, &state); err != nil || len(state.Leaving) != 1 || state.Leaving[0].ID != id {
 		t.Errorf("a third gateway is told %s, %v", content, err)
 	}
@@ -95,7 +95,7 @@
 
 // A peer whose list differs is not asked again and again for what it knows.
 func TestPeerIsAskedOnceForTargetsThatLeave(t *testing.T) {
-	var asked leavingAsked
+	var asked leavingFetch
 	now := time.Unix(1_700_000_000, 0)
 	for i, c := range []struct {
 		after        time.Duration
--- a/services/follow/packed.go
+++ b/services/follow/packed.go
@@ -17,12 +17,12 @@
 // minPackSize is the size in bytes from which on a state is packed: less crosses any link at once.
 const minPackSize = 4 << 10
 
-// packs packs states, and remembers the operator's: up to a hundred gateways fetch the same one
+// packCache packCache states, and remembers the operator's: up to a hundred gateways fetch the same one
 // within a second, and packing 400 KB takes some milliseconds of a processor.
-type packs struct {
-	mu      sync.Mutex
-	of      operatorVersions
-	content []byte
+type packCache struct {
+	mu       sync.Mutex
+	versions operatorVersions
+	content  []byte
 }
 
 // operatorVersions name a state of the operator's settings.
@@ -32,11 +32,11 @@
 }
 
 // state returns the state that is wanted, packed where it is large.
-func (p *packs) state(want StateRequest, v Versions, plain func() ([]byte, error)) ([]byte, error) {
+func (p *packCache) state(want StateRequest, v Versions, plain func() ([]byte, error)) ([]byte, error) {
 	of := operatorVersions{v.Configuration, v.Evacuations}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !want.Targets && p.content != nil && p.of == of {
+	if !want.Targets && p.content != nil && p.versions == of {
 		return p.content, nil
 	}
 	content, err := plain()
@@ -45,7 +45,7 @@
 	}
 	packed, err := pack(content)
 	if err == nil && !want.Targets {
-		p.of, p.content = of, packed
+		p.versions, p.content = of, packed
 	}
 	return packed, err
 }
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -48,7 +48,7 @@
 	Packed  bool // Packed tells that the state may be compressed.
 }
 
-type peerNews struct {
+type peerReport struct {
 	peer     string
 	versions Versions
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	select {
-	case s.peerReports <- peerNews{peer, v}:
+	case s.peerReports <- peerReport{peer, v}:
 	default: // the peer will say it again
 	}
 }
@@ -111,7 +111,7 @@
 
 // followPeers fetches from peers what is not known here.
 func (s *Service) followPeers() error {
-	var asked leavingAsked
+	var asked leavingFetch
 	for {
 		select {
 		case <-s.t.Dying():
@@ -163,7 +163,7 @@
 }
 
 func (s *Service) fetchTargets(peer string, since routing.Revision) {
-	var news targetNews
+	var news targetState
 	if !s.fetch(peer, true, since, &news) {
 		return
 	}
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -84,7 +84,7 @@
 		}
 		for _, pair := range [][2]*targetTable{{mine, theirs}, {theirs, mine}} {
 			content, err := json.Marshal(pair[0].since(0))
-			var news targetNews
+			var news targetState
 			if err != nil || json.Unmarshal(content, &news) != nil {
 				t.Fatal(err)
 			}
@@ -118,7 +118,7 @@
 	set := func(t routing.Target) *routing.TargetSet {
 		return (&routing.TargetSet{Targets: []routing.Target{t}}).BuildIndex()
 	}
-	held, _ := newLapses().hold(now, true, set(lifeOf("w", 100, false)), set(lifeOf("w", 200, false)))
+	held, _ := newHeldTargets().hold(now, true, set(lifeOf("w", 100, false)), set(lifeOf("w", 200, false)))
 	if len(held.Targets) != 1 || held.Targets[0].Born != 200 {
 		t.Errorf("%+v", held.Targets)
 	}
--- a/services/follow/targets.go
+++ b/services/follow/targets.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// targetNews is what a peer is told.
-type targetNews struct {
+// targetState is what a peer is told.
+type targetState struct {
 	Revision routing.Revision `json:"revision"`
 	Whole    bool             `json:"whole"` // Whole tells that what is not named is gone.
 	Changes  []TargetChange   `json:"changes"`
@@ -153,8 +153,8 @@
 }
 
 // since returns what has changed after a revision.
-func (t *targetTable) since(revision routing.Revision) targetNews {
-	news := targetNews{Revision: t.revision, Whole: revision == 0 || revision < t.horizon || revision.Era() != t.revision.Era()}
+func (t *targetTable) since(revision routing.Revision) targetState {
+	news := targetState{Revision: t.revision, Whole: revision == 0 || revision < t.horizon || revision.Era() != t.revision.Era()}
 	for _, ch := range t.known {
 		if news.Whole || ch.Revision > revision {
 			news.Changes = append(news.Changes, ch)
@@ -170,7 +170,7 @@
 }
 
 // merge takes what a peer told and tells whether anything changed.
-func (t *targetTable) merge(news targetNews) bool {
+func (t *targetTable) merge(news targetState) bool {
 	if !news.Whole {
 		changed := t.apply(news.Changes)
 		t.revision = max(t.revision, news.Revision)
--- a/services/follow/targets_test.go
+++ b/services/follow/targets_test.go
@@ -77,7 +77,7 @@
 		peer.apply(changes[:rng.IntN(n+1)])
 		for range 2 {
 			content, err := json.Marshal(feed.since(peer.revision))
-			var news targetNews
+			var news targetState
 			if err != nil || json.Unmarshal(content, &news) != nil {
 				return false
 			}
@@ -91,7 +91,7 @@
 func TestAnOlderListOfAPeerIsPassedOver(t *testing.T) {
 	mine := newTargetTable()
 	mine.replace([]routing.Target{{ID: "a", Leaving: true}}, 20)
-	if mine.merge(targetNews{Revision: 12, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a"}}}}) {
+	if mine.merge(targetState{Revision: 12, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a"}}}}) {
 		t.Error("an older whole list changed the table")
 	}
 	if !mine.known["a"].Target.Leaving {
