--- a/services/follow/era_test.go
+++ b/services/follow/era_test.go
@@ -149,7 +149,7 @@
 		older, newer := newTargetTable(), newTargetTable()
 		older.replace([]routing.Target{lifeOf("a", 1, false), lifeOf("b", 1, rng.IntN(2) == 0)}, in(1, 400+rng.Uint64N(200)))
 		newer.replace([]routing.Target{lifeOf("a", 1, false), lifeOf("c", 1, false)}, in(1, 300))
-		newer.read([]routing.Target{lifeOf("a", 1, rng.IntN(2) == 0)}, in(2, 100+rng.Uint64N(600)))
+		newer.replaceFromStore([]routing.Target{lifeOf("a", 1, rng.IntN(2) == 0)}, in(2, 100+rng.Uint64N(600)))
 		back := older.since(newer.revision)
 		older.merge(newer.since(older.revision))
 		newer.merge(back)
@@ -162,7 +162,7 @@
 	s := knowing(c)
 	c.Advance(10 * time.Second)
 	old := s.Versions()
-	s.table.read([]routing.Target{{ID: "a"}}, in(1, 3))
+	s.table.replaceFromStore([]routing.Target{{ID: "a"}}, in(1, 3))
 	old.TargetsAsOf, old.TargetsAge = old.Store.Now, 0
 	s.ObservePeerVersions("peer", old)
 	if age := s.Versions().TargetsAge; age < 9*time.Second {
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -144,7 +144,7 @@
 			return answer{news.Stamp, func() {
 				s.applyTargets(func(now time.Time) bool {
 					s.enterEra(now, news.Revision, fromStore)
-					return s.table.read(s.table.stampAll(now, news.Targets), news.Revision)
+					return s.table.replaceFromStore(s.table.stampAll(now, news.Targets), news.Revision)
 				})
 			}}, err
 		}
@@ -301,10 +301,10 @@
 
 // publish makes the known targets visible; mu is held.
 func (s *Service) publish(from string) {
-	for _, life := range s.table.takeLives() {
-		s.log.Info("Target started again.", "target", life.Name, "born", life.Born, "after", life.After, "from", from)
+	for _, life := range s.table.takeRestarts() {
+		s.log.Info("Target started again.", "target", life.Name, "born", life.Born, "after", life.Previous, "from", from)
 	}
-	listed, leaving := s.table.set()
+	listed, leaving := s.table.targetSet()
 	now := s.opts.Clock.Now()
 	set, wait := s.held.hold(now, s.watchTargets.Unsettled(now), s.targets.Load(), listed)
 	evacuated := s.markEvacuated(set)
--- a/services/follow/halls.go
+++ b/services/follow/halls.go
@@ -13,9 +13,9 @@
 // hallTable tells which data halls are evacuated. The newest revision of a hall wins,
 // whoever tells it, so tables that have heard the same changes in any order agree.
 type hallTable struct {
-	revision routing.Revision // revision is that of the newest change.
-	halls    map[string]HallChange
-	read     routing.Revision // read is the revision of the last whole list.
+	revision     routing.Revision // revision is that of the newest change.
+	halls        map[string]HallChange
+	listRevision routing.Revision // read is the revision of the last whole list.
 	// held are halls whose evacuation a store that came back older does not have, with when
 	// that is believed.
 	held map[string]time.Time
@@ -51,8 +51,8 @@
 // replace takes the whole list of evacuated halls as of a revision: a hall that is
 // not listed is not evacuated.
 func (t *hallTable) replace(now time.Time, listed []HallChange, revision routing.Revision) []HallChange {
-	cameBack := t.read != 0 && revision.Era() > t.read.Era()
-	t.read = revision
+	cameBack := t.listRevision != 0 && revision.Era() > t.listRevision.Era()
+	t.listRevision = revision
 	changes := append([]HallChange(nil), listed...)
 	stands := map[string]bool{}
 	for _, ch := range listed {
@@ -78,7 +78,7 @@
 	for hall, until := range t.held {
 		if !now.Before(until) {
 			delete(t.held, hall)
-			over = append(over, HallChange{DataHall: hall, Revision: t.read})
+			over = append(over, HallChange{DataHall: hall, Revision: t.listRevision})
 		}
 	}
 	return t.apply(over)
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -31,7 +31,7 @@
 	if !apply(change(1, lifeOf("w", 100, false))) || !apply(change(2, lifeOf("w", 200, false))) {
 		t.Fatal("a new life is no change")
 	}
-	if lives := table.takeLives(); len(lives) != 1 || lives[0] != (newLife{"w", 200, 100}) {
+	if lives := table.takeRestarts(); len(lives) != 1 || lives[0] != (restart{"w", 200, 100}) {
 		t.Errorf("lives %+v", lives)
 	}
 	if apply(change(3, lifeOf("w", 100, true))) || table.replace([]routing.Target{lifeOf("w", 100, true)}, 4) {
@@ -63,7 +63,7 @@
 	if got := table.known["w"].Target; got != lifeOf("w", 100, true) {
 		t.Errorf("%+v", got)
 	}
-	if lives := table.takeLives(); len(lives) != 0 {
+	if lives := table.takeRestarts(); len(lives) != 0 {
 		t.Errorf("lives %+v", lives)
 	}
 }
--- a/services/follow/targets.go
+++ b/services/follow/targets.go
@@ -18,30 +18,30 @@
 // a peer can be told only what it lacks. It knows workers by their names, and of each
 // its present life only.
 type targetTable struct {
-	revision routing.Revision
-	known    map[string]TargetChange
-	removed  map[string]routing.Revision
-	horizon  routing.Revision // horizon is the revision of the newest removal that was forgotten.
+	revision  routing.Revision
+	known     map[string]TargetChange
+	removed   map[string]routing.Revision
+	compacted routing.Revision // horizon is the revision of the newest removal that was forgotten.
 	// born holds when the newest life of a worker began that was ever told of, also where
 	// it is removed: what an older life says later changes nothing.
 	born map[string]int64
-	// lives are those that have followed another one since they were last taken.
-	lives []newLife
+	// restarts are those that have followed another one since they were last taken.
+	restarts []restart
 }
 
-// newLife tells that a worker has started again under its name.
-type newLife struct {
-	Name        string
-	Born, After int64
+// restart tells that a worker has started again under its name.
+type restart struct {
+	Name           string
+	Born, Previous int64
 }
 
 func newTargetTable() *targetTable {
 	return &targetTable{known: map[string]TargetChange{}, removed: map[string]routing.Revision{}, born: map[string]int64{}}
 }
 
-// present returns what a worker said as of its newest life, and false where it is an older
+// resolveIncarnation returns what a worker said as of its newest life, and false where it is an older
 // one that said it. One that does not tell its life is taken for the one that is known.
-func (t *targetTable) present(told routing.Target) (routing.Target, bool) {
+func (t *targetTable) resolveIncarnation(told routing.Target) (routing.Target, bool) {
 	name, newest := told.WorkerName(), t.born[told.WorkerName()]
 	switch {
 	case told.Born == 0 && newest != 0:
@@ -51,7 +51,7 @@
 	case told.Born > newest:
 		t.born[name] = told.Born
 		if _, was := t.known[name]; was {
-			t.lives = append(t.lives, newLife{name, told.Born, newest})
+			t.restarts = append(t.restarts, restart{name, told.Born, newest})
 		}
 	}
 	return told, true
@@ -66,7 +66,7 @@
 	changed := cameBack
 	for _, told := range targets {
 		name := told.WorkerName()
-		target, present := t.present(told)
+		target, present := t.resolveIncarnation(told)
 		old, was := t.known[name]
 		listed[name] = present || was
 		if !present || was && old.Target == target {
@@ -88,9 +88,9 @@
 	return changed
 }
 
-// read makes the table hold what the store listed. A life that was taken off the list in an
+// replaceFromStore makes the table hold what the store listed. A life that was taken off the list in an
 // earlier era is named again by an older copy; it is taken for there when it writes again.
-func (t *targetTable) read(targets []routing.Target, revision routing.Revision) bool {
+func (t *targetTable) replaceFromStore(targets []routing.Target, revision routing.Revision) bool {
 	if t.revision == 0 || revision.Era() <= t.revision.Era() {
 		return t.replace(targets, revision)
 	}
@@ -117,7 +117,7 @@
 			continue
 		}
 		var present bool
-		if ch.Target, present = t.present(ch.Target); !present {
+		if ch.Target, present = t.resolveIncarnation(ch.Target); !present {
 			continue
 		}
 		t.known[ch.ID] = ch
@@ -137,7 +137,7 @@
 				oldest = other
 			}
 		}
-		t.horizon = max(t.horizon, t.removed[oldest])
+		t.compacted = max(t.compacted, t.removed[oldest])
 		delete(t.removed, oldest)
 		delete(t.born, oldest)
 	}
@@ -154,7 +154,7 @@
 
 // since returns what has changed after a revision.
 func (t *targetTable) since(revision routing.Revision) targetState {
-	news := targetState{Revision: t.revision, Whole: revision == 0 || revision < t.horizon || revision.Era() != t.revision.Era()}
+	news := targetState{Revision: t.revision, Whole: revision == 0 || revision < t.compacted || revision.Era() != t.revision.Era()}
 	for _, ch := range t.known {
 		if news.Whole || ch.Revision > revision {
 			news.Changes = append(news.Changes, ch)
@@ -177,7 +177,7 @@
 		return changed
 	}
 	if news.Revision <= t.revision {
-		return t.apply(t.newerLives(news.Changes))
+		return t.apply(t.newerIncarnations(news.Changes))
 	}
 	var targets []routing.Target
 	for _, ch := range news.Changes {
@@ -188,15 +188,15 @@
 	return changed
 }
 
-// takeLives returns the lives that have followed another one since the last call.
-func (t *targetTable) takeLives() []newLife {
-	lives := t.lives
-	t.lives = nil
+// takeRestarts returns the lives that have followed another one since the last call.
+func (t *targetTable) takeRestarts() []restart {
+	lives := t.restarts
+	t.restarts = nil
 	return lives
 }
 
-// newerLives returns the changes that tell of newer lives of known workers.
-func (t *targetTable) newerLives(changes []TargetChange) []TargetChange {
+// newerIncarnations returns the changes that tell of newer lives of known workers.
+func (t *targetTable) newerIncarnations(changes []TargetChange) []TargetChange {
 	var newer []TargetChange
 	for _, ch := range changes {
 		if old, was := t.known[ch.ID]; was && !ch.Gone && ch.Target.Born > old.Target.Born {
@@ -206,8 +206,8 @@
 	return newer
 }
 
-// set returns the table as others use it.
-func (t *targetTable) set() (set *routing.TargetSet, leaving int) {
+// targetSet returns the table as others use it.
+func (t *targetTable) targetSet() (set *routing.TargetSet, leaving int) {
 	set = &routing.TargetSet{Revision: t.revision}
 	for _, ch := range t.known {
 		set.Targets = append(set.Targets, ch.Target)
