--- a/services/follow/cold.go
+++ b/services/follow/cold.go
@@ -13,10 +13,10 @@
 // writes, the store's feed and messages between gateways come with some delay.
 const coldTolerance = 500 * time.Millisecond
 
-// stampCold puts the end of a target's cold period on this process's clock. One that is
+// toLocalCold puts the end of a target's cold period on this process's clock. One that is
 // known already, or over, stays as it is, so that counting down is no change. The end
 // is never early: the time that the news was under way is added to it.
-func stampCold(now time.Time, known, told routing.Target) routing.Target {
+func toLocalCold(now time.Time, known, told routing.Target) routing.Target {
 	left := told.ColdFor
 	told.ColdFor = 0
 	if told.Born > known.Born {
@@ -35,25 +35,25 @@
 	return told
 }
 
-// stampAll stamps targets that were listed; known are those of the table.
-func (t *targetTable) stampAll(now time.Time, listed []routing.Target) []routing.Target {
+// toLocalTargets stamps targets that were listed; known are those of the table.
+func (t *targetTable) toLocalTargets(now time.Time, listed []routing.Target) []routing.Target {
 	for i := range listed {
-		listed[i] = stampCold(now, t.known[listed[i].WorkerName()].Target, listed[i])
+		listed[i] = toLocalCold(now, t.known[listed[i].WorkerName()].Target, listed[i])
 	}
 	return listed
 }
 
-// stampChanges stamps the targets of changes.
-func (t *targetTable) stampChanges(now time.Time, changes []TargetChange) []TargetChange {
+// toLocalChanges stamps the targets of changes.
+func (t *targetTable) toLocalChanges(now time.Time, changes []TargetChange) []TargetChange {
 	for i := range changes {
-		changes[i].Target = stampCold(now, t.known[changes[i].ID].Target, changes[i].Target)
+		changes[i].Target = toLocalCold(now, t.known[changes[i].ID].Target, changes[i].Target)
 	}
 	return changes
 }
 
-// tell returns changes as a peer is told them: with the time that is left of a
+// setColdFor returns changes as a peer is told them: with the time that is left of a
 // cold period, since clocks differ.
-func tell(now time.Time, news targetState) targetState {
+func setColdFor(now time.Time, news targetState) targetState {
 	for i := range news.Changes {
 		t := &news.Changes[i].Target
 		t.ColdFor = max(t.ColdUntil.Sub(now), 0)
--- a/services/follow/cold_test.go
+++ b/services/follow/cold_test.go
@@ -15,7 +15,7 @@
 
 func tellCold(t *targetTable, now time.Time, revision routing.Revision, left time.Duration) bool {
 	changes := []TargetChange{{ID: "a", Revision: revision, Target: routing.Target{ID: "a", ColdFor: left}}}
-	return t.apply(t.stampChanges(now, changes))
+	return t.apply(t.toLocalChanges(now, changes))
 }
 
 // A target that counts its cold period down changes nothing; one that turns cold again,
@@ -48,13 +48,13 @@
 func TestPeersAreToldWhatIsLeft(t *testing.T) {
 	mine, theirs, now := newTargetTable(), newTargetTable(), coldStartAt
 	tellCold(mine, now, 1, 3*time.Second)
-	content, err := json.Marshal(tell(now.Add(time.Second), mine.since(0)))
+	content, err := json.Marshal(setColdFor(now.Add(time.Second), mine.since(0)))
 	var news targetState
 	if err != nil || json.Unmarshal(content, &news) != nil {
 		t.Fatal(err)
 	}
 	there := now.Add(time.Hour)
-	news.Changes = theirs.stampChanges(there, news.Changes)
+	news.Changes = theirs.toLocalChanges(there, news.Changes)
 	theirs.merge(news)
 	if until := theirs.known["a"].Target.ColdUntil; !until.Equal(there.Add(2 * time.Second)) {
 		t.Errorf("cold until %v there, asked at %v", until, there)
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -144,13 +144,13 @@
 			return answer{news.Stamp, func() {
 				s.applyTargets(func(now time.Time) bool {
 					s.enterEra(now, news.Revision, fromStore)
-					return s.table.replaceFromStore(s.table.stampAll(now, news.Targets), news.Revision)
+					return s.table.replaceFromStore(s.table.toLocalTargets(now, news.Targets), news.Revision)
 				})
 			}}, err
 		}
 		news, err := s.opts.Source.WatchTargets(ctx, since, watch.LongPollTimeout)
 		return answer{news.Stamp, func() {
-			s.applyTargets(func(now time.Time) bool { return s.table.apply(s.table.stampChanges(now, news.Changes)) })
+			s.applyTargets(func(now time.Time) bool { return s.table.apply(s.table.toLocalChanges(now, news.Changes)) })
 		}}, err
 	})
 	return nil
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -170,7 +170,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.opts.Clock.Now()
-	news.Changes = s.table.stampChanges(now, news.Changes)
+	news.Changes = s.table.toLocalChanges(now, news.Changes)
 	s.enterEra(now, news.Revision, peer)
 	changed := s.table.merge(news)
 	if s.mergeLeaving(peer, news.Leaving) || changed {
@@ -193,7 +193,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if want.Targets {
-		news := tell(s.opts.Clock.Now(), s.table.since(want.Since))
+		news := setColdFor(s.opts.Clock.Now(), s.table.since(want.Since))
 		news.Leaving = s.opts.Leavers.Leaving()
 		return json.Marshal(news)
 	}
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -107,12 +107,12 @@
 	now := time.Unix(1_700_000_000, 0)
 	old := lifeOf("w", 100, false)
 	old.ColdUntil = now.Add(time.Minute)
-	if told := stampCold(now, old, lifeOf("w", 200, false)); told.Cold(now) {
+	if told := toLocalCold(now, old, lifeOf("w", 200, false)); told.Cold(now) {
 		t.Error("a new life is as cold as the old one was")
 	}
 	cold := lifeOf("w", 200, false)
 	cold.ColdFor = 3 * time.Second
-	if told := stampCold(now, old, cold); !told.ColdUntil.Equal(now.Add(3 * time.Second)) {
+	if told := toLocalCold(now, old, cold); !told.ColdUntil.Equal(now.Add(3 * time.Second)) {
 		t.Errorf("cold until %v", told.ColdUntil)
 	}
 	set := func(t routing.Target) *routing.TargetSet {
