--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestChangesApplyOnce(t *testing.T) {
+func TestOlderChangeDoesNotUndoNewer(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}}
 	h := start(t, source, nil)
@@ -212,7 +212,7 @@
 }
 
 // A gateway that the store turns away learns a new version from a peer.
-func TestPeerBringsWhatTheStoreDoesNot(t *testing.T) {
+func TestConfigurationFromPeer(t *testing.T) {
 	newer, err := json.Marshal(routing.Configuration{Version: 9})
 	if err != nil {
 		t.Fatal(err)
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestPeersTargetsReplaceOlderOnes(t *testing.T) {
+func TestNewerTargetsFromPeer(t *testing.T) {
 	set, err := json.Marshal(targetState{Revision: 12, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a", Leaving: true}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -262,7 +262,7 @@
 
 // A target that has said it leaves gets nothing new for as long as the store is away,
 // whatever a peer with an older list says, and is not held when it is gone at last.
-func TestLeavingOutlastsTheStore(t *testing.T) {
+func TestLeavingTargetStaysLeavingDuringOutage(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}, {ID: "b"}}
 	older, err := json.Marshal(targetState{Revision: 6, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 5, Target: routing.Target{ID: "a"}}}})
@@ -292,7 +292,7 @@
 
 // What the store answers to a call that waits may lie in a buffer while this process stands
 // still: it is as old as the call then. Otherwise it is as old as the answer.
-func TestAnswerReadAfterAStandstillIsOld(t *testing.T) {
+func TestSlowAnswerIsAsOldAsItsCall(t *testing.T) {
 	began := time.Unix(1_700_000_000, 0)
 	for took, age := range map[time.Duration]time.Duration{
 		10 * time.Millisecond:         10 * time.Millisecond,
--- a/services/follow/targets_test.go
+++ b/services/follow/targets_test.go
@@ -56,7 +56,7 @@
 
 // Whatever is repeated, comes in the wrong order or by way of a peer, a table
 // that has heard of every change holds what the store holds.
-func TestTablesAgreeWithThePlainMap(t *testing.T) {
+func TestTargetTablesConverge(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(42))
 	properties.Property("tables agree", prop.ForAll(func(seed uint64, n int) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -88,7 +88,7 @@
 	properties.TestingRun(t)
 }
 
-func TestAnOlderListOfAPeerIsPassedOver(t *testing.T) {
+func TestOlderListFromPeerIsIgnored(t *testing.T) {
 	mine := newTargetTable()
 	mine.replace([]routing.Target{{ID: "a", Leaving: true}}, 20)
 	if mine.merge(targetState{Revision: 12, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a"}}}}) {
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestForgottenRemovalsMakeTheNewsWhole(t *testing.T) {
+func TestCompactedRemovalsRequireWholeList(t *testing.T) {
 	table := newTargetTable()
 	for i := range maxRemoved + 10 {
 		id := fmt.Sprint("t", i)
