--- a/services/follow/cold_test.go
+++ b/services/follow/cold_test.go
@@ -20,7 +20,7 @@
 
 // A target that counts its cold period down changes nothing; one that turns cold again,
 // or is warm before its time, does.
-func TestCountingDownIsNoChange(t *testing.T) {
+func TestColdCountdownIsNoChange(t *testing.T) {
 	table, now := newTargetTable(), coldStartAt
 	if !tellCold(table, now, 1, 3*time.Second) {
 		t.Fatal("a new target is no change")
@@ -45,7 +45,7 @@
 }
 
 // A peer is told how much is left of a cold period, since its clock may show another time.
-func TestPeersAreToldWhatIsLeft(t *testing.T) {
+func TestPeersReceiveRemainingColdTime(t *testing.T) {
 	mine, theirs, now := newTargetTable(), newTargetTable(), coldStartAt
 	tellCold(mine, now, 1, 3*time.Second)
 	content, err := json.Marshal(setColdFor(now.Add(time.Second), mine.since(0)))
--- a/services/follow/era_test.go
+++ b/services/follow/era_test.go
@@ -46,7 +46,7 @@
 // and the store back at 480, a target that left at 483, one that was taken off at 484 and an
 // evacuation at 485 were passed over until the count had passed 500. Each change after the
 // return holds at once, whatever its number, and what was known of lives is not undone.
-func TestChangesAfterTheStoreCameBackOlderHold(t *testing.T) {
+func TestChangesApplyAfterStoreRestore(t *testing.T) {
 	source := newFakeSource()
 	source.version = in(1, 500)
 	source.targets = []routing.Target{
@@ -98,7 +98,7 @@
 }
 
 // An answer of an older era is late, and changes nothing.
-func TestLateAnswerOfAnOlderEraIsPassedOver(t *testing.T) {
+func TestLateAnswerOfOlderEraIsIgnored(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = in(2, 10), []routing.Target{{ID: "a"}}
 	h := start(t, source, nil)
@@ -115,7 +115,7 @@
 
 // Evacuations hold on for a while that an older copy does not have, and one that it has and that
 // was over stands until it is written anew that it is not.
-func TestEvacuationsOverAnOlderStore(t *testing.T) {
+func TestEvacuationsAfterStoreRestore(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	table := newHallTable()
 	table.replace(now, nil, in(1, 10))
@@ -143,7 +143,7 @@
 
 // Peers agree after one exchange, whichever era each of them knows, and nobody takes a list of
 // an older era for fresh.
-func TestPeersAgreeOverEras(t *testing.T) {
+func TestPeersConvergeAcrossEras(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		older, newer := newTargetTable(), newTargetTable()
--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -78,7 +78,7 @@
 }
 
 // An evacuation that stood before this gateway began is in force from the first list on.
-func TestEvacuationIsAdoptedAtTheStart(t *testing.T) {
+func TestEvacuationAtStart(t *testing.T) {
 	source := twoHalls()
 	source.halls = []HallChange{{DataHall: "h2", Revision: 4, Evacuated: true}}
 	h := start(t, source, nil)
@@ -86,7 +86,7 @@
 }
 
 // A gateway that the store turns away hears of an evacuation, and of its end, from a peer.
-func TestPeerTellsOfEvacuations(t *testing.T) {
+func TestEvacuationsFromPeer(t *testing.T) {
 	peers := fakePeers{}
 	state := func(halls ...HallChange) []byte {
 		content, err := json.Marshal(operatorState{Configuration: &routing.Configuration{Version: 7}, Halls: halls})
@@ -125,7 +125,7 @@
 }
 
 // Tables that have heard of the same changes agree, in whatever order and how often.
-func TestHallTablesAgree(t *testing.T) {
+func TestHallTablesConverge(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	properties.Property("hall tables agree", prop.ForAll(func(seed uint64, n int) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -148,7 +148,7 @@
 }
 
 // While the store answers, targets of a hall that comes back are as cold as they say.
-func TestHallComesBackAsItsTargetsSay(t *testing.T) {
+func TestRestoredHallKeepsReportedColdState(t *testing.T) {
 	const period = time.Hour // long, since the harness lets time run on its own
 	source := twoHalls()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
@@ -171,7 +171,7 @@
 
 // What happened to a hall's targets while the store was away is not known: they come
 // back cold.
-func TestHallComesBackColdAfterAnOutage(t *testing.T) {
+func TestRestoredHallIsColdAfterOutage(t *testing.T) {
 	source := twoHalls()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
 	h := start(t, source, nil)
