--- a/services/follow/age_test.go
+++ b/services/follow/age_test.go
@@ -26,7 +26,7 @@
 // A target that had left at 4.98 s got a request at 8.73 s, and a version of 7.07 s was not in
 // force at 10.29 s. Knowledge that nobody renews grows older everywhere as time passes, however
 // late messages are.
-func TestKnowledgeGrowsOldThoughMessagesAreLate(t *testing.T) {
+func TestAgeGrowsDespiteLateMessages(t *testing.T) {
 	for _, late := range []time.Duration{100 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) { tellAges(t, late) })
 	}
--- a/services/follow/lapse_test.go
+++ b/services/follow/lapse_test.go
@@ -19,7 +19,7 @@
 // Entries that are gone when the store comes back after a long silence are used
 // a little longer, since they may only have run out; those that had stated that
 // they leave are not.
-func TestLapsedTargetsAreHeldForAWhile(t *testing.T) {
+func TestExpiredTargetsAreHeld(t *testing.T) {
 	before := targetsOf(routing.Target{ID: "lapsed"}, routing.Target{ID: "leaving", Leaving: true}, routing.Target{ID: "stays"})
 	l := newHeldTargets()
 	set, wait := l.hold(lapseStart, true, before, targetsOf(routing.Target{ID: "stays"}))
@@ -52,7 +52,7 @@
 }
 
 // While the store answers, who is gone is gone.
-func TestNothingIsHeldInCalm(t *testing.T) {
+func TestMissingTargetIsDroppedWhileSettled(t *testing.T) {
 	l := newHeldTargets()
 	if set, wait := l.hold(lapseStart, false, targetsOf(routing.Target{ID: "a"}), targetsOf()); set.Find("a") != nil || wait != 0 {
 		t.Errorf("%+v, for %v", set.Targets, wait)
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -32,7 +32,7 @@
 
 // What an answer says holds at once and outlasts every list: the store's next whole one, its
 // changes, and one that names the target again after it was gone. A new life is ready.
-func TestWordOfAnAnswerOutlastsTheStore(t *testing.T) {
+func TestLeavingFromAnswerOutlastsStoreLists(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{lifeOf("a", 100, false), lifeOf("b", 100, false)}
 	h, notices := follows(t, source, nil)
@@ -66,7 +66,7 @@
 
 // A gateway hears from a peer what answers have told there, though both know the same list, and
 // asks once for it.
-func TestPeerTellsOfTargetsThatLeave(t *testing.T) {
+func TestLeavingTargetsFromPeer(t *testing.T) {
 	id := routing.TargetID("a", 100)
 	told, err := json.Marshal(targetState{Revision: 5, Leaving: []leaving.Announcement{{ID: id, Age: time.Second}}})
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // A peer whose list differs is not asked again and again for what it knows.
-func TestPeerIsAskedOnceForTargetsThatLeave(t *testing.T) {
+func TestLeavingFetchIsRateLimited(t *testing.T) {
 	var asked leavingFetch
 	now := time.Unix(1_700_000_000, 0)
 	for i, c := range []struct {
--- a/services/follow/packed_test.go
+++ b/services/follow/packed_test.go
@@ -34,7 +34,7 @@
 // The last gateway had the version 3.3 s after the store had taken it, and answered 404 for a
 // route that it added; two seconds are allowed. Four neighbors that fetch at once from one
 // gateway of that link have 1,500 routes within 0.4 s.
-func TestStateOfALargeConfigurationIsSmall(t *testing.T) {
+func TestLargeConfigurationIsPacked(t *testing.T) {
 	const linkBits, neighbors, within = 10_000_000, 4, 0.4
 	source := newFakeSource()
 	source.version, source.config, source.targets = 5, largeConfiguration(1500), []routing.Target{{ID: "a"}}
@@ -61,7 +61,7 @@
 }
 
 // What is no packed state is an error, and one that never ends is cut.
-func TestBadStatesAreErrors(t *testing.T) {
+func TestUnpackRejectsBadState(t *testing.T) {
 	whole, err := pack(bytes.Repeat([]byte("state "), 1000))
 	if err != nil {
 		t.Fatal(err)
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -25,7 +25,7 @@
 // A worker that starts again under its name is another target, whose older lives say nothing
 // any more: also where the entry of the new one has gone meanwhile, and where an answer has
 // all entries.
-func TestNewerLifeWins(t *testing.T) {
+func TestNewerIncarnationWins(t *testing.T) {
 	table := newTargetTable()
 	apply := func(ch ...TargetChange) bool { return table.apply(ch) }
 	if !apply(change(1, lifeOf("w", 100, false))) || !apply(change(2, lifeOf("w", 200, false))) {
@@ -54,7 +54,7 @@
 
 // A worker that does not tell its life, or not in a form that can be read, is the one that is
 // known; what else it says holds.
-func TestUnknownLifeIsNotNewer(t *testing.T) {
+func TestUnknownIncarnationIsNotNewer(t *testing.T) {
 	table := newTargetTable()
 	table.apply([]TargetChange{change(1, lifeOf("w", 100, false))})
 	if !table.apply([]TargetChange{change(2, lifeOf("w", 0, true))}) {
@@ -70,7 +70,7 @@
 
 // In whatever order and by whatever way gateways hear of a worker's lives, they agree on the
 // newest one, also by way of peers.
-func TestTablesAgreeOnLives(t *testing.T) {
+func TestTablesConvergeOnIncarnation(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var changes []TargetChange
@@ -103,7 +103,7 @@
 
 // What an older life said of being cold is not that of the new one, and a worker that is back
 // in a new life is not held for the old one's sake.
-func TestNewLifeBeginsAnew(t *testing.T) {
+func TestNewIncarnationDropsOldState(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	old := lifeOf("w", 100, false)
 	old.ColdUntil = now.Add(time.Minute)
@@ -125,7 +125,7 @@
 }
 
 // Bad rows are told of a few times a second, and how many were not.
-func TestBadRowsAreToldAtABoundedRate(t *testing.T) {
+func TestBadRowLogIsRateLimited(t *testing.T) {
 	b := log.NewRateLimiter(badRowLogInterval, badRowLogBurst)
 	now, told := time.Unix(1_700_000_000, 0), 0
 	for range 1000 {
