--- a/services/follow/age_test.go
+++ b/services/follow/age_test.go
@@ -28,45 +28,45 @@
 // late messages are.
 func TestAgeGrowsDespiteLateMessages(t *testing.T) {
 	for _, late := range []time.Duration{100 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second} {
-		t.Run(late.String(), func(t *testing.T) { tellAges(t, late) })
+		t.Run(late.String(), func(t *testing.T) { testAges(t, late) })
 	}
 }
 
 const (
-	ageStep = 100 * time.Millisecond // ageStep is how often each gateway tells the other.
-	ageSpan = 10 * time.Second       // ageSpan is how long the store is silent.
-	// ageSlack is by how much an age may be wrong: the way of one answer of the store.
-	ageSlack = 300 * time.Millisecond
+	heartbeatInterval = 100 * time.Millisecond // ageStep is how often each gateway tells the other.
+	outageTime        = 10 * time.Second       // ageSpan is how long the store is silent.
+	// maxAgeError is by how much an age may be wrong: the way of one answer of the store.
+	maxAgeError = 300 * time.Millisecond
 )
 
-func tellAges(t *testing.T, late time.Duration) {
+func testAges(t *testing.T, late time.Duration) {
 	var gateways [2]*Service
 	var clocks [2]*clock.Fake
 	var told [2][]Versions
 	for i := range gateways {
 		clocks[i] = clock.NewFake()
-		gateways[i] = knowing(clocks[i])
+		gateways[i] = newSyncedService(clocks[i])
 	}
-	for range int(ageSpan / ageStep) {
+	for range int(outageTime / heartbeatInterval) {
 		for i, h := range gateways {
-			clocks[i].Advance(ageStep)
+			clocks[i].Advance(heartbeatInterval)
 			told[i] = append(told[i], h.Versions())
 		}
 		for i, h := range gateways {
-			if n := len(told[1-i]) - 1 - int(late/ageStep); n >= 0 {
+			if n := len(told[1-i]) - 1 - int(late/heartbeatInterval); n >= 0 {
 				h.ObservePeerVersions("peer", told[1-i][n])
 			}
 		}
 	}
 	for _, h := range gateways {
-		if age := h.Versions().TargetsAge; age < ageSpan-ageSlack {
-			t.Errorf("knowledge of %v ago is taken for %v old, with messages %v late", ageSpan, age, late)
+		if age := h.Versions().TargetsAge; age < outageTime-maxAgeError {
+			t.Errorf("knowledge of %v ago is taken for %v old, with messages %v late", outageTime, age, late)
 		}
 	}
 }
 
-// knowing returns a service that has just been told a list by the store.
-func knowing(c *clock.Fake) *Service {
+// newSyncedService returns a service that has just been told a list by the store.
+func newSyncedService(c *clock.Fake) *Service {
 	var t tomb.Tomb
 	s := New(&t, log.New("test"), Options{Clock: c, Fleet: func() (bool, int) { return true, 2 }, OnChange: func() {}})
 	s.applyTargets(func(time.Time) bool { return s.table.replace([]routing.Target{{ID: "a"}}, 5) })
--- a/services/follow/cold_test.go
+++ b/services/follow/cold_test.go
@@ -13,7 +13,7 @@
 
 var coldStartAt = time.Unix(1_700_000_000, 0)
 
-func tellCold(t *targetTable, now time.Time, revision routing.Revision, left time.Duration) bool {
+func applyCold(t *targetTable, now time.Time, revision routing.Revision, left time.Duration) bool {
 	changes := []TargetChange{{ID: "a", Revision: revision, Target: routing.Target{ID: "a", ColdFor: left}}}
 	return t.apply(t.toLocalChanges(now, changes))
 }
@@ -22,23 +22,23 @@
 // or is warm before its time, does.
 func TestColdCountdownIsNoChange(t *testing.T) {
 	table, now := newTargetTable(), coldStartAt
-	if !tellCold(table, now, 1, 3*time.Second) {
+	if !applyCold(table, now, 1, 3*time.Second) {
 		t.Fatal("a new target is no change")
 	}
 	if until := table.known["a"].Target.ColdUntil; !until.Equal(now.Add(3 * time.Second)) {
 		t.Fatalf("cold until %v", until)
 	}
-	if tellCold(table, now.Add(1300*time.Millisecond), 2, 1800*time.Millisecond) {
+	if applyCold(table, now.Add(1300*time.Millisecond), 2, 1800*time.Millisecond) {
 		t.Error("counting down is a change")
 	}
-	if tellCold(table, now.Add(3200*time.Millisecond), 3, 0) {
+	if applyCold(table, now.Add(3200*time.Millisecond), 3, 0) {
 		t.Error("the end of a cold period that is over is a change")
 	}
-	if !tellCold(table, now.Add(9*time.Second), 4, 3*time.Second) {
+	if !applyCold(table, now.Add(9*time.Second), 4, 3*time.Second) {
 		t.Error("turning cold again is no change")
 	}
 	now = now.Add(10 * time.Second)
-	changed := tellCold(table, now, 5, 0)
+	changed := applyCold(table, now, 5, 0)
 	if target := table.known["a"].Target; !changed || target.Cold(now) {
 		t.Error("a target that says it is warm is cold")
 	}
@@ -47,7 +47,7 @@
 // A peer is told how much is left of a cold period, since its clock may show another time.
 func TestPeersReceiveRemainingColdTime(t *testing.T) {
 	mine, theirs, now := newTargetTable(), newTargetTable(), coldStartAt
-	tellCold(mine, now, 1, 3*time.Second)
+	applyCold(mine, now, 1, 3*time.Second)
 	content, err := json.Marshal(setColdFor(now.Add(time.Second), mine.since(0)))
 	var news targetState
 	if err != nil || json.Unmarshal(content, &news) != nil {
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -118,8 +118,8 @@
 	return h
 }
 
-// watched returns where the next watch of targets began; time passes until then.
-func (h *harness) watched() routing.Revision {
+// nextWatch returns where the next watch of targets began; time passes until then.
+func (h *harness) nextWatch() routing.Revision {
 	for {
 		select {
 		case since := <-h.source.watches:
@@ -146,7 +146,7 @@
 // and again cost two thousand calls of the store before the first target came.
 func TestEmptyTableIsWatched(t *testing.T) {
 	h := start(t, newFakeSource(), nil)
-	if since := h.watched(); since != 0 {
+	if since := h.nextWatch(); since != 0 {
 		t.Fatalf("watch began after %d", since)
 	}
 	if n := h.source.readCount(); n != 1 {
@@ -158,7 +158,7 @@
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}}
 	h := start(t, source, nil)
-	h.watched()
+	h.nextWatch()
 	h.await()
 	source.mu.Lock()
 	source.version, source.targets = 9, []routing.Target{{ID: "b"}}
@@ -173,7 +173,7 @@
 	if set := h.Targets(); set.Find("a") != nil || set.Find("b") == nil || set.Revision != 9 {
 		t.Errorf("after the history was gone: %+v", set)
 	}
-	if since := h.watched(); since != 9 {
+	if since := h.nextWatch(); since != 9 {
 		t.Errorf("watch goes on after %d, want 9", since)
 	}
 }
@@ -183,7 +183,7 @@
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}}
 	h := start(t, source, nil)
 	h.await()
-	h.watched()
+	h.nextWatch()
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{
 		{ID: "a", Revision: 7, Target: routing.Target{ID: "a", Leaving: true}}, {ID: "b", Revision: 8, Target: routing.Target{ID: "b"}},
 	}}
@@ -191,10 +191,10 @@
 	if set := h.Targets(); !set.Find("a").Leaving || set.Find("b") == nil || set.Revision != 8 {
 		t.Fatalf("after changes: %+v", set)
 	}
-	h.watched()
+	h.nextWatch()
 	// A late copy of an older change must not undo a newer one.
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{{ID: "a", Revision: 6, Target: routing.Target{ID: "a"}}}}
-	h.watched()
+	h.nextWatch()
 	if !h.Targets().Find("a").Leaving {
 		t.Error("an older change was applied over a newer one")
 	}
@@ -271,18 +271,18 @@
 	}
 	h := start(t, source, fakePeers{"peer/targets": older})
 	h.await()
-	h.watched()
+	h.nextWatch()
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{{ID: "a", Revision: 8, Target: routing.Target{ID: "a", Leaving: true}}}}
 	h.await()
 	for range 20 { // an outage of many seconds
-		h.watched()
+		h.nextWatch()
 		source.changes <- watchAnswer{err: errors.New("the store is down")}
 	}
 	h.ObservePeerVersions("peer", Versions{Targets: 6, TargetsAge: time.Minute}) // the store is away for the peer, too
 	if a := h.Targets().Find("a"); a == nil || !a.Leaving {
 		t.Fatalf("%+v while the store was away", h.Targets().Targets)
 	}
-	h.watched()
+	h.nextWatch()
 	source.changes <- watchAnswer{revision: 9, changes: []TargetChange{{ID: "a", Revision: 9, Gone: true}, {ID: "b", Revision: 9, Gone: true}}}
 	h.await()
 	if set := h.Targets(); set.Find("a") != nil || set.Find("b") == nil {
--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -29,8 +29,8 @@
 	return out
 }
 
-// operator answers the next watch of the operator's settings; time passes until then.
-func (h *harness) operator(news OperatorUpdate) {
+// answerOperator answers the next watch of the answerOperator's settings; time passes until then.
+func (h *harness) answerOperator(news OperatorUpdate) {
 	for {
 		select {
 		case h.source.operator <- news:
@@ -49,7 +49,7 @@
 	}
 }
 
-func twoHalls() *fakeSource {
+func twoHallSource() *fakeSource {
 	source := newFakeSource()
 	source.config = &routing.Configuration{Version: 7, Services: []routing.Service{{Name: "s", ColdStart: 3 * time.Second, ColdRate: 6}}}
 	source.version = 5
@@ -60,10 +60,10 @@
 // An evacuation marks the targets of its hall until its row is gone; what comes late or
 // twice changes nothing.
 func TestEvacuationMarksTheHall(t *testing.T) {
-	source := twoHalls()
+	source := twoHallSource()
 	h := start(t, source, nil)
 	h.await()
-	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9, Evacuated: true}}})
+	h.answerOperator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9, Evacuated: true}}})
 	h.awaitEvacuated("a")
 	if h.Targets().Find("a").AcceptsWork() || !h.Targets().Find("b").AcceptsWork() {
 		t.Errorf("%+v", h.Targets().Targets)
@@ -71,15 +71,15 @@
 	if got := h.Evacuated(); !slices.Equal(got, []string{"h1"}) || h.Versions().Evacuations != 9 {
 		t.Errorf("evacuated %v at revision %d", got, h.Versions().Evacuations)
 	}
-	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 12}, Halls: []HallChange{{DataHall: "h1", Revision: 8}, {DataHall: "h2", Revision: 12, Evacuated: true}}})
+	h.answerOperator(OperatorUpdate{Stamp: Stamp{Revision: 12}, Halls: []HallChange{{DataHall: "h1", Revision: 8}, {DataHall: "h2", Revision: 12, Evacuated: true}}})
 	h.awaitEvacuated("a", "b")
-	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 14}, Halls: []HallChange{{DataHall: "h1", Revision: 14}, {DataHall: "h2", Revision: 13}}})
+	h.answerOperator(OperatorUpdate{Stamp: Stamp{Revision: 14}, Halls: []HallChange{{DataHall: "h1", Revision: 14}, {DataHall: "h2", Revision: 13}}})
 	h.awaitEvacuated()
 }
 
 // An evacuation that stood before this gateway began is in force from the first list on.
 func TestEvacuationAtStart(t *testing.T) {
-	source := twoHalls()
+	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h2", Revision: 4, Evacuated: true}}
 	h := start(t, source, nil)
 	h.awaitEvacuated("b")
@@ -95,7 +95,7 @@
 		}
 		return content
 	}
-	source := twoHalls()
+	source := twoHallSource()
 	peers["peer"], peers["later"] = state(HallChange{"h1", 20, true}), state(HallChange{"h1", 21, false})
 	h := start(t, source, peers)
 	h.await()
@@ -150,11 +150,11 @@
 // While the store answers, targets of a hall that comes back are as cold as they say.
 func TestRestoredHallKeepsReportedColdState(t *testing.T) {
 	const period = time.Hour // long, since the harness lets time run on its own
-	source := twoHalls()
+	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
 	h := start(t, source, nil)
 	h.awaitEvacuated("a")
-	h.watched()
+	h.nextWatch()
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{{ID: "a", Revision: 8, Target: routing.Target{ID: "a", Service: "s", DataHall: "h1", ColdFor: period}}}}
 	for !h.Targets().Find("a").Cold(h.clock.Now()) {
 		h.await()
@@ -162,7 +162,7 @@
 	if a, now := h.Targets().Find("a"), h.clock.Now(); a.Cold(now.Add(period)) {
 		t.Errorf("cold until %v at %v", a.ColdUntil, now)
 	}
-	h.operator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9}}})
+	h.answerOperator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9}}})
 	h.awaitEvacuated()
 	if b := h.Targets().Find("b"); b.Cold(h.clock.Now()) {
 		t.Error("a target of another hall is cold")
@@ -172,12 +172,12 @@
 // What happened to a hall's targets while the store was away is not known: they come
 // back cold.
 func TestRestoredHallIsColdAfterOutage(t *testing.T) {
-	source := twoHalls()
+	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
 	h := start(t, source, nil)
 	h.awaitEvacuated("a")
 	for range 20 { // an outage of many seconds for the list of targets
-		h.watched()
+		h.nextWatch()
 		source.changes <- watchAnswer{err: errors.New("the store is down")}
 		h.clock.Advance(500 * time.Millisecond)
 	}
--- a/services/follow/lapse_test.go
+++ b/services/follow/lapse_test.go
@@ -10,7 +10,7 @@
 	"madderway/models/routing"
 )
 
-var lapseStart = time.Unix(1_700_000_000, 0)
+var holdStart = time.Unix(1_700_000_000, 0)
 
 func targetsOf(targets ...routing.Target) *routing.TargetSet {
 	return (&routing.TargetSet{Revision: 5, Targets: targets}).BuildIndex()
@@ -22,17 +22,17 @@
 func TestExpiredTargetsAreHeld(t *testing.T) {
 	before := targetsOf(routing.Target{ID: "lapsed"}, routing.Target{ID: "leaving", Leaving: true}, routing.Target{ID: "stays"})
 	l := newHeldTargets()
-	set, wait := l.hold(lapseStart, true, before, targetsOf(routing.Target{ID: "stays"}))
+	set, wait := l.hold(holdStart, true, before, targetsOf(routing.Target{ID: "stays"}))
 	if set.Find("lapsed") == nil || set.Find("leaving") != nil || set.Find("stays") == nil || wait != expiredHold {
 		t.Fatalf("%+v, for %v", set.Targets, wait)
 	}
 	// Later news do not hold it any longer.
-	now := lapseStart.Add(expiredHold / 2)
+	now := holdStart.Add(expiredHold / 2)
 	set, wait = l.hold(now, true, set, targetsOf(routing.Target{ID: "stays"}, routing.Target{ID: "new"}))
 	if set.Find("lapsed") == nil || set.Find("new") == nil || wait != expiredHold/2 {
 		t.Errorf("%+v, for %v", set.Targets, wait)
 	}
-	set, wait = l.hold(lapseStart.Add(expiredHold), true, set, targetsOf(routing.Target{ID: "stays"}, routing.Target{ID: "new"}))
+	set, wait = l.hold(holdStart.Add(expiredHold), true, set, targetsOf(routing.Target{ID: "stays"}, routing.Target{ID: "new"}))
 	if set.Find("lapsed") != nil || wait != 0 {
 		t.Errorf("%+v still held, for %v", set.Targets, wait)
 	}
@@ -41,12 +41,12 @@
 // An entry that is back is no longer held: what it says now counts.
 func TestListedTargetIsNotHeld(t *testing.T) {
 	l := newHeldTargets()
-	set, _ := l.hold(lapseStart, true, targetsOf(routing.Target{ID: "a"}), targetsOf())
-	set, _ = l.hold(lapseStart.Add(time.Millisecond), true, set, targetsOf(routing.Target{ID: "a", Leaving: true}))
+	set, _ := l.hold(holdStart, true, targetsOf(routing.Target{ID: "a"}), targetsOf())
+	set, _ = l.hold(holdStart.Add(time.Millisecond), true, set, targetsOf(routing.Target{ID: "a", Leaving: true}))
 	if a := set.Find("a"); a == nil || !a.Leaving {
 		t.Fatalf("%+v", set.Targets)
 	}
-	if set, _ = l.hold(lapseStart.Add(2*time.Millisecond), true, set, targetsOf()); set.Find("a") != nil {
+	if set, _ = l.hold(holdStart.Add(2*time.Millisecond), true, set, targetsOf()); set.Find("a") != nil {
 		t.Error("held after it had stated that it leaves")
 	}
 }
@@ -54,7 +54,7 @@
 // While the store answers, who is gone is gone.
 func TestMissingTargetIsDroppedWhileSettled(t *testing.T) {
 	l := newHeldTargets()
-	if set, wait := l.hold(lapseStart, false, targetsOf(routing.Target{ID: "a"}), targetsOf()); set.Find("a") != nil || wait != 0 {
+	if set, wait := l.hold(holdStart, false, targetsOf(routing.Target{ID: "a"}), targetsOf()); set.Find("a") != nil || wait != 0 {
 		t.Errorf("%+v, for %v", set.Targets, wait)
 	}
 }
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -16,8 +16,8 @@
 	"madderway/services/upstream"
 )
 
-// follows starts a service that hears what targets say of themselves.
-func follows(t *testing.T, source *fakeSource, peers Peers) (*harness, *notice.Service) {
+// startWithNotices starts a service that hears what targets say of themselves.
+func startWithNotices(t *testing.T, source *fakeSource, peers Peers) (*harness, *notice.Service) {
 	t.Helper()
 	var h *harness
 	notices := notice.New(log.New("notice"), notice.Options{Clock: clock.NewFake(), OnLeaving: func() { h.LeavingChanged() }})
@@ -25,7 +25,7 @@
 	return h, notices
 }
 
-func leaves(h *harness, id string) bool {
+func isLeaving(h *harness, id string) bool {
 	target := h.Targets().Find(id)
 	return target != nil && target.Leaving
 }
@@ -34,32 +34,32 @@
 // changes, and one that names the target again after it was gone. A new life is ready.
 func TestLeavingFromAnswerOutlastsStoreLists(t *testing.T) {
 	source := newFakeSource()
-	source.version, source.targets = 5, []routing.Target{lifeOf("a", 100, false), lifeOf("b", 100, false)}
-	h, notices := follows(t, source, nil)
+	source.version, source.targets = 5, []routing.Target{incarnation("a", 100, false), incarnation("b", 100, false)}
+	h, notices := startWithNotices(t, source, nil)
 	h.await()
-	h.watched()
+	h.nextWatch()
 	a := h.Targets().Find(routing.TargetID("a", 100))
 	before := h.Versions().Leaving
 	notices.Answered(a, upstream.Verdict{Leaving: true})
 	<-h.changed
-	if !leaves(h, a.ID) || leaves(h, routing.TargetID("b", 100)) || before != 0 || h.Versions().Leaving == 0 {
+	if !isLeaving(h, a.ID) || isLeaving(h, routing.TargetID("b", 100)) || before != 0 || h.Versions().Leaving == 0 {
 		t.Fatalf("%+v, digest %d and %d", h.Targets().Targets, before, h.Versions().Leaving)
 	}
 	for i, changes := range [][]TargetChange{
-		{change(6, lifeOf("a", 100, false)), change(6, lifeOf("c", 100, false))},
+		{change(6, incarnation("a", 100, false)), change(6, incarnation("c", 100, false))},
 		{{ID: "a", Revision: 7, Gone: true}},
-		{change(8, lifeOf("a", 100, false))},
+		{change(8, incarnation("a", 100, false))},
 	} {
 		source.changes <- watchAnswer{revision: routing.Revision(6 + i), changes: changes}
 		h.await()
 		if target := h.Targets().Find(a.ID); target != nil && !target.Leaving {
 			t.Errorf("after change %d it is taken for ready", i)
 		}
-		h.watched()
+		h.nextWatch()
 	}
-	source.changes <- watchAnswer{revision: 9, changes: []TargetChange{change(9, lifeOf("a", 200, false))}}
+	source.changes <- watchAnswer{revision: 9, changes: []TargetChange{change(9, incarnation("a", 200, false))}}
 	h.await()
-	if leaves(h, routing.TargetID("a", 200)) || h.Versions().Leaving != 0 {
+	if isLeaving(h, routing.TargetID("a", 200)) || h.Versions().Leaving != 0 {
 		t.Error("a new life of the target is taken for leaving")
 	}
 }
@@ -73,14 +73,14 @@
 		t.Fatal(err)
 	}
 	source := newFakeSource()
-	source.version, source.targets = 5, []routing.Target{lifeOf("a", 100, false)}
-	h, _ := follows(t, source, fakePeers{"peer/targets": told})
+	source.version, source.targets = 5, []routing.Target{incarnation("a", 100, false)}
+	h, _ := startWithNotices(t, source, fakePeers{"peer/targets": told})
 	h.await()
-	h.watched()
+	h.nextWatch()
 	theirs := leaving.Digest(id)
 	h.ObservePeerVersions("peer", Versions{Targets: 5, Leaving: theirs})
 	h.await()
-	if !leaves(h, id) || h.Versions().Leaving != theirs {
+	if !isLeaving(h, id) || h.Versions().Leaving != theirs {
 		t.Errorf("%+v, digest %d, want %d", h.Targets().Targets, h.Versions().Leaving, theirs)
 	}
 	content, err := h.State(StateRequest{Targets: true, Since: 5})
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -13,8 +13,8 @@
 	"madderway/modules/log"
 )
 
-// lifeOf is what a worker says of itself in a life, 0 for one that it does not tell.
-func lifeOf(name string, born int64, leaving bool) routing.Target {
+// incarnation is what a worker says of itself in a life, 0 for one that it does not tell.
+func incarnation(name string, born int64, leaving bool) routing.Target {
 	return routing.Target{ID: routing.TargetID(name, born), Name: name, Born: born, Address: "10.0.0.1:80", Leaving: leaving}
 }
 
@@ -28,26 +28,26 @@
 func TestNewerIncarnationWins(t *testing.T) {
 	table := newTargetTable()
 	apply := func(ch ...TargetChange) bool { return table.apply(ch) }
-	if !apply(change(1, lifeOf("w", 100, false))) || !apply(change(2, lifeOf("w", 200, false))) {
+	if !apply(change(1, incarnation("w", 100, false))) || !apply(change(2, incarnation("w", 200, false))) {
 		t.Fatal("a new life is no change")
 	}
 	if lives := table.takeRestarts(); len(lives) != 1 || lives[0] != (restart{"w", 200, 100}) {
 		t.Errorf("lives %+v", lives)
 	}
-	if apply(change(3, lifeOf("w", 100, true))) || table.replace([]routing.Target{lifeOf("w", 100, true)}, 4) {
+	if apply(change(3, incarnation("w", 100, true))) || table.replace([]routing.Target{incarnation("w", 100, true)}, 4) {
 		t.Error("an older life changes something")
 	}
-	if got := table.known["w"].Target; got != lifeOf("w", 200, false) {
+	if got := table.known["w"].Target; got != incarnation("w", 200, false) {
 		t.Errorf("%+v", got)
 	}
 	if table.revision < 3 {
 		t.Errorf("the revision of what an older life said does not count: %d", table.revision)
 	}
 	apply(TargetChange{ID: "w", Revision: 5, Gone: true})
-	if apply(change(6, lifeOf("w", 100, false))) {
+	if apply(change(6, incarnation("w", 100, false))) {
 		t.Error("an older life is back after the newer one has gone")
 	}
-	if !apply(change(7, lifeOf("w", 200, false))) {
+	if !apply(change(7, incarnation("w", 200, false))) {
 		t.Error("the newest life is not back")
 	}
 }
@@ -56,11 +56,11 @@
 // known; what else it says holds.
 func TestUnknownIncarnationIsNotNewer(t *testing.T) {
 	table := newTargetTable()
-	table.apply([]TargetChange{change(1, lifeOf("w", 100, false))})
-	if !table.apply([]TargetChange{change(2, lifeOf("w", 0, true))}) {
+	table.apply([]TargetChange{change(1, incarnation("w", 100, false))})
+	if !table.apply([]TargetChange{change(2, incarnation("w", 0, true))}) {
 		t.Error("leaving is no change")
 	}
-	if got := table.known["w"].Target; got != lifeOf("w", 100, true) {
+	if got := table.known["w"].Target; got != incarnation("w", 100, true) {
 		t.Errorf("%+v", got)
 	}
 	if lives := table.takeRestarts(); len(lives) != 0 {
@@ -75,7 +75,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var changes []TargetChange
 		for i := range 6 {
-			changes = append(changes, change(routing.Revision(i+1), lifeOf("w", int64(100*(1+rng.IntN(3))), rng.IntN(2) == 0)))
+			changes = append(changes, change(routing.Revision(i+1), incarnation("w", int64(100*(1+rng.IntN(3))), rng.IntN(2) == 0)))
 		}
 		mine, theirs := newTargetTable(), newTargetTable()
 		mine.apply(changes)
@@ -105,12 +105,12 @@
 // in a new life is not held for the old one's sake.
 func TestNewIncarnationDropsOldState(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	old := lifeOf("w", 100, false)
+	old := incarnation("w", 100, false)
 	old.ColdUntil = now.Add(time.Minute)
-	if told := toLocalCold(now, old, lifeOf("w", 200, false)); told.Cold(now) {
+	if told := toLocalCold(now, old, incarnation("w", 200, false)); told.Cold(now) {
 		t.Error("a new life is as cold as the old one was")
 	}
-	cold := lifeOf("w", 200, false)
+	cold := incarnation("w", 200, false)
 	cold.ColdFor = 3 * time.Second
 	if told := toLocalCold(now, old, cold); !told.ColdUntil.Equal(now.Add(3 * time.Second)) {
 		t.Errorf("cold until %v", told.ColdUntil)
@@ -118,7 +118,7 @@
 	set := func(t routing.Target) *routing.TargetSet {
 		return (&routing.TargetSet{Targets: []routing.Target{t}}).BuildIndex()
 	}
-	held, _ := newHeldTargets().hold(now, true, set(lifeOf("w", 100, false)), set(lifeOf("w", 200, false)))
+	held, _ := newHeldTargets().hold(now, true, set(incarnation("w", 100, false)), set(incarnation("w", 200, false)))
 	if len(held.Targets) != 1 || held.Targets[0].Born != 200 {
 		t.Errorf("%+v", held.Targets)
 	}
--- a/services/follow/targets_test.go
+++ b/services/follow/targets_test.go
@@ -16,8 +16,8 @@
 	"madderway/models/routing"
 )
 
-// history makes a sequence of changes of a few targets, with revisions.
-func history(rng *rand.Rand, n int) []TargetChange {
+// randomHistory makes a sequence of changes of a few targets, with revisions.
+func randomHistory(rng *rand.Rand, n int) []TargetChange {
 	var out []TargetChange
 	for i := range n {
 		ch := TargetChange{ID: fmt.Sprint("t", rng.IntN(6)), Revision: routing.Revision(10 + 3*i)}
@@ -29,8 +29,8 @@
 	return out
 }
 
-// truth is what the store holds after all changes.
-func truth(changes []TargetChange) map[string]routing.Target {
+// finalTargets is what the store holds after all changes.
+func finalTargets(changes []TargetChange) map[string]routing.Target {
 	m := map[string]routing.Target{}
 	for _, ch := range changes {
 		if ch.Gone {
@@ -60,8 +60,8 @@
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(42))
 	properties.Property("tables agree", prop.ForAll(func(seed uint64, n int) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		changes := history(rng, n)
-		want := truth(changes)
+		changes := randomHistory(rng, n)
+		want := finalTargets(changes)
 		feed := newTargetTable()
 		for from := 0; from < n; {
 			to := min(from+1+rng.IntN(4), n)
