--- a/services/config/config.go
+++ b/services/config/config.go
@@ -250,8 +250,8 @@
 	}
 }
 
-// Notified takes a peer's word that a version was accepted.
-func (s *Service) Notified(peer string, v head.Version) {
+// HandleNotify takes a peer's word that a version was accepted.
+func (s *Service) HandleNotify(peer string, v head.Version) {
 	s.events.Put(s.t.Dying(), head.PeerVersionSeen{Peer: peer, Version: v})
 }
 
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -64,7 +64,7 @@
 }
 
 func (s *Service) notified(peer string, n *wire.ConfigNotify) *wire.Reply {
-	s.config.Notified(peer, head.Version{Number: n.Version, Hash: n.Hash})
+	s.config.HandleNotify(peer, head.Version{Number: n.Version, Hash: n.Hash})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(n.WaitMs)*time.Millisecond)
 	defer cancel()
 	return &wire.Reply{Ok: true, ConfigVersion: s.config.Await(ctx, n.Version), Admitting: s.config.Admits()}
