--- a/services/config/config.go
+++ b/services/config/config.go
@@ -58,13 +58,13 @@
 
 // Service is the configuration of one router.
 type Service struct {
-	t       *tomb.Tomb
-	log     log.Logger
-	opts    Options
-	source  *source
-	events  *ring.Ring[head.FollowEvent]
-	current atomic.Pointer[Snapshot]
-	inForce atomic.Pointer[head.Version]
+	t              *tomb.Tomb
+	log            log.Logger
+	opts           Options
+	source         *source
+	events         *ring.Ring[head.FollowEvent]
+	current        atomic.Pointer[Snapshot]
+	currentVersion atomic.Pointer[head.Version]
 
 	mu        sync.Mutex
 	follower  *head.Follower
@@ -82,7 +82,7 @@
 		adopted:   make(chan struct{}),
 		deadSince: map[string]time.Time{},
 	}
-	s.inForce.Store(&head.Version{})
+	s.currentVersion.Store(&head.Version{})
 	t.Go(s.pollHead)
 	t.Go(s.follow)
 	return s
@@ -93,7 +93,7 @@
 
 // InForce returns the version in force. It takes no lock, because the control
 // loop asks for each heartbeat.
-func (s *Service) InForce() head.Version { return *s.inForce.Load() }
+func (s *Service) InForce() head.Version { return *s.currentVersion.Load() }
 
 // Wanted returns the highest version known of.
 func (s *Service) Wanted() head.Version {
@@ -163,7 +163,7 @@
 func (s *Service) step(ev head.FollowEvent) {
 	s.mu.Lock()
 	now := s.opts.Clock.Now()
-	s.noteDead(now)
+	s.trackDead(now)
 	actions := s.follower.Step(now, ev)
 	s.mu.Unlock()
 	for _, a := range actions {
@@ -202,7 +202,7 @@
 			continue
 		}
 		s.current.Store(snapshot)
-		s.inForce.Store(&v)
+		s.currentVersion.Store(&v)
 		s.source.cache.retain(v.Hash, m)
 		s.opts.OnAdopt(snapshot)
 		close(s.adopted)
@@ -211,8 +211,8 @@
 	}
 }
 
-// noteDead records since when members are dead; the caller holds the lock.
-func (s *Service) noteDead(now time.Time) {
+// trackDead records since when members are dead; the caller holds the lock.
+func (s *Service) trackDead(now time.Time) {
 	seen := map[string]bool{}
 	for _, m := range s.opts.Peers.Members() {
 		if !m.Dead {
--- a/services/config/content.go
+++ b/services/config/content.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	headKey        = "config/head"
-	operationKeys  = "config/op/"
-	objectPrefix   = "config/chunk/"
-	fetchParallel  = 8
-	defaultAccount = ""
+	headKey         = "config/head"
+	operationPrefix = "config/op/"
+	objectPrefix    = "config/chunk/"
+	fetchParallel   = 8
+	noPolicy        = ""
 )
 
 // Snapshot is a version in force with its compiled policies. It is read-only.
@@ -30,7 +30,7 @@
 
 // Program returns the policy of an account; nil where it has none.
 func (s *Snapshot) Program(account *conf.ClientAccount) *policy.Program {
-	if account.Policy == defaultAccount {
+	if account.Policy == noPolicy {
 		return nil
 	}
 	return s.programs[account.Policy]
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, m, err
 	}
-	chunks, err := s.all(ctx, m.Chunks, holders)
+	chunks, err := s.fetchAll(ctx, m.Chunks, holders)
 	if err != nil {
 		return nil, m, err
 	}
@@ -132,7 +132,7 @@
 	return d, m, err
 }
 
-func (s *source) all(ctx context.Context, hashes, holders []string) (map[string][]byte, error) {
+func (s *source) fetchAll(ctx context.Context, hashes, holders []string) (map[string][]byte, error) {
 	var (
 		mu     sync.Mutex
 		wg     sync.WaitGroup
--- a/services/config/submit.go
+++ b/services/config/submit.go
@@ -132,7 +132,7 @@
 	}
 	// The operation is read after the head: a transaction that lands between
 	// the two reads is then seen as done, never as a conflict.
-	op, err := s.opts.Table.Get(ctx, operationKeys+operation)
+	op, err := s.opts.Table.Get(ctx, operationPrefix+operation)
 	if err != nil || op.Version == 0 {
 		return o, err
 	}
@@ -149,7 +149,7 @@
 	if err != nil {
 		return head.ResultUnavailable
 	}
-	key := operationKeys + operation
+	key := operationPrefix + operation
 	res := s.opts.Table.Commit(ctx, platform.Tx{
 		Conditions: []platform.Condition{{Key: headKey, Version: w.IfVersion}, {Key: key}},
 		Puts:       []platform.Put{{Key: headKey, Value: headValue}, {Key: key, Value: opValue}},
@@ -208,7 +208,7 @@
 }
 
 func (s *Service) confirmOne(ctx context.Context, m MemberInfo, v head.Version) (Missing, bool) {
-	if s.goneForGood(m.ID) {
+	if s.isolationPassed(m.ID) {
 		return Missing{}, true
 	}
 	wait := confirmWait / 2
@@ -223,7 +223,7 @@
 	}
 }
 
-func (s *Service) goneForGood(id string) bool {
+func (s *Service) isolationPassed(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since, ok := s.deadSince[id]
