--- a/router/gateway.go
+++ b/router/gateway.go
@@ -177,8 +177,8 @@
 	})
 	g.requests.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
-		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Register: platform.NewGateways(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
-		Empty: s.FirstStart,
+		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Registry: platform.NewGateways(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
+		EmptyRegistry: s.FirstStart,
 	})
 	guard := forward.NewGuard(log.New("guard").With(s.ID), g.clock, forward.GuardOptions{
 		Bytes: g.crossed, LinkMbps: s.LinkMbps, Relief: g.relay.Available, Queued: g.relay.Waiting, Overdue: g.overdue,
--- a/services/discover/discover.go
+++ b/services/discover/discover.go
@@ -44,8 +44,8 @@
 	Address string // Address is where other gateways reach it.
 }
 
-// Register keeps the addresses of some gateways.
-type Register interface {
+// Registry keeps the addresses of some gateways.
+type Registry interface {
 	Entries(ctx context.Context) ([]Entry, error)
 	// Put writes one entry and takes others out.
 	Put(ctx context.Context, e Entry, drop []string) error
@@ -57,24 +57,24 @@
 	Alone() bool
 	// Registrar tells whether this gateway is one of those that register.
 	Registrar() bool
-	// Knows tells whether a gateway is a member.
-	Knows(id string) bool
-	// Call greets gateways at these addresses.
-	Call(addresses []string)
+	// IsMember tells whether a gateway is a member.
+	IsMember(id string) bool
+	// Greet greets gateways at these addresses.
+	Greet(addresses []string)
 }
 
 // Options are the parts of a Service.
 type Options struct {
 	Self     Entry
-	Register Register
+	Registry Registry
 	Peers    Peers
 	Clock    clock.Clock
 	// Era returns how often the store has come back from an older copy, without what was
 	// registered since that was made.
 	Era func() uint64
-	// Empty tells that nobody can be registered yet: the whole fleet starts for the
+	// EmptyRegistry tells that nobody can be registered yet: the whole fleet starts for the
 	// first time.
-	Empty bool
+	EmptyRegistry bool
 }
 
 // Service reads the register while this gateway is alone, and registers it where
@@ -114,7 +114,7 @@
 }
 
 func (s *Service) firstLook() time.Duration {
-	if s.opts.Empty {
+	if s.opts.EmptyRegistry {
 		return emptyAfter
 	}
 	return aloneAfter
@@ -151,7 +151,7 @@
 		}
 	}
 	s.log.Info("No other gateway known, calling those of the register.", "entries", len(entries))
-	s.opts.Peers.Call(addresses)
+	s.opts.Peers.Greet(addresses)
 }
 
 // register writes this gateway's entry unless it is there. Where it fails, it is
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTime)
 	defer cancel()
 	drop := s.unknown(entries)
-	if err := s.opts.Register.Put(ctx, s.opts.Self, drop); err != nil {
+	if err := s.opts.Registry.Put(ctx, s.opts.Self, drop); err != nil {
 		s.log.Warn("Not registered, will try again.", "error", err)
 		return
 	}
@@ -186,7 +186,7 @@
 	}
 	var drop []string
 	for _, e := range entries {
-		if e.ID != s.opts.Self.ID && !s.opts.Peers.Knows(e.ID) {
+		if e.ID != s.opts.Self.ID && !s.opts.Peers.IsMember(e.ID) {
 			drop = append(drop, e.ID)
 		}
 	}
@@ -196,7 +196,7 @@
 func (s *Service) entries() ([]Entry, bool) {
 	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTime)
 	defer cancel()
-	entries, err := s.opts.Register.Entries(ctx)
+	entries, err := s.opts.Registry.Entries(ctx)
 	if err != nil {
 		s.log.Warn("The register cannot be read.", "error", err)
 		return nil, false
--- a/services/discover/discover_test.go
+++ b/services/discover/discover_test.go
@@ -52,10 +52,10 @@
 	return nil
 }
 
-func (f *fleet) Alone() bool             { return f.alone }
-func (f *fleet) Registrar() bool         { return f.registrar }
-func (f *fleet) Knows(id string) bool    { return slices.Contains(f.members, id) }
-func (f *fleet) Call(addresses []string) { f.called = append(f.called, addresses...) }
+func (f *fleet) Alone() bool              { return f.alone }
+func (f *fleet) Registrar() bool          { return f.registrar }
+func (f *fleet) IsMember(id string) bool  { return slices.Contains(f.members, id) }
+func (f *fleet) Greet(addresses []string) { f.called = append(f.called, addresses...) }
 
 var self = Entry{ID: "g1", Address: "127.0.0.1:1"}
 
@@ -63,7 +63,7 @@
 	if f.entries == nil {
 		f.entries = map[string]string{}
 	}
-	return newService(&tomb.Tomb{}, log.New("test"), Options{Self: self, Register: f, Peers: f, Clock: clock.NewFake()})
+	return newService(&tomb.Tomb{}, log.New("test"), Options{Self: self, Registry: f, Peers: f, Clock: clock.NewFake()})
 }
 
 // A gateway that comes back before all its seeds finds the others through the
@@ -94,7 +94,7 @@
 	if got := s.firstLook(); got != aloneAfter {
 		t.Errorf("looks after %v", got)
 	}
-	s.opts.Empty = true
+	s.opts.EmptyRegistry = true
 	if got := s.firstLook(); got != emptyAfter {
 		t.Errorf("looks after %v where nobody can be registered", got)
 	}
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -54,16 +54,16 @@
 // Registrar implements discover.Peers.
 func (l *Loop) Registrar() bool { return l.register.Load() }
 
-// Knows implements discover.Peers.
-func (l *Loop) Knows(id string) bool {
+// IsMember implements discover.Peers.
+func (l *Loop) IsMember(id string) bool {
 	known := false
 	l.Inspect(func() { _, known = l.members.Lookup(id) })
 	return known
 }
 
-// Call implements discover.Peers: gateways at these addresses are greeted at once,
+// Greet implements discover.Peers: gateways at these addresses are greeted at once,
 // and again while no other gateway is known.
-func (l *Loop) Call(addresses []string) {
+func (l *Loop) Greet(addresses []string) {
 	l.Inspect(func() {
 		for _, address := range addresses {
 			if address == l.opts.Self.Address || slices.Contains(l.seedsAt, address) {
