--- a/services/discover/discover.go
+++ b/services/discover/discover.go
@@ -24,18 +24,18 @@
 	// maxEntries is the size of the register from which entries of gateways that
 	// nobody knows any more are dropped.
 	maxEntries = 3 * Registrars
-	// aloneAfter is how long a gateway that has just started waits for its seeds;
+	// firstReadDelay is how long a gateway that has just started waits for its seeds;
 	// they answer within some milliseconds where they are up. emptyAfter is the same
 	// where nobody can be registered yet: all start within some hundred milliseconds.
-	aloneAfter = 30 * time.Millisecond
-	emptyAfter = 2 * time.Second
-	// againAfter and againMax bound how often the register is read while nobody is
+	firstReadDelay = 30 * time.Millisecond
+	emptyReadDelay = 2 * time.Second
+	// minBackoff and againMax bound how often the register is read while nobody is
 	// found; each read is a call of the store.
-	againAfter = 300 * time.Millisecond
-	againMax   = 5 * time.Second
-	// checkEvery is how often it is looked whether this gateway should register.
-	checkEvery = 2 * time.Second
-	callTime   = time.Second
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// checkInterval is how often it is looked whether this gateway should register.
+	checkInterval = 2 * time.Second
+	callTimeout   = time.Second
 )
 
 // Entry is one gateway of the register.
@@ -85,7 +85,7 @@
 	opts       Options
 	registered bool
 	era        uint64        // era is that in which this gateway looked whether it is registered.
-	again      time.Duration // again is the time until the register is read once more.
+	backoff    time.Duration // again is the time until the register is read once more.
 }
 
 // Start starts the service; it ends with the tomb.
@@ -98,48 +98,48 @@
 	if o.Era == nil {
 		o.Era = func() uint64 { return 0 }
 	}
-	return &Service{t: t, log: logger, opts: o, again: againAfter}
+	return &Service{t: t, log: logger, opts: o, backoff: minBackoff}
 }
 
 func (s *Service) run() error {
-	wait := s.firstLook()
+	wait := s.firstDelay()
 	for {
 		select {
 		case <-s.t.Dying():
 			return nil
 		case <-s.opts.Clock.After(wait):
-			wait = s.look()
+			wait = s.check()
 		}
 	}
 }
 
-func (s *Service) firstLook() time.Duration {
+func (s *Service) firstDelay() time.Duration {
 	if s.opts.EmptyRegistry {
-		return emptyAfter
+		return emptyReadDelay
 	}
-	return aloneAfter
+	return firstReadDelay
 }
 
-// look does what is to be done now and returns when to look again.
-func (s *Service) look() time.Duration {
+// check does what is to be done now and returns when to check again.
+func (s *Service) check() time.Duration {
 	if s.opts.Peers.Alone() {
-		s.find()
-		wait := s.again
-		s.again = min(2*s.again, againMax)
+		s.greetRegistered()
+		wait := s.backoff
+		s.backoff = min(2*s.backoff, maxBackoff)
 		return wait
 	}
-	s.again = againAfter
+	s.backoff = minBackoff
 	if era := s.opts.Era(); era != s.era {
 		s.era, s.registered = era, false
 	}
 	if !s.registered && s.opts.Peers.Registrar() {
 		s.register()
 	}
-	return checkEvery
+	return checkInterval
 }
 
-// find greets the gateways of the register.
-func (s *Service) find() {
+// greetRegistered greets the gateways of the register.
+func (s *Service) greetRegistered() {
 	entries, ok := s.entries()
 	if !ok {
 		return
@@ -167,9 +167,9 @@
 			return
 		}
 	}
-	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTime)
+	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTimeout)
 	defer cancel()
-	drop := s.unknown(entries)
+	drop := s.nonMembers(entries)
 	if err := s.opts.Registry.Put(ctx, s.opts.Self, drop); err != nil {
 		s.log.Warn("Not registered, will try again.", "error", err)
 		return
@@ -178,9 +178,9 @@
 	s.log.Info("Registered.", "entries", len(entries)+1-len(drop), "dropped", len(drop))
 }
 
-// unknown returns the entries that no longer belong to members, once the register
+// nonMembers returns the entries that no longer belong to members, once the register
 // has grown large.
-func (s *Service) unknown(entries []Entry) []string {
+func (s *Service) nonMembers(entries []Entry) []string {
 	if len(entries) < maxEntries {
 		return nil
 	}
@@ -194,7 +194,7 @@
 }
 
 func (s *Service) entries() ([]Entry, bool) {
-	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTime)
+	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTimeout)
 	defer cancel()
 	entries, err := s.opts.Registry.Entries(ctx)
 	if err != nil {
--- a/services/discover/discover_test.go
+++ b/services/discover/discover_test.go
@@ -71,15 +71,15 @@
 func TestAloneCallsTheRegistered(t *testing.T) {
 	f := &fleet{alone: true, entries: map[string]string{"g1": "127.0.0.1:1", "g2": "127.0.0.1:2"}}
 	s := serve(f)
-	last := againAfter / 2
+	last := minBackoff / 2
 	for range 8 {
-		wait := s.look()
-		if wait < last || wait > againMax {
+		wait := s.check()
+		if wait < last || wait > maxBackoff {
 			t.Errorf("looks again after %v, before that after %v", wait, last)
 		}
 		last = wait
 	}
-	if last != againMax || f.puts != 0 {
+	if last != maxBackoff || f.puts != 0 {
 		t.Errorf("looks again after %v at last, %d writes", last, f.puts)
 	}
 	if len(f.called) != 8 || f.called[0] != "127.0.0.1:2" {
@@ -91,11 +91,11 @@
 // the seeds come up.
 func TestEmptyRegisterIsNotReadAtOnce(t *testing.T) {
 	s := serve(&fleet{alone: true})
-	if got := s.firstLook(); got != aloneAfter {
+	if got := s.firstDelay(); got != firstReadDelay {
 		t.Errorf("looks after %v", got)
 	}
 	s.opts.EmptyRegistry = true
-	if got := s.firstLook(); got != emptyAfter {
+	if got := s.firstDelay(); got != emptyReadDelay {
 		t.Errorf("looks after %v where nobody can be registered", got)
 	}
 }
@@ -105,22 +105,22 @@
 func TestRegistersOnce(t *testing.T) {
 	f := &fleet{}
 	s := serve(f)
-	s.look()
+	s.check()
 	if f.reads != 0 {
 		t.Error("a gateway that does not register reads the register")
 	}
 	f.registrar, f.down = true, true
-	s.look()
+	s.check()
 	f.down = false
 	for range 3 {
-		s.look()
+		s.check()
 	}
 	if f.entries["g1"] != self.Address || f.puts != 1 || f.reads != 2 {
 		t.Errorf("%+v", f)
 	}
 	again := serve(f)
-	again.look()
-	again.look()
+	again.check()
+	again.check()
 	if f.puts != 1 || f.reads != 3 {
 		t.Errorf("written again after a restart: %+v", f)
 	}
@@ -133,7 +133,7 @@
 	for i := range maxEntries {
 		f.entries[fmt.Sprint("old-", i)] = "127.0.0.1:9"
 	}
-	serve(f).look()
+	serve(f).check()
 	if len(f.entries) != 2 || f.entries["old-3"] == "" || f.entries["g1"] == "" {
 		t.Errorf("%v", f.entries)
 	}
@@ -146,18 +146,18 @@
 	s := serve(f)
 	era := uint64(1)
 	s.opts.Era = func() uint64 { return era }
-	s.look()
-	s.look()
+	s.check()
+	s.check()
 	if f.puts != 1 {
 		t.Fatalf("written %d times", f.puts)
 	}
 	era, f.entries = 2, map[string]string{}
-	s.look()
+	s.check()
 	if f.puts != 2 || f.entries["g1"] == "" {
 		t.Errorf("written %d times, the register holds %v", f.puts, f.entries)
 	}
 	era = 3
-	s.look()
+	s.check()
 	if f.puts != 2 {
 		t.Errorf("written %d times though it was there", f.puts)
 	}
