--- a/services/discover/discover_test.go
+++ b/services/discover/discover_test.go
@@ -25,7 +25,7 @@
 	alone     bool
 	registrar bool
 	members   []string
-	called    []string
+	greeted   []string
 }
 
 func (f *fleet) Entries(context.Context) ([]Entry, error) {
@@ -55,11 +55,11 @@
 func (f *fleet) Alone() bool              { return f.alone }
 func (f *fleet) Registrar() bool          { return f.registrar }
 func (f *fleet) IsMember(id string) bool  { return slices.Contains(f.members, id) }
-func (f *fleet) Greet(addresses []string) { f.called = append(f.called, addresses...) }
+func (f *fleet) Greet(addresses []string) { f.greeted = append(f.greeted, addresses...) }
 
 var self = Entry{ID: "g1", Address: "127.0.0.1:1"}
 
-func serve(f *fleet) *Service {
+func newTestService(f *fleet) *Service {
 	if f.entries == nil {
 		f.entries = map[string]string{}
 	}
@@ -68,9 +68,9 @@
 
 // A gateway that comes back before all its seeds finds the others through the
 // register, and reads it ever less often while nobody answers.
-func TestAloneCallsTheRegistered(t *testing.T) {
+func TestLoneGatewayGreetsRegistered(t *testing.T) {
 	f := &fleet{alone: true, entries: map[string]string{"g1": "127.0.0.1:1", "g2": "127.0.0.1:2"}}
-	s := serve(f)
+	s := newTestService(f)
 	last := minBackoff / 2
 	for range 8 {
 		wait := s.check()
@@ -82,15 +82,15 @@
 	if last != maxBackoff || f.puts != 0 {
 		t.Errorf("looks again after %v at last, %d writes", last, f.puts)
 	}
-	if len(f.called) != 8 || f.called[0] != "127.0.0.1:2" {
-		t.Errorf("called %v, want the other gateway at each look", f.called)
+	if len(f.greeted) != 8 || f.greeted[0] != "127.0.0.1:2" {
+		t.Errorf("called %v, want the other gateway at each look", f.greeted)
 	}
 }
 
 // Where all start for the first time the register is empty, and is not read while
 // the seeds come up.
-func TestEmptyRegisterIsNotReadAtOnce(t *testing.T) {
-	s := serve(&fleet{alone: true})
+func TestEmptyRegistryReadIsDelayed(t *testing.T) {
+	s := newTestService(&fleet{alone: true})
 	if got := s.firstDelay(); got != firstReadDelay {
 		t.Errorf("looks after %v", got)
 	}
@@ -104,7 +104,7 @@
 // then it writes its entry once, and not at all where it is there.
 func TestRegistersOnce(t *testing.T) {
 	f := &fleet{}
-	s := serve(f)
+	s := newTestService(f)
 	s.check()
 	if f.reads != 0 {
 		t.Error("a gateway that does not register reads the register")
@@ -118,7 +118,7 @@
 	if f.entries["g1"] != self.Address || f.puts != 1 || f.reads != 2 {
 		t.Errorf("%+v", f)
 	}
-	again := serve(f)
+	again := newTestService(f)
 	again.check()
 	again.check()
 	if f.puts != 1 || f.reads != 3 {
@@ -128,12 +128,12 @@
 
 // The register does not grow for ever: entries of gateways that nobody knows go
 // once there are many.
-func TestOldEntriesAreDropped(t *testing.T) {
+func TestNonMemberEntriesAreDropped(t *testing.T) {
 	f := &fleet{registrar: true, entries: map[string]string{}, members: []string{"old-3"}}
 	for i := range maxEntries {
 		f.entries[fmt.Sprint("old-", i)] = "127.0.0.1:9"
 	}
-	serve(f).check()
+	newTestService(f).check()
 	if len(f.entries) != 2 || f.entries["old-3"] == "" || f.entries["g1"] == "" {
 		t.Errorf("%v", f.entries)
 	}
@@ -141,9 +141,9 @@
 
 // A store that comes back from an older copy may lack the entry: it is written again, and left
 // alone where it is there.
-func TestEntryIsWrittenAgainInAnotherEra(t *testing.T) {
+func TestEntryIsRewrittenInNewEra(t *testing.T) {
 	f := &fleet{registrar: true}
-	s := serve(f)
+	s := newTestService(f)
 	era := uint64(1)
 	s.opts.Era = func() uint64 { return era }
 	s.check()
