--- a/router/router.go
+++ b/router/router.go
@@ -175,7 +175,7 @@
 	membership.New(&r.t, log.New("member").With(id), membership.Options{
 		Clock: r.clock, VMs: platform.NewHTTPVMs(s.Platform.VMListURL, s.Platform.Timeout.Duration), Engine: r.engine, Loop: r.loop,
 		PollList: s.Platform.PollVMs.Duration, PollLoad: s.Platform.PollLoad.Duration, Timeout: s.Platform.Timeout.Duration,
-		Targets: r.polledTargets, Kind: r.kindOf,
+		Targets: r.polledTargets, PoolKind: r.kindOf,
 	})
 }
 
--- a/services/membership/poll.go
+++ b/services/membership/poll.go
@@ -40,8 +40,8 @@
 	Timeout  time.Duration
 	// Targets returns the targets whose load is polled.
 	Targets func() []*conf.Target
-	// Kind returns the kind of a pool.
-	Kind func(pool string) conf.PoolKind
+	// PoolKind returns the kind of a pool.
+	PoolKind func(pool string) conf.PoolKind
 }
 
 // Poller asks the platform and the targets.
@@ -128,7 +128,7 @@
 	}
 	p.recovered(t.Name)
 	p.opts.Loop.SetLoad(t.Name, load.Running+load.Waiting, t.Slots, true, load.Leaving)
-	if p.opts.Kind(t.Pool) == conf.KindModel {
+	if p.opts.PoolKind(t.Pool) == conf.KindModel {
 		p.pollCache(ctx, t)
 	}
 }
