--- a/services/membership/poll.go
+++ b/services/membership/poll.go
@@ -23,10 +23,10 @@
 
 const (
 	pollParallel = 16
-	// failuresToDown is after how many load reports in a row that did not come
+	// maxFailures is after how many load reports in a row that did not come
 	// a target gets no new work.
-	failuresToDown = 2
-	emptyPoll      = 50 * time.Millisecond
+	maxFailures  = 2
+	idlePollLoad = 50 * time.Millisecond
 )
 
 // Options are the parts of a Poller.
@@ -93,7 +93,7 @@
 		p.pollAll(targets)
 		wait := p.opts.PollLoad
 		if len(targets) == 0 {
-			wait = min(wait, emptyPoll)
+			wait = min(wait, idlePollLoad)
 		}
 		if !p.pause(wait) {
 			return nil
@@ -121,12 +121,12 @@
 	defer cancel()
 	load, err := p.opts.Engine.Load(ctx, t.Address)
 	if err != nil {
-		if p.failed(t.Name) {
+		if p.recordFailure(t.Name) {
 			p.opts.Loop.SetLoad(t.Name, 0, 0, false, false)
 		}
 		return
 	}
-	p.recovered(t.Name)
+	p.recordSuccess(t.Name)
 	p.opts.Loop.SetLoad(t.Name, load.Running+load.Waiting, t.Slots, true, load.Leaving)
 	if p.opts.PoolKind(t.Pool) == conf.KindModel {
 		p.pollCache(ctx, t)
@@ -149,20 +149,20 @@
 	p.opts.Loop.SetCache(sched.CacheSeen{Target: t.Name, Events: events})
 }
 
-func (p *Poller) failed(target string) bool {
+func (p *Poller) recordFailure(target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures[target]++
-	if p.failures[target] == failuresToDown {
+	if p.failures[target] == maxFailures {
 		p.log.Warn("Target gives no load report.", "target", target)
 	}
-	return p.failures[target] >= failuresToDown
+	return p.failures[target] >= maxFailures
 }
 
-func (p *Poller) recovered(target string) {
+func (p *Poller) recordSuccess(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failures[target] >= failuresToDown {
+	if p.failures[target] >= maxFailures {
 		p.log.Info("Target gives load reports again.", "target", target)
 	}
 	p.failures[target] = 0
