--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -148,7 +148,7 @@
 }
 
 // While the store answers, targets of a hall that comes back are as cold as they say.
-func TestRestoredHallKeepsReportedColdState(t *testing.T) {
+func TestHallKeepsReportedColdStateAfterEvacuation(t *testing.T) {
 	const period = time.Hour // long, since the harness lets time run on its own
 	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
@@ -171,7 +171,7 @@
 
 // What happened to a hall's targets while the store was away is not known: they come
 // back cold.
-func TestRestoredHallIsColdAfterOutage(t *testing.T) {
+func TestHallIsColdAfterEvacuationAndOutage(t *testing.T) {
 	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
 	h := start(t, source, nil)
