--- a/services/follow/bad.go
+++ b/services/follow/bad.go
@@ -9,17 +9,16 @@
 )
 
 const (
-	// badRowLogInterval is how often a bad row is told of: a writer that goes wrong may do so a
-	// thousand times a second.
+	// A faulty writer may produce a thousand bad rows a second, so they are logged at a limited
+	// rate.
 	badRowLogInterval = time.Second
-	// badRowLogBurst is how many bad rows are told of in that time.
-	badRowLogBurst = 5
+	badRowLogBurst    = 5
 )
 
-// ReportBadRow counts a row that could not be read and tells of it.
+// ReportBadRow counts and logs a row of the store that could not be decoded.
 func (s *Service) ReportBadRow(r BadRow) {
 	s.counters.GetOrCreateCounter(fmt.Sprintf("madderway_gateway_bad_rows_total{table=%q}", r.Table)).Inc()
-	if tell, hidden := s.badRowLog.Allow(s.opts.Clock.Now()); tell {
-		s.log.Warn("Row not understood.", "table", r.Table, "key", r.Key, "reason", r.Reason, "not told of", hidden)
+	if ok, suppressed := s.badRowLog.Allow(s.opts.Clock.Now()); ok {
+		s.log.Warn("Malformed row in the store.", "table", r.Table, "key", r.Key, "reason", r.Reason, "suppressed", suppressed)
 	}
 }
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -11,18 +11,17 @@
 	"madderway/models/routing"
 )
 
-// The reasons why an answer of the store changes nothing.
+// Reasons for discarding an answer of the store.
 var (
-	errNewEra = errors.New("the store has come back from an older copy")
-	errOldEra = errors.New("a late answer of the store as it was before it came back")
+	errNewEra = errors.New("the store was restored from an older copy")
+	errOldEra = errors.New("the answer predates the restore of the store")
 )
 
-// fromHallHold is where evacuations end that a store which came back older does not name.
+// fromHallHold is logged as the origin of a change when the hold of an evacuation ends.
 const fromHallHold = "the end of a hold"
 
-// ObserveEra takes the era that the store names in an answer, a refusal or the answer to a write
-// among them. In a new one everything is read anew: what follows in it counts the same numbers
-// for other changes.
+// ObserveEra records the era named in any answer of the store, including refusals and answers
+// to writes. In a new era everything is read again, since change numbers are reused.
 func (s *Service) ObserveEra(era uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,33 +31,33 @@
 	}
 }
 
-// Era returns the newest era of the store that was heard of.
+// Era returns the newest known era of the store.
 func (s *Service) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// advanceEra takes an era, and reports whether the store has come back since something was known of
-// it; mu is held.
+// advanceEra records the era and reports whether the store was restored since it was last read.
+// The caller holds mu.
 func (s *Service) advanceEra(era uint64, from string) bool {
 	if era <= s.era {
 		return false
 	}
-	cameBack := !s.watchTargets.FreshAt().IsZero()
-	s.log.Info("Store in another era.", "era", era, "before", s.era, "from", from, "came_back", cameBack)
+	restored := !s.watchTargets.FreshAt().IsZero()
+	s.log.Info("Store entered a new era.", "era", era, "previous", s.era, "from", from, "restored", restored)
 	s.era = era
-	if cameBack && s.opts.OnNewEra != nil {
+	if restored && s.opts.OnNewEra != nil {
 		s.t.Go(func() error {
 			s.opts.OnNewEra()
 			return nil
 		})
 	}
-	return cameBack
+	return restored
 }
 
-// checkEra tells whether an answer may be applied: it belongs to the newest era, and where it
-// holds changes after a revision, to the era of that.
+// checkEra returns an error if an answer must be discarded: it belongs to an older era than the
+// newest known one, or it lists changes since a revision of another era.
 func (s *Service) checkEra(revision, since routing.Revision, all bool) error {
 	s.ObserveEra(revision.Era())
 	s.mu.Lock()
@@ -73,29 +72,30 @@
 	}
 }
 
-// enterEra prepares the table for a list of a later era than what it holds; mu is held. What
-// is known of lives is not undone by an older list: those that leave go on leaving. Entries may
-// be missing until their owners have written them again.
+// enterEra prepares the table for a list of a newer era; the caller holds mu. Targets known to
+// leave are kept as leaving, whatever the restored list says. The list may lack entries until
+// their owners have written them again.
 func (s *Service) enterEra(now time.Time, revision routing.Revision, from string) {
 	if s.table.revision == 0 {
-		s.era = max(s.era, revision.Era()) // the first that is known here
+		s.era = max(s.era, revision.Era()) // the first known era
 		return
 	}
 	if revision.Era() <= s.table.revision.Era() {
 		return
 	}
 	s.advanceEra(revision.Era(), from)
-	var told []leaving.Announcement
+	var announced []leaving.Announcement
 	for _, ch := range s.table.known {
 		if ch.Target.Leaving {
-			told = append(told, leaving.Announcement{ID: ch.Target.ID})
+			announced = append(announced, leaving.Announcement{ID: ch.Target.ID})
 		}
 	}
-	s.opts.Leavers.MergeLeaving(told)
+	s.opts.Leavers.MergeLeaving(announced)
 	s.watchTargets.MarkUnsettled(now)
 }
 
-// scheduleRelease ends evacuations that are only held when their time is over; mu is held.
+// scheduleRelease starts a goroutine that ends held evacuations when they are due; the caller
+// holds mu.
 func (s *Service) scheduleRelease(now time.Time) {
 	wait := s.halls.nextRelease(now)
 	if wait == 0 || s.releaseScheduled {
--- a/services/follow/era_test.go
+++ b/services/follow/era_test.go
@@ -23,13 +23,13 @@
 	case t == nil:
 		return "gone"
 	case t.Leaving:
-		return "leaves"
+		return "leaving"
 	default:
 		return "ready"
 	}
 }
 
-// awaitState lets time pass until a worker is seen as wanted.
+// awaitState advances the clock until a worker has the wanted state.
 func awaitState(h *harness, name, want string) {
 	for stateOf(h, name) != want {
 		select {
@@ -41,11 +41,8 @@
 	}
 }
 
-// A store came back from a copy that was some seconds old and counted on from there. What a
-// gateway knew was stamped with the later numbers of before: with a list of version 500 known
-// and the store back at 480, a target that left at 483, one that was taken off at 484 and an
-// evacuation at 485 were passed over until the count had passed 500. Each change after the
-// return holds at once, whatever its number, and what was known of lives is not undone.
+// Guards against a store restored from a backup: its changes must apply although their numbers
+// were used before, and known incarnations must not return to older states.
 func TestChangesApplyAfterStoreRestore(t *testing.T) {
 	source := newFakeSource()
 	source.version = rev(1, 500)
@@ -72,32 +69,32 @@
 	}
 	source.config = &routing.Configuration{Version: 8}
 	source.mu.Unlock()
-	// What answers a call of before names the new era, and its changes lie between others.
+	// This answers a call made before the restore; its changes must be discarded.
 	source.changes <- watchAnswer{revision: rev(2, 481), changes: []TargetChange{change(rev(2, 481), incarnation("b", 100, false))}}
 	if since := h.nextWatch(); since != rev(2, 480) {
-		t.Fatalf("goes on at %v", since)
+		t.Fatalf("watch continues after revision %v, want %v", since, rev(2, 480))
 	}
-	for name, want := range map[string]string{"a": "ready", "b": "ready", "left": "leaves", "reborn": "ready", "old": "gone"} {
+	for name, want := range map[string]string{"a": "ready", "b": "ready", "left": "leaving", "reborn": "ready", "old": "gone"} {
 		if got := stateOf(h, name); got != want {
-			t.Errorf("right after the return %s is %s, want %s", name, got, want)
+			t.Errorf("right after the restore %s is %s, want %s", name, got, want)
 		}
 	}
 	if h.Targets().FindWorker("reborn").Born != 200 {
-		t.Error("an older life is back")
+		t.Error("older incarnation replaced the newer one")
 	}
 	source.changes <- watchAnswer{revision: rev(2, 484), changes: []TargetChange{
 		change(rev(2, 483), incarnation("a", 100, true)), {ID: "b", Revision: rev(2, 484), Gone: true}, change(rev(2, 482), incarnation("old", 100, false)),
 	}}
-	for name, want := range map[string]string{"a": "leaves", "b": "gone", "old": "ready"} {
+	for name, want := range map[string]string{"a": "leaving", "b": "gone", "old": "ready"} {
 		awaitState(h, name, want)
 	}
 	if v := h.Index().Configuration.Version; v != 9 {
-		t.Errorf("configuration %d is in force", v)
+		t.Errorf("configuration version %d, want 9", v)
 	}
-	awaitState(h, "new", "gone") // it was held for a while, and nobody has written it again
+	awaitState(h, "new", "gone") // it was held for a while and not written again
 }
 
-// An answer of an older era is late, and changes nothing.
+// Guards against a late answer from before a restore that removes a target.
 func TestLateAnswerOfOlderEraIsIgnored(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = rev(2, 10), []routing.Target{{ID: "a"}}
@@ -106,15 +103,15 @@
 	h.nextWatch()
 	source.changes <- watchAnswer{revision: rev(1, 900), changes: []TargetChange{{ID: "a", Revision: rev(1, 900), Gone: true}}}
 	if since := h.nextWatch(); since != rev(2, 10) {
-		t.Errorf("goes on at %v", since)
+		t.Errorf("watch continues after revision %v, want %v", since, rev(2, 10))
 	}
 	if h.Targets().Find("a") == nil {
-		t.Error("a change of an older era was taken")
+		t.Error("change of an older era was applied")
 	}
 }
 
-// Evacuations hold on for a while that an older copy does not have, and one that it has and that
-// was over stands until it is written anew that it is not.
+// Guards against evacuations that end at once because a restored store lacks them, or that are
+// held after the hold or within the same era.
 func TestEvacuationsAfterStoreRestore(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	table := newHallTable()
@@ -123,26 +120,26 @@
 	table.apply([]HallChange{{DataHall: "again", Revision: rev(1, 22), Evacuated: true}})
 	table.replace(now, []HallChange{{DataHall: "over", Revision: rev(2, 15), Evacuated: true}}, rev(2, 16))
 	if !table.evacuated("lost") || !table.evacuated("over") || !table.evacuated("again") {
-		t.Errorf("%+v", table.all())
+		t.Errorf("halls %+v right after the restore, want all evacuated", table.all())
 	}
 	table.apply([]HallChange{{DataHall: "again", Revision: rev(2, 17), Evacuated: true}, {DataHall: "over", Revision: rev(2, 18)}})
-	if moved := table.release(now.Add(evacuationHold - time.Second)); len(moved) > 0 {
-		t.Errorf("released early: %+v", moved)
+	if changed := table.release(now.Add(evacuationHold - time.Second)); len(changed) > 0 {
+		t.Errorf("released early: %+v", changed)
 	}
 	if wait := table.nextRelease(now.Add(evacuationHold - time.Second)); wait != time.Second || !table.evacuated("lost") || table.evacuated("over") {
-		t.Errorf("%+v, released after %v", table.all(), wait)
+		t.Errorf("halls %+v, next release after %v, want lost held for 1 s and over not evacuated", table.all(), wait)
 	}
-	moved := table.release(now.Add(evacuationHold))
-	if len(moved) != 1 || table.evacuated("lost") || !table.evacuated("again") {
-		t.Errorf("%+v after the hold, moved %+v", table.all(), moved)
+	changed := table.release(now.Add(evacuationHold))
+	if len(changed) != 1 || table.evacuated("lost") || !table.evacuated("again") {
+		t.Errorf("halls %+v after the hold, changed %+v, want only lost released", table.all(), changed)
 	}
 	if table.replace(now, nil, rev(2, 30)); table.evacuated("again") {
-		t.Error("within an era a hall that is not listed is not evacuated")
+		t.Error("hall that is missing from a list of the same era is still evacuated")
 	}
 }
 
-// Peers agree after one exchange, whichever era each of them knows, and nobody takes a list of
-// an older era for fresh.
+// Guards against peers of different eras that differ after an exchange, or take a list of an
+// older era for fresh.
 func TestPeersConvergeAcrossEras(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -155,7 +152,7 @@
 		newer.merge(back)
 		want := map[string]routing.Target{"a": newer.known["a"].Target}
 		if !older.equals(want) || !newer.equals(want) || older.revision != newer.revision {
-			t.Errorf("seed %d: %v %+v and %v %+v", seed, older.revision, older.known, newer.revision, newer.known)
+			t.Errorf("seed %d: tables differ, %v %+v and %v %+v", seed, older.revision, older.known, newer.revision, newer.known)
 		}
 	}
 	c := clock.NewFake()
@@ -166,6 +163,6 @@
 	old.TargetsAsOf, old.TargetsAge = old.Store.Now, 0
 	s.ObservePeerVersions("peer", old)
 	if age := s.Versions().TargetsAge; age < 9*time.Second {
-		t.Errorf("a list of the older era is taken for %v old", age)
+		t.Errorf("list of an older era has age %v, want 9s or more", age)
 	}
 }
--- a/services/follow/evacuate.go
+++ b/services/follow/evacuate.go
@@ -9,29 +9,29 @@
 	"madderway/models/routing"
 )
 
-// changeHalls puts evacuations, and their ends, in force. A hall that comes back while
-// what is known of its targets is old comes back cold.
+// changeHalls applies changes of evacuations and publishes the result. While the target list
+// may be incomplete, the targets of a hall whose evacuation ends become cold.
 func (s *Service) changeHalls(from string, apply func(now time.Time) []HallChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.opts.Clock.Now()
-	moved := apply(now)
+	changed := apply(now)
 	s.scheduleRelease(now)
-	if len(moved) == 0 {
+	if len(changed) == 0 {
 		return
 	}
-	unsure := s.watchTargets.Unsettled(now)
-	for _, ch := range moved {
+	unsettled := s.watchTargets.Unsettled(now)
+	for _, ch := range changed {
 		s.log.Info("Evacuation changed.", "hall", ch.DataHall, "evacuated", ch.Evacuated, "revision", ch.Revision, "from", from,
-			"targets_age", s.watchTargets.Age(now), "cold", !ch.Evacuated && unsure)
-		if !ch.Evacuated && unsure {
+			"targets_age", s.watchTargets.Age(now), "cold", !ch.Evacuated && unsettled)
+		if !ch.Evacuated && unsettled {
 			s.table.markCold(now, ch.DataHall, s.coldStart)
 		}
 	}
 	s.publish(from)
 }
 
-// coldStart returns how long a target of a service stays cold after its start.
+// coldStart returns the cold period of a service's targets, 0 if the service is unknown.
 func (s *Service) coldStart(service string) time.Duration {
 	x := s.index.Load()
 	if x == nil || x.Service(service) == nil {
@@ -40,7 +40,7 @@
 	return x.Service(service).ColdStart
 }
 
-// Evacuated returns the data halls that are evacuated, sorted by name.
+// Evacuated returns the evacuated data halls, sorted by name.
 func (s *Service) Evacuated() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	return out
 }
 
-// markEvacuated marks the targets of evacuated halls and returns how many there are.
+// markEvacuated sets Evacuated on all targets and returns the number of evacuated ones.
 func (s *Service) markEvacuated(set *routing.TargetSet) int {
 	n := 0
 	for i := range set.Targets {
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -23,59 +23,59 @@
 )
 
 const (
-	// minRecheck and lookMost bound how long it is waited before it is decided again
-	// whether to ask the store: what peers tell only puts that off, but who asks all
-	// the time changes with the members.
-	minRecheck     = 20 * time.Millisecond
-	maxRecheck     = 500 * time.Millisecond
+	// minRecheck and maxRecheck bound the wait until a gateway checks again whether to poll the
+	// store. News from peers only postpones the poll, but the set of watchers changes with the
+	// members.
+	minRecheck = 20 * time.Millisecond
+	maxRecheck = 500 * time.Millisecond
+	// Origins of a change in log lines.
 	fromStore      = "store"
 	fromTargetHold = "the end of a hold"
-	// assumedAnswerAge is how old the store's answer may be when it comes. A call that
-	// waits for changes tells of the end of its wait, not of its beginning.
+	// assumedAnswerAge is the age of an answer of the store on arrival if the store's clock is
+	// unknown. A long poll reports the state at the end of its wait.
 	assumedAnswerAge = 200 * time.Millisecond
-	// maxCallTime is how long a call may take that waits for changes, with room for a slow
-	// store. One that took longer was answered while this process stood still, perhaps at
-	// its beginning.
+	// maxCallTime is the longest duration of a long poll, with room for a slow store. After a
+	// longer one this process was suspended, and the answer may be as old as the call.
 	maxCallTime = watch.LongPollTimeout + time.Second
 )
 
-// Options are the parts of a Service.
+// Options configure a Service.
 type Options struct {
 	Source Source
 	Peers  Peers
 	Clock  clock.Clock
-	// Fleet tells whether this gateway is one of those that ask the store all
-	// the time, and how many gateways there are.
-	Fleet func() (preferred bool, members int)
-	// Start tells how this gateway starts; it decides how long peers may tell it what
-	// the store holds before it asks.
+	// Fleet returns whether this gateway is one of the watchers, which poll all the time, and
+	// the number of gateways.
+	Fleet func() (watcher bool, members int)
+	// Start decides how long the first poll waits for peers to send a copy.
 	Start watch.Start
-	// Leavers knows the targets that have said that they leave; nil where nobody hears them.
+	// Leavers is the set of targets that announced that they leave; optional.
 	Leavers Leavers
-	// OnNewEra is called when the store has come back from an older copy: what this process has
-	// written may be gone. nil where it has written nothing.
+	// OnNewEra is called after the store was restored from an older copy and may lack what this
+	// process has written; optional.
 	OnNewEra func()
-	// OnChange is called after each change, from one goroutine at a time.
+	// OnChange is called after each change of the configuration or the targets, with the lock
+	// held: it must not call methods that lock, such as Versions.
 	OnChange func()
 }
 
-// Service follows the configuration and the targets.
+// Service follows the configuration, the evacuations and the targets.
 type Service struct {
 	t    *tomb.Tomb
 	log  log.Logger
 	opts Options
 
-	mu                 sync.Mutex // mu orders changes.
+	mu                 sync.Mutex // held during changes
 	table              *targetTable
 	halls              *hallTable
 	held               *heldTargets
-	leavingDigest      uint64 // leaving sums up the listed targets that have said that they leave.
-	releaseScheduled   bool   // releasing tells that the end of a held evacuation is waited for.
-	publishScheduled   bool   // publishing tells that the end of a hold is waited for.
+	leavingDigest      uint64 // of the listed targets that leave
+	releaseScheduled   bool   // a goroutine waits for the end of an evacuation's hold
+	publishScheduled   bool   // a goroutine waits for the end of a target's hold
 	watchConfiguration *watch.Watch
 	watchTargets       *watch.Watch
 	storeClock         watch.StoreClock
-	era                uint64 // era is the newest of the store that was heard of.
+	era                uint64 // newest known era of the store
 	index              atomic.Pointer[routing.Index]
 	targets            atomic.Pointer[routing.TargetSet]
 
@@ -83,11 +83,11 @@
 	packCache   packCache
 	fetches     atomic.Uint64
 	counters    *metrics.Set
-	badRowLog   *log.RateLimiter // bad bounds the lines about rows that cannot be read.
+	badRowLog   *log.RateLimiter
 	calls       atomic.Uint64
 }
 
-// New returns a service; Start starts it.
+// New returns a service; call Start to run it.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	if o.Leavers == nil {
 		o.Leavers = noLeavers{}
@@ -110,28 +110,28 @@
 	s.t.Go(s.followPeers)
 }
 
-// Index returns the configuration in force, or nil where none is known.
+// Index returns the current configuration, nil before the first.
 func (s *Service) Index() *routing.Index { return s.index.Load() }
 
-// Targets returns the targets as they are known.
+// Targets returns the current targets. The set must not be modified.
 func (s *Service) Targets() *routing.TargetSet { return s.targets.Load() }
 
-// CallCounts returns how many calls went to the source, and how many to peers.
+// CallCounts returns the number of calls to the source and to peers.
 func (s *Service) CallCounts() (source, peers uint64) { return s.calls.Load(), s.fetches.Load() }
 
 func (s *Service) followConfiguration() error {
 	s.follow("configuration", s.watchConfiguration, func(ctx context.Context, all bool, since routing.Revision) (answer, error) {
 		if all {
-			news, err := s.opts.Source.Operator(ctx)
-			return answer{news.Stamp, func() {
-				s.changeHalls(fromStore, func(now time.Time) []HallChange { return s.halls.replace(now, news.Halls, news.Revision) })
-				s.adopt(news.Configuration, fromStore)
+			update, err := s.opts.Source.Operator(ctx)
+			return answer{update.Stamp, func() {
+				s.changeHalls(fromStore, func(now time.Time) []HallChange { return s.halls.replace(now, update.Halls, update.Revision) })
+				s.adopt(update.Configuration, fromStore)
 			}}, err
 		}
-		news, err := s.opts.Source.WatchOperator(ctx, since, watch.LongPollTimeout)
-		return answer{news.Stamp, func() {
-			s.changeHalls(fromStore, func(time.Time) []HallChange { return s.halls.apply(news.Halls) })
-			s.adopt(news.Configuration, fromStore)
+		update, err := s.opts.Source.WatchOperator(ctx, since, watch.LongPollTimeout)
+		return answer{update.Stamp, func() {
+			s.changeHalls(fromStore, func(time.Time) []HallChange { return s.halls.apply(update.Halls) })
+			s.adopt(update.Configuration, fromStore)
 		}}, err
 	})
 	return nil
@@ -140,100 +140,99 @@
 func (s *Service) followTargets() error {
 	s.follow("targets", s.watchTargets, func(ctx context.Context, all bool, since routing.Revision) (answer, error) {
 		if all {
-			news, err := s.opts.Source.Targets(ctx)
-			return answer{news.Stamp, func() {
+			update, err := s.opts.Source.Targets(ctx)
+			return answer{update.Stamp, func() {
 				s.applyTargets(func(now time.Time) bool {
-					s.enterEra(now, news.Revision, fromStore)
-					return s.table.replaceFromStore(s.table.toLocalTargets(now, news.Targets), news.Revision)
+					s.enterEra(now, update.Revision, fromStore)
+					return s.table.replaceFromStore(s.table.toLocalTargets(now, update.Targets), update.Revision)
 				})
 			}}, err
 		}
-		news, err := s.opts.Source.WatchTargets(ctx, since, watch.LongPollTimeout)
-		return answer{news.Stamp, func() {
-			s.applyTargets(func(now time.Time) bool { return s.table.apply(s.table.toLocalChanges(now, news.Changes)) })
+		update, err := s.opts.Source.WatchTargets(ctx, since, watch.LongPollTimeout)
+		return answer{update.Stamp, func() {
+			s.applyTargets(func(now time.Time) bool { return s.table.apply(s.table.toLocalChanges(now, update.Changes)) })
 		}}, err
 	})
 	return nil
 }
 
-// answer is one of the store, and what it changes here.
+// answer is an answer of the store and the function that applies it.
 type answer struct {
 	Stamp
 	apply func()
 }
 
-// follow asks the store whenever that is due; step reads all, or waits for what
-// comes after a revision. The revision of an empty store is 0.
-func (s *Service) follow(what string, w *watch.Watch, step func(ctx context.Context, all bool, since routing.Revision) (answer, error)) {
+// follow polls the store whenever a poll is due. step reads everything if all is set, and
+// otherwise waits for changes after a revision. The revision of an empty store is 0.
+func (s *Service) follow(table string, w *watch.Watch, step func(ctx context.Context, all bool, since routing.Revision) (answer, error)) {
 	ctx := s.t.Context(context.Background())
-	all, since, pause, lost := true, routing.Revision(0), time.Duration(0), false
+	all, since, backoff, failing := true, routing.Revision(0), time.Duration(0), false
 	for {
-		why, alive := s.awaitDue(w)
+		reason, alive := s.awaitDue(w)
 		if !alive {
 			return
 		}
 		began := s.opts.Clock.Now()
-		s.countCall(what, why)
-		news, err := step(ctx, all, since)
+		s.countCall(table, reason)
+		ans, err := step(ctx, all, since)
 		if err == nil {
-			err = s.checkEra(news.Revision, since, all)
+			err = s.checkEra(ans.Revision, since, all)
 		}
 		switch {
 		case err == nil:
-			news.apply()
-			s.callSucceeded(w, began, news.AsOf)
-			all, since, pause = false, news.Revision, 0
-			if lost {
-				lost = false
-				s.log.Info("Store regained.", "what", what, "revision", news.Revision)
+			ans.apply()
+			s.callSucceeded(w, began, ans.AsOf)
+			all, since, backoff = false, ans.Revision, 0
+			if failing {
+				failing = false
+				s.log.Info("Store calls succeed again.", "table", table, "revision", ans.Revision)
 			}
 			continue
 		case IsErrHistoryGone(err) || errors.Is(err, errNewEra):
-			s.log.Info("History gone, reading all.", "what", what, "since", since, "reason", err)
+			s.log.Info("Store history is gone, reading everything.", "table", table, "since", since, "reason", err)
 			all = true
 			s.markGap(w)
 			continue
 		case !s.t.Alive():
 			return
 		}
-		if !lost {
-			lost = true
-			s.log.Warn("Store lost.", "what", what, "reason", err)
+		if !failing {
+			failing = true
+			s.log.Warn("Store call failed.", "table", table, "reason", err)
 		}
-		first, most := watch.BackoffRange(s.opts.Fleet())
-		pause = min(max(2*pause, first), most)
-		if !s.sleep(pause/2 + rand.N(pause)) {
+		first, longest := watch.BackoffRange(s.opts.Fleet())
+		backoff = min(max(2*backoff, first), longest)
+		if !s.sleep(backoff/2 + rand.N(backoff)) {
 			return
 		}
 	}
 }
 
-func (s *Service) countCall(what string, why watch.Reason) {
+func (s *Service) countCall(table string, reason watch.Reason) {
 	s.calls.Add(1)
-	s.counters.GetOrCreateCounter(fmt.Sprintf("madderway_gateway_store_reads_total{table=%q,reason=%q}", what, why)).Inc()
+	s.counters.GetOrCreateCounter(fmt.Sprintf("madderway_gateway_store_reads_total{table=%q,reason=%q}", table, reason)).Inc()
 }
 
-// WriteMetrics writes the calls of the store by table and reason.
+// WriteMetrics writes the service's counters in Prometheus format.
 func (s *Service) WriteMetrics(w io.Writer) { s.counters.WritePrometheus(w) }
 
-// awaitDue waits until the store is to be asked and returns why, and reports false
-// where the service ends.
-func (s *Service) awaitDue(w *watch.Watch) (why watch.Reason, alive bool) {
+// awaitDue waits until a poll is due and returns its reason, or false if the service ends.
+func (s *Service) awaitDue(w *watch.Watch) (reason watch.Reason, alive bool) {
 	for s.t.Alive() {
-		preferred, members := s.opts.Fleet()
+		watcher, members := s.opts.Fleet()
 		now := s.opts.Clock.Now()
 		s.mu.Lock()
-		wait := w.UntilDue(now, preferred, members)
-		why := w.PollReason(preferred)
+		wait := w.UntilDue(now, watcher, members)
+		reason := w.PollReason(watcher)
 		if wait == 0 {
 			w.PollStarted(now)
 		}
 		s.mu.Unlock()
 		if wait == 0 {
-			return why, true
+			return reason, true
 		}
 		if !s.sleep(min(max(wait, minRecheck), maxRecheck)) {
-			return why, false
+			return reason, false
 		}
 	}
 	return "", false
@@ -248,8 +247,8 @@
 	}
 }
 
-// callSucceeded takes that the store has callSucceeded a call that began then. Its clock tells when, also
-// where the answer lay in a buffer while this process stood still.
+// callSucceeded records a successful call that began at the given time. The store's clock, if
+// known, dates the answer even if it lay in a buffer while this process was suspended.
 func (s *Service) callSucceeded(w *watch.Watch, began time.Time, asOf watch.StoreTime) {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
@@ -262,7 +261,7 @@
 	w.PollSucceeded(at)
 }
 
-// observeStoreClock takes a reading of the store's clock; mu is held.
+// observeStoreClock records a reading of the store's clock; the caller holds mu.
 func (s *Service) observeStoreClock(now time.Time, reading watch.Reading) {
 	if earlier := s.storeClock.Observe(now, reading); earlier > 0 {
 		s.watchConfiguration.ShiftBack(earlier)
@@ -276,7 +275,7 @@
 	w.MarkGap()
 }
 
-// adopt puts a configuration in force unless it is older than the present one.
+// adopt activates a configuration unless it is older than the current one.
 func (s *Service) adopt(c *routing.Configuration, from string) {
 	if c == nil {
 		return
@@ -287,7 +286,7 @@
 		return
 	}
 	s.index.Store(routing.NewIndex(c))
-	s.log.Info("Configuration in force.", "version", c.Version, "from", from, "routes", len(c.Routes), "accounts", len(c.Accounts))
+	s.log.Info("Configuration activated.", "version", c.Version, "from", from, "routes", len(c.Routes), "accounts", len(c.Accounts))
 	s.opts.OnChange()
 }
 
@@ -299,26 +298,27 @@
 	}
 }
 
-// publish makes the known targets visible; mu is held.
+// publish updates the target set that Targets returns; the caller holds mu.
 func (s *Service) publish(from string) {
-	for _, life := range s.table.takeRestarts() {
-		s.log.Info("Target started again.", "target", life.Name, "born", life.Born, "after", life.Previous, "from", from)
+	for _, r := range s.table.takeRestarts() {
+		s.log.Info("Target restarted.", "target", r.Name, "born", r.Born, "previous", r.Previous, "from", from)
 	}
 	listed, leaving := s.table.targetSet()
 	now := s.opts.Clock.Now()
 	set, wait := s.held.hold(now, s.watchTargets.Unsettled(now), s.targets.Load(), listed)
 	evacuated := s.markEvacuated(set)
-	told, digest := s.markLeaving(set)
+	announced, digest := s.markLeaving(set)
 	s.leavingDigest = digest
 	s.targets.Store(set)
-	s.log.Info("Targets changed.", "revision", set.Revision, "from", from, "targets", len(listed.Targets), "leaving", leaving, "leaving_told", told, "held", len(set.Targets)-len(listed.Targets), "evacuated", evacuated)
+	s.log.Info("Targets changed.", "revision", set.Revision, "from", from, "targets", len(listed.Targets), "leaving", leaving, "leaving_announced", announced, "held", len(set.Targets)-len(listed.Targets), "evacuated", evacuated)
 	if wait > 0 {
 		s.schedulePublish(wait)
 	}
 	s.opts.OnChange()
 }
 
-// schedulePublish gives held targets up when their time is over; mu is held.
+// schedulePublish starts a goroutine that drops held targets when they are due; the caller
+// holds mu.
 func (s *Service) schedulePublish(wait time.Duration) {
 	if s.publishScheduled {
 		return
@@ -335,7 +335,8 @@
 	})
 }
 
-// answeredAt returns a time at which what the store has answered was all there was.
+// answeredAt estimates the time at which an answer of the store was complete, from the start and
+// the end of the call.
 func answeredAt(began, now time.Time) time.Time {
 	at := now.Add(-assumedAnswerAge)
 	if at.Before(began) || now.Sub(began) > maxCallTime {
@@ -344,8 +345,8 @@
 	return at
 }
 
-// FreshSince tells whether the configuration and the targets that are known here are those
-// of a later time.
+// FreshSince reports whether the local configuration and targets were both complete at some time
+// after t.
 func (s *Service) FreshSince(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -19,19 +19,18 @@
 	"madderway/modules/log"
 )
 
-// fakeSource answers reads from fields; watches block until something is
-// published or the test ends.
+// fakeSource answers reads from its fields. Watches block until a channel delivers a change or
+// the context ends.
 type fakeSource struct {
-	mu      sync.Mutex
-	reads   int
-	watches chan routing.Revision // each watch of targets reports where it began
-	changes chan watchAnswer
-	config  *routing.Configuration
-	halls   []HallChange
-	targets []routing.Target
-	version routing.Revision
-	// operator answers the watches of the operator's settings.
-	operator chan OperatorUpdate
+	mu       sync.Mutex
+	reads    int
+	watches  chan routing.Revision // the revision that each watch of targets began after
+	changes  chan watchAnswer
+	config   *routing.Configuration
+	halls    []HallChange
+	targets  []routing.Target
+	version  routing.Revision
+	operator chan OperatorUpdate // answers to watches of the operator's settings
 }
 
 type watchAnswer struct {
@@ -118,7 +117,7 @@
 	return h
 }
 
-// nextWatch returns where the next watch of targets began; time passes until then.
+// nextWatch advances the clock until the next watch of targets and returns its revision.
 func (h *harness) nextWatch() routing.Revision {
 	for {
 		select {
@@ -130,7 +129,7 @@
 	}
 }
 
-// await lets time pass until something has changed.
+// await advances the clock until the next change.
 func (h *harness) await() {
 	for {
 		select {
@@ -142,12 +141,11 @@
 	}
 }
 
-// An empty table at revision 0 must be watched like any other: reading it again
-// and again cost two thousand calls of the store before the first target came.
+// Guards against reading an empty table again and again instead of watching it.
 func TestEmptyTableIsWatched(t *testing.T) {
 	h := start(t, newFakeSource(), nil)
 	if since := h.nextWatch(); since != 0 {
-		t.Fatalf("watch began after %d", since)
+		t.Fatalf("watch began after revision %d, want 0", since)
 	}
 	if n := h.source.readCount(); n != 1 {
 		t.Errorf("%d reads of an empty table, want 1", n)
@@ -165,16 +163,16 @@
 	source.mu.Unlock()
 	source.changes <- watchAnswer{err: ErrHistoryGone}
 	h.await()
-	// The harness lets time run on its own: where that made a long silence, a is
-	// held for a while, and its end is one more change.
+	// The harness advances the clock: after a long silence a is held for a while, and the
+	// end of the hold is another change.
 	if h.Targets().Find("a") != nil {
 		h.await()
 	}
 	if set := h.Targets(); set.Find("a") != nil || set.Find("b") == nil || set.Revision != 9 {
-		t.Errorf("after the history was gone: %+v", set)
+		t.Errorf("targets %+v after the history was gone, want only b at revision 9", set)
 	}
 	if since := h.nextWatch(); since != 9 {
-		t.Errorf("watch goes on after %d, want 9", since)
+		t.Errorf("watch continues after revision %d, want 9", since)
 	}
 }
 
@@ -189,10 +187,10 @@
 	}}
 	h.await()
 	if set := h.Targets(); !set.Find("a").Leaving || set.Find("b") == nil || set.Revision != 8 {
-		t.Fatalf("after changes: %+v", set)
+		t.Fatalf("targets %+v, want a leaving and b at revision 8", set)
 	}
 	h.nextWatch()
-	// A late copy of an older change must not undo a newer one.
+	// An older change is delivered late.
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{{ID: "a", Revision: 6, Target: routing.Target{ID: "a"}}}}
 	h.nextWatch()
 	if !h.Targets().Find("a").Leaving {
@@ -207,11 +205,11 @@
 	h.await()
 	h.adopt(&routing.Configuration{Version: 6}, "peer")
 	if v := h.Versions().Configuration; v != 7 {
-		t.Errorf("version %d after an older one was offered, want 7", v)
+		t.Errorf("version %d after adopting an older one, want 7", v)
 	}
 }
 
-// A gateway that the store turns away learns a new version from a peer.
+// Guards against an old configuration while the store rejects this gateway but not its peers.
 func TestConfigurationFromPeer(t *testing.T) {
 	newer, err := json.Marshal(routing.Configuration{Version: 9})
 	if err != nil {
@@ -251,7 +249,7 @@
 		select {
 		case <-h.changed:
 			if got := h.Targets(); got.Revision != 12 || !got.Find("a").Leaving {
-				t.Errorf("targets %+v", got)
+				t.Errorf("targets %+v, want a leaving at revision 12", got)
 			}
 			return
 		default:
@@ -260,8 +258,8 @@
 	}
 }
 
-// A target that has said it leaves gets nothing new for as long as the store is away,
-// whatever a peer with an older list says, and is not held when it is gone at last.
+// Guards against a leaving target that gets work again during an outage because a peer has an
+// older list, or that is held after its removal.
 func TestLeavingTargetStaysLeavingDuringOutage(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}, {ID: "b"}}
@@ -278,20 +276,19 @@
 		h.nextWatch()
 		source.changes <- watchAnswer{err: errors.New("the store is down")}
 	}
-	h.ObservePeerVersions("peer", Versions{Targets: 6, TargetsAge: time.Minute}) // the store is away for the peer, too
+	h.ObservePeerVersions("peer", Versions{Targets: 6, TargetsAge: time.Minute}) // the peer cannot reach the store either
 	if a := h.Targets().Find("a"); a == nil || !a.Leaving {
-		t.Fatalf("%+v while the store was away", h.Targets().Targets)
+		t.Fatalf("targets %+v during the outage, want a leaving", h.Targets().Targets)
 	}
 	h.nextWatch()
 	source.changes <- watchAnswer{revision: 9, changes: []TargetChange{{ID: "a", Revision: 9, Gone: true}, {ID: "b", Revision: 9, Gone: true}}}
 	h.await()
 	if set := h.Targets(); set.Find("a") != nil || set.Find("b") == nil {
-		t.Errorf("%+v after the store's return, want b held and a gone", set.Targets)
+		t.Errorf("targets %+v after the outage, want b held and a gone", set.Targets)
 	}
 }
 
-// What the store answers to a call that waits may lie in a buffer while this process stands
-// still: it is as old as the call then. Otherwise it is as old as the answer.
+// Guards against a stale answer taken for fresh after this process was suspended during a call.
 func TestSlowAnswerIsAsOldAsItsCall(t *testing.T) {
 	began := time.Unix(1_700_000_000, 0)
 	for took, age := range map[time.Duration]time.Duration{
@@ -303,7 +300,7 @@
 	} {
 		now := began.Add(took)
 		if got := now.Sub(answeredAt(began, now)); got != age {
-			t.Errorf("an answer after %v is %v old, want %v", took, got, age)
+			t.Errorf("answer after %v has age %v, want %v", took, got, age)
 		}
 	}
 }
--- a/services/follow/halls.go
+++ b/services/follow/halls.go
@@ -10,29 +10,29 @@
 	"madderway/models/routing"
 )
 
-// hallTable tells which data halls are evacuated. The newest revision of a hall wins,
-// whoever tells it, so tables that have heard the same changes in any order agree.
+// hallTable holds the evacuation state of each data hall. The newest revision of a hall wins,
+// so tables that received the same changes in any order are equal.
 type hallTable struct {
-	revision     routing.Revision // revision is that of the newest change.
+	revision     routing.Revision // of the newest change
 	halls        map[string]HallChange
-	listRevision routing.Revision // read is the revision of the last whole list.
-	// held are halls whose evacuation a store that came back older does not have, with when
-	// that is believed.
+	listRevision routing.Revision // of the last whole list
+	// Evacuations that are missing after the store was restored from an older copy, with the
+	// end of their hold.
 	held map[string]time.Time
 }
 
-// evacuationHold is how long a hall stays evacuated that a store which came back older does not
-// name: its operator writes what was lost again. To hold too long costs the hall's capacity for
-// some seconds, too short sends requests into a hall that nothing may be sent to.
+// evacuationHold is the time for which a hall stays evacuated if a restored store lacks its
+// evacuation, so that the operator can write it again. A long hold costs the hall's capacity; a
+// short one sends requests into an evacuated hall.
 const evacuationHold = 10 * time.Second
 
 func newHallTable() *hallTable {
 	return &hallTable{halls: map[string]HallChange{}, held: map[string]time.Time{}}
 }
 
-// apply takes changes and returns the halls whose state is another one now.
+// apply applies changes and returns the halls whose state changed.
 func (t *hallTable) apply(changes []HallChange) []HallChange {
-	var moved []HallChange
+	var changed []HallChange
 	for _, ch := range changes {
 		old := t.halls[ch.DataHall]
 		if ch.Revision <= old.Revision {
@@ -42,27 +42,27 @@
 		delete(t.held, ch.DataHall)
 		t.revision = max(t.revision, ch.Revision)
 		if ch.Evacuated != old.Evacuated {
-			moved = append(moved, ch)
+			changed = append(changed, ch)
 		}
 	}
-	return moved
+	return changed
 }
 
-// replace takes the whole list of evacuated halls as of a revision: a hall that is
-// not listed is not evacuated.
+// replace applies the whole list of evacuated halls as of a revision and returns the halls
+// whose state changed. A hall that is not listed is not evacuated.
 func (t *hallTable) replace(now time.Time, listed []HallChange, revision routing.Revision) []HallChange {
-	cameBack := t.listRevision != 0 && revision.Era() > t.listRevision.Era()
+	restored := t.listRevision != 0 && revision.Era() > t.listRevision.Era()
 	t.listRevision = revision
 	changes := append([]HallChange(nil), listed...)
-	stands := map[string]bool{}
+	isListed := map[string]bool{}
 	for _, ch := range listed {
-		stands[ch.DataHall] = true
+		isListed[ch.DataHall] = true
 	}
 	for hall, old := range t.halls {
-		if !old.Evacuated || stands[hall] {
+		if !old.Evacuated || isListed[hall] {
 			continue
 		}
-		if cameBack {
+		if restored {
 			t.held[hall] = now.Add(evacuationHold)
 		}
 		if _, held := t.held[hall]; !held {
@@ -72,20 +72,20 @@
 	return t.apply(changes)
 }
 
-// release ends the holds that are over, and returns the halls whose state is another one now.
+// release ends the holds that are due and returns the halls whose state changed.
 func (t *hallTable) release(now time.Time) []HallChange {
-	var over []HallChange
+	var ended []HallChange
 	for hall, until := range t.held {
 		if !now.Before(until) {
 			delete(t.held, hall)
-			over = append(over, HallChange{DataHall: hall, Revision: t.listRevision})
+			ended = append(ended, HallChange{DataHall: hall, Revision: t.listRevision})
 		}
 	}
-	return t.apply(over)
+	return t.apply(ended)
 }
 
-// nextRelease returns how long it is until the next hold ends, at least a moment, and 0 where
-// there is none.
+// nextRelease returns the time until the next hold ends, at least a millisecond, or 0 if there
+// are no holds.
 func (t *hallTable) nextRelease(now time.Time) time.Duration {
 	wait := time.Duration(0)
 	for _, until := range t.held {
--- a/services/follow/halls_test.go
+++ b/services/follow/halls_test.go
@@ -18,7 +18,7 @@
 	"madderway/models/routing"
 )
 
-// evacuatedTargets returns the IDs of the targets that are marked as evacuated.
+// evacuatedTargets returns the IDs of the targets marked as evacuated.
 func (h *harness) evacuatedTargets() []string {
 	var out []string
 	for _, t := range h.Targets().Targets {
@@ -29,11 +29,11 @@
 	return out
 }
 
-// answerOperator answers the next watch of the answerOperator's settings; time passes until then.
-func (h *harness) answerOperator(news OperatorUpdate) {
+// answerOperator advances the clock until it can answer a watch of the operator's settings.
+func (h *harness) answerOperator(update OperatorUpdate) {
 	for {
 		select {
-		case h.source.operator <- news:
+		case h.source.operator <- update:
 			return
 		case <-h.changed:
 		default:
@@ -42,7 +42,7 @@
 	}
 }
 
-// awaitEvacuated lets time pass until just these targets are marked.
+// awaitEvacuated advances the clock until exactly these targets are marked.
 func (h *harness) awaitEvacuated(want ...string) {
 	for !slices.Equal(h.evacuatedTargets(), want) {
 		h.await()
@@ -57,8 +57,8 @@
 	return source
 }
 
-// An evacuation marks the targets of its hall until its row is gone; what comes late or
-// twice changes nothing.
+// Guards against targets that get work in an evacuated hall, and against late or repeated
+// changes that alter the state.
 func TestEvacuationMarksTheHall(t *testing.T) {
 	source := twoHallSource()
 	h := start(t, source, nil)
@@ -66,10 +66,10 @@
 	h.answerOperator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9, Evacuated: true}}})
 	h.awaitEvacuated("a")
 	if h.Targets().Find("a").AcceptsWork() || !h.Targets().Find("b").AcceptsWork() {
-		t.Errorf("%+v", h.Targets().Targets)
+		t.Errorf("targets %+v, want only b to accept work", h.Targets().Targets)
 	}
 	if got := h.Evacuated(); !slices.Equal(got, []string{"h1"}) || h.Versions().Evacuations != 9 {
-		t.Errorf("evacuated %v at revision %d", got, h.Versions().Evacuations)
+		t.Errorf("evacuated halls %v at revision %d, want h1 at 9", got, h.Versions().Evacuations)
 	}
 	h.answerOperator(OperatorUpdate{Stamp: Stamp{Revision: 12}, Halls: []HallChange{{DataHall: "h1", Revision: 8}, {DataHall: "h2", Revision: 12, Evacuated: true}}})
 	h.awaitEvacuated("a", "b")
@@ -77,7 +77,7 @@
 	h.awaitEvacuated()
 }
 
-// An evacuation that stood before this gateway began is in force from the first list on.
+// Guards against work for a hall that was evacuated before this gateway started.
 func TestEvacuationAtStart(t *testing.T) {
 	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h2", Revision: 4, Evacuated: true}}
@@ -85,7 +85,7 @@
 	h.awaitEvacuated("b")
 }
 
-// A gateway that the store turns away hears of an evacuation, and of its end, from a peer.
+// Guards against missed evacuations while the store rejects this gateway but not its peers.
 func TestEvacuationsFromPeer(t *testing.T) {
 	peers := fakePeers{}
 	state := func(halls ...HallChange) []byte {
@@ -103,28 +103,28 @@
 	h.awaitEvacuated("a")
 	h.ObservePeerVersions("later", Versions{Configuration: 7, Evacuations: 21})
 	h.awaitEvacuated()
-	// What this gateway tells, others can read.
+	// A third gateway can decode this gateway's state.
 	content, err := h.State(StateRequest{})
-	var told operatorState
-	if err != nil || json.Unmarshal(content, &told) != nil || told.Version != 7 || !slices.Equal(told.Halls, []HallChange{{"h1", 21, false}}) {
-		t.Errorf("told %s, %v", content, err)
+	var sent operatorState
+	if err != nil || json.Unmarshal(content, &sent) != nil || sent.Version != 7 || !slices.Equal(sent.Halls, []HallChange{{"h1", 21, false}}) {
+		t.Errorf("state %s, %v, want version 7 and the change of h1", content, err)
 	}
 }
 
-// Where the history is gone, a hall that is not listed any more is no longer evacuated.
+// Guards against an evacuation whose end was lost with the store's history.
 func TestWholeListEndsEvacuations(t *testing.T) {
 	table := newHallTable()
 	table.apply([]HallChange{{"h1", 5, true}, {"h2", 6, true}})
-	moved := table.replace(time.Time{}, []HallChange{{"h2", 6, true}}, 9)
-	if !slices.Equal(moved, []HallChange{{"h1", 9, false}}) || table.evacuated("h1") || !table.evacuated("h2") {
-		t.Errorf("moved %+v, table %+v", moved, table.halls)
+	changed := table.replace(time.Time{}, []HallChange{{"h2", 6, true}}, 9)
+	if !slices.Equal(changed, []HallChange{{"h1", 9, false}}) || table.evacuated("h1") || !table.evacuated("h2") {
+		t.Errorf("changed %+v, table %+v, want only h2 evacuated", changed, table.halls)
 	}
-	if moved := table.apply([]HallChange{{"h1", 5, true}}); len(moved) != 0 {
-		t.Errorf("an old change moved %+v", moved)
+	if changed := table.apply([]HallChange{{"h1", 5, true}}); len(changed) != 0 {
+		t.Errorf("old change had the effect %+v", changed)
 	}
 }
 
-// Tables that have heard of the same changes agree, in whatever order and how often.
+// Guards against tables that differ after the same changes in another order or repeated.
 func TestHallTablesConverge(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	properties.Property("hall tables agree", prop.ForAll(func(seed uint64, n int) bool {
@@ -147,9 +147,10 @@
 	properties.TestingRun(t)
 }
 
-// While the store answers, targets of a hall that comes back are as cold as they say.
+// Guards against targets that become cold without need when their evacuation ends while the
+// store is reachable.
 func TestHallKeepsReportedColdStateAfterEvacuation(t *testing.T) {
-	const period = time.Hour // long, since the harness lets time run on its own
+	const period = time.Hour // long, since the harness advances the clock
 	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
 	h := start(t, source, nil)
@@ -160,17 +161,16 @@
 		h.await()
 	}
 	if a, now := h.Targets().Find("a"), h.clock.Now(); a.Cold(now.Add(period)) {
-		t.Errorf("cold until %v at %v", a.ColdUntil, now)
+		t.Errorf("cold until %v at %v, want at most an hour", a.ColdUntil, now)
 	}
 	h.answerOperator(OperatorUpdate{Stamp: Stamp{Revision: 9}, Halls: []HallChange{{DataHall: "h1", Revision: 9}}})
 	h.awaitEvacuated()
 	if b := h.Targets().Find("b"); b.Cold(h.clock.Now()) {
-		t.Error("a target of another hall is cold")
+		t.Error("target of another hall is cold")
 	}
 }
 
-// What happened to a hall's targets while the store was away is not known: they come
-// back cold.
+// Guards against full load on targets that may have restarted unnoticed during an outage.
 func TestHallIsColdAfterEvacuationAndOutage(t *testing.T) {
 	source := twoHallSource()
 	source.halls = []HallChange{{DataHall: "h1", Revision: 4, Evacuated: true}}
@@ -184,6 +184,6 @@
 	h.changeHalls("test", func(time.Time) []HallChange { return h.halls.apply([]HallChange{{DataHall: "h1", Revision: 9}}) })
 	a, now := h.Targets().Find("a"), h.clock.Now()
 	if a.Evacuated || !a.Cold(now) || a.Cold(now.Add(3*time.Second)) {
-		t.Errorf("%+v at %v", a, now)
+		t.Errorf("target %+v at %v, want it cold for 3 s and not evacuated", a, now)
 	}
 }
--- a/services/follow/lapse.go
+++ b/services/follow/lapse.go
@@ -9,40 +9,40 @@
 	"madderway/models/routing"
 )
 
-// expiredHold is how long a target is used on whose entry is gone when the store
-// comes back after a long silence. Targets renew their entries; while the store
-// is away entries run out, and are back within two seconds of its return. It is
-// less than the time in which a leaving target may still get work.
+// expiredHold is the time for which a target stays in use if its entry is missing when the store
+// is reachable again after a long outage. Entries expire during the outage, and their owners
+// renew them within two seconds of its end. It is shorter than the time for which a leaving
+// target still accepts work.
 const expiredHold = 1500 * time.Millisecond
 
-// heldTargets holds targets whose entries may only have run out.
+// heldTargets tracks targets whose entries may merely have expired.
 type heldTargets struct {
 	until map[string]time.Time
 }
 
 func newHeldTargets() *heldTargets { return &heldTargets{until: map[string]time.Time{}} }
 
-// hold returns the listed targets and those that are held, and how long until
-// the next of these is given up, 0 for never. Before is what was returned last;
-// unsettled tells that the store has come back just now.
-func (l *heldTargets) hold(now time.Time, unsettled bool, before, listed *routing.TargetSet) (*routing.TargetSet, time.Duration) {
+// hold returns the listed targets plus the held ones, and the time until the next hold ends, 0
+// if there is none. before is the previous result; unsettled is set during and shortly after an
+// outage of the store.
+func (h *heldTargets) hold(now time.Time, unsettled bool, before, listed *routing.TargetSet) (*routing.TargetSet, time.Duration) {
 	wait := time.Duration(0)
 	set := &routing.TargetSet{Revision: listed.Revision, Targets: append([]routing.Target(nil), listed.Targets...)}
 	for _, t := range before.Targets {
 		if t.Leaving || listed.FindWorker(t.WorkerName()) != nil {
-			delete(l.until, t.ID)
+			delete(h.until, t.ID)
 			continue
 		}
-		until, held := l.until[t.ID]
+		until, held := h.until[t.ID]
 		if !held {
 			if !unsettled {
 				continue
 			}
 			until = now.Add(expiredHold)
-			l.until[t.ID] = until
+			h.until[t.ID] = until
 		}
 		if !now.Before(until) {
-			delete(l.until, t.ID)
+			delete(h.until, t.ID)
 			continue
 		}
 		set.Targets = append(set.Targets, t)
--- a/services/follow/leaving.go
+++ b/services/follow/leaving.go
@@ -10,48 +10,47 @@
 	"madderway/models/routing"
 )
 
-// Leavers knows which lives of targets have said in their answers that they leave. The store
-// may list them as ready: it is told later than callers are, or cannot be told at all.
+// Leavers is the set of target incarnations that announced in their answers that they leave. The
+// store may still list them as ready: it learns of it later, or not at all.
 type Leavers interface {
-	// Leaves tells whether a life that is listed here leaves.
+	// Leaves reports whether a listed incarnation leaves.
 	Leaves(target string) bool
-	// Leaving returns all such lives.
+	// Leaving returns an announcement of each leaving incarnation.
 	Leaving() []leaving.Announcement
-	// MergeLeaving takes what another gateway knows, and returns the lives that are news.
-	MergeLeaving(told []leaving.Announcement) []string
+	// MergeLeaving adds announcements from another gateway and returns the new IDs.
+	MergeLeaving(announced []leaving.Announcement) []string
 }
 
-// fromAnswer is where a list has changed since a target said that it leaves.
+// fromAnswer is logged as the origin of a change that a target announced in an answer.
 const fromAnswer = "an answer"
 
-// leavingFetchInterval is how long a peer is not asked once more for the lives that leave, while what it
-// and this gateway know of them differs in the same way: its list of targets may be another one.
+// leavingFetchInterval is the shortest time between two fetches from a peer while both digests
+// stay the same: they may differ for good if the peer lists other targets.
 const leavingFetchInterval = time.Second
 
-// leavingFetch is what a peer was last asked for.
+// leavingFetch is the last fetch of leaving targets from a peer.
 type leavingFetch struct {
 	at           time.Time
-	mine, theirs uint64 // the digests at that time
+	mine, theirs uint64 // digests of both sides at that time
 }
 
-// due tells whether a peer that knows other lives is to be asked for them.
-func (a *leavingFetch) due(now time.Time, mine, theirs uint64) bool {
-	if theirs == 0 || theirs == mine || a.mine == mine && a.theirs == theirs && now.Sub(a.at) < leavingFetchInterval {
+// due reports whether to fetch from a peer with this digest, and if so records the fetch.
+func (f *leavingFetch) due(now time.Time, mine, theirs uint64) bool {
+	if theirs == 0 || theirs == mine || f.mine == mine && f.theirs == theirs && now.Sub(f.at) < leavingFetchInterval {
 		return false
 	}
-	*a = leavingFetch{now, mine, theirs}
+	*f = leavingFetch{now, mine, theirs}
 	return true
 }
 
-// LeavingChanged puts what an answer has told in force: targets that leave get nothing new.
+// LeavingChanged publishes the targets again after the set of leaving incarnations changed.
 func (s *Service) LeavingChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.publish(fromAnswer)
 }
 
-// markLeaving marks the targets that have said that they leave, and returns how many there are
-// and a digest of them.
+// markLeaving marks the leaving targets and returns their number and digest.
 func (s *Service) markLeaving(set *routing.TargetSet) (n int, digest uint64) {
 	for i := range set.Targets {
 		t := &set.Targets[i]
@@ -64,16 +63,16 @@
 	return n, digest
 }
 
-// mergeLeaving takes what a peer knows of lives that leave; mu is held.
-func (s *Service) mergeLeaving(peer string, told []leaving.Announcement) bool {
-	news := s.opts.Leavers.MergeLeaving(told)
-	if len(news) > 0 {
-		s.log.Info("Targets leave, a peer has heard.", "targets", news, "from", peer)
+// mergeLeaving adds a peer's announcements and reports whether any is new; the caller holds mu.
+func (s *Service) mergeLeaving(peer string, announced []leaving.Announcement) bool {
+	added := s.opts.Leavers.MergeLeaving(announced)
+	if len(added) > 0 {
+		s.log.Info("Learned from a peer that targets leave.", "targets", added, "from", peer)
 	}
-	return len(news) > 0
+	return len(added) > 0
 }
 
-// noLeavers is used where no answers are heard.
+// noLeavers is the empty set, used if Options.Leavers is nil.
 type noLeavers struct{}
 
 func (noLeavers) Leaves(string) bool                           { return false }
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -16,7 +16,7 @@
 	"madderway/services/upstream"
 )
 
-// startWithNotices starts a service that hears what targets say of themselves.
+// startWithNotices starts a service that learns from answers which targets leave.
 func startWithNotices(t *testing.T, source *fakeSource, peers Peers) (*harness, *notice.Service) {
 	t.Helper()
 	var h *harness
@@ -30,8 +30,8 @@
 	return target != nil && target.Leaving
 }
 
-// What an answer says holds at once and outlasts every list: the store's next whole one, its
-// changes, and one that names the target again after it was gone. A new life is ready.
+// Guards against a store that lists a target as ready after the target announced in an answer
+// that it leaves. A new incarnation is ready.
 func TestLeavingFromAnswerOutlastsStoreLists(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{incarnation("a", 100, false), incarnation("b", 100, false)}
@@ -43,7 +43,7 @@
 	notices.Answered(a, upstream.Verdict{Leaving: true})
 	<-h.changed
 	if !isLeaving(h, a.ID) || isLeaving(h, routing.TargetID("b", 100)) || before != 0 || h.Versions().Leaving == 0 {
-		t.Fatalf("%+v, digest %d and %d", h.Targets().Targets, before, h.Versions().Leaving)
+		t.Fatalf("targets %+v, digests %d and %d, want only a leaving", h.Targets().Targets, before, h.Versions().Leaving)
 	}
 	for i, changes := range [][]TargetChange{
 		{change(6, incarnation("a", 100, false)), change(6, incarnation("c", 100, false))},
@@ -53,35 +53,34 @@
 		source.changes <- watchAnswer{revision: routing.Revision(6 + i), changes: changes}
 		h.await()
 		if target := h.Targets().Find(a.ID); target != nil && !target.Leaving {
-			t.Errorf("after change %d it is taken for ready", i)
+			t.Errorf("target is ready after change %d, want it leaving", i)
 		}
 		h.nextWatch()
 	}
 	source.changes <- watchAnswer{revision: 9, changes: []TargetChange{change(9, incarnation("a", 200, false))}}
 	h.await()
 	if isLeaving(h, routing.TargetID("a", 200)) || h.Versions().Leaving != 0 {
-		t.Error("a new life of the target is taken for leaving")
+		t.Error("new incarnation is marked as leaving")
 	}
 }
 
-// A gateway hears from a peer what answers have told there, though both know the same list, and
-// asks once for it.
+// Guards against a leaving target that only a peer has heard of, though both have the same list.
 func TestLeavingTargetsFromPeer(t *testing.T) {
 	id := routing.TargetID("a", 100)
-	told, err := json.Marshal(targetState{Revision: 5, Leaving: []leaving.Announcement{{ID: id, Age: time.Second}}})
+	peerState, err := json.Marshal(targetState{Revision: 5, Leaving: []leaving.Announcement{{ID: id, Age: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{incarnation("a", 100, false)}
-	h, _ := startWithNotices(t, source, fakePeers{"peer/targets": told})
+	h, _ := startWithNotices(t, source, fakePeers{"peer/targets": peerState})
 	h.await()
 	h.nextWatch()
 	theirs := leaving.Digest(id)
 	h.ObservePeerVersions("peer", Versions{Targets: 5, Leaving: theirs})
 	h.await()
 	if !isLeaving(h, id) || h.Versions().Leaving != theirs {
-		t.Errorf("%+v, digest %d, want %d", h.Targets().Targets, h.Versions().Leaving, theirs)
+		t.Errorf("targets %+v, digest %d, want %d", h.Targets().Targets, h.Versions().Leaving, theirs)
 	}
 	content, err := h.State(StateRequest{Targets: true, Since: 5})
 	if err != nil {
@@ -89,13 +88,13 @@
 	}
 	var state targetState
 	if err := json.Unmarshal(content, &state); err != nil || len(state.Leaving) != 1 || state.Leaving[0].ID != id {
-		t.Errorf("a third gateway is told %s, %v", content, err)
+		t.Errorf("state for a third gateway %s, %v, want it to include %s", content, err, id)
 	}
 }
 
-// A peer whose list differs is not asked again and again for what it knows.
+// Guards against a fetch at every heartbeat of a peer whose list of targets differs.
 func TestLeavingFetchIsRateLimited(t *testing.T) {
-	var asked leavingFetch
+	var last leavingFetch
 	now := time.Unix(1_700_000_000, 0)
 	for i, c := range []struct {
 		after        time.Duration
@@ -109,8 +108,8 @@
 		{4 * time.Millisecond, 3, 0, false},
 		{leavingFetchInterval + 2*time.Millisecond, 3, 7, true},
 	} {
-		if due := asked.due(now.Add(c.after), c.mine, c.theirs); due != c.want {
-			t.Errorf("%d: %v", i, due)
+		if due := last.due(now.Add(c.after), c.mine, c.theirs); due != c.want {
+			t.Errorf("case %d: due %v, want %v", i, due, c.want)
 		}
 	}
 }
--- a/services/follow/packed.go
+++ b/services/follow/packed.go
@@ -14,29 +14,29 @@
 	"madderway/models/routing"
 )
 
-// minPackSize is the size in bytes from which on a state is packed: less crosses any link at once.
+// minPackSize is the smallest state that is compressed, in bytes.
 const minPackSize = 4 << 10
 
-// packCache packCache states, and remembers the operator's: up to a hundred gateways fetch the same one
-// within a second, and packing 400 KB takes some milliseconds of a processor.
+// packCache compresses states and caches the operator's: up to a hundred gateways fetch the same
+// one within a second, and compressing 400 KB takes milliseconds of CPU.
 type packCache struct {
 	mu       sync.Mutex
 	versions operatorVersions
 	content  []byte
 }
 
-// operatorVersions name a state of the operator's settings.
+// operatorVersions identifies a state of the operator's settings.
 type operatorVersions struct {
 	configuration uint64
 	evacuations   routing.Revision
 }
 
-// state returns the state that is wanted, packed where it is large.
+// state returns the state built by plain, compressed if it is large. v identifies it in the cache.
 func (p *packCache) state(want StateRequest, v Versions, plain func() ([]byte, error)) ([]byte, error) {
-	of := operatorVersions{v.Configuration, v.Evacuations}
+	versions := operatorVersions{v.Configuration, v.Evacuations}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !want.Targets && p.content != nil && p.versions == of {
+	if !want.Targets && p.content != nil && p.versions == versions {
 		return p.content, nil
 	}
 	content, err := plain()
@@ -45,17 +45,16 @@
 	}
 	packed, err := pack(content)
 	if err == nil && !want.Targets {
-		p.versions, p.content = of, packed
+		p.versions, p.content = versions, packed
 	}
 	return packed, err
 }
 
-// maxStateSize bounds what a peer's state may grow to when it is unpacked, in bytes: a
-// configuration of 1,500 routes takes some 400 KB.
+// maxStateSize bounds a decompressed state of a peer, in bytes. A configuration of 1,500 routes
+// takes some 400 KB.
 const maxStateSize = 64 << 20
 
-// errStateTooLarge tells that a peer sent more than any state can be.
-var errStateTooLarge = errors.New("the state is too large")
+var errStateTooLarge = errors.New("state exceeds the size limit")
 
 // pack compresses a state.
 func pack(content []byte) ([]byte, error) {
@@ -73,7 +72,7 @@
 	return b.Bytes(), nil
 }
 
-// unpack returns what pack was given.
+// unpack decompresses a state.
 func unpack(packed []byte) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxStateSize+1))
 	if err != nil {
--- a/services/follow/packed_test.go
+++ b/services/follow/packed_test.go
@@ -12,7 +12,6 @@
 	"madderway/models/routing"
 )
 
-// largeConfiguration is one with so many routes.
 func largeConfiguration(routes int) *routing.Configuration {
 	c := &routing.Configuration{Version: 49}
 	for i := range routes {
@@ -25,17 +24,9 @@
 	return c
 }
 
-// A configuration grew to 1,450 routes, and the fleet's links carried 10 Mbit/s. Each gateway
-// fetched it whole from a peer, up to four at once from the same one; no fetch was over within
-// its second, and what had come was thrown away: 135 times
-//
-//	front-12: Peer gave no state. peer="front-3" targets=false reason="i/o deadline reached"
-//
-// The last gateway had the version 3.3 s after the store had taken it, and answered 404 for a
-// route that it added; two seconds are allowed. Four neighbors that fetch at once from one
-// gateway of that link have 1,500 routes within 0.4 s.
+// Guards against state so large that fetches by several peers over a 10 Mbit/s link time out.
 func TestLargeConfigurationIsPacked(t *testing.T) {
-	const linkBits, neighbors, within = 10_000_000, 4, 0.4
+	const linkBits, peers, maxSeconds = 10_000_000, 4, 0.4
 	source := newFakeSource()
 	source.version, source.config, source.targets = 5, largeConfiguration(1500), []routing.Target{{ID: "a"}}
 	h := start(t, source, nil)
@@ -47,20 +38,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seconds := float64(neighbors*8*len(content)) / linkBits; seconds > within {
-		t.Errorf("%d neighbors fetch %d bytes each within %.2f s, want %.1f s", neighbors, len(content), seconds, within)
+	if seconds := float64(peers*8*len(content)) / linkBits; seconds > maxSeconds {
+		t.Errorf("%d peers fetch %d bytes each in %.2f s, want at most %.1f s", peers, len(content), seconds, maxSeconds)
 	}
 	plain, err := h.State(StateRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := unpack(content)
-	if err != nil || !bytes.Equal(back, plain) {
-		t.Errorf("unpacked to something else: %v", err)
+	unpacked, err := unpack(content)
+	if err != nil || !bytes.Equal(unpacked, plain) {
+		t.Errorf("unpacked state differs from the plain one: %v", err)
 	}
 }
 
-// What is no packed state is an error, and one that never ends is cut.
+// Guards against malformed or oversized state of a peer.
 func TestUnpackRejectsBadState(t *testing.T) {
 	whole, err := pack(bytes.Repeat([]byte("state "), 1000))
 	if err != nil {
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -17,35 +17,35 @@
 	peerQueueSize = 64
 )
 
-// Versions are what a gateway knows, and how old that is.
+// Versions describes a gateway's local copy and its age. State dumps use the field names.
 type Versions struct {
 	Configuration    uint64
-	Evacuations      routing.Revision // Evacuations is the revision of the newest change of evacuations.
+	Evacuations      routing.Revision // of the newest change of an evacuation
 	Targets          routing.Revision
-	Leaving          uint64 // Leaving sums up the listed targets that have said that they leave.
+	Leaving          uint64 // digest of the listed targets that leave
 	ConfigurationAge time.Duration
 	TargetsAge       time.Duration
-	// Store is what the sender tells of the store's clock; ConfigurationAsOf and TargetsAsOf are
-	// when what is known was all there was, by that clock. 0 is not known: then the ages are
-	// taken, which the way of the message makes younger.
+	// Store is the sender's reading of the store's clock. ConfigurationAsOf and TargetsAsOf are
+	// the times by that clock at which the copy was complete, 0 if unknown. Then the ages are
+	// used, which do not include the transmission delay.
 	Store             watch.Reading
 	ConfigurationAsOf watch.StoreTime
 	TargetsAsOf       watch.StoreTime
 }
 
-// Peers asks other gateways for what they know.
+// Peers fetches state from other gateways.
 type Peers interface {
-	// FetchState returns what a peer's State does.
+	// FetchState returns the result of the peer's Service.State.
 	FetchState(ctx context.Context, peer string, want StateRequest) ([]byte, error)
 }
 
-// StateRequest is what a gateway asks a peer for.
+// StateRequest selects the state to fetch from a peer.
 type StateRequest struct {
-	// Targets asks for what has changed of the targets after the revision Since, else for the
-	// configuration and evacuations.
+	// Targets selects the changes of targets after Since, otherwise the configuration and the
+	// evacuations.
 	Targets bool
 	Since   routing.Revision
-	Packed  bool // Packed tells that the state may be compressed.
+	Packed  bool // the state may be compressed
 }
 
 type peerReport struct {
@@ -53,7 +53,7 @@
 	versions Versions
 }
 
-// Versions returns what is known here.
+// Versions describes the local copy.
 func (s *Service) Versions() Versions {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
@@ -68,61 +68,61 @@
 	return v
 }
 
-// ObservePeerVersions takes what a peer says that it knows. Where that is no more than
-// what is known here, this gateway's knowledge is as fresh as the peer's.
+// ObservePeerVersions records the versions of a peer. If the local copy includes them it is as
+// fresh as the peer's; otherwise the newer state is fetched from the peer.
 func (s *Service) ObservePeerVersions(peer string, v Versions) {
 	if s.observePeer(v) {
 		return
 	}
 	select {
 	case s.peerReports <- peerReport{peer, v}:
-	default: // the peer will say it again
+	default: // dropped: the next heartbeat repeats it
 	}
 }
 
-// observePeer tells whether all that the peer knows is known here.
+// observePeer records the age of a peer's copy and reports whether the local one includes it.
 func (s *Service) observePeer(v Versions) bool {
 	mine, now := s.Versions(), s.opts.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observeStoreClock(now, v.Store)
-	sameOperator := v.Configuration <= mine.Configuration && v.Evacuations <= mine.Evacuations
-	// What a peer has of an older era is fresh as of a history that no longer is.
+	hasOperator := v.Configuration <= mine.Configuration && v.Evacuations <= mine.Evacuations
+	// The age of a copy of another era refers to a history that is no longer valid.
 	sameEra := v.Targets.Era() == mine.Targets.Era()
-	if sameEra && sameOperator && v.Configuration > 0 {
+	if sameEra && hasOperator && v.Configuration > 0 {
 		s.watchConfiguration.ObservePeerAge(now, s.localAge(now, v.ConfigurationAsOf, v.ConfigurationAge))
 	}
 	if sameEra && v.Targets <= mine.Targets {
 		s.watchTargets.ObservePeerAge(now, s.localAge(now, v.TargetsAsOf, v.TargetsAge))
 	}
-	sameLeaving := v.Leaving == 0 || v.Leaving == mine.Leaving
-	return sameOperator && sameLeaving && v.Targets <= mine.Targets
+	hasLeaving := v.Leaving == 0 || v.Leaving == mine.Leaving
+	return hasOperator && hasLeaving && v.Targets <= mine.Targets
 }
 
-// localAge returns how old knowledge is that was all there was at a time of the store; told is its
-// age as the sender told it. mu is held.
-func (s *Service) localAge(now time.Time, asOf watch.StoreTime, told time.Duration) time.Duration {
+// localAge returns the age of a copy that was complete at a time of the store's clock, or
+// reported if that clock is unknown; the caller holds mu.
+func (s *Service) localAge(now time.Time, asOf watch.StoreTime, reported time.Duration) time.Duration {
 	at, known := s.storeClock.ToLocal(asOf)
 	if !known {
-		return told
+		return reported
 	}
 	return max(now.Sub(at), 0)
 }
 
-// followPeers fetches from peers what is not known here.
+// followPeers fetches state that is newer than the local copy.
 func (s *Service) followPeers() error {
-	var asked leavingFetch
+	var lastFetch leavingFetch
 	for {
 		select {
 		case <-s.t.Dying():
 			return nil
-		case n := <-s.peerReports:
+		case r := <-s.peerReports:
 			mine := s.Versions()
-			if n.versions.Configuration > mine.Configuration || n.versions.Evacuations > mine.Evacuations {
-				s.fetchOperator(n.peer)
+			if r.versions.Configuration > mine.Configuration || r.versions.Evacuations > mine.Evacuations {
+				s.fetchOperator(r.peer)
 			}
-			if n.versions.Targets > mine.Targets || asked.due(s.opts.Clock.Now(), mine.Leaving, n.versions.Leaving) {
-				s.fetchTargets(n.peer, mine.Targets)
+			if r.versions.Targets > mine.Targets || lastFetch.due(s.opts.Clock.Now(), mine.Leaving, r.versions.Leaving) {
+				s.fetchTargets(r.peer, mine.Targets)
 			}
 		}
 	}
@@ -140,12 +140,12 @@
 		err = json.Unmarshal(content, into)
 	}
 	if err != nil {
-		s.log.Warn("Peer gave no state.", "peer", peer, "targets", targets, "reason", err)
+		s.log.Warn("Could not fetch state from a peer.", "peer", peer, "targets", targets, "reason", err)
 	}
 	return err == nil
 }
 
-// operatorState is what a peer is told of the operator's settings.
+// operatorState is the state that a peer fetches about the operator's settings.
 type operatorState struct {
 	*routing.Configuration
 	Halls []HallChange `json:"halls,omitempty"`
@@ -163,25 +163,25 @@
 }
 
 func (s *Service) fetchTargets(peer string, since routing.Revision) {
-	var news targetState
-	if !s.fetch(peer, true, since, &news) {
+	var state targetState
+	if !s.fetch(peer, true, since, &state) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.opts.Clock.Now()
-	news.Changes = s.table.toLocalChanges(now, news.Changes)
-	s.enterEra(now, news.Revision, peer)
-	changed := s.table.merge(news)
-	if s.mergeLeaving(peer, news.Leaving) || changed {
+	state.Changes = s.table.toLocalChanges(now, state.Changes)
+	s.enterEra(now, state.Revision, peer)
+	changed := s.table.merge(state)
+	if s.mergeLeaving(peer, state.Leaving) || changed {
 		s.publish(peer)
 	}
 }
 
-// isJSON tells whether a state is not packed: each is an object.
+// isJSON reports whether a state is uncompressed: each state is a JSON object.
 func isJSON(content []byte) bool { return len(content) > 0 && content[0] == '{' }
 
-// State returns what a peer that fetches gets: JSON, packed where it may be.
+// State returns the requested state as JSON, compressed if the request allows it.
 func (s *Service) State(want StateRequest) ([]byte, error) {
 	if !want.Packed {
 		return s.plainState(want)
@@ -193,9 +193,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if want.Targets {
-		news := setColdFor(s.opts.Clock.Now(), s.table.since(want.Since))
-		news.Leaving = s.opts.Leavers.Leaving()
-		return json.Marshal(news)
+		state := setColdFor(s.opts.Clock.Now(), s.table.since(want.Since))
+		state.Leaving = s.opts.Leavers.Leaving()
+		return json.Marshal(state)
 	}
 	state := operatorState{Halls: s.halls.all()}
 	if x := s.index.Load(); x != nil {
--- a/services/follow/targets.go
+++ b/services/follow/targets.go
@@ -11,25 +11,24 @@
 	"madderway/models/routing"
 )
 
-// maxRemoved bounds how many removals are remembered for peers.
+// maxRemoved bounds the number of removals that are kept for peers.
 const maxRemoved = 1024
 
-// targetTable is the list of targets with the revision of each change, so that
-// a peer can be told only what it lacks. It knows workers by their names, and of each
-// its present life only.
+// targetTable is the list of targets with the revision of each change, so that a peer receives
+// only the changes it lacks. It is keyed by worker name and holds the newest incarnation of each
+// worker.
 type targetTable struct {
 	revision  routing.Revision
 	known     map[string]TargetChange
 	removed   map[string]routing.Revision
-	compacted routing.Revision // horizon is the revision of the newest removal that was forgotten.
-	// born holds when the newest life of a worker began that was ever told of, also where
-	// it is removed: what an older life says later changes nothing.
-	born map[string]int64
-	// restarts are those that have followed another one since they were last taken.
-	restarts []restart
+	compacted routing.Revision // newest removal that is no longer kept
+	// Start time of the newest incarnation of each worker, including removed ones; reports of
+	// older incarnations are ignored.
+	born     map[string]int64
+	restarts []restart // since the last takeRestarts
 }
 
-// restart tells that a worker has started again under its name.
+// restart is the start of a new incarnation of a known worker.
 type restart struct {
 	Name           string
 	Born, Previous int64
@@ -39,37 +38,37 @@
 	return &targetTable{known: map[string]TargetChange{}, removed: map[string]routing.Revision{}, born: map[string]int64{}}
 }
 
-// resolveIncarnation returns what a worker said as of its newest life, and false where it is an older
-// one that said it. One that does not tell its life is taken for the one that is known.
-func (t *targetTable) resolveIncarnation(told routing.Target) (routing.Target, bool) {
-	name, newest := told.WorkerName(), t.born[told.WorkerName()]
+// resolveIncarnation records the incarnation of a reported target. It returns false if a newer
+// one is known, and fills in the known one if the report names none.
+func (t *targetTable) resolveIncarnation(reported routing.Target) (routing.Target, bool) {
+	name, newest := reported.WorkerName(), t.born[reported.WorkerName()]
 	switch {
-	case told.Born == 0 && newest != 0:
-		told.Name, told.Born, told.ID = name, newest, routing.TargetID(name, newest)
-	case told.Born < newest:
-		return told, false
-	case told.Born > newest:
-		t.born[name] = told.Born
-		if _, was := t.known[name]; was {
-			t.restarts = append(t.restarts, restart{name, told.Born, newest})
+	case reported.Born == 0 && newest != 0:
+		reported.Name, reported.Born, reported.ID = name, newest, routing.TargetID(name, newest)
+	case reported.Born < newest:
+		return reported, false
+	case reported.Born > newest:
+		t.born[name] = reported.Born
+		if _, found := t.known[name]; found {
+			t.restarts = append(t.restarts, restart{name, reported.Born, newest})
 		}
 	}
-	return told, true
+	return reported, true
 }
 
-// replace makes the table hold exactly these targets, as of a revision, and
-// tells whether anything changed.
+// replace makes the table hold exactly the given targets as of a revision and reports whether
+// anything changed.
 func (t *targetTable) replace(targets []routing.Target, revision routing.Revision) bool {
-	cameBack := t.revision != 0 && revision.Era() > t.revision.Era()
+	restored := t.revision != 0 && revision.Era() > t.revision.Era()
 	revision = max(revision, t.revision)
 	listed := map[string]bool{}
-	changed := cameBack
-	for _, told := range targets {
-		name := told.WorkerName()
-		target, present := t.resolveIncarnation(told)
-		old, was := t.known[name]
-		listed[name] = present || was
-		if !present || was && old.Target == target {
+	changed := restored
+	for _, reported := range targets {
+		name := reported.WorkerName()
+		target, present := t.resolveIncarnation(reported)
+		old, found := t.known[name]
+		listed[name] = present || found
+		if !present || found && old.Target == target {
 			continue
 		}
 		t.known[name] = TargetChange{ID: name, Revision: revision, Target: target}
@@ -88,32 +87,32 @@
 	return changed
 }
 
-// replaceFromStore makes the table hold what the store listed. A life that was taken off the list in an
-// earlier era is named again by an older copy; it is taken for there when it writes again.
+// replaceFromStore replaces the table by a list of the store. A store restored from an older
+// copy may list removed incarnations; these are ignored until they are written again.
 func (t *targetTable) replaceFromStore(targets []routing.Target, revision routing.Revision) bool {
 	if t.revision == 0 || revision.Era() <= t.revision.Era() {
 		return t.replace(targets, revision)
 	}
-	return t.replace(slices.DeleteFunc(targets, func(told routing.Target) bool {
-		_, removed := t.removed[told.WorkerName()]
-		return removed && told.Born <= t.born[told.WorkerName()]
+	return t.replace(slices.DeleteFunc(targets, func(reported routing.Target) bool {
+		_, removed := t.removed[reported.WorkerName()]
+		return removed && reported.Born <= t.born[reported.WorkerName()]
 	}), revision)
 }
 
-// apply takes changes and tells whether anything changed. One that is older than
-// what is known of its target is passed over.
+// apply applies changes and reports whether anything changed. Changes older than the known
+// state of their target are ignored.
 func (t *targetTable) apply(changes []TargetChange) bool {
 	changed := false
 	for _, ch := range changes {
-		old, was := t.known[ch.ID]
-		if was && old.Revision >= ch.Revision && (ch.Gone || ch.Target.Born <= old.Target.Born) || t.removed[ch.ID] >= ch.Revision {
+		old, found := t.known[ch.ID]
+		if found && old.Revision >= ch.Revision && (ch.Gone || ch.Target.Born <= old.Target.Born) || t.removed[ch.ID] >= ch.Revision {
 			continue
 		}
-		ch.Revision = max(ch.Revision, old.Revision) // what an older life says may come first
+		ch.Revision = max(ch.Revision, old.Revision) // a change of an older incarnation may be applied first
 		t.revision = max(t.revision, ch.Revision)
 		if ch.Gone {
 			t.remove(ch.ID, ch.Revision)
-			changed = changed || was
+			changed = changed || found
 			continue
 		}
 		var present bool
@@ -122,7 +121,7 @@
 		}
 		t.known[ch.ID] = ch
 		delete(t.removed, ch.ID)
-		changed = changed || !was || old.Target != ch.Target
+		changed = changed || !found || old.Target != ch.Target
 	}
 	return changed
 }
@@ -143,70 +142,69 @@
 	}
 }
 
-// targetState is what a peer is told.
+// targetState is the part of a state that a peer fetches about targets.
 type targetState struct {
-	Revision routing.Revision `json:"revision"`
-	Whole    bool             `json:"whole"` // Whole tells that what is not named is gone.
-	Changes  []TargetChange   `json:"changes"`
-	// Leaving are the lives that have said that they leave, listed or not.
-	Leaving []leaving.Announcement `json:"leaving,omitempty"`
+	Revision routing.Revision       `json:"revision"`
+	Whole    bool                   `json:"whole"` // targets that are not in Changes are gone
+	Changes  []TargetChange         `json:"changes"`
+	Leaving  []leaving.Announcement `json:"leaving,omitempty"` // including incarnations that are not listed
 }
 
-// since returns what has changed after a revision.
+// since returns the changes after a revision, or the whole table if they are not all known.
 func (t *targetTable) since(revision routing.Revision) targetState {
-	news := targetState{Revision: t.revision, Whole: revision == 0 || revision < t.compacted || revision.Era() != t.revision.Era()}
+	state := targetState{Revision: t.revision, Whole: revision == 0 || revision < t.compacted || revision.Era() != t.revision.Era()}
 	for _, ch := range t.known {
-		if news.Whole || ch.Revision > revision {
-			news.Changes = append(news.Changes, ch)
+		if state.Whole || ch.Revision > revision {
+			state.Changes = append(state.Changes, ch)
 		}
 	}
 	for id, r := range t.removed {
-		if !news.Whole && r > revision {
-			news.Changes = append(news.Changes, TargetChange{ID: id, Revision: r, Gone: true})
+		if !state.Whole && r > revision {
+			state.Changes = append(state.Changes, TargetChange{ID: id, Revision: r, Gone: true})
 		}
 	}
-	sort.Slice(news.Changes, func(i, j int) bool { return news.Changes[i].ID < news.Changes[j].ID })
-	return news
+	sort.Slice(state.Changes, func(i, j int) bool { return state.Changes[i].ID < state.Changes[j].ID })
+	return state
 }
 
-// merge takes what a peer told and tells whether anything changed.
-func (t *targetTable) merge(news targetState) bool {
-	if !news.Whole {
-		changed := t.apply(news.Changes)
-		t.revision = max(t.revision, news.Revision)
+// merge applies a peer's state and reports whether anything changed.
+func (t *targetTable) merge(state targetState) bool {
+	if !state.Whole {
+		changed := t.apply(state.Changes)
+		t.revision = max(t.revision, state.Revision)
 		return changed
 	}
-	if news.Revision <= t.revision {
-		return t.apply(t.newerIncarnations(news.Changes))
+	if state.Revision <= t.revision {
+		return t.apply(t.newerIncarnations(state.Changes))
 	}
 	var targets []routing.Target
-	for _, ch := range news.Changes {
+	for _, ch := range state.Changes {
 		targets = append(targets, ch.Target)
 	}
-	changed := t.replace(targets, news.Revision)
-	t.revision = max(t.revision, news.Revision)
+	changed := t.replace(targets, state.Revision)
+	t.revision = max(t.revision, state.Revision)
 	return changed
 }
 
-// takeRestarts returns the lives that have followed another one since the last call.
+// takeRestarts returns the restarts since the last call.
 func (t *targetTable) takeRestarts() []restart {
-	lives := t.restarts
+	taken := t.restarts
 	t.restarts = nil
-	return lives
+	return taken
 }
 
-// newerIncarnations returns the changes that tell of newer lives of known workers.
+// newerIncarnations returns the changes that report newer incarnations of known workers.
 func (t *targetTable) newerIncarnations(changes []TargetChange) []TargetChange {
 	var newer []TargetChange
 	for _, ch := range changes {
-		if old, was := t.known[ch.ID]; was && !ch.Gone && ch.Target.Born > old.Target.Born {
+		if old, found := t.known[ch.ID]; found && !ch.Gone && ch.Target.Born > old.Target.Born {
 			newer = append(newer, ch)
 		}
 	}
 	return newer
 }
 
-// targetSet returns the table as others use it.
+// targetSet returns the targets of the table and the number of those that leave.
 func (t *targetTable) targetSet() (set *routing.TargetSet, leaving int) {
 	set = &routing.TargetSet{Revision: t.revision}
 	for _, ch := range t.known {
--- a/services/follow/targets_test.go
+++ b/services/follow/targets_test.go
@@ -16,7 +16,7 @@
 	"madderway/models/routing"
 )
 
-// randomHistory makes a sequence of changes of a few targets, with revisions.
+// randomHistory returns n changes of a few targets with increasing revisions.
 func randomHistory(rng *rand.Rand, n int) []TargetChange {
 	var out []TargetChange
 	for i := range n {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// finalTargets is what the store holds after all changes.
+// finalTargets returns the content of the store after all changes.
 func finalTargets(changes []TargetChange) map[string]routing.Target {
 	m := map[string]routing.Target{}
 	for _, ch := range changes {
@@ -54,8 +54,8 @@
 	return true
 }
 
-// Whatever is repeated, comes in the wrong order or by way of a peer, a table
-// that has heard of every change holds what the store holds.
+// Guards against a table that differs from the store after repeated, reordered or relayed
+// changes.
 func TestTargetTablesConverge(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(42))
 	properties.Property("tables agree", prop.ForAll(func(seed uint64, n int) bool {
@@ -66,7 +66,7 @@
 		for from := 0; from < n; {
 			to := min(from+1+rng.IntN(4), n)
 			feed.apply(changes[from:to])
-			feed.apply(changes[max(from-2, 0):to]) // some are told twice
+			feed.apply(changes[max(from-2, 0):to]) // repeats some changes
 			from = to
 		}
 		shuffled := newTargetTable()
@@ -77,11 +77,11 @@
 		peer.apply(changes[:rng.IntN(n+1)])
 		for range 2 {
 			content, err := json.Marshal(feed.since(peer.revision))
-			var news targetState
-			if err != nil || json.Unmarshal(content, &news) != nil {
+			var state targetState
+			if err != nil || json.Unmarshal(content, &state) != nil {
 				return false
 			}
-			peer.merge(news)
+			peer.merge(state)
 		}
 		return feed.equals(want) && shuffled.equals(want) && peer.equals(want) && peer.revision == feed.revision
 	}, gen.UInt64(), gen.IntRange(1, 40)))
@@ -92,10 +92,10 @@
 	mine := newTargetTable()
 	mine.replace([]routing.Target{{ID: "a", Leaving: true}}, 20)
 	if mine.merge(targetState{Revision: 12, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a"}}}}) {
-		t.Error("an older whole list changed the table")
+		t.Error("older list changed the table")
 	}
 	if !mine.known["a"].Target.Leaving {
-		t.Error("a leaving target is back")
+		t.Error("leaving target is ready again")
 	}
 }
 
@@ -105,10 +105,10 @@
 		id := fmt.Sprint("t", i)
 		table.apply([]TargetChange{{ID: id, Revision: routing.Revision(2*i + 1), Target: routing.Target{ID: id}}, {ID: id, Revision: routing.Revision(2*i + 2), Gone: true}})
 	}
-	if news := table.since(5); !news.Whole {
-		t.Error("a peer that missed forgotten removals is told changes only")
+	if state := table.since(5); !state.Whole {
+		t.Error("peer that misses compacted removals gets changes only, want the whole table")
 	}
-	if news := table.since(table.revision - 2); news.Whole || len(news.Changes) != 1 {
-		t.Errorf("a peer that missed one removal is told %+v", news)
+	if state := table.since(table.revision - 2); state.Whole || len(state.Changes) != 1 {
+		t.Errorf("peer that misses one removal gets %+v, want only that change", state)
 	}
 }
