--- a/services/follow/cold_test.go
+++ b/services/follow/cold_test.go
@@ -26,7 +26,7 @@
 		t.Fatal("new target is not a change")
 	}
 	if until := table.known["a"].Target.ColdUntil; !until.Equal(now.Add(3 * time.Second)) {
-		t.Fatalf("cold until %v, want 3 s after %v", until, now)
+		t.Fatalf("cold until %v, want 3 s from the report", until)
 	}
 	if applyCold(table, now.Add(1300*time.Millisecond), 2, 1800*time.Millisecond) {
 		t.Error("countdown is a change")
--- a/services/follow/era_test.go
+++ b/services/follow/era_test.go
@@ -72,7 +72,7 @@
 	// This answers a call made before the restore; its changes must be discarded.
 	source.changes <- watchAnswer{revision: rev(2, 481), changes: []TargetChange{change(rev(2, 481), incarnation("b", 100, false))}}
 	if since := h.nextWatch(); since != rev(2, 480) {
-		t.Fatalf("watch continues after revision %v, want %v", since, rev(2, 480))
+		t.Fatalf("watch continues after revision %v, want 2.480", since)
 	}
 	for name, want := range map[string]string{"a": "ready", "b": "ready", "left": "leaving", "reborn": "ready", "old": "gone"} {
 		if got := stateOf(h, name); got != want {
@@ -103,7 +103,7 @@
 	h.nextWatch()
 	source.changes <- watchAnswer{revision: rev(1, 900), changes: []TargetChange{{ID: "a", Revision: rev(1, 900), Gone: true}}}
 	if since := h.nextWatch(); since != rev(2, 10) {
-		t.Errorf("watch continues after revision %v, want %v", since, rev(2, 10))
+		t.Errorf("watch continues after revision %v, want 2.10", since)
 	}
 	if h.Targets().Find("a") == nil {
 		t.Error("change of an older era was applied")
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -88,7 +88,7 @@
 	}
 	var state targetState
 	if err := json.Unmarshal(content, &state); err != nil || len(state.Leaving) != 1 || state.Leaving[0].ID != id {
-		t.Errorf("state for a third gateway %s, %v, want it to include %s", content, err, id)
+		t.Errorf("state for a third gateway %s, %v, want it to include target a", content, err)
 	}
 }
 
@@ -109,7 +109,7 @@
 		{leavingFetchInterval + 2*time.Millisecond, 3, 7, true},
 	} {
 		if due := last.due(now.Add(c.after), c.mine, c.theirs); due != c.want {
-			t.Errorf("case %d: due %v, want %v", i, due, c.want)
+			t.Errorf("case %d: due %v, want the opposite", i, due)
 		}
 	}
 }
--- a/services/follow/reborn_test.go
+++ b/services/follow/reborn_test.go
@@ -130,9 +130,9 @@
 		}
 	}
 	if logged != badRowLogBurst {
-		t.Errorf("logged %d rows at once, want %d", logged, badRowLogBurst)
+		t.Errorf("logged %d rows at once, want badRowLogBurst", logged)
 	}
 	if ok, suppressed := b.Allow(now.Add(badRowLogInterval)); !ok || suppressed != 1000-badRowLogBurst {
-		t.Errorf("logged %v with %d suppressed, want true with %d", ok, suppressed, 1000-badRowLogBurst)
+		t.Errorf("logged %v with %d suppressed, want true with all the others", ok, suppressed)
 	}
 }
