--- a/services/config/config.go
+++ b/services/config/config.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package config keeps the configuration in force at a router: it follows the
-// head row and the peers, fetches content by hash and takes submissions.
+// Package config keeps a router's configuration up to date. It follows the head row of the
+// platform's table and the versions of peers, fetches documents in chunks named by their hash,
+// and handles submissions by operators. Readers get immutable snapshots.
 package config
 
 import (
@@ -22,41 +23,41 @@
 	"madderway/services/platform"
 )
 
-// PeerAnswer is a peer's word on the configuration.
+// PeerAnswer is a peer's answer to Notify: its current version and whether it admits requests.
 type PeerAnswer struct {
 	Version   uint64
 	Admitting bool
 }
 
-// MemberInfo is what a submission needs to know of another member.
+// MemberInfo describes another router.
 type MemberInfo struct {
 	ID   string
 	Dead bool
 }
 
-// Peers reaches the other routers.
+// Peers communicates with the other routers.
 type Peers interface {
-	// FetchChunk asks a peer for a chunk.
+	// FetchChunk fetches a chunk from a peer.
 	FetchChunk(ctx context.Context, peer, hash string) ([]byte, error)
-	// Notify tells a peer of a version and waits until it is in force there.
+	// Notify announces a version to a peer and waits until the peer has activated it.
 	Notify(ctx context.Context, peer string, v head.Version, wait time.Duration) (PeerAnswer, error)
-	// Members returns all other members.
+	// Members returns all other routers.
 	Members() []MemberInfo
 }
 
-// Options are the parts of a Service.
+// Options configure a Service.
 type Options struct {
 	Clock     clock.Clock
 	Table     platform.Table
 	Objects   platform.Objects
 	Peers     Peers
-	Isolation time.Duration
+	Isolation time.Duration // a router that reaches neither store nor peers for this long stops admitting
 	PollHead  time.Duration
-	Timeout   time.Duration
-	OnAdopt   func(*Snapshot) // OnAdopt takes each version that comes into force.
+	Timeout   time.Duration   // of a read of the head row and of the fetch of a document
+	OnAdopt   func(*Snapshot) // called with each activated version, with the lock held
 }
 
-// Service is the configuration of one router.
+// Service follows and changes the configuration of one router.
 type Service struct {
 	t              *tomb.Tomb
 	log            log.Logger
@@ -68,11 +69,11 @@
 
 	mu        sync.Mutex
 	follower  *head.Follower
-	adopted   chan struct{} // adopted is closed and replaced at each adoption.
+	adopted   chan struct{} // closed and replaced at each activation
 	deadSince map[string]time.Time
 }
 
-// New starts the service; it ends with the tomb.
+// New starts a service; it ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	s := &Service{
 		t: t, log: logger, opts: o,
@@ -88,33 +89,33 @@
 	return s
 }
 
-// Snapshot returns the version in force; nil before the first.
+// Snapshot returns the current configuration, nil before the first.
 func (s *Service) Snapshot() *Snapshot { return s.current.Load() }
 
-// InForce returns the version in force. It takes no lock, because the control
-// loop asks for each heartbeat.
+// InForce returns the current version. It takes no lock, because the control loop calls
+// it for each heartbeat.
 func (s *Service) InForce() head.Version { return *s.currentVersion.Load() }
 
-// Wanted returns the highest version known of.
+// Wanted returns the highest known version.
 func (s *Service) Wanted() head.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.follower.Wanted()
 }
 
-// Admits tells whether requests may be admitted.
+// Admits reports whether requests may be admitted.
 func (s *Service) Admits() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.follower.Admits(s.opts.Clock.Now())
 }
 
-// PeerVersion takes the version in force at a peer.
+// PeerVersion records the current version of a peer. It never blocks.
 func (s *Service) PeerVersion(peer string, v head.Version) {
 	s.events.TryPut(head.PeerVersionSeen{Peer: peer, Version: v})
 }
 
-// Ring returns the state of the ring of events.
+// Ring returns the state of the event queue.
 func (s *Service) Ring() ring.State { return s.events.State() }
 
 func (s *Service) pollHead() error {
@@ -143,7 +144,7 @@
 	}
 	var h head.Row
 	if err := json.Unmarshal(row.Value, &h); err != nil {
-		s.log.Error(err, "The head row is damaged.")
+		s.log.Error(err, "Could not decode the head row.")
 		return
 	}
 	s.events.TryPut(head.HeadSeen{Version: head.Version{Number: h.Version, Hash: h.Hash}, Exists: true})
@@ -187,7 +188,7 @@
 	}
 	snapshot, err := newSnapshot(f.Version.Number, f.Version.Hash, d)
 	if err != nil {
-		s.log.Error(err, "An accepted configuration is not valid here.", "version", f.Version.Number)
+		s.log.Error(err, "Accepted configuration is invalid on this router.", "version", f.Version.Number)
 		s.events.TryPut(head.LoadFailed{Version: f.Version})
 		return
 	}
@@ -207,53 +208,53 @@
 		s.opts.OnAdopt(snapshot)
 		close(s.adopted)
 		s.adopted = make(chan struct{})
-		s.log.Info("Configuration in force.", "version", v.Number, "hash", v.Hash[:12])
+		s.log.Info("Configuration activated.", "version", v.Number, "hash", v.Hash[:12])
 	}
 }
 
-// trackDead records since when members are dead; the caller holds the lock.
+// trackDead records since when members are dead; the caller holds mu.
 func (s *Service) trackDead(now time.Time) {
-	seen := map[string]bool{}
+	dead := map[string]bool{}
 	for _, m := range s.opts.Peers.Members() {
 		if !m.Dead {
 			continue
 		}
-		seen[m.ID] = true
+		dead[m.ID] = true
 		if _, ok := s.deadSince[m.ID]; !ok {
 			s.deadSince[m.ID] = now
 		}
 	}
 	for id := range s.deadSince {
-		if !seen[id] {
+		if !dead[id] {
 			delete(s.deadSince, id)
 		}
 	}
 }
 
-// Await waits until at least a version is in force or the context ends, and
-// returns the version in force.
+// Await waits until the current version is at least the given one or the context ends, and
+// returns the current version.
 func (s *Service) Await(ctx context.Context, version uint64) uint64 {
 	for {
 		s.mu.Lock()
-		in, adopted := s.follower.Version().Number, s.adopted
+		current, adopted := s.follower.Version().Number, s.adopted
 		s.mu.Unlock()
-		if in >= version {
-			return in
+		if current >= version {
+			return current
 		}
 		select {
 		case <-ctx.Done():
-			return in
+			return current
 		case <-s.t.Dying():
-			return in
+			return current
 		case <-adopted:
 		}
 	}
 }
 
-// HandleNotify takes a peer's word that a version was accepted.
+// HandleNotify records a version that a peer announced as accepted.
 func (s *Service) HandleNotify(peer string, v head.Version) {
 	s.events.Put(s.t.Dying(), head.PeerVersionSeen{Peer: peer, Version: v})
 }
 
-// Chunk returns a chunk that this router holds.
+// Chunk returns a chunk from the cache.
 func (s *Service) Chunk(hash string) ([]byte, bool) { return s.source.cache.get(hash) }
--- a/services/config/content.go
+++ b/services/config/content.go
@@ -22,13 +22,13 @@
 	noPolicy        = ""
 )
 
-// Snapshot is a version in force with its compiled policies. It is read-only.
+// Snapshot is an immutable configuration with its compiled policies.
 type Snapshot struct {
 	Index    *conf.Index
 	programs map[string]*policy.Program
 }
 
-// Program returns the policy of an account; nil where it has none.
+// Program returns the policy of an account, nil if it has none.
 func (s *Snapshot) Program(account *conf.ClientAccount) *policy.Program {
 	if account.Policy == noPolicy {
 		return nil
@@ -36,7 +36,7 @@
 	return s.programs[account.Policy]
 }
 
-// newSnapshot checks a document and compiles its policies.
+// newSnapshot validates a document and compiles its policies.
 func newSnapshot(version uint64, hash string, d *conf.Document) (*Snapshot, error) {
 	index, err := conf.NewIndex(version, hash, d)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return &Snapshot{index, programs}, nil
 }
 
-// chunkCache holds the chunks of the versions in force and wanted.
+// chunkCache holds the chunks of the current configuration and of those being fetched or stored.
 type chunkCache struct {
 	mu     sync.Mutex
 	chunks map[string][]byte
@@ -74,7 +74,7 @@
 	c.chunks[hash] = content
 }
 
-// retain drops all chunks but those of a manifest.
+// retain drops all chunks except a manifest and its chunks.
 func (c *chunkCache) retain(manifest string, m conf.Manifest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +92,7 @@
 	peers   Peers
 }
 
-// chunk returns verified content: from the cache, the store, then the peers.
+// chunk returns a chunk with a verified hash from the cache, the object store or the holders.
 func (s *source) chunk(ctx context.Context, hash string, holders []string) ([]byte, error) {
 	if content, ok := s.cache.get(hash); ok {
 		return content, nil
@@ -108,13 +108,13 @@
 		return nil, err
 	}
 	if conf.Hash(content) != hash {
-		return nil, fmt.Errorf("chunk %.12s does not have its hash", hash)
+		return nil, fmt.Errorf("content of chunk %.12s does not match its hash", hash)
 	}
 	s.cache.put(hash, content)
 	return content, nil
 }
 
-// document fetches a whole document; only chunks that are not cached travel.
+// document returns a whole document. Only chunks that are not cached are fetched.
 func (s *source) document(ctx context.Context, hash string, holders []string) (*conf.Document, conf.Manifest, error) {
 	content, err := s.chunk(ctx, hash, holders)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return chunks, first
 }
 
-// store writes the chunks that the store does not have yet, then the manifest.
+// store writes the chunks and then the manifest to the object store, except those in the cache.
 func (s *source) store(ctx context.Context, manifest conf.Chunk, chunks []conf.Chunk) error {
 	for _, c := range append(chunks, manifest) {
 		if _, ok := s.cache.get(c.Hash); ok {
--- a/services/config/submit.go
+++ b/services/config/submit.go
@@ -22,21 +22,20 @@
 	notifyParallel = 32
 )
 
-// Change is what an operator submits.
+// Change is a configuration submitted by an operator.
 type Change struct {
 	Document  *conf.Document
 	Author    string
-	Operation string // Operation makes a repeated submission harmless.
-	Base      uint64 // Base is the version that the change is meant to replace, or head.AnyBase.
+	Operation string // ID that makes a repeated submission harmless
+	Base      uint64 // version that the change replaces, or head.AnyBase
 }
 
-// The states of a Receipt.
 const (
 	StateInForce = "in_force"
 	StatePending = "pending"
 )
 
-// Receipt is the truth about an accepted change.
+// Receipt is the state of an accepted change.
 type Receipt struct {
 	Version uint64    `json:"version"`
 	Hash    string    `json:"hash"`
@@ -51,8 +50,8 @@
 	Reason  string `json:"reason"`
 }
 
-// Submit checks a change, makes it the head and waits a few seconds until it
-// is in force everywhere.
+// Submit validates a change, makes it the head and waits a few seconds for all routers to
+// activate it.
 func (s *Service) Submit(ctx context.Context, c Change) (Receipt, error) {
 	if _, err := newSnapshot(0, "", c.Document); err != nil {
 		return Receipt{}, err
@@ -74,7 +73,7 @@
 	return s.Confirm(ctx, head.Version{Number: version, Hash: manifest.Hash}), nil
 }
 
-// accept runs the submission's machine against the table.
+// accept runs the submission's state machine against the table.
 func (s *Service) accept(ctx context.Context, c Change, hash string) (uint64, error) {
 	sub := head.NewSubmission(hash, c.Author, c.Operation, c.Base, s.opts.Clock.Now())
 	action := sub.Begin()
@@ -92,11 +91,11 @@
 		case head.Accepted:
 			return a.Version, nil
 		case head.Conflict:
-			return 0, result.New(result.ConfigConflict, "your change was made for version %d; version %d (%.12s by %s) is in its place",
+			return 0, result.New(result.ConfigConflict, "the change is based on version %d, but version %d (%.12s by %s) is current",
 				a.Base.Version, a.Current.Version, a.Current.Hash, a.Current.Author)
 		case head.Undecided:
 			if !a.MayHaveCommitted {
-				return 0, result.New(result.PlatformDown, "the platform's table gave no answer").WithRetryAfter(time.Second)
+				return 0, result.New(result.PlatformDown, "the platform's table did not answer").WithRetryAfter(time.Second)
 			}
 			return 0, result.New(result.ConfigUnknown, "submit again with operation ID %s", c.Operation).WithRetryAfter(time.Second)
 		}
@@ -130,8 +129,8 @@
 			return o, err
 		}
 	}
-	// The operation is read after the head: a transaction that lands between
-	// the two reads is then seen as done, never as a conflict.
+	// The operation is read after the head, so that a transaction committed between the two
+	// reads counts as done and not as a conflict.
 	op, err := s.opts.Table.Get(ctx, operationPrefix+operation)
 	if err != nil || op.Version == 0 {
 		return o, err
@@ -166,11 +165,10 @@
 	}
 }
 
-// Confirm tells every member of a version and asks what is in force there. The
-// version is in force only when every member has confirmed it, has stopped
-// admitting, or has been dead for longer than the isolation time: such a
-// member either follows the head row in the table, or has reached neither
-// store nor peer for so long that it has stopped admitting.
+// Confirm announces a version to all members and waits for them to activate it. The receipt's
+// state is StateInForce if every member has activated the version, has stopped admitting
+// requests, or has been dead for longer than the isolation time: such a member either follows
+// the head row, or has stopped admitting since it reaches neither store nor peer.
 func (s *Service) Confirm(ctx context.Context, v head.Version) Receipt {
 	ctx, cancel := context.WithTimeout(ctx, confirmWait)
 	defer cancel()
@@ -187,16 +185,16 @@
 		go func() {
 			defer wg.Done()
 			defer func() { <-slots }()
-			if miss, ok := s.confirmOne(ctx, m, v); !ok {
+			if unconfirmed, ok := s.confirmOne(ctx, m, v); !ok {
 				mu.Lock()
-				missing = append(missing, miss)
+				missing = append(missing, unconfirmed)
 				mu.Unlock()
 			}
 		}()
 	}
-	if in := s.Await(ctx, v.Number); in < v.Number {
+	if current := s.Await(ctx, v.Number); current < v.Number {
 		mu.Lock()
-		missing = append(missing, Missing{Router: "self", Version: in, Reason: "the content could not be fetched"})
+		missing = append(missing, Missing{Router: "self", Version: current, Reason: "the content could not be fetched"})
 		mu.Unlock()
 	}
 	wg.Wait()
--- a/services/discover/discover.go
+++ b/services/discover/discover.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package discover lets gateways find each other where their seeds are down. A few
-// of them keep their addresses in a register, and a gateway that knows no other one
-// reads it: after the loss of all machines the seeds may be the last to come back,
-// and gateways that do not know each other all schedule the same targets.
+// Package discover lets gateways find each other while their seeds are down. Registrars keep
+// their addresses in a registry in the platform's store, and a gateway that knows no other one
+// reads it. Gateways that do not find each other would all schedule the same targets.
 package discover
 
 import (
@@ -18,77 +17,75 @@
 )
 
 const (
-	// Registrars is how many gateways keep their address in the register: enough
-	// that one of them is back early after the loss of all.
+	// Registrars is the number of gateways in the registry, enough for one of them to be back
+	// early after the loss of all.
 	Registrars = 8
-	// maxEntries is the size of the register from which entries of gateways that
-	// nobody knows any more are dropped.
+	// maxEntries is the size of the registry from which entries of non-members are dropped.
 	maxEntries = 3 * Registrars
-	// firstReadDelay is how long a gateway that has just started waits for its seeds;
-	// they answer within some milliseconds where they are up. emptyAfter is the same
-	// where nobody can be registered yet: all start within some hundred milliseconds.
+	// firstReadDelay is the time that a starting gateway waits for its seeds, which answer
+	// within milliseconds, before it reads the registry. emptyReadDelay applies while the
+	// registry may be empty, since the whole fleet starts.
 	firstReadDelay = 30 * time.Millisecond
 	emptyReadDelay = 2 * time.Second
-	// minBackoff and againMax bound how often the register is read while nobody is
-	// found; each read is a call of the store.
+	// minBackoff and maxBackoff bound the time between reads of the registry while no other
+	// gateway is found.
 	minBackoff = 300 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// checkInterval is how often it is looked whether this gateway should register.
+	// checkInterval is the time between checks of whether this gateway must register.
 	checkInterval = 2 * time.Second
 	callTimeout   = time.Second
 )
 
-// Entry is one gateway of the register.
+// Entry is a registered gateway.
 type Entry struct {
 	ID      string
-	Address string // Address is where other gateways reach it.
+	Address string // for connections of other gateways
 }
 
-// Registry keeps the addresses of some gateways.
+// Registry stores the addresses of some gateways.
 type Registry interface {
 	Entries(ctx context.Context) ([]Entry, error)
-	// Put writes one entry and takes others out.
+	// Put writes one entry and deletes those with the IDs in drop.
 	Put(ctx context.Context, e Entry, drop []string) error
 }
 
-// Peers is what is known of the other gateways.
+// Peers describes the other gateways.
 type Peers interface {
-	// Alone tells whether no other gateway is known.
+	// Alone reports whether no other gateway is known.
 	Alone() bool
-	// Registrar tells whether this gateway is one of those that register.
+	// Registrar reports whether this gateway is one of the registrars.
 	Registrar() bool
-	// IsMember tells whether a gateway is a member.
+	// IsMember reports whether a gateway is a member.
 	IsMember(id string) bool
-	// Greet greets gateways at these addresses.
+	// Greet contacts the gateways at these addresses.
 	Greet(addresses []string)
 }
 
-// Options are the parts of a Service.
+// Options configure the service.
 type Options struct {
 	Self     Entry
 	Registry Registry
 	Peers    Peers
 	Clock    clock.Clock
-	// Era returns how often the store has come back from an older copy, without what was
-	// registered since that was made.
+	// Era returns the number of times the store was restored from an older copy, which may lack
+	// this gateway's entry; optional.
 	Era func() uint64
-	// EmptyRegistry tells that nobody can be registered yet: the whole fleet starts for the
-	// first time.
+	// EmptyRegistry is set if the whole fleet starts for the first time.
 	EmptyRegistry bool
 }
 
-// Service reads the register while this gateway is alone, and registers it where
-// it is one of the few that do.
+// Service reads the registry while this gateway knows no other one, and registers this gateway
+// if it is a registrar.
 type Service struct {
 	t          *tomb.Tomb
 	log        log.Logger
 	opts       Options
 	registered bool
-	era        uint64        // era is that in which this gateway looked whether it is registered.
-	backoff    time.Duration // again is the time until the register is read once more.
+	era        uint64        // era in which registered was determined
+	backoff    time.Duration // until the next read of the registry
 }
 
-// Start starts the service; it ends with the tomb.
+// Start starts a service; it ends with the tomb.
 func Start(t *tomb.Tomb, logger log.Logger, o Options) {
 	s := newService(t, logger, o)
 	t.Go(s.run)
@@ -120,7 +117,7 @@
 	return firstReadDelay
 }
 
-// check does what is to be done now and returns when to check again.
+// check performs the step that is due and returns the time until the next one.
 func (s *Service) check() time.Duration {
 	if s.opts.Peers.Alone() {
 		s.greetRegistered()
@@ -138,7 +135,7 @@
 	return checkInterval
 }
 
-// greetRegistered greets the gateways of the register.
+// greetRegistered greets all registered gateways.
 func (s *Service) greetRegistered() {
 	entries, ok := s.entries()
 	if !ok {
@@ -150,12 +147,12 @@
 			addresses = append(addresses, e.Address)
 		}
 	}
-	s.log.Info("No other gateway known, calling those of the register.", "entries", len(entries))
+	s.log.Info("No other gateway known, greeting the registered ones.", "entries", len(entries))
 	s.opts.Peers.Greet(addresses)
 }
 
-// register writes this gateway's entry unless it is there. Where it fails, it is
-// tried again at the next look.
+// register writes this gateway's entry unless it exists. A failure is retried at the next
+// check.
 func (s *Service) register() {
 	entries, ok := s.entries()
 	if !ok {
@@ -171,15 +168,14 @@
 	defer cancel()
 	drop := s.nonMembers(entries)
 	if err := s.opts.Registry.Put(ctx, s.opts.Self, drop); err != nil {
-		s.log.Warn("Not registered, will try again.", "error", err)
+		s.log.Warn("Could not register, will retry.", "error", err)
 		return
 	}
 	s.registered = true
 	s.log.Info("Registered.", "entries", len(entries)+1-len(drop), "dropped", len(drop))
 }
 
-// nonMembers returns the entries that no longer belong to members, once the register
-// has grown large.
+// nonMembers returns the IDs of entries of non-members if the registry is too large.
 func (s *Service) nonMembers(entries []Entry) []string {
 	if len(entries) < maxEntries {
 		return nil
@@ -198,7 +194,7 @@
 	defer cancel()
 	entries, err := s.opts.Registry.Entries(ctx)
 	if err != nil {
-		s.log.Warn("The register cannot be read.", "error", err)
+		s.log.Warn("Could not read the registry.", "error", err)
 		return nil, false
 	}
 	return entries, true
--- a/services/discover/discover_test.go
+++ b/services/discover/discover_test.go
@@ -16,7 +16,7 @@
 	"madderway/modules/log"
 )
 
-// fleet is a register and the peers that a gateway knows.
+// fleet is a registry and the peers of one gateway.
 type fleet struct {
 	entries   map[string]string
 	reads     int
@@ -66,8 +66,8 @@
 	return newService(&tomb.Tomb{}, log.New("test"), Options{Self: self, Registry: f, Peers: f, Clock: clock.NewFake()})
 }
 
-// A gateway that comes back before all its seeds finds the others through the
-// register, and reads it ever less often while nobody answers.
+// Guards against a gateway that stays alone while its seeds are down, and against constant reads
+// of the registry.
 func TestLoneGatewayGreetsRegistered(t *testing.T) {
 	f := &fleet{alone: true, entries: map[string]string{"g1": "127.0.0.1:1", "g2": "127.0.0.1:2"}}
 	s := newTestService(f)
@@ -75,39 +75,38 @@
 	for range 8 {
 		wait := s.check()
 		if wait < last || wait > maxBackoff {
-			t.Errorf("looks again after %v, before that after %v", wait, last)
+			t.Errorf("next check after %v, previous one after %v, want growing waits", wait, last)
 		}
 		last = wait
 	}
 	if last != maxBackoff || f.puts != 0 {
-		t.Errorf("looks again after %v at last, %d writes", last, f.puts)
+		t.Errorf("last wait %v and %d writes, want maxBackoff and none", last, f.puts)
 	}
 	if len(f.greeted) != 8 || f.greeted[0] != "127.0.0.1:2" {
-		t.Errorf("called %v, want the other gateway at each look", f.greeted)
+		t.Errorf("greeted %v, want the other gateway at each check", f.greeted)
 	}
 }
 
-// Where all start for the first time the register is empty, and is not read while
-// the seeds come up.
+// Guards against reads of an empty registry while the seeds start.
 func TestEmptyRegistryReadIsDelayed(t *testing.T) {
 	s := newTestService(&fleet{alone: true})
 	if got := s.firstDelay(); got != firstReadDelay {
-		t.Errorf("looks after %v", got)
+		t.Errorf("first check after %v, want firstReadDelay", got)
 	}
 	s.opts.EmptyRegistry = true
 	if got := s.firstDelay(); got != emptyReadDelay {
-		t.Errorf("looks after %v where nobody can be registered", got)
+		t.Errorf("first check after %v while the registry is empty, want emptyReadDelay", got)
 	}
 }
 
-// A gateway with peers reads nothing, unless it is one of those that register:
-// then it writes its entry once, and not at all where it is there.
+// Guards against needless calls of the store: a registrar writes its entry only if it is
+// missing, and other gateways with peers read nothing.
 func TestRegistersOnce(t *testing.T) {
 	f := &fleet{}
 	s := newTestService(f)
 	s.check()
 	if f.reads != 0 {
-		t.Error("a gateway that does not register reads the register")
+		t.Error("gateway that is not a registrar reads the registry")
 	}
 	f.registrar, f.down = true, true
 	s.check()
@@ -116,18 +115,17 @@
 		s.check()
 	}
 	if f.entries["g1"] != self.Address || f.puts != 1 || f.reads != 2 {
-		t.Errorf("%+v", f)
+		t.Errorf("got %+v, want one entry, one write and two reads", f)
 	}
-	again := newTestService(f)
-	again.check()
-	again.check()
+	restarted := newTestService(f)
+	restarted.check()
+	restarted.check()
 	if f.puts != 1 || f.reads != 3 {
-		t.Errorf("written again after a restart: %+v", f)
+		t.Errorf("got %+v after a restart, want one write and three reads", f)
 	}
 }
 
-// The register does not grow for ever: entries of gateways that nobody knows go
-// once there are many.
+// Guards against a registry that grows without bound.
 func TestNonMemberEntriesAreDropped(t *testing.T) {
 	f := &fleet{registrar: true, entries: map[string]string{}, members: []string{"old-3"}}
 	for i := range maxEntries {
@@ -135,12 +133,11 @@
 	}
 	newTestService(f).check()
 	if len(f.entries) != 2 || f.entries["old-3"] == "" || f.entries["g1"] == "" {
-		t.Errorf("%v", f.entries)
+		t.Errorf("entries %v, want only old-3 and g1", f.entries)
 	}
 }
 
-// A store that comes back from an older copy may lack the entry: it is written again, and left
-// alone where it is there.
+// Guards against an entry that stays missing after the store was restored from an older copy.
 func TestEntryIsRewrittenInNewEra(t *testing.T) {
 	f := &fleet{registrar: true}
 	s := newTestService(f)
@@ -149,16 +146,16 @@
 	s.check()
 	s.check()
 	if f.puts != 1 {
-		t.Fatalf("written %d times", f.puts)
+		t.Fatalf("%d writes before the restore, want 1", f.puts)
 	}
 	era, f.entries = 2, map[string]string{}
 	s.check()
 	if f.puts != 2 || f.entries["g1"] == "" {
-		t.Errorf("written %d times, the register holds %v", f.puts, f.entries)
+		t.Errorf("%d writes, entries %v, want 2 writes and the entry of g1", f.puts, f.entries)
 	}
 	era = 3
 	s.check()
 	if f.puts != 2 {
-		t.Errorf("written %d times though it was there", f.puts)
+		t.Errorf("%d writes though the entry exists, want 2", f.puts)
 	}
 }
--- a/services/membership/poll.go
+++ b/services/membership/poll.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package membership polls the platform's VM list and the load of targets for
-// the control loop.
+// Package membership polls the platform's VM list and the load and cache events of targets, and
+// passes them to the control loop.
 package membership
 
 import (
@@ -23,13 +23,13 @@
 
 const (
 	pollParallel = 16
-	// maxFailures is after how many load reports in a row that did not come
-	// a target gets no new work.
+	// maxFailures is the number of consecutive failed load polls after which a target gets no
+	// new work.
 	maxFailures  = 2
 	idlePollLoad = 50 * time.Millisecond
 )
 
-// Options are the parts of a Poller.
+// Options configure a Poller.
 type Options struct {
 	Clock    clock.Clock
 	VMs      platform.VMs
@@ -44,17 +44,17 @@
 	PoolKind func(pool string) conf.PoolKind
 }
 
-// Poller asks the platform and the targets.
+// Poller polls the platform and the targets.
 type Poller struct {
 	t        *tomb.Tomb
 	log      log.Logger
 	opts     Options
 	mu       sync.Mutex
-	failures map[string]int
-	nextSeq  map[string]uint64
+	failures map[string]int    // consecutive failed load polls, by target
+	nextSeq  map[string]uint64 // next cache event, by target
 }
 
-// New starts the goroutines that poll; they end with the tomb.
+// New starts a poller; it ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Poller {
 	p := &Poller{t: t, log: logger, opts: o, failures: map[string]int{}, nextSeq: map[string]uint64{}}
 	t.Go(p.pollVMs)
@@ -133,8 +133,7 @@
 	}
 }
 
-// pollCache asks for the cache events since the last ones. They are hints
-// only, so an error is passed over.
+// pollCache fetches new cache events. They are only hints, so errors are ignored.
 func (p *Poller) pollCache(ctx context.Context, t *conf.Target) {
 	p.mu.Lock()
 	from := p.nextSeq[t.Name]
@@ -154,7 +153,7 @@
 	defer p.mu.Unlock()
 	p.failures[target]++
 	if p.failures[target] == maxFailures {
-		p.log.Warn("Target gives no load report.", "target", target)
+		p.log.Warn("Target does not report its load.", "target", target)
 	}
 	return p.failures[target] >= maxFailures
 }
@@ -163,7 +162,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.failures[target] >= maxFailures {
-		p.log.Info("Target gives load reports again.", "target", target)
+		p.log.Info("Target reports its load again.", "target", target)
 	}
 	p.failures[target] = 0
 }
