--- a/services/config/submit.go
+++ b/services/config/submit.go
@@ -91,11 +91,11 @@
 		case head.Accepted:
 			return a.Version, nil
 		case head.Conflict:
-			return 0, result.New(result.ConfigConflict, "the change is based on version %d, but version %d (%.12s by %s) is current",
+			return 0, result.New(result.ConfigConflict, "your change was made for version %d; version %d (%.12s by %s) is in its place",
 				a.Base.Version, a.Current.Version, a.Current.Hash, a.Current.Author)
 		case head.Undecided:
 			if !a.MayHaveCommitted {
-				return 0, result.New(result.PlatformDown, "the platform's table did not answer").WithRetryAfter(time.Second)
+				return 0, result.New(result.PlatformDown, "the platform's table gave no answer").WithRetryAfter(time.Second)
 			}
 			return 0, result.New(result.ConfigUnknown, "submit again with operation ID %s", c.Operation).WithRetryAfter(time.Second)
 		}
