--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -24,7 +24,7 @@
 
 const (
 	// minRecheck and maxRecheck bound the wait until a gateway checks again whether to poll the
-	// store. News from peers only postpones the poll, but the set of watchers changes with the
+	// store. Updates from peers only postpone the poll, but the set of watchers changes with the
 	// members.
 	minRecheck = 20 * time.Millisecond
 	maxRecheck = 500 * time.Millisecond
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -51,8 +51,8 @@
 
 func (f *fakeSource) WatchOperator(ctx context.Context, since routing.Revision, _ time.Duration) (OperatorUpdate, error) {
 	select {
-	case news := <-f.operator:
-		return news, nil
+	case update := <-f.operator:
+		return update, nil
 	case <-ctx.Done():
 		return OperatorUpdate{Stamp: Stamp{Revision: since}}, ctx.Err()
 	}
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// Guards against a leaving target that only a peer has heard of, though both have the same list.
+// Guards against a leaving target that stays unknown here although a peer with the same list
+// knows of it.
 func TestLeavingTargetsFromPeer(t *testing.T) {
 	id := routing.TargetID("a", 100)
 	peerState, err := json.Marshal(targetState{Revision: 5, Leaving: []leaving.Announcement{{ID: id, Age: time.Second}}})
--- a/services/follow/source.go
+++ b/services/follow/source.go
@@ -22,7 +22,8 @@
 // IsErrHistoryGone reports whether err is ErrHistoryGone.
 func IsErrHistoryGone(err error) bool { return errors.Is(err, ErrHistoryGone) }
 
-// TargetChange is the new state of one worker.
+// TargetChange is the new state of one worker. Peers exchange it as JSON, so the field names are
+// part of the format.
 type TargetChange struct {
 	ID       string // the worker's name, the same for all its incarnations
 	Revision routing.Revision
