--- a/services/config/config.go
+++ b/services/config/config.go
@@ -64,7 +64,7 @@
 	opts           Options
 	source         *source
 	events         *ring.Ring[head.FollowEvent]
-	current        atomic.Pointer[Snapshot]
+	snapshot       atomic.Pointer[Snapshot]
 	currentVersion atomic.Pointer[head.Version]
 
 	mu        sync.Mutex
@@ -90,7 +90,7 @@
 }
 
 // Snapshot returns the current configuration, nil before the first.
-func (s *Service) Snapshot() *Snapshot { return s.current.Load() }
+func (s *Service) Snapshot() *Snapshot { return s.snapshot.Load() }
 
 // InForce returns the current version. It takes no lock, because the control loop calls
 // it for each heartbeat.
@@ -202,7 +202,7 @@
 		if _, ok := a.(head.Adopt); !ok {
 			continue
 		}
-		s.current.Store(snapshot)
+		s.snapshot.Store(snapshot)
 		s.currentVersion.Store(&v)
 		s.source.cache.retain(v.Hash, m)
 		s.opts.OnAdopt(snapshot)
