--- a/services/config/config.go
+++ b/services/config/config.go
@@ -92,8 +92,8 @@
 // Snapshot returns the current configuration, nil before the first.
 func (s *Service) Snapshot() *Snapshot { return s.snapshot.Load() }
 
-// InForce returns the current version. It takes no lock, because the control loop calls
-// it for each heartbeat.
+// InForce returns the current version. It takes no lock, because the control loop calls it for
+// each heartbeat.
 func (s *Service) InForce() head.Version { return *s.currentVersion.Load() }
 
 // Wanted returns the highest known version.
