--- a/services/discover/discover.go
+++ b/services/discover/discover.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package discover lets gateways find each other where their seeds are down. A few
-// of them keep their addresses in a register, and a gateway that knows no other one
-// reads it: after the loss of all machines the seeds may be the last to come back,
-// and gateways that do not know each other all schedule the same targets.
+// Package discover lets gateways find each other while their seeds are down. Registrars keep
+// their addresses in a registry in the platform's store, and a gateway that knows no other one
+// reads it. Gateways that do not find each other would all schedule the same targets.
 package discover
 
 import (
@@ -18,77 +17,75 @@
 )
 
 const (
-	// Registrars is how many gateways keep their address in the register: enough
-	// that one of them is back early after the loss of all.
+	// Registrars is the number of gateways in the registry, enough for one of them to be back
+	// early after the loss of all.
 	Registrars = 8
-	// maxEntries is the size of the register from which entries of gateways that
-	// nobody knows any more are dropped.
+	// maxEntries is the size of the registry from which entries of non-members are dropped.
 	maxEntries = 3 * Registrars
-	// aloneAfter is how long a gateway that has just started waits for its seeds;
-	// they answer within some milliseconds where they are up. emptyAfter is the same
-	// where nobody can be registered yet: all start within some hundred milliseconds.
-	aloneAfter = 30 * time.Millisecond
-	emptyAfter = 2 * time.Second
-	// againAfter and againMax bound how often the register is read while nobody is
-	// found; each read is a call of the store.
-	againAfter = 300 * time.Millisecond
-	againMax   = 5 * time.Second
-	// checkEvery is how often it is looked whether this gateway should register.
-	checkEvery = 2 * time.Second
-	callTime   = time.Second
+	// firstReadDelay is the time that a starting gateway waits for its seeds, which answer
+	// within milliseconds, before it reads the registry. emptyReadDelay applies while the
+	// registry may be empty, since the whole fleet starts.
+	firstReadDelay = 30 * time.Millisecond
+	emptyReadDelay = 2 * time.Second
+	// minBackoff and maxBackoff bound the time between reads of the registry while no other
+	// gateway is found.
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// checkInterval is the time between checks of whether this gateway must register.
+	checkInterval = 2 * time.Second
+	callTimeout   = time.Second
 )
 
-// Entry is one gateway of the register.
+// Entry is a registered gateway.
 type Entry struct {
 	ID      string
-	Address string // Address is where other gateways reach it.
+	Address string // for connections of other gateways
 }
 
-// Register keeps the addresses of some gateways.
-type Register interface {
+// Registry stores the addresses of some gateways.
+type Registry interface {
 	Entries(ctx context.Context) ([]Entry, error)
-	// Put writes one entry and takes others out.
+	// Put writes one entry and deletes those with the IDs in drop.
 	Put(ctx context.Context, e Entry, drop []string) error
 }
 
-// Peers is what is known of the other gateways.
+// Peers describes the other gateways.
 type Peers interface {
-	// Alone tells whether no other gateway is known.
+	// Alone reports whether no other gateway is known.
 	Alone() bool
-	// Registrar tells whether this gateway is one of those that register.
+	// Registrar reports whether this gateway is one of the registrars.
 	Registrar() bool
-	// Knows tells whether a gateway is a member.
-	Knows(id string) bool
-	// Call greets gateways at these addresses.
-	Call(addresses []string)
+	// IsMember reports whether a gateway is a member.
+	IsMember(id string) bool
+	// Greet contacts the gateways at these addresses.
+	Greet(addresses []string)
 }
 
-// Options are the parts of a Service.
+// Options configure the service.
 type Options struct {
 	Self     Entry
-	Register Register
+	Registry Registry
 	Peers    Peers
 	Clock    clock.Clock
-	// Era returns how often the store has come back from an older copy, without what was
-	// registered since that was made.
+	// Era returns the number of times the store was restored from an older copy, which may lack
+	// this gateway's entry; optional.
 	Era func() uint64
-	// Empty tells that nobody can be registered yet: the whole fleet starts for the
-	// first time.
-	Empty bool
+	// EmptyRegistry is set if the whole fleet starts for the first time.
+	EmptyRegistry bool
 }
 
-// Service reads the register while this gateway is alone, and registers it where
-// it is one of the few that do.
+// Service reads the registry while this gateway knows no other one, and registers this gateway
+// if it is a registrar.
 type Service struct {
 	t          *tomb.Tomb
 	log        log.Logger
 	opts       Options
 	registered bool
-	era        uint64        // era is that in which this gateway looked whether it is registered.
-	again      time.Duration // again is the time until the register is read once more.
+	era        uint64        // era in which registered was determined
+	backoff    time.Duration // until the next read of the registry
 }
 
-// Start starts the service; it ends with the tomb.
+// Start starts a service; it ends with the tomb.
 func Start(t *tomb.Tomb, logger log.Logger, o Options) {
 	s := newService(t, logger, o)
 	t.Go(s.run)
@@ -98,48 +95,48 @@
 	if o.Era == nil {
 		o.Era = func() uint64 { return 0 }
 	}
-	return &Service{t: t, log: logger, opts: o, again: againAfter}
+	return &Service{t: t, log: logger, opts: o, backoff: minBackoff}
 }
 
 func (s *Service) run() error {
-	wait := s.firstLook()
+	wait := s.firstDelay()
 	for {
 		select {
 		case <-s.t.Dying():
 			return nil
 		case <-s.opts.Clock.After(wait):
-			wait = s.look()
+			wait = s.check()
 		}
 	}
 }
 
-func (s *Service) firstLook() time.Duration {
-	if s.opts.Empty {
-		return emptyAfter
+func (s *Service) firstDelay() time.Duration {
+	if s.opts.EmptyRegistry {
+		return emptyReadDelay
 	}
-	return aloneAfter
+	return firstReadDelay
 }
 
-// look does what is to be done now and returns when to look again.
-func (s *Service) look() time.Duration {
+// check performs the step that is due and returns the time until the next one.
+func (s *Service) check() time.Duration {
 	if s.opts.Peers.Alone() {
-		s.find()
-		wait := s.again
-		s.again = min(2*s.again, againMax)
+		s.greetRegistered()
+		wait := s.backoff
+		s.backoff = min(2*s.backoff, maxBackoff)
 		return wait
 	}
-	s.again = againAfter
+	s.backoff = minBackoff
 	if era := s.opts.Era(); era != s.era {
 		s.era, s.registered = era, false
 	}
 	if !s.registered && s.opts.Peers.Registrar() {
 		s.register()
 	}
-	return checkEvery
+	return checkInterval
 }
 
-// find greets the gateways of the register.
-func (s *Service) find() {
+// greetRegistered greets all registered gateways.
+func (s *Service) greetRegistered() {
 	entries, ok := s.entries()
 	if !ok {
 		return
@@ -150,12 +147,12 @@
 			addresses = append(addresses, e.Address)
 		}
 	}
-	s.log.Info("No other gateway known, calling those of the register.", "entries", len(entries))
-	s.opts.Peers.Call(addresses)
+	s.log.Info("No other gateway known, greeting the registered ones.", "entries", len(entries))
+	s.opts.Peers.Greet(addresses)
 }
 
-// register writes this gateway's entry unless it is there. Where it fails, it is
-// tried again at the next look.
+// register writes this gateway's entry unless it exists. A failure is retried at the next
+// check.
 func (s *Service) register() {
 	entries, ok := s.entries()
 	if !ok {
@@ -167,26 +164,25 @@
 			return
 		}
 	}
-	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTime)
+	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTimeout)
 	defer cancel()
-	drop := s.unknown(entries)
-	if err := s.opts.Register.Put(ctx, s.opts.Self, drop); err != nil {
-		s.log.Warn("Not registered, will try again.", "error", err)
+	drop := s.nonMembers(entries)
+	if err := s.opts.Registry.Put(ctx, s.opts.Self, drop); err != nil {
+		s.log.Warn("Could not register, will retry.", "error", err)
 		return
 	}
 	s.registered = true
 	s.log.Info("Registered.", "entries", len(entries)+1-len(drop), "dropped", len(drop))
 }
 
-// unknown returns the entries that no longer belong to members, once the register
-// has grown large.
-func (s *Service) unknown(entries []Entry) []string {
+// nonMembers returns the IDs of entries of non-members if the registry is too large.
+func (s *Service) nonMembers(entries []Entry) []string {
 	if len(entries) < maxEntries {
 		return nil
 	}
 	var drop []string
 	for _, e := range entries {
-		if e.ID != s.opts.Self.ID && !s.opts.Peers.Knows(e.ID) {
+		if e.ID != s.opts.Self.ID && !s.opts.Peers.IsMember(e.ID) {
 			drop = append(drop, e.ID)
 		}
 	}
@@ -194,11 +190,11 @@
 }
 
 func (s *Service) entries() ([]Entry, bool) {
-	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTime)
+	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), callTimeout)
 	defer cancel()
-	entries, err := s.opts.Register.Entries(ctx)
+	entries, err := s.opts.Registry.Entries(ctx)
 	if err != nil {
-		s.log.Warn("The register cannot be read.", "error", err)
+		s.log.Warn("Could not read the registry.", "error", err)
 		return nil, false
 	}
 	return entries, true
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -11,56 +11,55 @@
 	"madderway/models/routing"
 )
 
-// The reasons why an answer of the store changes nothing.
+// Reasons for discarding an answer of the store.
 var (
-	errNewEra = errors.New("the store has come back from an older copy")
-	errOldEra = errors.New("a late answer of the store as it was before it came back")
+	errNewEra = errors.New("the store was restored from an older copy")
+	errOldEra = errors.New("the answer predates the restore of the store")
 )
 
-// fromRelease is where evacuations end that a store which came back older does not name.
-const fromRelease = "the end of a hold"
+// fromHallHold is logged as the origin of a change when the hold of an evacuation ends.
+const fromHallHold = "the end of a hold"
 
-// NoteEra takes the era that the store names in an answer, a refusal or the answer to a write
-// among them. In a new one everything is read anew: what follows in it counts the same numbers
-// for other changes.
-func (s *Service) NoteEra(era uint64) {
+// ObserveEra records the era named in any answer of the store, including refusals and answers
+// to writes. In a new era everything is read again, since change numbers are reused.
+func (s *Service) ObserveEra(era uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.setEra(era, fromStore) {
+	if s.advanceEra(era, fromStore) {
 		s.watchConfiguration.MarkGap()
 		s.watchTargets.MarkGap()
 	}
 }
 
-// Era returns the newest era of the store that was heard of.
+// Era returns the newest known era of the store.
 func (s *Service) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// setEra takes an era, and reports whether the store has come back since something was known of
-// it; mu is held.
-func (s *Service) setEra(era uint64, from string) bool {
+// advanceEra records the era and reports whether the store was restored since it was last read.
+// The caller holds mu.
+func (s *Service) advanceEra(era uint64, from string) bool {
 	if era <= s.era {
 		return false
 	}
-	cameBack := !s.watchTargets.FreshAt().IsZero()
-	s.log.Info("Store in another era.", "era", era, "before", s.era, "from", from, "came_back", cameBack)
+	restored := !s.watchTargets.FreshAt().IsZero()
+	s.log.Info("Store entered a new era.", "era", era, "previous", s.era, "from", from, "restored", restored)
 	s.era = era
-	if cameBack && s.opts.OnEra != nil {
+	if restored && s.opts.OnNewEra != nil {
 		s.t.Go(func() error {
-			s.opts.OnEra()
+			s.opts.OnNewEra()
 			return nil
 		})
 	}
-	return cameBack
+	return restored
 }
 
-// judgeEra tells whether an answer may be applied: it belongs to the newest era, and where it
-// holds changes after a revision, to the era of that.
-func (s *Service) judgeEra(revision, since routing.Revision, all bool) error {
-	s.NoteEra(revision.Era())
+// checkEra returns an error if an answer must be discarded: it belongs to an older era than the
+// newest known one, or it lists changes since a revision of another era.
+func (s *Service) checkEra(revision, since routing.Revision, all bool) error {
+	s.ObserveEra(revision.Era())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -73,42 +72,43 @@
 	}
 }
 
-// enterEra prepares the table for a list of a later era than what it holds; mu is held. What
-// is known of lives is not undone by an older list: those that leave go on leaving. Entries may
-// be missing until their owners have written them again.
+// enterEra prepares the table for a list of a newer era; the caller holds mu. Targets known to
+// leave are kept as leaving, whatever the restored list says. The list may lack entries until
+// their owners have written them again.
 func (s *Service) enterEra(now time.Time, revision routing.Revision, from string) {
 	if s.table.revision == 0 {
-		s.era = max(s.era, revision.Era()) // the first that is known here
+		s.era = max(s.era, revision.Era()) // the first known era
 		return
 	}
 	if revision.Era() <= s.table.revision.Era() {
 		return
 	}
-	s.setEra(revision.Era(), from)
-	var told []leaving.Announcement
+	s.advanceEra(revision.Era(), from)
+	var announced []leaving.Announcement
 	for _, ch := range s.table.known {
 		if ch.Target.Leaving {
-			told = append(told, leaving.Announcement{ID: ch.Target.ID})
+			announced = append(announced, leaving.Announcement{ID: ch.Target.ID})
 		}
 	}
-	s.opts.Leavers.MergeLeaving(told)
+	s.opts.Leavers.MergeLeaving(announced)
 	s.watchTargets.MarkUnsettled(now)
 }
 
-// releaseLater ends evacuations that are only held when their time is over; mu is held.
-func (s *Service) releaseLater(now time.Time) {
+// scheduleRelease starts a goroutine that ends held evacuations when they are due; the caller
+// holds mu.
+func (s *Service) scheduleRelease(now time.Time) {
 	wait := s.halls.nextRelease(now)
-	if wait == 0 || s.releasing {
+	if wait == 0 || s.releaseScheduled {
 		return
 	}
-	s.releasing = true
+	s.releaseScheduled = true
 	s.t.Go(func() error {
 		alive := s.sleep(wait)
 		s.mu.Lock()
-		s.releasing = false
+		s.releaseScheduled = false
 		s.mu.Unlock()
 		if alive {
-			s.changeHalls(fromRelease, func(now time.Time) []HallChange {
+			s.changeHalls(fromHallHold, func(now time.Time) []HallChange {
 				return s.halls.release(now)
 			})
 		}
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -19,19 +19,18 @@
 	"madderway/modules/log"
 )
 
-// fakeSource answers reads from fields; watches block until something is
-// published or the test ends.
+// fakeSource answers reads from its fields. Watches block until a channel delivers a change or
+// the context ends.
 type fakeSource struct {
-	mu      sync.Mutex
-	reads   int
-	watches chan routing.Revision // each watch of targets reports where it began
-	changes chan watchAnswer
-	config  *routing.Configuration
-	halls   []HallChange
-	targets []routing.Target
-	version routing.Revision
-	// operator answers the watches of the operator's settings.
-	operator chan OperatorNews
+	mu       sync.Mutex
+	reads    int
+	watches  chan routing.Revision // the revision that each watch of targets began after
+	changes  chan watchAnswer
+	config   *routing.Configuration
+	halls    []HallChange
+	targets  []routing.Target
+	version  routing.Revision
+	operator chan OperatorUpdate // answers to watches of the operator's settings
 }
 
 type watchAnswer struct {
@@ -41,38 +40,38 @@
 }
 
 func newFakeSource() *fakeSource {
-	return &fakeSource{watches: make(chan routing.Revision, 64), changes: make(chan watchAnswer), operator: make(chan OperatorNews)}
+	return &fakeSource{watches: make(chan routing.Revision, 64), changes: make(chan watchAnswer), operator: make(chan OperatorUpdate)}
 }
 
-func (f *fakeSource) Operator(context.Context) (OperatorNews, error) {
+func (f *fakeSource) Operator(context.Context) (OperatorUpdate, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return OperatorNews{Configuration: f.config, Halls: f.halls, Stamp: Stamp{Revision: f.version}}, nil
+	return OperatorUpdate{Configuration: f.config, Halls: f.halls, Stamp: Stamp{Revision: f.version}}, nil
 }
 
-func (f *fakeSource) OperatorAfter(ctx context.Context, since routing.Revision, _ time.Duration) (OperatorNews, error) {
+func (f *fakeSource) WatchOperator(ctx context.Context, since routing.Revision, _ time.Duration) (OperatorUpdate, error) {
 	select {
-	case news := <-f.operator:
-		return news, nil
+	case update := <-f.operator:
+		return update, nil
 	case <-ctx.Done():
-		return OperatorNews{Stamp: Stamp{Revision: since}}, ctx.Err()
+		return OperatorUpdate{Stamp: Stamp{Revision: since}}, ctx.Err()
 	}
 }
 
-func (f *fakeSource) Targets(context.Context) (TargetNews, error) {
+func (f *fakeSource) Targets(context.Context) (TargetUpdate, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reads++
-	return TargetNews{Targets: f.targets, Stamp: Stamp{Revision: f.version}}, nil
+	return TargetUpdate{Targets: f.targets, Stamp: Stamp{Revision: f.version}}, nil
 }
 
-func (f *fakeSource) TargetsAfter(ctx context.Context, since routing.Revision, _ time.Duration) (TargetNews, error) {
+func (f *fakeSource) WatchTargets(ctx context.Context, since routing.Revision, _ time.Duration) (TargetUpdate, error) {
 	f.watches <- since
 	select {
 	case a := <-f.changes:
-		return TargetNews{Changes: a.changes, Stamp: Stamp{Revision: a.revision}}, a.err
+		return TargetUpdate{Changes: a.changes, Stamp: Stamp{Revision: a.revision}}, a.err
 	case <-ctx.Done():
-		return TargetNews{Stamp: Stamp{Revision: since}}, ctx.Err()
+		return TargetUpdate{Stamp: Stamp{Revision: since}}, ctx.Err()
 	}
 }
 
@@ -84,7 +83,7 @@
 
 type fakePeers map[string][]byte
 
-func (f fakePeers) FetchState(_ context.Context, peer string, want StateWanted) ([]byte, error) {
+func (f fakePeers) FetchState(_ context.Context, peer string, want StateRequest) ([]byte, error) {
 	if want.Targets {
 		return f[peer+"/targets"], nil
 	}
@@ -118,36 +117,35 @@
 	return h
 }
 
-// watched returns where the next watch of targets began; time passes until then.
-func (h *harness) watched() routing.Revision {
+// nextWatch advances the clock until the next watch of targets and returns its revision.
+func (h *harness) nextWatch() routing.Revision {
 	for {
 		select {
 		case since := <-h.source.watches:
 			return since
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
 
-// await lets time pass until something has changed.
+// await advances the clock until the next change.
 func (h *harness) await() {
 	for {
 		select {
 		case <-h.changed:
 			return
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
 
-// An empty table at revision 0 must be watched like any other: reading it again
-// and again cost two thousand calls of the store before the first target came.
+// Guards against reading an empty table again and again instead of watching it.
 func TestEmptyTableIsWatched(t *testing.T) {
 	h := start(t, newFakeSource(), nil)
-	if since := h.watched(); since != 0 {
-		t.Fatalf("watch began after %d", since)
+	if since := h.nextWatch(); since != 0 {
+		t.Fatalf("watch began after revision %d, want 0", since)
 	}
 	if n := h.source.readCount(); n != 1 {
 		t.Errorf("%d reads of an empty table, want 1", n)
@@ -158,43 +156,43 @@
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}}
 	h := start(t, source, nil)
-	h.watched()
+	h.nextWatch()
 	h.await()
 	source.mu.Lock()
 	source.version, source.targets = 9, []routing.Target{{ID: "b"}}
 	source.mu.Unlock()
 	source.changes <- watchAnswer{err: ErrHistoryGone}
 	h.await()
-	// The harness lets time run on its own: where that made a long silence, a is
-	// held for a while, and its end is one more change.
+	// The harness advances the clock: after a long silence a is held for a while, and the
+	// end of the hold is another change.
 	if h.Targets().Find("a") != nil {
 		h.await()
 	}
 	if set := h.Targets(); set.Find("a") != nil || set.Find("b") == nil || set.Revision != 9 {
-		t.Errorf("after the history was gone: %+v", set)
+		t.Errorf("targets %+v after the history was gone, want only b at revision 9", set)
 	}
-	if since := h.watched(); since != 9 {
-		t.Errorf("watch goes on after %d, want 9", since)
+	if since := h.nextWatch(); since != 9 {
+		t.Errorf("watch continues after revision %d, want 9", since)
 	}
 }
 
-func TestChangesApplyOnce(t *testing.T) {
+func TestOlderChangeDoesNotUndoNewer(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}}
 	h := start(t, source, nil)
 	h.await()
-	h.watched()
+	h.nextWatch()
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{
 		{ID: "a", Revision: 7, Target: routing.Target{ID: "a", Leaving: true}}, {ID: "b", Revision: 8, Target: routing.Target{ID: "b"}},
 	}}
 	h.await()
 	if set := h.Targets(); !set.Find("a").Leaving || set.Find("b") == nil || set.Revision != 8 {
-		t.Fatalf("after changes: %+v", set)
+		t.Fatalf("targets %+v, want a leaving and b at revision 8", set)
 	}
-	h.watched()
-	// A late copy of an older change must not undo a newer one.
+	h.nextWatch()
+	// An older change is delivered late.
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{{ID: "a", Revision: 6, Target: routing.Target{ID: "a"}}}}
-	h.watched()
+	h.nextWatch()
 	if !h.Targets().Find("a").Leaving {
 		t.Error("an older change was applied over a newer one")
 	}
@@ -207,12 +205,12 @@
 	h.await()
 	h.adopt(&routing.Configuration{Version: 6}, "peer")
 	if v := h.Versions().Configuration; v != 7 {
-		t.Errorf("version %d after an older one was offered, want 7", v)
+		t.Errorf("version %d after adopting an older one, want 7", v)
 	}
 }
 
-// A gateway that the store turns away learns a new version from a peer.
-func TestPeerBringsWhatTheStoreDoesNot(t *testing.T) {
+// Guards against an old configuration while the store rejects this gateway but not its peers.
+func TestConfigurationFromPeer(t *testing.T) {
 	newer, err := json.Marshal(routing.Configuration{Version: 9})
 	if err != nil {
 		t.Fatal(err)
@@ -221,7 +219,7 @@
 	source.config = &routing.Configuration{Version: 7}
 	h := start(t, source, fakePeers{"peer": newer})
 	h.await()
-	h.PeerVersions("peer", Versions{Configuration: 9})
+	h.ObservePeerVersions("peer", Versions{Configuration: 9})
 	for {
 		select {
 		case <-h.changed:
@@ -230,13 +228,13 @@
 			}
 			return
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
 
-func TestPeersTargetsReplaceOlderOnes(t *testing.T) {
-	set, err := json.Marshal(targetNews{Revision: 12, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a", Leaving: true}}}})
+func TestNewerTargetsFromPeer(t *testing.T) {
+	set, err := json.Marshal(targetState{Revision: 12, Changes: []TargetChange{{ID: "a", Revision: 12, Target: routing.Target{ID: "a", Leaving: true}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,64 +244,63 @@
 	h := start(t, source, fakePeers{"peer/targets": set})
 	h.await()
 	h.await()
-	h.PeerVersions("peer", Versions{Targets: 12})
+	h.ObservePeerVersions("peer", Versions{Targets: 12})
 	for {
 		select {
 		case <-h.changed:
 			if got := h.Targets(); got.Revision != 12 || !got.Find("a").Leaving {
-				t.Errorf("targets %+v", got)
+				t.Errorf("targets %+v, want a leaving at revision 12", got)
 			}
 			return
 		default:
-			h.clock.Advance(lookLeast)
+			h.clock.Advance(minRecheck)
 		}
 	}
 }
 
-// A target that has said it leaves gets nothing new for as long as the store is away,
-// whatever a peer with an older list says, and is not held when it is gone at last.
-func TestLeavingOutlastsTheStore(t *testing.T) {
+// Guards against a leaving target that gets work again during an outage because a peer has an
+// older list, or that is held after its removal.
+func TestLeavingTargetStaysLeavingDuringOutage(t *testing.T) {
 	source := newFakeSource()
 	source.version, source.targets = 5, []routing.Target{{ID: "a"}, {ID: "b"}}
-	older, err := json.Marshal(targetNews{Revision: 6, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 5, Target: routing.Target{ID: "a"}}}})
+	older, err := json.Marshal(targetState{Revision: 6, Whole: true, Changes: []TargetChange{{ID: "a", Revision: 5, Target: routing.Target{ID: "a"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := start(t, source, fakePeers{"peer/targets": older})
 	h.await()
-	h.watched()
+	h.nextWatch()
 	source.changes <- watchAnswer{revision: 8, changes: []TargetChange{{ID: "a", Revision: 8, Target: routing.Target{ID: "a", Leaving: true}}}}
 	h.await()
 	for range 20 { // an outage of many seconds
-		h.watched()
+		h.nextWatch()
 		source.changes <- watchAnswer{err: errors.New("the store is down")}
 	}
-	h.PeerVersions("peer", Versions{Targets: 6, TargetsAge: time.Minute}) // the store is away for the peer, too
+	h.ObservePeerVersions("peer", Versions{Targets: 6, TargetsAge: time.Minute}) // the peer cannot reach the store either
 	if a := h.Targets().Find("a"); a == nil || !a.Leaving {
-		t.Fatalf("%+v while the store was away", h.Targets().Targets)
+		t.Fatalf("targets %+v during the outage, want a leaving", h.Targets().Targets)
 	}
-	h.watched()
+	h.nextWatch()
 	source.changes <- watchAnswer{revision: 9, changes: []TargetChange{{ID: "a", Revision: 9, Gone: true}, {ID: "b", Revision: 9, Gone: true}}}
 	h.await()
 	if set := h.Targets(); set.Find("a") != nil || set.Find("b") == nil {
-		t.Errorf("%+v after the store's return, want b held and a gone", set.Targets)
+		t.Errorf("targets %+v after the outage, want b held and a gone", set.Targets)
 	}
 }
 
-// What the store answers to a call that waits may lie in a buffer while this process stands
-// still: it is as old as the call then. Otherwise it is as old as the answer.
-func TestAnswerReadAfterAStandstillIsOld(t *testing.T) {
+// Guards against a stale answer taken for fresh after this process was suspended during a call.
+func TestSlowAnswerIsAsOldAsItsCall(t *testing.T) {
 	began := time.Unix(1_700_000_000, 0)
 	for took, age := range map[time.Duration]time.Duration{
-		10 * time.Millisecond:        10 * time.Millisecond,
-		900 * time.Millisecond:       answerTime,
-		answerMost:                   answerTime,
-		answerMost + time.Nanosecond: answerMost + time.Nanosecond,
-		8 * time.Second:              8 * time.Second,
+		10 * time.Millisecond:         10 * time.Millisecond,
+		900 * time.Millisecond:        assumedAnswerAge,
+		maxCallTime:                   assumedAnswerAge,
+		maxCallTime + time.Nanosecond: maxCallTime + time.Nanosecond,
+		8 * time.Second:               8 * time.Second,
 	} {
 		now := began.Add(took)
 		if got := now.Sub(answeredAt(began, now)); got != age {
-			t.Errorf("an answer after %v is %v old, want %v", took, got, age)
+			t.Errorf("answer after %v has age %v, want %v", took, got, age)
 		}
 	}
 }
--- a/services/membership/poll.go
+++ b/services/membership/poll.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package membership polls the platform's VM list and the load of targets for
-// the control loop.
+// Package membership polls the platform's VM list and the load and cache events of targets, and
+// passes them to the control loop.
 package membership
 
 import (
@@ -23,13 +23,13 @@
 
 const (
 	pollParallel = 16
-	// failuresToDown is after how many load reports in a row that did not come
-	// a target gets no new work.
-	failuresToDown = 2
-	emptyPoll      = 50 * time.Millisecond
+	// maxFailures is the number of consecutive failed load polls after which a target gets no
+	// new work.
+	maxFailures  = 2
+	idlePollLoad = 50 * time.Millisecond
 )
 
-// Options are the parts of a Poller.
+// Options configure a Poller.
 type Options struct {
 	Clock    clock.Clock
 	VMs      platform.VMs
@@ -40,21 +40,21 @@
 	Timeout  time.Duration
 	// Targets returns the targets whose load is polled.
 	Targets func() []*conf.Target
-	// Kind returns the kind of a pool.
-	Kind func(pool string) conf.PoolKind
+	// PoolKind returns the kind of a pool.
+	PoolKind func(pool string) conf.PoolKind
 }
 
-// Poller asks the platform and the targets.
+// Poller polls the platform and the targets.
 type Poller struct {
 	t        *tomb.Tomb
 	log      log.Logger
 	opts     Options
 	mu       sync.Mutex
-	failures map[string]int
-	nextSeq  map[string]uint64
+	failures map[string]int    // consecutive failed load polls, by target
+	nextSeq  map[string]uint64 // next cache event, by target
 }
 
-// New starts the goroutines that poll; they end with the tomb.
+// New starts a poller; it ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Poller {
 	p := &Poller{t: t, log: logger, opts: o, failures: map[string]int{}, nextSeq: map[string]uint64{}}
 	t.Go(p.pollVMs)
@@ -93,7 +93,7 @@
 		p.pollAll(targets)
 		wait := p.opts.PollLoad
 		if len(targets) == 0 {
-			wait = min(wait, emptyPoll)
+			wait = min(wait, idlePollLoad)
 		}
 		if !p.pause(wait) {
 			return nil
@@ -121,20 +121,19 @@
 	defer cancel()
 	load, err := p.opts.Engine.Load(ctx, t.Address)
 	if err != nil {
-		if p.failed(t.Name) {
+		if p.recordFailure(t.Name) {
 			p.opts.Loop.SetLoad(t.Name, 0, 0, false, false)
 		}
 		return
 	}
-	p.recovered(t.Name)
+	p.recordSuccess(t.Name)
 	p.opts.Loop.SetLoad(t.Name, load.Running+load.Waiting, t.Slots, true, load.Leaving)
-	if p.opts.Kind(t.Pool) == conf.KindModel {
+	if p.opts.PoolKind(t.Pool) == conf.KindModel {
 		p.pollCache(ctx, t)
 	}
 }
 
-// pollCache asks for the cache events since the last ones. They are hints
-// only, so an error is passed over.
+// pollCache fetches new cache events. They are only hints, so errors are ignored.
 func (p *Poller) pollCache(ctx context.Context, t *conf.Target) {
 	p.mu.Lock()
 	from := p.nextSeq[t.Name]
@@ -149,21 +148,21 @@
 	p.opts.Loop.SetCache(sched.CacheSeen{Target: t.Name, Events: events})
 }
 
-func (p *Poller) failed(target string) bool {
+func (p *Poller) recordFailure(target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures[target]++
-	if p.failures[target] == failuresToDown {
-		p.log.Warn("Target gives no load report.", "target", target)
+	if p.failures[target] == maxFailures {
+		p.log.Warn("Target does not report its load.", "target", target)
 	}
-	return p.failures[target] >= failuresToDown
+	return p.failures[target] >= maxFailures
 }
 
-func (p *Poller) recovered(target string) {
+func (p *Poller) recordSuccess(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failures[target] >= failuresToDown {
-		p.log.Info("Target gives load reports again.", "target", target)
+	if p.failures[target] >= maxFailures {
+		p.log.Info("Target reports its load again.", "target", target)
 	}
 	p.failures[target] = 0
 }
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -32,7 +32,7 @@
 	if !ok {
 		return &wire.Reply{Error: "unknown call"}
 	}
-	content, err := l.opts.Follow.State(follow.StateWanted{Targets: fetch.StateFetch.Targets, Since: routing.Revision(fetch.StateFetch.Since), Packed: fetch.StateFetch.Packed})
+	content, err := l.opts.Follow.State(follow.StateRequest{Targets: fetch.StateFetch.Targets, Since: routing.Revision(fetch.StateFetch.Since), Packed: fetch.StateFetch.Packed})
 	if err != nil {
 		return &wire.Reply{Error: err.Error()}
 	}
@@ -55,7 +55,7 @@
 func (l *Loop) Registrar() bool { return l.register.Load() }
 
 // Knows implements discover.Peers.
-func (l *Loop) Knows(id string) bool {
+func (l *Loop) IsMember(id string) bool {
 	known := false
 	l.Inspect(func() { _, known = l.members.Lookup(id) })
 	return known
@@ -63,7 +63,7 @@
 
 // Call implements discover.Peers: gateways at these addresses are greeted at once,
 // and again while no other gateway is known.
-func (l *Loop) Call(addresses []string) {
+func (l *Loop) Greet(addresses []string) {
 	l.Inspect(func() {
 		for _, address := range addresses {
 			if address == l.opts.Self.Address || slices.Contains(l.seedsAt, address) {
