--- a/router/gateway.go
+++ b/router/gateway.go
@@ -154,7 +154,7 @@
 	s := g.settings.Load()
 	auth := peernet.NewSharedKey(s.ID, s.PeerKey)
 	store := platform.NewStore(s.Store, s.StoreCall.Duration)
-	g.notices = notice.New(log.New("notice").With(s.ID), notice.Options{Clock: g.clock, Figures: "madderway_gateway", OnLeaving: func() { g.follow.LeavingChanged() }})
+	g.notices = notice.New(log.New("notice").With(s.ID), notice.Options{Clock: g.clock, MetricsPrefix: "madderway_gateway", OnLeaving: func() { g.follow.LeavingChanged() }})
 	g.follow = follow.New(&g.t, log.New("follow").With(s.ID), follow.Options{
 		Source: store, Peers: fetcher{g}, Clock: g.clock, Leavers: g.notices, OnChange: g.changed, OnEra: g.storeCameBack,
 		Fleet: func() (bool, int) { return g.loop.Watches(), g.loop.Members() },
--- a/router/router.go
+++ b/router/router.go
@@ -149,8 +149,8 @@
 	r.requests = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
 		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.TellRecord(record) },
 	})
-	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, Figures: "madderway"})
-	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.WantsRest(target, "", rest) }
+	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, MetricsPrefix: "madderway"})
+	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.PauseTarget(target, "", rest) }
 	r.loop = control.NewLoop(&r.t, log.New("control").With(id), r.controlOptions(auth))
 	close(r.assembled)
 	r.peers.Attach(r.loop, r.config, r.book)
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -18,8 +18,8 @@
 const maxWithheld = 4
 
 // restsOf returns which targets of the job's pool want nothing from this router now.
-func (s *Service) restsOf(j *job) notice.Rests {
-	return s.opts.Notices.RestsAmong(func(yield func(string) bool) {
+func (s *Service) restsOf(j *job) notice.PausedTargets {
+	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
 		for _, t := range j.snapshot.Index.TargetsOf(j.pool.Name) {
 			if !t.Leaving && !yield(t.Name) {
 				return
@@ -30,7 +30,7 @@
 
 // allRest returns the error of a call that only targets at rest could serve, with the time at
 // which the first of them may be tried.
-func (s *Service) allRest(j *job, r notice.Rests) error {
+func (s *Service) allRest(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
 	s.opts.Book.Note(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.First.Round(time.Millisecond))
 	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.First, time.Second))
@@ -50,7 +50,7 @@
 }
 
 // denied returns the targets that may not be granted.
-func (j *job) denied(r notice.Rests) []string {
+func (j *job) denied(r notice.PausedTargets) []string {
 	if len(r.Targets) == 0 {
 		return j.deny
 	}
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -38,8 +38,8 @@
 
 // restsOf returns which targets of a service want nothing from this gateway now. Schedulers are
 // told with each ask: only this gateway knows what it was asked for, and they may change.
-func (s *Service) restsOf(service string) notice.Rests {
-	return s.opts.Notices.RestsAmong(func(yield func(string) bool) {
+func (s *Service) restsOf(service string) notice.PausedTargets {
+	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
 		for _, t := range s.opts.Follow.Targets().ByService(service) {
 			if t.AcceptsWork() && !yield(t.ID) {
 				return
@@ -50,12 +50,12 @@
 
 // allRest returns the error of a request that only targets at rest could serve: to wait would
 // be in vain, and the caller is told when the first of them may be tried.
-func allRest(service string, r notice.Rests) error {
+func allRest(service string, r notice.PausedTargets) error {
 	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.First, soonAfter))
 }
 
 // denied returns the targets that a scheduler is not to choose.
-func (j *job) denied(r notice.Rests) []string {
+func (j *job) denied(r notice.PausedTargets) []string {
 	if len(r.Targets) == 0 {
 		return j.deny
 	}
@@ -68,7 +68,7 @@
 	if t == nil || !t.AcceptsWork() {
 		return nil
 	}
-	if _, rests := j.s.opts.Notices.Closed(id); rests {
+	if _, rests := j.s.opts.Notices.Blocked(id); rests {
 		return nil
 	}
 	return t
--- a/services/mesh/kept.go
+++ b/services/mesh/kept.go
@@ -62,7 +62,7 @@
 func (l *Loop) askOneKept(key cell.Key, t *routing.Target) {
 	// It may have said so while others were asked: each may take a second.
 	now := l.opts.Follow.Targets().Find(t.ID)
-	if _, closed := l.opts.Notices.Closed(t.ID); closed || now == nil || !now.AcceptsWork() {
+	if _, closed := l.opts.Notices.Blocked(t.ID); closed || now == nil || !now.AcceptsWork() {
 		l.log.Info("Target not asked what it keeps.", "cell", key, "target", t.ID, "listed", now != nil, "rests", closed)
 		return
 	}
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -23,15 +23,15 @@
 
 // The reasons why nothing is sent to a target.
 var (
-	ErrLeaves = errors.New("the target leaves")
-	ErrRests  = errors.New("the target wants rest")
+	ErrLeaving = errors.New("the target leaves")
+	ErrPaused  = errors.New("the target wants rest")
 )
 
 // Options are the parts of a Service.
 type Options struct {
 	Clock clock.Clock
-	// Figures is what the names of the figures begin with.
-	Figures string
+	// MetricsPrefix is what the names of the figures begin with.
+	MetricsPrefix string
 	// OnLeaving is called when this process learns from an answer that a target leaves. What
 	// it makes of that holds before the answer is used.
 	OnLeaving func()
@@ -57,7 +57,7 @@
 // New returns a service that has heard nothing.
 func New(logger log.Logger, o Options) *Service {
 	return &Service{
-		log: logger, opts: o, leaving: leaving.New(), rests: pushback.New(), counters: newCounters(o.Figures), lines: log.NewRateLimiter(linesEvery, linesAtOnce),
+		log: logger, opts: o, leaving: leaving.New(), rests: pushback.New(), counters: newCounters(o.MetricsPrefix), lines: log.NewRateLimiter(linesEvery, linesAtOnce),
 	}
 }
 
@@ -83,11 +83,11 @@
 	if v.Leaving {
 		s.leaves(t)
 	}
-	s.WantsRest(t.ID, t.Service, v.Rest)
+	s.PauseTarget(t.ID, t.Service, v.Rest)
 }
 
-// WantsRest takes what a target of a service says of the rest that it wants.
-func (s *Service) WantsRest(target, service string, r retryafter.Result) {
+// PauseTarget takes what a target of a service says of the rest that it wants.
+func (s *Service) PauseTarget(target, service string, r retryafter.Result) {
 	if r.Delay > 0 {
 		s.rest(target, service, r.Delay)
 	}
@@ -145,12 +145,12 @@
 	counted := false
 	s.locked(func(now time.Time) {
 		if _, leaves := s.leaving.Since(target); leaves {
-			err = ErrLeaves
+			err = ErrLeaving
 			return
 		}
 		ok := false
 		if counted, ok = s.rests.TryStart(now, target); !ok {
-			err = ErrRests
+			err = ErrPaused
 		}
 	})
 	if err != nil {
@@ -171,8 +171,8 @@
 	}
 }
 
-// Closed tells whether a target wants nothing from this process now, and for how long.
-func (s *Service) Closed(target string) (left time.Duration, closed bool) {
+// Blocked tells whether a target wants nothing from this process now, and for how long.
+func (s *Service) Blocked(target string) (left time.Duration, closed bool) {
 	if s.known.Load() == 0 {
 		return 0, false
 	}
@@ -180,23 +180,23 @@
 	return left, closed
 }
 
-// Rests are those of some targets that want nothing from this process now.
-type Rests struct {
+// PausedTargets are those of some targets that want nothing from this process now.
+type PausedTargets struct {
 	Targets []string
 	All     bool          // All tells that there is no other one.
 	First   time.Duration // First is when the first of them may be tried again.
 }
 
-// RestsAmong returns which of some targets want nothing now.
-func (s *Service) RestsAmong(targets iter.Seq[string]) Rests {
+// PausedAmong returns which of some targets want nothing now.
+func (s *Service) PausedAmong(targets iter.Seq[string]) PausedTargets {
 	if s.known.Load() == 0 {
-		return Rests{}
+		return PausedTargets{}
 	}
 	return s.restsAmong(targets)
 }
 
-func (s *Service) restsAmong(targets iter.Seq[string]) Rests {
-	var r Rests
+func (s *Service) restsAmong(targets iter.Seq[string]) PausedTargets {
+	var r PausedTargets
 	others := 0
 	s.locked(func(now time.Time) {
 		if s.rests.Len() == 0 {
--- a/services/notice/notice_test.go
+++ b/services/notice/notice_test.go
@@ -24,7 +24,7 @@
 
 func newService() (*Service, *clock.Fake, *int) {
 	c, told := clock.NewFake(), 0
-	return New(log.New("notice"), Options{Clock: c, Figures: "test", OnLeaving: func() { told++ }}), c, &told
+	return New(log.New("notice"), Options{Clock: c, MetricsPrefix: "test", OnLeaving: func() { told++ }}), c, &told
 }
 
 func TestWhatAnAnswerSaysHoldsAtOnce(t *testing.T) {
@@ -38,25 +38,25 @@
 	if *told != 1 || !s.Leaves("a") || s.Leaves("b") {
 		t.Errorf("told %d times, a leaves %v, b %v", *told, s.Leaves("a"), s.Leaves("b"))
 	}
-	if _, err := s.Start("a"); !errors.Is(err, ErrLeaves) {
+	if _, err := s.Start("a"); !errors.Is(err, ErrLeaving) {
 		t.Errorf("sent to a target that leaves: %v", err)
 	}
-	if _, err := s.Start("b"); !errors.Is(err, ErrRests) {
+	if _, err := s.Start("b"); !errors.Is(err, ErrPaused) {
 		t.Errorf("sent to a target at rest: %v", err)
 	}
 	if _, err := s.Start("c"); err != nil {
 		t.Errorf("a time that was not understood: %v", err)
 	}
-	r := s.RestsAmong(slices.Values([]string{"b", "c"}))
+	r := s.PausedAmong(slices.Values([]string{"b", "c"}))
 	if !slices.Equal(r.Targets, []string{"b"}) || r.All || r.First != 3*time.Second {
 		t.Errorf("%+v", r)
 	}
-	if r := s.RestsAmong(slices.Values([]string{"b"})); !r.All {
+	if r := s.PausedAmong(slices.Values([]string{"b"})); !r.All {
 		t.Errorf("%+v, it is the only one", r)
 	}
 	c.Advance(3 * time.Second)
 	permit, err := s.Start("b")
-	if _, again := s.Start("b"); err != nil || !errors.Is(again, ErrRests) {
+	if _, again := s.Start("b"); err != nil || !errors.Is(again, ErrPaused) {
 		t.Errorf("after the rest: %v, and beside the first one %v", err, again)
 	}
 	permit.End(true)
@@ -83,13 +83,13 @@
 	s, _, _ := newService()
 	targets := slices.Values([]string{"a", "b", "c"})
 	for b.Loop() {
-		s.RestsAmong(targets)
+		s.PausedAmong(targets)
 	}
 }
 
 func BenchmarkStartWhileSomeRest(b *testing.B) {
 	s, _, _ := newService()
-	s.WantsRest("other", "", retryafter.Result{Delay: time.Minute})
+	s.PauseTarget("other", "", retryafter.Result{Delay: time.Minute})
 	for b.Loop() {
 		permit, err := s.Start("a")
 		if err != nil {
