--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -32,8 +32,8 @@
 // which the first of them may be tried.
 func (s *Service) allRest(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
-	s.opts.Book.Note(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.First.Round(time.Millisecond))
-	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.First, time.Second))
+	s.opts.Book.Note(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
+	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
 }
 
 // startSending takes the permit to send to a target that was granted, and reports false where
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -51,7 +51,7 @@
 // allRest returns the error of a request that only targets at rest could serve: to wait would
 // be in vain, and the caller is told when the first of them may be tried.
 func allRest(service string, r notice.PausedTargets) error {
-	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.First, soonAfter))
+	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.RetryAfter, soonAfter))
 }
 
 // denied returns the targets that a scheduler is not to choose.
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -182,9 +182,9 @@
 
 // PausedTargets are those of some targets that want nothing from this process now.
 type PausedTargets struct {
-	Targets []string
-	All     bool          // All tells that there is no other one.
-	First   time.Duration // First is when the first of them may be tried again.
+	Targets    []string
+	All        bool          // All tells that there is no other one.
+	RetryAfter time.Duration // First is when the first of them may be tried again.
 }
 
 // PausedAmong returns which of some targets want nothing now.
@@ -208,8 +208,8 @@
 				others++
 				continue
 			}
-			if len(r.Targets) == 0 || left < r.First {
-				r.First = left
+			if len(r.Targets) == 0 || left < r.RetryAfter {
+				r.RetryAfter = left
 			}
 			r.Targets = append(r.Targets, target)
 		}
--- a/services/notice/notice_test.go
+++ b/services/notice/notice_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("a time that was not understood: %v", err)
 	}
 	r := s.PausedAmong(slices.Values([]string{"b", "c"}))
-	if !slices.Equal(r.Targets, []string{"b"}) || r.All || r.First != 3*time.Second {
+	if !slices.Equal(r.Targets, []string{"b"}) || r.All || r.RetryAfter != 3*time.Second {
 		t.Errorf("%+v", r)
 	}
 	if r := s.PausedAmong(slices.Values([]string{"b"})); !r.All {
