--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -71,7 +71,7 @@
 
 // Judges implements EarlyJudge.
 func (h *Handler) Judges() bool {
-	return h.opts.Forward.Strained() && Mode(h.mode.Load()) == ServeAll
+	return h.opts.Forward.Overloaded() && Mode(h.mode.Load()) == ServeAll
 }
 
 // Look implements EarlyJudge: while the gateway is short of processor time it judges the
@@ -116,12 +116,12 @@
 
 // Busy implements EarlyJudge.
 func (h *Handler) Busy(id string) []byte {
-	return h.earlyAnswer(h.opts.Forward.RefuseBusy(), id, false)
+	return h.earlyAnswer(h.opts.Forward.OverloadError(), id, false)
 }
 
 // Told implements EarlyJudge.
 func (h *Handler) Told(j Judgement, to HandedTo) {
-	h.opts.Forward.NoteHandedOver(forward.HandedOver{ID: j.ID, Account: j.Account, Peer: to.Peer, After: to.After, Bytes: to.Bytes, Lost: to.Lost, Gone: to.Gone})
+	h.opts.Forward.RecordHandOver(forward.HandOverResult{ID: j.ID, Account: j.Account, Peer: to.Peer, Elapsed: to.After, Bytes: to.Bytes, Lost: to.Lost, CallerGone: to.Gone})
 }
 
 // plainID tells whether an ID can stand in an answer as it is.
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -158,13 +158,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if h.opts.Forward.Strained() && callerHasLeft(r.Context()) {
+	if h.opts.Forward.Overloaded() && callerHasLeft(r.Context()) {
 		return nil, context.Canceled
 	}
 	return &forward.Request{
 		Call: call, Method: r.Method, URI: uri, Host: r.Host, Header: r.Header, Body: body, Route: route, Service: service,
-		Account: account, Received: received, Deadline: received.Add(patience), Carrier: relay.CarrierOf(r.Context()),
-		Left: func() bool { return connectionEnded(r.Context()) },
+		Account: account, Received: received, Deadline: received.Add(patience), HandedOverBy: relay.CarrierOf(r.Context()),
+		CallerGone: func() bool { return connectionEnded(r.Context()) },
 	}, nil
 }
 
--- a/router/export_test.go
+++ b/router/export_test.go
@@ -6,7 +6,7 @@
 import "time"
 
 // ReportLateness has the gateway believe that its process comes to its work so late.
-func (g *Gateway) ReportLateness(d time.Duration) { g.guard.Late(d) }
+func (g *Gateway) ReportLateness(d time.Duration) { g.guard.ObserveLateness(d) }
 
 // ReportStandstill has the gateway believe that its process has not run for so long.
 func (g *Gateway) ReportStandstill(d time.Duration) { g.late(d) }
@@ -15,4 +15,4 @@
 func (g *Gateway) Unsettled() bool { return g.unsettled() }
 
 // Streams returns how many requests of engines the gateway serves itself.
-func (g *Gateway) Streams() int { return g.forward.Streams() }
+func (g *Gateway) Streams() int { return g.forward.InFlight() }
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -127,7 +127,7 @@
 	g.probe.Store(probe)
 	g.t.Go(g.closeAtEnd)
 	g.t.Go(func() error {
-		g.forward.TellSeconds(g.t.Dying())
+		g.forward.LogSeconds(g.t.Dying())
 		return nil
 	})
 	g.follow.Start()
@@ -181,13 +181,13 @@
 		Empty: s.FirstStart,
 	})
 	guard := forward.NewGuard(log.New("guard").With(s.ID), g.clock, forward.GuardOptions{
-		Bytes: g.crossed, LinkMbps: s.LinkMbps, Relief: g.relay.Available, Queued: g.relay.Waiting, Overdue: g.overdue,
-		OnDuties: func(keepsUp, linkFull bool) { g.loop.SetStrength(strengthOf(s, keepsUp), !keepsUp && linkFull) },
+		Bytes: g.crossed, LinkMbps: s.LinkMbps, HandOverAvailable: g.relay.Available, HandOverDelay: g.relay.Waiting, Overdue: g.overdue,
+		OnDutiesChanged: func(keepsUp, linkFull bool) { g.loop.SetStrength(strengthOf(s, keepsUp), !keepsUp && linkFull) },
 	})
 	g.guard = guard
 	g.forward = forward.New(log.New("forward").With(s.ID), forward.Options{
-		DataHall: s.DataHall, Clock: g.clock, Follow: g.follow, Mesh: g.loop, Client: client,
-		Guard: guard, Retry: retryBudget(s), Requests: g.requests, Notices: g.notices,
+		DataHall: s.DataHall, Clock: g.clock, Targets: g.follow, Mesh: g.loop, Client: client,
+		Guard: guard, Retry: retryBudget(s), Quarantine: g.requests, Notices: g.notices,
 		Connections: func() (int, uint64) { return g.callers.Open(), g.callers.TurnedAway() },
 	})
 	g.handler = gateway.New(gateway.Options{
@@ -259,7 +259,7 @@
 // the process.
 func (g *Gateway) Reload(s *setting.Gateway) {
 	old := g.settings.Swap(s)
-	g.forward.SetRetry(retryBudget(s))
+	g.forward.SetRetryBudget(retryBudget(s))
 	g.loop.SetSeeds(s.Seeds)
 	log.SetVerbosity(s.Verbosity)
 	fixed := old.ID != s.ID || old.Callers != s.Callers || old.Readiness != s.Readiness || old.Peers != s.Peers || old.Store != s.Store ||
--- a/router/standstill.go
+++ b/router/standstill.go
@@ -33,7 +33,7 @@
 	if lateness >= standstillLeast {
 		g.stoodStill(lateness)
 	}
-	g.guard.Late(lateness)
+	g.guard.ObserveLateness(lateness)
 }
 
 // stoodStill makes the gateway take nothing for true that it has not heard since: it is not
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -52,13 +52,13 @@
 type Options struct {
 	DataHall string
 	Clock    clock.Clock
-	Follow   Targets
+	Targets  Targets
 	Mesh     *mesh.Loop
 	Client   *upstream.Client
 	Guard    *Guard
 	Retry    RetryBudget
-	// Requests are those under which targets ended.
-	Requests *quarantine.Service
+	// Quarantine are those under which targets ended.
+	Quarantine *quarantine.Service
 	// Notices are what targets have said of themselves.
 	Notices *notice.Service
 	// Connections tells how many connections of callers are open, and how many were
@@ -99,11 +99,11 @@
 	Account  *routing.ClientAccount
 	Received time.Time
 	Deadline time.Time
-	// Left tells whether the caller has closed its connection; nil where that is told by the
+	// CallerGone tells whether the caller has closed its connection; nil where that is told by the
 	// context alone.
-	Left func() bool
-	// Carrier is the gateway that has handed the request over, or empty.
-	Carrier string
+	CallerGone func() bool
+	// HandedOverBy is the gateway that has handed the request over, or empty.
+	HandedOverBy string
 }
 
 func (r *Request) account() string { return r.Account.GetName() }
@@ -113,7 +113,7 @@
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, r *Request) error {
 	ctx, cancel := clock.WithDeadline(ctx, s.opts.Clock, r.Deadline)
 	defer cancel()
-	j := &job{s: s, ctx: ctx, w: w, r: r, lastEvent: r.Call.LastEvent, history: attempt.History{Route: r.Route}, past: s.opts.Requests.Try(r.identity())}
+	j := &job{s: s, ctx: ctx, w: w, r: r, lastEvent: r.Call.LastEvent, history: attempt.History{Route: r.Route}, past: s.opts.Quarantine.Try(r.identity())}
 	j.repeat = func() bool { return s.repeat(r.Service.Name) }
 	if scheduled(r.Service, &r.Call) {
 		s.running.Add(1)
@@ -125,8 +125,8 @@
 	return err
 }
 
-// Streams returns how many requests of engines are under way.
-func (s *Service) Streams() int { return int(s.running.Load()) }
+// InFlight returns how many requests of engines are under way.
+func (s *Service) InFlight() int { return int(s.running.Load()) }
 
 // repeat takes one repeat of a service from this gateway's share of the budget.
 func (s *Service) repeat(service string) bool {
@@ -208,38 +208,38 @@
 	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").WithRetryAfter(s.opts.Guard.returnAfter())
 }
 
-// RefuseBusy returns the refusal of a request that could not be handed over in time.
-func (s *Service) RefuseBusy() error { return s.overloaded() }
+// OverloadError returns the refusal of a request that could not be handed over in time.
+func (s *Service) OverloadError() error { return s.overloaded() }
 
-// HandedOver tells of a request that another gateway was to serve.
-type HandedOver struct {
+// HandOverResult tells of a request that another gateway was to serve.
+type HandOverResult struct {
 	ID, Account string
 	Peer        string // Peer is empty where no gateway took it; it was served here.
-	After       time.Duration
+	Elapsed     time.Duration
 	Bytes       int64 // Bytes are those of the answer that was passed on.
 	Lost        bool  // Lost tells that no answer came.
-	Gone        bool  // Gone tells that the caller has left.
+	CallerGone  bool  // Gone tells that the caller has left.
 }
 
-// NoteHandedOver counts a request that was handed over, and tells of it where it failed or
+// RecordHandOver counts a request that was handed over, and tells of it where it failed or
 // the request is of the sample.
-func (s *Service) NoteHandedOver(h HandedOver) {
+func (s *Service) RecordHandOver(h HandOverResult) {
 	switch {
 	case h.Peer == "" && !h.Lost:
 		s.counters.notHandedOver.Inc()
 		return
-	case h.Lost && !h.Gone:
+	case h.Lost && !h.CallerGone:
 		s.counters.handOverLost.Inc()
-		s.log.Request("Request handed over and lost.", "id", h.ID, "account", h.Account, "peer", h.Peer, "after", h.After)
+		s.log.Request("Request handed over and lost.", "id", h.ID, "account", h.Account, "peer", h.Peer, "after", h.Elapsed)
 	case sampled(h.ID):
-		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "after", h.After, "bytes", h.Bytes, "gone", h.Gone)
+		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "after", h.Elapsed, "bytes", h.Bytes, "gone", h.CallerGone)
 	}
 	s.counters.handedOver.Inc()
 	s.outcomes.note(outcomeHandedOver)
 }
 
-// Strained tells whether requests are refused for want of processor time.
-func (s *Service) Strained() bool { return s.opts.Guard.Strained() }
+// Overloaded tells whether requests are refused for want of processor time.
+func (s *Service) Overloaded() bool { return s.opts.Guard.Overloaded() }
 
 // underThrottle tells whether a scheduler is to be asked for a request of an
 // account.
@@ -264,9 +264,9 @@
 	s.throttle.Accepted(s.opts.Clock.Now(), account)
 }
 
-// SetRetry changes the retry budget. What was counted in windows of another
+// SetRetryBudget changes the retry budget. What was counted in windows of another
 // length is forgotten.
-func (s *Service) SetRetry(b RetryBudget) {
+func (s *Service) SetRetryBudget(b RetryBudget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if b.Window != s.opts.Retry.Window || b.Ratio != s.opts.Retry.Ratio {
--- a/services/forward/guard.go
+++ b/services/forward/guard.go
@@ -63,16 +63,16 @@
 	// megabits it carries in a second, 0 where that is not known.
 	Bytes    func() (sent, received uint64)
 	LinkMbps float64
-	// Relief tells whether there is another gateway to hand requests over to; nil where
+	// HandOverAvailable tells whether there is another gateway to hand requests over to; nil where
 	// nothing is handed over.
-	Relief func() bool
-	// Queued tells for how long requests wait that are to be handed over; nil where nothing is.
-	Queued func(now time.Time) time.Duration
+	HandOverAvailable func() bool
+	// HandOverDelay tells for how long requests wait that are to be handed over; nil where nothing is.
+	HandOverDelay func(now time.Time) time.Duration
 	// Overdue tells how late the next report of lateness already is.
 	Overdue func(now time.Time) time.Duration
-	// OnDuties is called when the gateway can no longer schedule for others, with
+	// OnDutiesChanged is called when the gateway can no longer schedule for others, with
 	// whether that is for its link, and when it can again.
-	OnDuties func(keepsUp, linkFull bool)
+	OnDutiesChanged func(keepsUp, linkFull bool)
 }
 
 // NewGuard returns a guard that admits everything.
@@ -80,16 +80,16 @@
 	return &Guard{log: logger, clock: c, opts: o, governor: overload.New(), link: overload.NewLink(o.LinkMbps)}
 }
 
-// Late takes how late the process has come to its work.
-func (g *Guard) Late(lateness time.Duration) {
+// ObserveLateness takes how late the process has come to its work.
+func (g *Guard) ObserveLateness(lateness time.Duration) {
 	now := g.clock.Now()
 	sent, received := g.opts.Bytes()
-	relief := g.opts.Relief != nil && g.opts.Relief()
+	relief := g.opts.HandOverAvailable != nil && g.opts.HandOverAvailable()
 	// What was admitted and waits for another gateway is as much a sign of too much work as
 	// what waits for this process: callers left while their requests stood there.
 	queued := time.Duration(0)
-	if g.opts.Queued != nil {
-		queued = g.opts.Queued(now)
+	if g.opts.HandOverDelay != nil {
+		queued = g.opts.HandOverDelay(now)
 	}
 	g.mu.Lock()
 	g.second.note(lateness, queued)
@@ -102,7 +102,7 @@
 	g.mu.Unlock()
 	if moved {
 		g.log.Info("Scheduling for others changed.", "keeps_up", keepsUp, "late", lateness, "link", percent(use), "share", share, "own", own)
-		g.opts.OnDuties(keepsUp, overload.Full(use))
+		g.opts.OnDutiesChanged(keepsUp, overload.Full(use))
 	}
 	switch {
 	case !changed:
@@ -122,7 +122,7 @@
 func (g *Guard) admit(account string, movable bool) overload.Verdict {
 	now := g.clock.Now()
 	if overdue := g.opts.Overdue(now); overdue >= overdueLeast {
-		g.Late(overdue)
+		g.ObserveLateness(overdue)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -169,8 +169,8 @@
 // percent rounds a share to hundredths, for log lines.
 func percent(share float64) float64 { return math.Round(100*share) / 100 }
 
-// Strained tells whether the gateway is short of processor time.
-func (g *Guard) Strained() bool { return g.strained.Load() }
+// Overloaded tells whether the gateway is short of processor time.
+func (g *Guard) Overloaded() bool { return g.strained.Load() }
 
 func (g *Guard) writeMetrics(w io.Writer) {
 	g.mu.Lock()
--- a/services/forward/guard_test.go
+++ b/services/forward/guard_test.go
@@ -22,7 +22,7 @@
 }
 
 func guardWith(c clock.Clock, overdue func(time.Time) time.Duration) *Guard {
-	return NewGuard(log.New("guard"), c, GuardOptions{Bytes: func() (uint64, uint64) { return 0, 0 }, OnDuties: func(bool, bool) {}, Overdue: overdue})
+	return NewGuard(log.New("guard"), c, GuardOptions{Bytes: func() (uint64, uint64) { return 0, 0 }, OnDutiesChanged: func(bool, bool) {}, Overdue: overdue})
 }
 
 // A gateway that is short of processor time passes events on in groups, the first one
@@ -131,7 +131,7 @@
 	for range 500 {
 		c.Advance(10 * time.Millisecond)
 		g.admit("flood", true)
-		g.Late(100 * time.Millisecond)
+		g.ObserveLateness(100 * time.Millisecond)
 	}
 	if flooded := mean(); flooded < 3*calm {
 		t.Errorf("%v in a flood, %v in a calm", flooded, calm)
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -25,7 +25,7 @@
 // first byte, where all ways to a target meet: the place may be older than the target's word,
 // or come from a scheduler that has not heard it.
 func (j *job) startSending() error {
-	if now := j.s.opts.Follow.Targets().Find(j.at.ID); now == nil || !now.AcceptsWork() {
+	if now := j.s.opts.Targets.Targets().Find(j.at.ID); now == nil || !now.AcceptsWork() {
 		return errWithheld
 	}
 	permit, err := j.s.opts.Notices.Start(j.at.ID)
@@ -40,7 +40,7 @@
 // told with each ask: only this gateway knows what it was asked for, and they may change.
 func (s *Service) restsOf(service string) notice.PausedTargets {
 	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
-		for _, t := range s.opts.Follow.Targets().ByService(service) {
+		for _, t := range s.opts.Targets.Targets().ByService(service) {
 			if t.AcceptsWork() && !yield(t.ID) {
 				return
 			}
@@ -64,7 +64,7 @@
 
 // mayGet returns the target of a place where it may get the request, or nil.
 func (j *job) mayGet(id string) *routing.Target {
-	t := j.s.opts.Follow.Targets().Find(id)
+	t := j.s.opts.Targets.Targets().Find(id)
 	if t == nil || !t.AcceptsWork() {
 		return nil
 	}
@@ -79,7 +79,7 @@
 // leave, one after the other would come back until the request is given up.
 func (j *job) denyUnusable(id string) {
 	j.deny = append(j.deny, id)
-	for _, t := range j.s.opts.Follow.Targets().ByService(j.r.Service.Name) {
+	for _, t := range j.s.opts.Targets.Targets().ByService(j.r.Service.Name) {
 		if !t.AcceptsWork() && !slices.Contains(j.deny, t.ID) {
 			j.deny = append(j.deny, t.ID)
 		}
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -90,7 +90,7 @@
 	if id == "" {
 		return ""
 	}
-	t := s.opts.Follow.Targets().Find(id)
+	t := s.opts.Targets.Targets().Find(id)
 	if t == nil || t.Leaving {
 		return ""
 	}
@@ -134,7 +134,7 @@
 }
 
 func (j *job) placePlain() (place, error) {
-	targets, rests := j.s.opts.Follow.Targets().ByService(j.r.Service.Name), j.s.restsOf(j.r.Service.Name)
+	targets, rests := j.s.opts.Targets.Targets().ByService(j.r.Service.Name), j.s.restsOf(j.r.Service.Name)
 	j.s.mu.Lock()
 	pick := j.s.balancer.Choose(j.s.opts.Clock.Now(), targets, j.denied(rests), j.s.limitsOf(j.r.Service))
 	j.s.mu.Unlock()
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -64,7 +64,7 @@
 	}
 	// A process that is short of time learns late that a caller has left: 299 requests in
 	// half a second were sent on for nobody. One that came just now is not asked for.
-	if j.r.Left != nil && j.sentAt.Sub(j.r.Received) > leftAfter && j.r.Left() {
+	if j.r.CallerGone != nil && j.sentAt.Sub(j.r.Received) > leftAfter && j.r.CallerGone() {
 		j.refusal = context.Canceled
 		return j.refusal
 	}
@@ -92,7 +92,7 @@
 
 // accuse remembers the request under which a target has ended, unless that was to leave.
 func (s *Service) accuse(past *requests.Try, t *routing.Target, sentAt time.Time) {
-	if now := s.opts.Follow.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
+	if now := s.opts.Targets.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
 		past.Accuse(t.ID, sentAt)
 	}
 }
--- a/services/forward/second.go
+++ b/services/forward/second.go
@@ -103,9 +103,9 @@
 	return counts, sum
 }
 
-// TellSeconds writes, each second until stop is closed, how the requests of engines
+// LogSeconds writes, each second until stop is closed, how the requests of engines
 // ended at this gateway.
-func (s *Service) TellSeconds(stop <-chan struct{}) {
+func (s *Service) LogSeconds(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -118,7 +118,7 @@
 			continue
 		}
 		open, turnedAway := s.opts.Connections()
-		values := append(strain, "streams", s.Streams(), "connections", open, "turned_away_total", turnedAway)
+		values := append(strain, "streams", s.InFlight(), "connections", open, "turned_away_total", turnedAway)
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
 			values = append(values, name, counts[name])
 		}
--- a/services/forward/second_test.go
+++ b/services/forward/second_test.go
@@ -40,8 +40,8 @@
 // The line of a second tells how late the process came to its work in that second only.
 func TestSecondTellsLateness(t *testing.T) {
 	g := testGuard(clock.NewFake())
-	g.Late(10 * time.Millisecond)
-	g.Late(50 * time.Millisecond)
+	g.ObserveLateness(10 * time.Millisecond)
+	g.ObserveLateness(50 * time.Millisecond)
 	if got := g.second; got.mean() != 30*time.Millisecond || got.worst != 50*time.Millisecond {
 		t.Errorf("mean %v, worst %v", got.mean(), got.worst)
 	}
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -22,7 +22,7 @@
 func TestNothingIsSentToAStalePlace(t *testing.T) {
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
-	j := &job{s: &Service{opts: Options{Clock: c, Requests: q, Follow: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
 	c.Advance(placeHolds)
 	if err := j.checkAtSend(); err != nil {
 		t.Errorf("a place that still holds: %v", err)
@@ -39,11 +39,11 @@
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
 	left, asked := false, 0
-	r := &Request{Received: c.Now(), Left: func() bool {
+	r := &Request{Received: c.Now(), CallerGone: func() bool {
 		asked++
 		return left
 	}}
-	j := &job{s: &Service{opts: Options{Clock: c, Requests: q, Follow: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
 	if err := j.checkAtSend(); err != nil || asked > 0 {
 		t.Errorf("right after it came: %v, asked %d times", err, asked)
 	}
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -85,6 +85,6 @@
 	return []any{
 		"id", j.r.Call.ID, "number", j.number, "account", j.r.account(), "route", j.r.Route.Name, "service", j.r.Service.Name,
 		"scheduler", j.scheduler, "target", j.target, "source", j.source, "sent", j.history.Sent, "unsent", j.history.Unsent,
-		"carrier", j.r.Carrier, "before_ask", j.beforeAsk, "waited", j.waited, "first", j.pace.first, "pause", j.pace.pause, "after", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
+		"carrier", j.r.HandedOverBy, "before_ask", j.beforeAsk, "waited", j.waited, "first", j.pace.first, "pause", j.pace.pause, "after", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
 	}
 }
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -70,7 +70,7 @@
 // gather lets further events come where this gateway is short of processor time, or the
 // one that passes them on is.
 func (j *job) gather() {
-	if !j.s.opts.Guard.Strained() && j.r.Carrier == "" {
+	if !j.s.opts.Guard.Overloaded() && j.r.HandedOverBy == "" {
 		return
 	}
 	select {
