--- a/router/router.go
+++ b/router/router.go
@@ -165,7 +165,7 @@
 	r.dispatch = dispatch.New(&r.t, log.New("dispatch").With(id), dispatch.Options{
 		RouterID: id, Incarnation: r.self.Incarnation, DataHall: s.Router.DataHall, Clock: r.clock, Loop: r.loop,
 		Config: r.config, Engine: r.engine, Claims: r.claims, Answers: r.answers, Signer: answer.NewSigner(s.Answer.ResumeKey),
-		Book: r.book, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimKept: s.Platform.ClaimKept.Duration, Requests: r.requests,
+		Trace: r.book, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimRetention: s.Platform.ClaimKept.Duration, Quarantine: r.requests,
 		Notices: r.notices,
 	})
 	r.orders = order.New(log.New("order").With(id), order.Options{
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -27,16 +27,16 @@
 func (s *Service) once(ctx context.Context, j *job, c Plain) (PlainAnswer, error) {
 	row := core.Row{
 		Attempt: ident.New(attemptIDTag), Digest: digestOf(c), Router: s.opts.RouterID,
-		Incarnation: s.opts.Incarnation, RequestID: j.requestID, Expires: s.opts.Clock.Now().Add(s.opts.ClaimKept),
+		Incarnation: s.opts.Incarnation, RequestID: j.requestID, Expires: s.opts.Clock.Now().Add(s.opts.ClaimRetention),
 	}
 	wait, cancel := clock.WithDeadline(ctx, s.opts.Clock, j.deadline)
 	defer cancel()
 	outcome := s.opts.Claims.Acquire(wait, claim.Key(j.account.Name, c.IdempotencyKey), row)
 	if outcome.Held == nil {
-		s.opts.Book.Note(j.requestID, j.account.Name, "claim", "not held: verdict %d, attempt %s of request %s", outcome.Verdict, outcome.Row.Attempt, outcome.Row.RequestID)
+		s.opts.Trace.Note(j.requestID, j.account.Name, "claim", "not held: verdict %d, attempt %s of request %s", outcome.Verdict, outcome.Row.Attempt, outcome.Row.RequestID)
 		return s.replay(ctx, outcome)
 	}
-	s.opts.Book.Note(j.requestID, j.account.Name, "claim", "held by attempt %s", row.Attempt)
+	s.opts.Trace.Note(j.requestID, j.account.Name, "claim", "held by attempt %s", row.Attempt)
 	a, err := s.plainAttempts(ctx, j, c, true)
 	if err != nil && result.Convert(err).Execution() == result.RanNo {
 		outcome.Held.Release()
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -14,7 +14,7 @@
 
 // beginTry begins a try of a request; the job's try must be ended.
 func (s *Service) beginTry(j *job, body []byte) {
-	j.past = s.opts.Requests.Try(core.Identity{
+	j.past = s.opts.Quarantine.Try(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
 	})
 }
@@ -24,7 +24,7 @@
 	err := j.past.MayBeSent()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
-		s.opts.Book.Note(j.requestID, j.account.Name, "refused", "%v", err)
+		s.opts.Trace.Note(j.requestID, j.account.Name, "refused", "%v", err)
 	}
 	return err
 }
@@ -39,7 +39,7 @@
 	ask := func(ctx context.Context) (ended, known bool) { return s.endings.Exited(ctx, t.Name, t.Address) }
 	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
 	if ended {
-		s.opts.Book.Note(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
+		s.opts.Trace.Note(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
 		j.past.Accuse(t.Name, sentAt)
 	}
 }
