--- a/cmd/madderway/explain.go
+++ b/cmd/madderway/explain.go
@@ -43,7 +43,7 @@
 	sort.SliceStable(events, func(i, j int) bool { return events[i].At.Before(events[j].At) })
 	fmt.Printf("request %s of account %s\n", records[0].RequestID, records[0].Account)
 	for _, ev := range events {
-		fmt.Printf("  %s  %-12s %-12s %s\n", ev.At.Format("15:04:05.000"), ev.Router, ev.What, ev.Detail)
+		fmt.Printf("  %s  %-12s %-12s %s\n", ev.At.Format("15:04:05.000"), ev.Router, ev.Kind, ev.Detail)
 	}
 	return nil
 }
@@ -58,7 +58,7 @@
 		}
 		lines = append(lines, more...)
 	}
-	story := trace.Story(lines, c.Args.RequestID)
+	story := trace.LinesOfRequest(lines, c.Args.RequestID)
 	if len(story) == 0 {
 		return errors.New("no line about " + c.Args.RequestID + "; ordinary requests are logged by sample only")
 	}
--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -286,7 +286,7 @@
 	}
 	seen := map[string]bool{}
 	for _, ev := range records[0].Events {
-		seen[ev.What] = true
+		seen[ev.Kind] = true
 	}
 	for _, what := range []string{"order", "claim", "grant", "attempt", "outcome"} {
 		if !seen[what] {
--- a/router/router.go
+++ b/router/router.go
@@ -71,7 +71,7 @@
 	answers  *answer.Store
 	dispatch *dispatch.Service
 	engine   *engine.Client
-	book     *trace.Book
+	book     *trace.Recorder
 	orders   *order.Service
 
 	caller     *caller.Handler
@@ -138,7 +138,7 @@
 	table := platform.NewHTTPTable(s.Platform.TableURL, s.Platform.Timeout.Duration)
 	objects := platform.NewHTTPObjects(s.Platform.ObjectURL, s.Platform.Timeout.Duration)
 	r.engine = engine.NewClient(s.Platform.Timeout.Duration)
-	r.book = trace.NewBook(id, r.clock, s.Control.TraceSize)
+	r.book = trace.NewRecorder(id, r.clock, s.Control.TraceSize)
 	r.peers = peer.New()
 	// A duty that never ends keeps the tomb alive while parts are added.
 	r.t.Go(r.closeAtEnd)
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -24,7 +24,7 @@
 	err := j.past.MayBeSent()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
-		s.opts.Trace.Note(j.requestID, j.account.Name, "refused", "%v", err)
+		s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "%v", err)
 	}
 	return err
 }
@@ -39,7 +39,7 @@
 	ask := func(ctx context.Context) (ended, known bool) { return s.endings.Exited(ctx, t.Name, t.Address) }
 	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
 	if ended {
-		s.opts.Trace.Note(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
+		s.opts.Trace.Record(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
 		j.past.Accuse(t.Name, sentAt)
 	}
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -32,7 +32,7 @@
 // which the first of them may be tried.
 func (s *Service) allRest(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
-	s.opts.Trace.Note(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
+	s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
 	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
 }
 
@@ -41,7 +41,7 @@
 func (s *Service) startSending(j *job, t *conf.Target) bool {
 	permit, err := s.opts.Notices.Start(t.Name)
 	if err != nil {
-		s.opts.Trace.Note(j.requestID, j.account.Name, "withheld", "%s: %v", t.Name, err)
+		s.opts.Trace.Record(j.requestID, j.account.Name, "withheld", "%s: %v", t.Name, err)
 		j.deny = append(j.deny, t.Name)
 		return false
 	}
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -26,7 +26,7 @@
 	mu     sync.RWMutex
 	loop   *control.Loop
 	config *config.Service
-	book   *trace.Book
+	book   *trace.Recorder
 	ready  chan struct{}
 }
 
@@ -34,7 +34,7 @@
 func New() *Service { return &Service{ready: make(chan struct{})} }
 
 // Attach sets the parts; calls of peers wait for it.
-func (s *Service) Attach(l *control.Loop, c *config.Service, b *trace.Book) {
+func (s *Service) Attach(l *control.Loop, c *config.Service, b *trace.Recorder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loop, s.config, s.book = l, c, b
--- a/services/trace/story.go
+++ b/services/trace/story.go
@@ -27,10 +27,10 @@
 	return lines, scan.Err()
 }
 
-// Story returns the lines about a request in the order of their times: those
+// LinesOfRequest returns the lines about a request in the order of their times: those
 // that carry its ID, and those of schedulers, which know it by the entry
 // gateway and the number that it has there.
-func Story(lines []log.Line, id string) []log.Line {
+func LinesOfRequest(lines []log.Line, id string) []log.Line {
 	type number struct{ process, number string }
 	numbers := map[number]bool{}
 	for _, l := range lines {
--- a/services/trace/story_test.go
+++ b/services/trace/story_test.go
@@ -22,7 +22,7 @@
 	if err != nil || len(lines) != 5 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
-	story := Story(lines, "abc")
+	story := LinesOfRequest(lines, "abc")
 	var got []string
 	for _, l := range story {
 		got = append(got, l.Process+" "+l.Message)
@@ -34,7 +34,7 @@
 	if v := story[2].Values["reason"]; v != `a "quoted" word` {
 		t.Errorf("reason %q", v)
 	}
-	if len(Story(lines, "unknown")) != 0 {
+	if len(LinesOfRequest(lines, "unknown")) != 0 {
 		t.Error("an unknown request has a story")
 	}
 }
--- a/services/trace/trace.go
+++ b/services/trace/trace.go
@@ -20,7 +20,7 @@
 type Event struct {
 	At     time.Time `json:"at"`
 	Router string    `json:"router"`
-	What   string    `json:"what"`
+	Kind   string    `json:"what"`
 	Detail string    `json:"detail"`
 }
 
@@ -31,8 +31,8 @@
 	Events    []Event `json:"events"`
 }
 
-// Book holds the records of the latest requests.
-type Book struct {
+// Recorder holds the records of the latest requests.
+type Recorder struct {
 	router string
 	clock  clock.Clock
 	size   int
@@ -42,13 +42,13 @@
 	order   *list.List // of *Record, oldest first
 }
 
-// NewBook returns a book of a router that holds at most size records.
-func NewBook(router string, c clock.Clock, size int) *Book {
-	return &Book{router: router, clock: c, size: size, records: map[string]*list.Element{}, order: list.New()}
+// NewRecorder returns a book of a router that holds at most size records.
+func NewRecorder(router string, c clock.Clock, size int) *Recorder {
+	return &Recorder{router: router, clock: c, size: size, records: map[string]*list.Element{}, order: list.New()}
 }
 
-// Note adds a decision to the record of a request.
-func (b *Book) Note(requestID, account, what, format string, args ...any) {
+// Record adds a decision to the record of a request.
+func (b *Recorder) Record(requestID, account, what, format string, args ...any) {
 	ev := Event{b.clock.Now(), b.router, what, fmt.Sprintf(format, args...)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-func (b *Book) evict() {
+func (b *Recorder) evict() {
 	for b.order.Len() >= b.size {
 		oldest := b.order.Front()
 		delete(b.records, oldest.Value.(*Record).RequestID)
@@ -73,7 +73,7 @@
 }
 
 // Find returns a copy of the record of a request.
-func (b *Book) Find(requestID string) (Record, bool) {
+func (b *Recorder) Find(requestID string) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.records[requestID]
@@ -86,7 +86,7 @@
 }
 
 // Len returns the number of records.
-func (b *Book) Len() int {
+func (b *Recorder) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.order.Len()
