--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -16,9 +16,9 @@
 	"madderway/services/upstream"
 )
 
-// maxWhole is the size up to which a plain answer is read whole before any of
+// maxBufferedResponse is the size up to which a plain answer is read whole before any of
 // it is passed on, so that a broken one can still be repeated.
-const maxWhole = 256 << 10
+const maxBufferedResponse = 256 << 10
 
 // failure is a target's own failure, read whole.
 type failure struct {
@@ -28,15 +28,15 @@
 
 // exchange sends the request to the placed target and passes a success on. It
 // returns 0 where the caller has the whole answer.
-func (j *job) exchange(p place) (attempt.Outcome, *failure) {
+func (j *job) exchange(p placement) (attempt.Outcome, *failure) {
 	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
-	impatient := j.watch(p, cancel)
+	impatient := j.cutIfSlow(p, cancel)
 	defer impatient.Stop()
-	j.broken, j.refusal, j.permit = false, nil, notice.Permit{}
+	j.brokeOff, j.refusal, j.permit = false, nil, notice.Permit{}
 	a, err := j.s.opts.Client.Send(ctx, p.target(), j.sendRequest(p.target()))
 	j.permit.End(err == nil && !a.Verdict.NotRun)
-	if errors.Is(err, errStalePlace) {
+	if errors.Is(err, errStalePlacement) {
 		j.reason = err.Error()
 		j.history.Unsent++
 		return j.ended(p, attempt.NotSent), nil
@@ -59,40 +59,40 @@
 	if a.Verdict.NotRun {
 		j.reason = "target did not run it"
 		p.ended(attempt.NotRun, a.Verdict.Moved)
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxWhole))
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedResponse))
 		return attempt.NotRun, nil
 	}
 	j.history.MayHaveRun = true
 	if a.Status >= http.StatusMultipleChoices {
-		return j.failed(p, a)
+		return j.readFailure(p, a)
 	}
 	if j.r.Route.Stream {
-		return j.pump(p, a, impatient), nil
+		return j.forwardStream(p, a, impatient), nil
 	}
-	return j.whole(p, a), nil
+	return j.forwardWhole(p, a), nil
 }
 
-// watch cancels the attempt where its first part takes too long, another target
+// cutIfSlow cancels the attempt where its first part takes too long, another target
 // may try and the retry budget has a repeat for it. The repeat is taken before
 // the attempt is cut: one that is cut for nothing would be lost.
-func (j *job) watch(p place, cancel func()) clock.Timer {
-	patience := p.patience()
+func (j *job) cutIfSlow(p placement, cancel func()) clock.Timer {
+	patience := p.firstPartTimeout()
 	if patience == 0 || !j.r.Route.MayRepeat() || j.history.Sent+1 >= j.r.Route.MaxAttempts {
 		return j.s.opts.Clock.AfterFunc(j.r.Deadline.Sub(j.s.opts.Clock.Now())+time.Second, cancel)
 	}
 	return j.s.opts.Clock.AfterFunc(patience, func() {
-		if j.repeat() {
-			j.reserved.Store(true)
+		if j.takeRepeat() {
+			j.repeatReserved.Store(true)
 			cancel()
 		}
 	})
 }
 
-// budget tells whether a further attempt is within the retry budget; one that
+// takeRetry tells whether a further attempt is within the retry takeRetry; one that
 // was taken ahead is used up first.
-func (j *job) budget() bool { return j.reserved.Swap(false) || j.repeat() }
+func (j *job) takeRetry() bool { return j.repeatReserved.Swap(false) || j.takeRepeat() }
 
-func (j *job) noAnswer(p place, err error) attempt.Outcome {
+func (j *job) noAnswer(p placement, err error) attempt.Outcome {
 	j.reason = err.Error()
 	outcome := attempt.Unknown
 	e, ok := upstream.IsErrExchange(err)
@@ -101,7 +101,7 @@
 		j.history.Unsent++
 		outcome = attempt.NotSent
 	default:
-		j.broken = true
+		j.brokeOff = true
 		j.history.Sent++
 		j.history.MayHaveRun = true
 	}
@@ -110,7 +110,7 @@
 
 // ended tells the place how the attempt came out, unless the caller has gone
 // or the time is over.
-func (j *job) ended(p place, o attempt.Outcome) attempt.Outcome {
+func (j *job) ended(p placement, o attempt.Outcome) attempt.Outcome {
 	if j.ctx.Err() == context.Canceled {
 		p.canceled()
 		return o
@@ -122,10 +122,10 @@
 	return o
 }
 
-func (j *job) failed(p place, a *upstream.Answer) (attempt.Outcome, *failure) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWhole))
+func (j *job) readFailure(p placement, a *upstream.Answer) (attempt.Outcome, *failure) {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse))
 	if err != nil {
-		j.broken, j.reason = true, "failure broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "failure broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown), nil
 	}
 	j.reason = http.StatusText(a.Status)
@@ -144,10 +144,10 @@
 	return nil
 }
 
-func (j *job) whole(p place, a *upstream.Answer) attempt.Outcome {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWhole+1))
+func (j *job) forwardWhole(p placement, a *upstream.Answer) attempt.Outcome {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse+1))
 	if err != nil {
-		j.broken, j.reason = true, "answer broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "answer broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown)
 	}
 	p.began()
@@ -156,16 +156,16 @@
 		p.canceled()
 		return attempt.Cut
 	}
-	if len(body) <= maxWhole {
+	if len(body) <= maxBufferedResponse {
 		p.done()
 		return 0
 	}
 	return j.copyRest(p, a)
 }
 
-func (j *job) copyRest(p place, a *upstream.Answer) attempt.Outcome {
+func (j *job) copyRest(p placement, a *upstream.Answer) attempt.Outcome {
 	if _, err := io.Copy(j.w, a.Body); err != nil {
-		j.broken, j.reason = true, "answer broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "answer broke off: "+err.Error()
 		return j.ended(p, attempt.Cut)
 	}
 	p.done()
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -78,7 +78,7 @@
 
 	counters counters
 	outcomes outcomes
-	running  atomic.Int64 // running is how many requests of engines are under way.
+	inFlight atomic.Int64 // running is how many requests of engines are under way.
 }
 
 // New returns a service.
@@ -113,11 +113,11 @@
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, r *Request) error {
 	ctx, cancel := clock.WithDeadline(ctx, s.opts.Clock, r.Deadline)
 	defer cancel()
-	j := &job{s: s, ctx: ctx, w: w, r: r, lastEvent: r.Call.LastEvent, history: attempt.History{Route: r.Route}, past: s.opts.Quarantine.Try(r.identity())}
-	j.repeat = func() bool { return s.repeat(r.Service.Name) }
+	j := &job{s: s, ctx: ctx, w: w, r: r, lastEvent: r.Call.LastEvent, history: attempt.History{Route: r.Route}, try: s.opts.Quarantine.Try(r.identity())}
+	j.takeRepeat = func() bool { return s.takeRepeat(r.Service.Name) }
 	if scheduled(r.Service, &r.Call) {
-		s.running.Add(1)
-		defer s.running.Add(-1)
+		s.inFlight.Add(1)
+		defer s.inFlight.Add(-1)
 	}
 	err := j.run()
 	s.counters.note(r.Service, err, s.opts.Clock.Now().Sub(r.Received))
@@ -126,10 +126,10 @@
 }
 
 // InFlight returns how many requests of engines are under way.
-func (s *Service) InFlight() int { return int(s.running.Load()) }
+func (s *Service) InFlight() int { return int(s.inFlight.Load()) }
 
-// repeat takes one repeat of a service from this gateway's share of the budget.
-func (s *Service) repeat(service string) bool {
+// takeRepeat takes one takeRepeat of a service from this gateway's share of the budget.
+func (s *Service) takeRepeat(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	extra := budgetShare * s.opts.Retry.Extra / float64(s.opts.Mesh.Members())
@@ -140,7 +140,7 @@
 	return ok
 }
 
-func (s *Service) first(service string) {
+func (s *Service) countFirstSend(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.window(service).Attempt(s.opts.Clock.Now())
@@ -155,12 +155,12 @@
 	return w
 }
 
-// throttledAfter is when a request that was refused since its account asks for far more
+// throttledRetryAfter is when a request that was refused since its account asks for far more
 // than it is given may come back: the account may have got something by then.
-const throttledAfter = time.Second
+const throttledRetryAfter = time.Second
 
-// refusalLines is how many refusals at the entry are told one by one in a second.
-const refusalLines = 10
+// maxRefusalLines is how many refusals at the entry are told one by one in a second.
+const maxRefusalLines = 10
 
 // Admission is what becomes of a request that is not refused.
 type Admission int
@@ -184,12 +184,12 @@
 	verdict := s.opts.Guard.admit(name, movable)
 	switch {
 	case verdict == overload.Refuse:
-		err = s.overloaded()
+		err = s.newOverloadError()
 	case verdict == overload.HandOver:
 		s.outcomes.noteTaken(name, call.Prompt.Tokens)
 		return HandOver, nil
-	case !s.underThrottle(name):
-		err = result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(throttledAfter)
+	case !s.admitThrottled(name):
+		err = result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(throttledRetryAfter)
 	default:
 		s.outcomes.noteTaken(name, call.Prompt.Tokens)
 		return Serve, nil
@@ -197,19 +197,19 @@
 	s.counters.note(service, err, 0)
 	// A flood is told in full at the beginning of each second, then by a sample and by
 	// the counts in the lines of a second: the budget of the log is for what tells more.
-	if n := s.outcomes.noteRefused(account.GetName(), result.Convert(err).Code, call.Prompt.Tokens); n <= refusalLines || sampled(call.ID) {
+	if n := s.outcomes.noteRefused(account.GetName(), result.Convert(err).Code, call.Prompt.Tokens); n <= maxRefusalLines || sampled(call.ID) {
 		s.log.Request("Request refused at the entry.", "id", call.ID, "account", account.GetName(), "service", service.Name, "error", err)
 	}
 	return 0, err
 }
 
-// overloaded is the refusal of a request for which this gateway has no time.
-func (s *Service) overloaded() *result.ErrResult {
+// newOverloadError is the refusal of a request for which this gateway has no time.
+func (s *Service) newOverloadError() *result.ErrResult {
 	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").WithRetryAfter(s.opts.Guard.returnAfter())
 }
 
 // OverloadError returns the refusal of a request that could not be handed over in time.
-func (s *Service) OverloadError() error { return s.overloaded() }
+func (s *Service) OverloadError() error { return s.newOverloadError() }
 
 // HandOverResult tells of a request that another gateway was to serve.
 type HandOverResult struct {
@@ -241,9 +241,9 @@
 // Overloaded tells whether requests are refused for want of processor time.
 func (s *Service) Overloaded() bool { return s.opts.Guard.Overloaded() }
 
-// underThrottle tells whether a scheduler is to be asked for a request of an
+// admitThrottled tells whether a scheduler is to be asked for a request of an
 // account.
-func (s *Service) underThrottle(account string) bool {
+func (s *Service) admitThrottled(account string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok := s.throttle.Admit(s.opts.Clock.Now(), account, rand.Float64())
@@ -258,7 +258,7 @@
 	return service.Engine != nil && call.Prompt != nil
 }
 
-func (s *Service) accepted(account string) {
+func (s *Service) countAccepted(account string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.throttle.Accepted(s.opts.Clock.Now(), account)
--- a/services/forward/guard_test.go
+++ b/services/forward/guard_test.go
@@ -40,7 +40,7 @@
 		body, events := io.Pipe()
 		done := make(chan attempt.Outcome)
 		go func() {
-			done <- j.pump(impatient{}, &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: body}, time.AfterFunc(time.Hour, func() {}))
+			done <- j.forwardStream(impatient{}, &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: body}, time.AfterFunc(time.Hour, func() {}))
 		}()
 		const event = "id: 1\ndata: a\n\n"
 		send := func() { _, _ = io.WriteString(events, event) }
@@ -60,7 +60,7 @@
 				case <-next:
 					waiting = false
 				default:
-					c.Advance(gatherTime / 4)
+					c.Advance(coalesceInterval / 4)
 				}
 			}
 		}
@@ -68,7 +68,7 @@
 		if n := <-passed.wrote; n != len(event) {
 			t.Errorf("strained %v: %d bytes followed", strained, n)
 		}
-		if since := c.Now().Sub(clock.NewFake().Now()); strained != (since >= gatherTime) {
+		if since := c.Now().Sub(clock.NewFake().Now()); strained != (since >= coalesceInterval) {
 			t.Errorf("strained %v: the second event was read after %v", strained, since)
 		}
 		_ = events.Close()
@@ -78,7 +78,7 @@
 			case <-done:
 				ended = true
 			default:
-				c.Advance(gatherTime)
+				c.Advance(coalesceInterval)
 			}
 		}
 	}
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -13,9 +13,9 @@
 	"madderway/services/notice"
 )
 
-// listAfter is when a caller may come back whom no target may serve: a new target is listed
+// noTargetRetryAfter is when a caller may come back whom no target may serve: a new target is listed
 // here within a second or two of its start.
-const listAfter = time.Second
+const noTargetRetryAfter = time.Second
 
 // errWithheld tells that a request was not sent since its target leaves, wants rest or is no
 // longer listed.
@@ -25,10 +25,10 @@
 // first byte, where all ways to a target meet: the place may be older than the target's word,
 // or come from a scheduler that has not heard it.
 func (j *job) startSending() error {
-	if now := j.s.opts.Targets.Targets().Find(j.at.ID); now == nil || !now.AcceptsWork() {
+	if now := j.s.opts.Targets.Targets().Find(j.targetRef.ID); now == nil || !now.AcceptsWork() {
 		return errWithheld
 	}
-	permit, err := j.s.opts.Notices.Start(j.at.ID)
+	permit, err := j.s.opts.Notices.Start(j.targetRef.ID)
 	if err != nil {
 		return errors.Join(errWithheld, err)
 	}
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// restsOf returns which targets of a service want nothing from this gateway now. Schedulers are
+// pausedTargets returns which targets of a service want nothing from this gateway now. Schedulers are
 // told with each ask: only this gateway knows what it was asked for, and they may change.
-func (s *Service) restsOf(service string) notice.PausedTargets {
+func (s *Service) pausedTargets(service string) notice.PausedTargets {
 	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
 		for _, t := range s.opts.Targets.Targets().ByService(service) {
 			if t.AcceptsWork() && !yield(t.ID) {
@@ -48,22 +48,22 @@
 	})
 }
 
-// allRest returns the error of a request that only targets at rest could serve: to wait would
+// allPausedError returns the error of a request that only targets at rest could serve: to wait would
 // be in vain, and the caller is told when the first of them may be tried.
-func allRest(service string, r notice.PausedTargets) error {
-	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.RetryAfter, soonAfter))
+func allPausedError(service string, r notice.PausedTargets) error {
+	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.RetryAfter, shortRetryAfter))
 }
 
-// denied returns the targets that a scheduler is not to choose.
-func (j *job) denied(r notice.PausedTargets) []string {
+// denyList returns the targets that a scheduler is not to choose.
+func (j *job) denyList(r notice.PausedTargets) []string {
 	if len(r.Targets) == 0 {
 		return j.deny
 	}
 	return slices.Concat(j.deny, r.Targets)
 }
 
-// mayGet returns the target of a place where it may get the request, or nil.
-func (j *job) mayGet(id string) *routing.Target {
+// usableTarget returns the target of a place where it may get the request, or nil.
+func (j *job) usableTarget(id string) *routing.Target {
 	t := j.s.opts.Targets.Targets().Find(id)
 	if t == nil || !t.AcceptsWork() {
 		return nil
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -22,32 +22,32 @@
 	// target: one refused by then may still be served in time elsewhere.
 	holdShare = 0.25
 	holdSlack = 20 * time.Millisecond
-	// firstFactor is how many objectives the first event of a stream that may
+	// firstEventFactor is how many objectives the first event of a stream that may
 	// be repeated can take before another target is tried.
-	firstFactor = 2
-	// plainFactor is how many usual times a plain answer may take before
+	firstEventFactor = 2
+	// plainLatencyFactor is how many usual times a plain answer may take before
 	// another target is tried.
-	plainFactor = 4
+	plainLatencyFactor = 4
 )
 
-// enginePlace is a place that the scheduler of a cell gave.
-type enginePlace struct {
+// enginePlacement is a place that the scheduler of a cell gave.
+type enginePlacement struct {
 	j  *job
 	t  *routing.Target
 	id mesh.RequestID
 }
 
-func (j *job) placeEngine() (place, error) {
-	rests := j.s.restsOf(j.r.Service.Name)
+func (j *job) placeEngine() (placement, error) {
+	rests := j.s.pausedTargets(j.r.Service.Name)
 	if rests.All {
 		// Callers of an account that is throttled are told to come back after a second.
 		j.disregard()
-		return nil, allRest(j.r.Service.Name, rests)
+		return nil, allPausedError(j.r.Service.Name, rests)
 	}
 	id := j.s.opts.Mesh.NextID()
-	if j.beforeAsk == 0 {
-		j.beforeAsk = j.s.opts.Clock.Now().Sub(j.r.Received)
-		j.s.counters.beforeAsk.Update(j.beforeAsk.Seconds())
+	if j.askedAfter == 0 {
+		j.askedAfter = j.s.opts.Clock.Now().Sub(j.r.Received)
+		j.s.counters.beforeAsk.Update(j.askedAfter.Seconds())
 	}
 	hold := time.Duration(holdShare*float64(j.r.Route.Objective)) - holdSlack - j.s.opts.Clock.Now().Sub(j.r.Received)
 	if j.history.Sent > 0 || j.history.Unsent > 0 {
@@ -55,19 +55,19 @@
 	}
 	d, err := j.s.opts.Mesh.Submit(j.ctx, j.r.Service.Name, cell.Ask{
 		ID: id, Account: j.r.account(), Rank: routing.EffectiveRank(j.r.Route, j.r.Account), Prompt: j.r.Call.Prompt,
-		Hold: max(hold, 0), Objective: max(j.r.Route.Objective-j.s.opts.Clock.Now().Sub(j.r.Received), time.Millisecond), Deny: j.denied(rests),
+		Hold: max(hold, 0), Objective: max(j.r.Route.Objective-j.s.opts.Clock.Now().Sub(j.r.Received), time.Millisecond), Deny: j.denyList(rests),
 	})
 	j.number, j.scheduler = id, d.Scheduler
 	if err != nil {
-		return nil, result.Wrap(result.Draining, err).WithRetryAfter(soonAfter)
+		return nil, result.Wrap(result.Draining, err).WithRetryAfter(shortRetryAfter)
 	}
 	if d.Target == "" {
 		return nil, result.New(result.NotInTime, "refused by %s", d.Scheduler).WithRetryAfter(d.RetryAfter)
 	}
-	j.s.accepted(j.r.account())
-	j.waited, j.source = d.Waited, d.Source
+	j.s.countAccepted(j.r.account())
+	j.waited, j.sourceID = d.Waited, d.Source
 	j.s.counters.waited.Update(d.Waited.Seconds())
-	t := j.mayGet(d.Target)
+	t := j.usableTarget(d.Target)
 	if t == nil {
 		// The scheduler knows the list at another revision, or has not heard what the target
 		// says of itself. That says nothing of its health: a new one is known to some gateways
@@ -77,11 +77,11 @@
 		j.denyUnusable(d.Target)
 		j.history.Unsent++
 		if j.history.Unsent > maxRounds/2 {
-			return nil, result.New(result.NoTarget, "target %s is not known here", d.Target).WithRetryAfter(soonAfter)
+			return nil, result.New(result.NoTarget, "target %s is not known here", d.Target).WithRetryAfter(shortRetryAfter)
 		}
 		return j.placeEngine()
 	}
-	return &enginePlace{j, t, id}, nil
+	return &enginePlacement{j, t, id}, nil
 }
 
 // sourceAddress returns where a target copies from, empty where the source is not
@@ -97,13 +97,17 @@
 	return t.Address
 }
 
-func (p *enginePlace) target() *routing.Target { return p.t }
-func (p *enginePlace) began()                  { p.j.s.opts.Mesh.Began(p.id) }
-func (p *enginePlace) done()                   { p.j.s.opts.Mesh.Ended(p.id, batch.OutcomeDone) }
-func (p *enginePlace) canceled()               { p.j.s.opts.Mesh.Ended(p.id, batch.OutcomeCanceled) }
-func (p *enginePlace) patience() time.Duration { return firstFactor * p.j.r.Route.Objective }
+func (p *enginePlacement) target() *routing.Target { return p.t }
+func (p *enginePlacement) began()                  { p.j.s.opts.Mesh.Began(p.id) }
+func (p *enginePlacement) done() { p.j.s.opts.Mesh.Ended(p.id, batch.OutcomeDone) }
 
-func (p *enginePlace) ended(o attempt.Outcome, moved bool) {
+func (p *enginePlacement) canceled() { p.j.s.opts.Mesh.Ended(p.id, batch.OutcomeCanceled) }
+
+func (p *enginePlacement) firstPartTimeout() time.Duration {
+	return firstEventFactor * p.j.r.Route.Objective
+}
+
+func (p *enginePlacement) ended(o attempt.Outcome, moved bool) {
 	p.j.s.opts.Mesh.Ended(p.id, engineOutcome(o, moved))
 }
 
@@ -127,51 +131,51 @@
 	}
 }
 
-// plainPlace is a place that this gateway chose by itself.
-type plainPlace struct {
+// plainPlacement is a place that this gateway chose by itself.
+type plainPlacement struct {
 	j    *job
 	pick *balance.Pick
 }
 
-func (j *job) placePlain() (place, error) {
-	targets, rests := j.s.opts.Targets.Targets().ByService(j.r.Service.Name), j.s.restsOf(j.r.Service.Name)
+func (j *job) placePlain() (placement, error) {
+	targets, rests := j.s.opts.Targets.Targets().ByService(j.r.Service.Name), j.s.pausedTargets(j.r.Service.Name)
 	j.s.mu.Lock()
-	pick := j.s.balancer.Choose(j.s.opts.Clock.Now(), targets, j.denied(rests), j.s.limitsOf(j.r.Service))
+	pick := j.s.balancer.Choose(j.s.opts.Clock.Now(), targets, j.denyList(rests), j.s.plainLimits(j.r.Service))
 	j.s.mu.Unlock()
 	switch {
 	case pick == nil && rests.All:
-		return nil, allRest(j.r.Service.Name, rests)
+		return nil, allPausedError(j.r.Service.Name, rests)
 	case pick == nil && !slices.ContainsFunc(targets, (*routing.Target).AcceptsWork):
-		return nil, result.New(result.NoTarget, "no target of %s takes work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(listAfter)
+		return nil, result.New(result.NoTarget, "no target of %s takes work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(noTargetRetryAfter)
 	case pick == nil:
-		return nil, result.New(result.NoTarget, "no target of %s, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(soonAfter)
+		return nil, result.New(result.NoTarget, "no target of %s, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(shortRetryAfter)
 	}
-	return &plainPlace{j, pick}, nil
+	return &plainPlacement{j, pick}, nil
 }
 
-// limitsOf returns what this gateway may send to the targets of a plain service.
-func (s *Service) limitsOf(service *routing.Service) balance.Limits {
+// plainLimits returns what this gateway may send to the targets of a plain service.
+func (s *Service) plainLimits(service *routing.Service) balance.Limits {
 	return balance.Limits{ColdRate: service.ColdRate, ColdShare: cold.IndependentShare(s.opts.Mesh.Known())}
 }
 
-func (p *plainPlace) target() *routing.Target { return p.pick.Target }
-func (p *plainPlace) began()                  {}
+func (p *plainPlacement) target() *routing.Target { return p.pick.Target }
+func (p *plainPlacement) began()                  {}
 
-func (p *plainPlace) locked(f func(now time.Time)) {
+func (p *plainPlacement) locked(f func(now time.Time)) {
 	p.j.s.mu.Lock()
 	defer p.j.s.mu.Unlock()
 	f(p.j.s.opts.Clock.Now())
 }
 
-func (p *plainPlace) done() {
+func (p *plainPlacement) done() {
 	p.locked(func(now time.Time) { p.j.s.balancer.Done(now, p.pick) })
 }
 
-func (p *plainPlace) canceled() {
+func (p *plainPlacement) canceled() {
 	p.locked(func(time.Time) { p.j.s.balancer.Canceled(p.pick) })
 }
 
-func (p *plainPlace) ended(o attempt.Outcome, _ bool) {
+func (p *plainPlacement) ended(o attempt.Outcome, _ bool) {
 	if o == attempt.Withheld {
 		p.canceled()
 		return
@@ -179,8 +183,8 @@
 	p.locked(func(now time.Time) { p.j.s.balancer.Failed(now, p.pick, o) })
 }
 
-func (p *plainPlace) patience() time.Duration {
+func (p *plainPlacement) firstPartTimeout() time.Duration {
 	usual := time.Duration(0)
 	p.locked(func(time.Time) { usual = p.j.s.balancer.Latency(p.pick.Target.ID) })
-	return max(p.j.r.Route.Objective/2, plainFactor*usual)
+	return max(p.j.r.Route.Objective/2, plainLatencyFactor*usual)
 }
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -22,13 +22,13 @@
 func TestNothingIsSentToAStalePlace(t *testing.T) {
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
-	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
-	c.Advance(placeHolds)
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
+	c.Advance(maxPlacementAge)
 	if err := j.checkAtSend(); err != nil {
 		t.Errorf("a place that still holds: %v", err)
 	}
 	c.Advance(3 * time.Second)
-	if err := j.checkAtSend(); !errors.Is(err, errStalePlace) {
+	if err := j.checkAtSend(); !errors.Is(err, errStalePlacement) {
 		t.Errorf("a stale place: %v", err)
 	}
 }
@@ -43,11 +43,11 @@
 		asked++
 		return left
 	}}
-	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
 	if err := j.checkAtSend(); err != nil || asked > 0 {
 		t.Errorf("right after it came: %v, asked %d times", err, asked)
 	}
-	c.Advance(2 * leftAfter)
+	c.Advance(2 * callerCheckAfter)
 	if err := j.checkAtSend(); err != nil || asked != 1 {
 		t.Errorf("its caller waits: %v, asked %d times", err, asked)
 	}
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -37,7 +37,7 @@
 			code, after = e.Code.String(), e.RetryAfter
 		}
 		s.log.Request("Request failed.", append(j.story(), "code", code, "retry_after", after, "reason", j.reason, "detail", err)...)
-	case j.r.Route.Stream && j.pace.late(j.r.Route):
+	case j.r.Route.Stream && j.timing.late(j.r.Route):
 		s.log.Request("Answer late.", append(j.story(), "objective", j.r.Route.Objective, "longest_pause", j.r.Route.Pause)...)
 	case j.history.Sent > 1 || j.history.Unsent > 0 || sampled(j.r.Call.ID):
 		s.log.Request("Request served.", j.story()...)
@@ -54,7 +54,7 @@
 		return outcomeGone
 	case err != nil:
 		return outcomeAborted
-	case j.r.Route.Stream && j.pace.late(j.r.Route):
+	case j.r.Route.Stream && j.timing.late(j.r.Route):
 		return outcomeLate
 	default:
 		return outcomeInTime
@@ -62,15 +62,15 @@
 }
 
 // logNext writes what follows an attempt that came to nothing.
-func (s *Service) logNext(j *job, o attempt.Outcome, next attempt.Next, end targetEnd) {
+func (s *Service) logNext(j *job, o attempt.Outcome, next attempt.Next, end targetDeath) {
 	values := []any{
-		"id", j.r.Call.ID, "number", j.number, "target", j.target, "outcome", o, "next", next,
+		"id", j.r.Call.ID, "number", j.number, "target", j.targetID, "outcome", o, "next", next,
 		"sent", j.history.Sent, "unsent", j.history.Unsent, "may_have_run", j.history.MayHaveRun, "reason", j.reason,
 	}
-	if end.looked {
-		values = append(values, "target_ended", end.ended)
+	if end.checked {
+		values = append(values, "target_ended", end.died)
 	}
-	if end.ended {
+	if end.died {
 		values = append(values, "request", end.request)
 	}
 	s.log.Request("Attempt failed.", values...)
@@ -84,7 +84,7 @@
 	}
 	return []any{
 		"id", j.r.Call.ID, "number", j.number, "account", j.r.account(), "route", j.r.Route.Name, "service", j.r.Service.Name,
-		"scheduler", j.scheduler, "target", j.target, "source", j.source, "sent", j.history.Sent, "unsent", j.history.Unsent,
-		"carrier", j.r.HandedOverBy, "before_ask", j.beforeAsk, "waited", j.waited, "first", j.pace.first, "pause", j.pace.pause, "after", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
+		"scheduler", j.scheduler, "target", j.targetID, "source", j.sourceID, "sent", j.history.Sent, "unsent", j.history.Unsent,
+		"carrier", j.r.HandedOverBy, "before_ask", j.askedAfter, "waited", j.waited, "first", j.timing.first, "pause", j.timing.pause, "after", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
 	}
 }
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -17,11 +17,11 @@
 
 const (
 	streamChunk = 4 << 10
-	// gatherTime is how long a gateway that is short of processor time lets the events of
+	// coalesceInterval is how long a gateway that is short of processor time lets the events of
 	// a stream gather before it passes them on. The first one is never held. Each passing
 	// on costs two system calls and a wake-up or two; events come every 25 to 50 ms, and
 	// callers notice pauses from 300 ms on.
-	gatherTime = 80 * time.Millisecond
+	coalesceInterval = 80 * time.Millisecond
 )
 
 var (
@@ -29,17 +29,17 @@
 	idField  = []byte("id:")
 )
 
-// pump passes the events of a stream on as they come. On a route whose streams
+// forwardStream passes the events of a stream on as they come. On a route whose streams
 // may be resumed only whole events go out, so that another target can go on.
-func (j *job) pump(p place, a *upstream.Answer, impatient clock.Timer) attempt.Outcome {
+func (j *job) forwardStream(p placement, a *upstream.Answer, impatient clock.Timer) attempt.Outcome {
 	flusher := http.NewResponseController(j.w)
 	chunk := make([]byte, streamChunk)
 	var held []byte // held are the bytes of an event that is not whole yet.
 	for {
 		n, err := a.Body.Read(chunk)
 		if n > 0 {
-			if j.pace.note(j.s.opts.Clock.Now(), j.r.Received) {
-				if !impatient.Stop() && j.reserved.Load() {
+			if j.timing.recordPart(j.s.opts.Clock.Now(), j.r.Received) {
+				if !impatient.Stop() && j.repeatReserved.Load() {
 					j.reason = "cut for its slowness"
 					return j.ended(p, attempt.Cut)
 				}
@@ -49,37 +49,37 @@
 			if j.r.Route.Resumable {
 				out, held = j.wholeEvents(append(held, out...))
 			}
-			if len(out) > 0 && !j.pass(a, flusher, out) {
+			if len(out) > 0 && !j.forwardEvents(a, flusher, out) {
 				p.canceled()
 				return attempt.Cut
 			}
 			if err == nil {
-				j.gather()
+				j.coalesce()
 			}
 		}
 		if err == io.EOF {
 			return j.endStream(p, a, flusher, held)
 		}
 		if err != nil {
-			j.broken, j.reason = true, "stream broke off: "+err.Error()
+			j.brokeOff, j.reason = true, "stream broke off: "+err.Error()
 			return j.ended(p, attempt.Cut)
 		}
 	}
 }
 
-// gather lets further events come where this gateway is short of processor time, or the
+// coalesce lets further events come where this gateway is short of processor time, or the
 // one that passes them on is.
-func (j *job) gather() {
+func (j *job) coalesce() {
 	if !j.s.opts.Guard.Overloaded() && j.r.HandedOverBy == "" {
 		return
 	}
 	select {
 	case <-j.ctx.Done():
-	case <-j.s.opts.Clock.After(gatherTime):
+	case <-j.s.opts.Clock.After(coalesceInterval):
 	}
 }
 
-func (j *job) pass(a *upstream.Answer, flusher *http.ResponseController, out []byte) bool {
+func (j *job) forwardEvents(a *upstream.Answer, flusher *http.ResponseController, out []byte) bool {
 	if !j.headOut {
 		j.writeHead(a)
 	}
@@ -89,12 +89,12 @@
 	return flusher.Flush() == nil
 }
 
-func (j *job) endStream(p place, a *upstream.Answer, flusher *http.ResponseController, held []byte) attempt.Outcome {
+func (j *job) endStream(p placement, a *upstream.Answer, flusher *http.ResponseController, held []byte) attempt.Outcome {
 	if len(held) > 0 {
-		j.broken, j.reason = true, "stream ended inside an event"
+		j.brokeOff, j.reason = true, "stream ended inside an event"
 		return j.ended(p, attempt.Cut)
 	}
-	if !j.headOut && !j.pass(a, flusher, nil) {
+	if !j.headOut && !j.forwardEvents(a, flusher, nil) {
 		p.canceled()
 		return attempt.Cut
 	}
@@ -119,15 +119,15 @@
 	return whole, rest
 }
 
-// pace is how the parts of a stream came.
-type pace struct {
+// streamTiming is how the parts of a stream came.
+type streamTiming struct {
 	first time.Duration // first is the time from the request to the first part.
 	pause time.Duration // pause is the longest time between two parts.
 	last  time.Time
 }
 
-// note takes the time of a part and tells whether it is the first one.
-func (p *pace) note(now, received time.Time) bool {
+// recordPart takes the time of a part and tells whether it is the first one.
+func (p *streamTiming) recordPart(now, received time.Time) bool {
 	if p.last.IsZero() {
 		p.first, p.last = now.Sub(received), now
 		return true
@@ -138,6 +138,6 @@
 }
 
 // late tells whether the stream missed its route's objectives.
-func (p *pace) late(r *routing.Route) bool {
+func (p *streamTiming) late(r *routing.Route) bool {
 	return p.first > r.Objective || r.Pause > 0 && p.pause > r.Pause
 }
--- a/services/forward/watch_test.go
+++ b/services/forward/watch_test.go
@@ -20,16 +20,16 @@
 // impatient is a place whose first part is waited for but a moment.
 type impatient struct{}
 
-func (impatient) target() *routing.Target     { return &routing.Target{ID: "t"} }
-func (impatient) began()                      {}
-func (impatient) ended(attempt.Outcome, bool) {}
-func (impatient) done()                       {}
-func (impatient) canceled()                   {}
-func (impatient) patience() time.Duration     { return time.Nanosecond }
+func (impatient) target() *routing.Target         { return &routing.Target{ID: "t"} }
+func (impatient) began()                          {}
+func (impatient) ended(attempt.Outcome, bool)     {}
+func (impatient) done()                           {}
+func (impatient) canceled()                       {}
+func (impatient) firstPartTimeout() time.Duration { return time.Nanosecond }
 
 func impatientJob(repeat func() bool) *job {
 	route := &routing.Route{Repeat: routing.RepeatSafe, MaxAttempts: 2}
-	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, repeat: repeat}
+	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, takeRepeat: repeat}
 }
 
 // An attempt is not cut for its slowness where the retry budget is spent: there
@@ -42,9 +42,9 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer j.watch(impatient{}, cancel).Stop()
+	defer j.cutIfSlow(impatient{}, cancel).Stop()
 	<-asked
-	if ctx.Err() != nil || j.reserved.Load() {
+	if ctx.Err() != nil || j.repeatReserved.Load() {
 		t.Error("the attempt was cut though the budget is spent")
 	}
 }
@@ -58,12 +58,12 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer j.watch(impatient{}, cancel).Stop()
+	defer j.cutIfSlow(impatient{}, cancel).Stop()
 	<-ctx.Done()
-	if !j.budget() {
+	if !j.takeRetry() {
 		t.Error("the repeat that was taken ahead is gone")
 	}
-	if taken != 1 || j.budget() {
+	if taken != 1 || j.takeRetry() {
 		t.Errorf("%d repeats were taken", taken)
 	}
 }
@@ -78,13 +78,13 @@
 		j.r.Route.Stream, j.r.Route.Resumable = true, true
 		recorder := httptest.NewRecorder()
 		j.w = recorder
-		j.reserved.Store(cut)
+		j.repeatReserved.Store(cut)
 		fired := time.AfterFunc(time.Hour, func() {})
 		if cut {
 			fired.Stop()
 		}
 		a := &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("id: 1\ndata: a\n\n")}
-		outcome := j.pump(impatient{}, a, fired)
+		outcome := j.forwardStream(impatient{}, a, fired)
 		if written := recorder.Body.Len() > 0; written == cut {
 			t.Errorf("cut %v: %q was passed on", cut, recorder.Body.String())
 		}
@@ -110,10 +110,10 @@
 		"may not be repeated":   {attempt.History{Route: &routing.Route{Stream: true}, Sent: 1, MayHaveRun: true}, time.Second, false},
 		"no further attempt is": {attempt.History{Route: route, Sent: 2, MayHaveRun: true}, time.Second, false},
 	} {
-		if got := placeLater(c.history, c.left, 0); got != c.want {
+		if got := shouldRetryPlacement(c.history, c.left, 0); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if placeLater(c.history, c.left, placeAgainFor) {
+		if shouldRetryPlacement(c.history, c.left, placementRetryTimeout) {
 			t.Errorf("%s: waits without end", name)
 		}
 	}
