--- a/services/forward/counters.go
+++ b/services/forward/counters.go
@@ -30,13 +30,13 @@
 	// that no gateway took.
 	handedOver, handOverLost, notHandedOver *metrics.Counter
 
-	beforeAsk *metrics.Histogram
-	waited    *metrics.Histogram
-	byOutcome *sync.Map // byOutcome holds figures by service and outcome: to name them anew took 4 % of a refusal.
+	askedAfter    *metrics.Histogram
+	placementTime *metrics.Histogram
+	byOutcome     *sync.Map // byOutcome holds figures by service and outcome: to name them anew took 4 % of a refusal.
 }
 
-// figures are those of the requests of one service that ended alike.
-type figures struct {
+// outcomeMetrics are those of the requests of one service that ended alike.
+type outcomeMetrics struct {
 	requests *metrics.Counter
 	seconds  *metrics.Histogram
 }
@@ -51,13 +51,13 @@
 		handedOver:     set.NewCounter("madderway_gateway_handed_over_total"),
 		handOverLost:   set.NewCounter("madderway_gateway_handed_over_lost_total"),
 		notHandedOver:  set.NewCounter("madderway_gateway_not_handed_over_total"),
-		beforeAsk:      set.NewHistogram("madderway_gateway_before_ask_seconds"),
-		waited:         set.NewHistogram("madderway_gateway_placement_seconds"), byOutcome: &sync.Map{},
+		askedAfter:     set.NewHistogram("madderway_gateway_before_ask_seconds"),
+		placementTime:  set.NewHistogram("madderway_gateway_placement_seconds"), byOutcome: &sync.Map{},
 	}
 }
 
-// note counts a request of a service that ended so, so long after it was read.
-func (c *counters) note(service *routing.Service, err error, after time.Duration) {
+// record counts a request of a service that ended so, so long after it was read.
+func (c *counters) record(service *routing.Service, err error, after time.Duration) {
 	outcome := "done"
 	switch e, numbered := result.FromError(err); {
 	case numbered:
@@ -67,18 +67,18 @@
 	case err != nil:
 		outcome = "aborted"
 	}
-	f := c.figuresOf(service.Name, outcome)
+	f := c.metricsOf(service.Name, outcome)
 	f.requests.Inc()
 	f.seconds.Update(after.Seconds())
 }
 
-// figuresOf returns the figures of a service's requests that ended so.
-func (c *counters) figuresOf(service, outcome string) figures {
+// metricsOf returns the figures of a service's requests that ended so.
+func (c *counters) metricsOf(service, outcome string) outcomeMetrics {
 	key := [2]string{service, outcome}
 	if f, ok := c.byOutcome.Load(key); ok {
-		return f.(figures)
+		return f.(outcomeMetrics)
 	}
-	f := figures{
+	f := outcomeMetrics{
 		requests: c.set.GetOrCreateCounter(fmt.Sprintf("madderway_gateway_requests_total{service=%q,outcome=%q}", service, outcome)),
 		seconds:  c.set.GetOrCreateHistogram(fmt.Sprintf("madderway_gateway_request_seconds{service=%q}", service)),
 	}
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -77,7 +77,7 @@
 	throttle *throttle.Throttle
 
 	counters counters
-	outcomes outcomes
+	outcomes outcomeCounts
 	inFlight atomic.Int64 // running is how many requests of engines are under way.
 }
 
@@ -120,8 +120,8 @@
 		defer s.inFlight.Add(-1)
 	}
 	err := j.run()
-	s.counters.note(r.Service, err, s.opts.Clock.Now().Sub(r.Received))
-	s.logEnd(j, err)
+	s.counters.record(r.Service, err, s.opts.Clock.Now().Sub(r.Received))
+	s.logResult(j, err)
 	return err
 }
 
@@ -186,18 +186,18 @@
 	case verdict == overload.Refuse:
 		err = s.newOverloadError()
 	case verdict == overload.HandOver:
-		s.outcomes.noteTaken(name, call.Prompt.Tokens)
+		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
 		return HandOver, nil
 	case !s.admitThrottled(name):
 		err = result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(throttledRetryAfter)
 	default:
-		s.outcomes.noteTaken(name, call.Prompt.Tokens)
+		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
 		return Serve, nil
 	}
-	s.counters.note(service, err, 0)
+	s.counters.record(service, err, 0)
 	// A flood is told in full at the beginning of each second, then by a sample and by
 	// the counts in the lines of a second: the budget of the log is for what tells more.
-	if n := s.outcomes.noteRefused(account.GetName(), result.Convert(err).Code, call.Prompt.Tokens); n <= maxRefusalLines || sampled(call.ID) {
+	if n := s.outcomes.countRefused(account.GetName(), result.Convert(err).Code, call.Prompt.Tokens); n <= maxRefusalLines || sampled(call.ID) {
 		s.log.Request("Request refused at the entry.", "id", call.ID, "account", account.GetName(), "service", service.Name, "error", err)
 	}
 	return 0, err
@@ -205,7 +205,7 @@
 
 // newOverloadError is the refusal of a request for which this gateway has no time.
 func (s *Service) newOverloadError() *result.ErrResult {
-	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").WithRetryAfter(s.opts.Guard.returnAfter())
+	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").WithRetryAfter(s.opts.Guard.retryAfter())
 }
 
 // OverloadError returns the refusal of a request that could not be handed over in time.
@@ -235,7 +235,7 @@
 		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "after", h.Elapsed, "bytes", h.Bytes, "gone", h.CallerGone)
 	}
 	s.counters.handedOver.Inc()
-	s.outcomes.note(outcomeHandedOver)
+	s.outcomes.count(outcomeHandedOver)
 }
 
 // Overloaded tells whether requests are refused for want of processor time.
--- a/services/forward/guard.go
+++ b/services/forward/guard.go
@@ -25,32 +25,32 @@
 	clock clock.Clock
 
 	opts GuardOptions
-	// strained tells that some requests are handed over or refused for want of processor time.
-	strained atomic.Bool
+	// overloaded tells that some requests are handed over or refused for want of processor time.
+	overloaded atomic.Bool
 
 	mu       sync.Mutex
 	governor *overload.Governor
 	link     *overload.Link
 	duties   overload.Duties
-	second   latenessSecond
+	lateness latenessStats
 }
 
-// latenessSecond is how late the process came to its work since the last line.
-type latenessSecond struct {
-	samples int
-	sum     time.Duration
-	worst   time.Duration
-	queued  time.Duration // queued is the longest that requests waited to be handed over.
+// latenessStats is how late the process came to its work since the last line.
+type latenessStats struct {
+	samples       int
+	sum           time.Duration
+	worst         time.Duration
+	handOverDelay time.Duration // queued is the longest that requests waited to be handed over.
 }
 
-func (l *latenessSecond) note(lateness, queued time.Duration) {
+func (l *latenessStats) add(lateness, queued time.Duration) {
 	l.samples++
-	l.queued = max(l.queued, queued)
+	l.handOverDelay = max(l.handOverDelay, queued)
 	l.sum += lateness
 	l.worst = max(l.worst, lateness)
 }
 
-func (l *latenessSecond) mean() time.Duration {
+func (l *latenessStats) mean() time.Duration {
 	if l.samples == 0 {
 		return 0
 	}
@@ -92,12 +92,12 @@
 		queued = g.opts.HandOverDelay(now)
 	}
 	g.mu.Lock()
-	g.second.note(lateness, queued)
+	g.lateness.add(lateness, queued)
 	g.governor.SetHandOverAvailable(relief)
 	use := g.link.Observe(now, sent, received)
 	changed := g.governor.Observe(now, max(lateness, queued))
 	share, own, refused := g.governor.AcceptedShare(), g.governor.ServedShare(), g.governor.Refused()
-	g.strained.Store(own < 1)
+	g.overloaded.Store(own < 1)
 	keepsUp, moved := g.duties.Observe(now, own, use)
 	g.mu.Unlock()
 	if moved {
@@ -113,15 +113,15 @@
 	}
 }
 
-// overdueLeast is how late a report of lateness must be to count before it has come: a
+// minOverdue is how late a report of lateness must be to count before it has come: a
 // process that is late by seconds reports nothing in that time.
-const overdueLeast = 100 * time.Millisecond
+const minOverdue = 100 * time.Millisecond
 
 // admit tells what becomes of a request of an account; movable tells whether it can be
 // handed over.
 func (g *Guard) admit(account string, movable bool) overload.Verdict {
 	now := g.clock.Now()
-	if overdue := g.opts.Overdue(now); overdue >= overdueLeast {
+	if overdue := g.opts.Overdue(now); overdue >= minOverdue {
 		g.ObserveLateness(overdue)
 	}
 	g.mu.Lock()
@@ -130,47 +130,47 @@
 }
 
 // When a request that was refused for want of processor time may come back, spread by a
-// half to either side. The balancer brings it to this gateway again. Where worthShare or
-// more is admitted it comes after returnBase over the share, and may still be served within
+// half to either side. The balancer brings it to this gateway again. Where shortRetryShare or
+// more is admitted it comes after baseRetryAfter over the share, and may still be served within
 // its objective. Where less is, most would be refused again, and a refusal takes a quarter
 // of the processor time of a stream: all returns together would take more than they bring.
-// They come after the time in which as much is admitted as was refused in workSpan, four
-// seconds and more, returnMost at most: as long as the most patient callers wait.
+// They come after the time in which as much is admitted as was refused in longRetryUnit, four
+// seconds and more, maxRetryAfter at most: as long as the most patient callers wait.
 const (
-	worthShare = 0.2
-	returnBase = 50 * time.Millisecond
-	workSpan   = time.Second
-	returnMost = 10 * time.Second
+	shortRetryShare = 0.2
+	baseRetryAfter  = 50 * time.Millisecond
+	longRetryUnit   = time.Second
+	maxRetryAfter   = 10 * time.Second
 )
 
-// returnAfter returns when a request that was refused may come back.
-func (g *Guard) returnAfter() time.Duration {
+// retryAfter returns when a request that was refused may come back.
+func (g *Guard) retryAfter() time.Duration {
 	g.mu.Lock()
 	share := g.governor.AcceptedShare()
 	g.mu.Unlock()
-	after := min(time.Duration(float64(workSpan)*(1-share)/share), returnMost)
-	if share >= worthShare {
-		after = time.Duration(float64(returnBase) / share)
+	after := min(time.Duration(float64(longRetryUnit)*(1-share)/share), maxRetryAfter)
+	if share >= shortRetryShare {
+		after = time.Duration(float64(baseRetryAfter) / share)
 	}
 	return time.Duration((0.5 + rand.Float64()) * float64(after))
 }
 
-// takeSecond returns the share that is admitted now, what that was concluded from, and how late
+// resetStats returns the share that is admitted now, what that was concluded from, and how late
 // the process has come to its work since the last call, for the line of a second.
-func (g *Guard) takeSecond() []any {
+func (g *Guard) resetStats() []any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := g.second
-	g.second = latenessSecond{}
+	l := g.lateness
+	g.lateness = latenessStats{}
 	serve, handOver, refuse, arriving := g.governor.Costs()
-	return []any{"arriving", math.Round(arriving), "serve_takes", serve.Round(time.Microsecond), "hand_over_takes", handOver.Round(time.Microsecond), "refuse_takes", refuse.Round(time.Microsecond), "share", percent(g.governor.AcceptedShare()), "own", percent(g.governor.ServedShare()), "late_mean", l.mean().Round(time.Millisecond), "late_worst", l.worst.Round(time.Millisecond), "hand_over_queued", l.queued.Round(time.Millisecond)}
+	return []any{"arriving", math.Round(arriving), "serve_takes", serve.Round(time.Microsecond), "hand_over_takes", handOver.Round(time.Microsecond), "refuse_takes", refuse.Round(time.Microsecond), "share", percent(g.governor.AcceptedShare()), "own", percent(g.governor.ServedShare()), "late_mean", l.mean().Round(time.Millisecond), "late_worst", l.worst.Round(time.Millisecond), "hand_over_queued", l.handOverDelay.Round(time.Millisecond)}
 }
 
 // percent rounds a share to hundredths, for log lines.
 func percent(share float64) float64 { return math.Round(100*share) / 100 }
 
 // Overloaded tells whether the gateway is short of processor time.
-func (g *Guard) Overloaded() bool { return g.strained.Load() }
+func (g *Guard) Overloaded() bool { return g.overloaded.Load() }
 
 func (g *Guard) writeMetrics(w io.Writer) {
 	g.mu.Lock()
--- a/services/forward/guard_test.go
+++ b/services/forward/guard_test.go
@@ -32,7 +32,7 @@
 		c := clock.NewFake()
 		j := impatientJob(func() bool { return true })
 		j.s = &Service{opts: Options{Clock: c, Guard: testGuard(c)}}
-		j.s.opts.Guard.strained.Store(strained)
+		j.s.opts.Guard.overloaded.Store(strained)
 		j.ctx = t.Context()
 		j.r.Route.Stream = true
 		passed := &countingWriter{ResponseRecorder: httptest.NewRecorder(), wrote: make(chan int, 8)}
@@ -119,8 +119,8 @@
 	mean := func() time.Duration {
 		sum := time.Duration(0)
 		for range 1000 {
-			after := g.returnAfter()
-			if after > returnMost*3/2 {
+			after := g.retryAfter()
+			if after > maxRetryAfter*3/2 {
 				t.Fatalf("may come back after %v", after)
 			}
 			sum += after
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -104,7 +104,7 @@
 		}
 		end := j.checkTargetDeath(p.target(), outcome)
 		next := attempt.Decide(outcome, j.history, j.takeRetry)
-		j.s.logNext(j, outcome, next, end)
+		j.s.logFailedAttempt(j, outcome, next, end)
 		switch next {
 		case attempt.Again, attempt.Resume:
 			j.deny = append(j.deny, j.targetID)
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -47,7 +47,7 @@
 	id := j.s.opts.Mesh.NextID()
 	if j.askedAfter == 0 {
 		j.askedAfter = j.s.opts.Clock.Now().Sub(j.r.Received)
-		j.s.counters.beforeAsk.Update(j.askedAfter.Seconds())
+		j.s.counters.askedAfter.Update(j.askedAfter.Seconds())
 	}
 	hold := time.Duration(holdShare*float64(j.r.Route.Objective)) - holdSlack - j.s.opts.Clock.Now().Sub(j.r.Received)
 	if j.history.Sent > 0 || j.history.Unsent > 0 {
@@ -66,7 +66,7 @@
 	}
 	j.s.countAccepted(j.r.account())
 	j.waited, j.sourceID = d.Waited, d.Source
-	j.s.counters.waited.Update(d.Waited.Seconds())
+	j.s.counters.placementTime.Update(d.Waited.Seconds())
 	t := j.usableTarget(d.Target)
 	if t == nil {
 		// The scheduler knows the list at another revision, or has not heard what the target
@@ -99,7 +99,7 @@
 
 func (p *enginePlacement) target() *routing.Target { return p.t }
 func (p *enginePlacement) began()                  { p.j.s.opts.Mesh.Began(p.id) }
-func (p *enginePlacement) done() { p.j.s.opts.Mesh.Ended(p.id, batch.OutcomeDone) }
+func (p *enginePlacement) done()                   { p.j.s.opts.Mesh.Ended(p.id, batch.OutcomeDone) }
 
 func (p *enginePlacement) canceled() { p.j.s.opts.Mesh.Ended(p.id, batch.OutcomeCanceled) }
 
--- a/services/forward/second.go
+++ b/services/forward/second.go
@@ -12,12 +12,12 @@
 	"madderway/models/result"
 )
 
-// outcomes counts how the requests of engines ended since the last line.
-type outcomes struct {
-	mu      sync.Mutex
-	counts  map[string]int
-	refused map[refusal]volume // refused are those that were refused at the entry.
-	taken   map[string]volume  // taken are those of each account that were not.
+// outcomeCounts counts how the requests of engines ended since the last line.
+type outcomeCounts struct {
+	mu       sync.Mutex
+	counts   map[string]int
+	refused  map[refusalKey]volume // refused are those that were refused at the entry.
+	admitted map[string]volume     // taken are those of each account that were not.
 }
 
 // volume is a number of requests and the tokens of their prompts.
@@ -25,18 +25,18 @@
 
 func (v volume) plus(tokens int) volume { return volume{v.requests + 1, v.tokens + tokens} }
 
-// refusal is an account and why its requests are refused at the entry.
-type refusal struct {
+// refusalKey is an account and why its requests are refused at the entry.
+type refusalKey struct {
 	account string
 	reason  result.Code
 }
 
-// refusals sum up who was refused at the entry: the account and reason with the most
+// refusalSummary sum up who was refused at the entry: the account and reason with the most
 // requests, their volume, what was taken of that account, and how many accounts were refused.
-type refusals struct {
-	refusal
+type refusalSummary struct {
+	refusalKey
 	most     volume
-	taken    volume
+	admitted volume
 	accounts int
 }
 
@@ -46,15 +46,15 @@
 	outcomeLate    = "late"
 	outcomeGone    = "gone"
 	outcomeAborted = "aborted"
-	outcomeAtEntry = "refused_at_entry"
+	outcomeRefused = "refused_at_entry"
 	// outcomeHandedOver is that of requests which another gateway has served.
 	outcomeHandedOver = "handed_over"
 )
 
-// secondEvery is how often a line is written.
-const secondEvery = time.Second
+// logInterval is how often a line is written.
+const logInterval = time.Second
 
-func (o *outcomes) note(name string) {
+func (o *outcomeCounts) count(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.counts == nil {
@@ -63,43 +63,43 @@
 	o.counts[name]++
 }
 
-// noteRefused counts a request that was refused at the entry, and returns how many were
+// countRefused counts a request that was refused at the entry, and returns how many were
 // since the last line.
-func (o *outcomes) noteRefused(account string, reason result.Code, tokens int) int {
-	o.note(outcomeAtEntry)
+func (o *outcomeCounts) countRefused(account string, reason result.Code, tokens int) int {
+	o.count(outcomeRefused)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.refused == nil {
-		o.refused = map[refusal]volume{}
+		o.refused = map[refusalKey]volume{}
 	}
-	key := refusal{account, reason}
+	key := refusalKey{account, reason}
 	o.refused[key] = o.refused[key].plus(tokens)
-	return o.counts[outcomeAtEntry]
+	return o.counts[outcomeRefused]
 }
 
-// noteTaken counts a request that was not refused at the entry.
-func (o *outcomes) noteTaken(account string, tokens int) {
+// countAdmitted counts a request that was not refused at the entry.
+func (o *outcomeCounts) countAdmitted(account string, tokens int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.taken == nil {
-		o.taken = map[string]volume{}
+	if o.admitted == nil {
+		o.admitted = map[string]volume{}
 	}
-	o.taken[account] = o.taken[account].plus(tokens)
+	o.admitted[account] = o.admitted[account].plus(tokens)
 }
 
-// take returns what was counted and begins anew.
-func (o *outcomes) take() (map[string]int, refusals) {
+// reset returns what was counted and begins anew.
+func (o *outcomeCounts) reset() (map[string]int, refusalSummary) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	counts, sum, accounts := o.counts, refusals{}, map[string]bool{}
+	counts, sum, accounts := o.counts, refusalSummary{}, map[string]bool{}
 	for r, v := range o.refused {
 		accounts[r.account] = true
 		if v.requests > sum.most.requests || v.requests == sum.most.requests && r.account < sum.account {
-			sum.refusal, sum.most = r, v
+			sum.refusalKey, sum.most = r, v
 		}
 	}
-	sum.accounts, sum.taken = len(accounts), o.taken[sum.account]
-	o.counts, o.refused, o.taken = nil, nil, nil
+	sum.accounts, sum.admitted = len(accounts), o.admitted[sum.account]
+	o.counts, o.refused, o.admitted = nil, nil, nil
 	return counts, sum
 }
 
@@ -110,10 +110,10 @@
 		select {
 		case <-stop:
 			return
-		case <-s.opts.Clock.After(secondEvery):
+		case <-s.opts.Clock.After(logInterval):
 		}
-		counts, refused := s.outcomes.take()
-		strain := s.opts.Guard.takeSecond()
+		counts, refused := s.outcomes.reset()
+		strain := s.opts.Guard.resetStats()
 		if len(counts) == 0 {
 			continue
 		}
@@ -125,7 +125,7 @@
 		s.log.Info("Second of a gateway.", values...)
 		if refused.most.requests > 0 {
 			s.log.Info("Refused at the entry.", "account", refused.account, "reason", refused.reason, "requests", refused.most.requests, "tokens", refused.most.tokens,
-				"taken", refused.taken.requests, "taken_tokens", refused.taken.tokens, "accounts", refused.accounts)
+				"taken", refused.admitted.requests, "taken_tokens", refused.admitted.tokens, "accounts", refused.accounts)
 		}
 	}
 }
--- a/services/forward/second_test.go
+++ b/services/forward/second_test.go
@@ -13,26 +13,26 @@
 
 // The line of a second names the account that was refused the most, and why.
 func TestSecondNamesWhoWasRefused(t *testing.T) {
-	var o outcomes
-	o.note(outcomeInTime)
+	var o outcomeCounts
+	o.count(outcomeInTime)
 	for i := range 3 {
-		if n := o.noteRefused("flood", result.Overloaded, 100); n != i+1 {
+		if n := o.countRefused("flood", result.Overloaded, 100); n != i+1 {
 			t.Errorf("refusal %d was counted as %d", i+1, n)
 		}
 	}
-	o.noteRefused("flood", result.QueueFull, 100)
-	o.noteRefused("quiet", result.Overloaded, 100)
-	o.noteTaken("flood", 70)
-	o.noteTaken("quiet", 30)
-	counts, refused := o.take()
-	if counts[outcomeInTime] != 1 || counts[outcomeAtEntry] != 5 {
+	o.countRefused("flood", result.QueueFull, 100)
+	o.countRefused("quiet", result.Overloaded, 100)
+	o.countAdmitted("flood", 70)
+	o.countAdmitted("quiet", 30)
+	counts, refused := o.reset()
+	if counts[outcomeInTime] != 1 || counts[outcomeRefused] != 5 {
 		t.Errorf("counted %v", counts)
 	}
-	want := refusals{refusal: refusal{"flood", result.Overloaded}, most: volume{3, 300}, taken: volume{1, 70}, accounts: 2}
+	want := refusalSummary{refusalKey: refusalKey{"flood", result.Overloaded}, most: volume{3, 300}, admitted: volume{1, 70}, accounts: 2}
 	if refused != want {
 		t.Errorf("summed up as %+v, want %+v", refused, want)
 	}
-	if counts, refused = o.take(); len(counts) != 0 || refused != (refusals{}) {
+	if counts, refused = o.reset(); len(counts) != 0 || refused != (refusalSummary{}) {
 		t.Errorf("the next second begins with %v, %+v", counts, refused)
 	}
 }
@@ -42,11 +42,11 @@
 	g := testGuard(clock.NewFake())
 	g.ObserveLateness(10 * time.Millisecond)
 	g.ObserveLateness(50 * time.Millisecond)
-	if got := g.second; got.mean() != 30*time.Millisecond || got.worst != 50*time.Millisecond {
+	if got := g.lateness; got.mean() != 30*time.Millisecond || got.worst != 50*time.Millisecond {
 		t.Errorf("mean %v, worst %v", got.mean(), got.worst)
 	}
-	_ = g.takeSecond()
-	if got := g.second; got.samples != 0 || got.mean() != 0 {
+	_ = g.resetStats()
+	if got := g.lateness; got.samples != 0 || got.mean() != 0 {
 		t.Errorf("the next second begins with %+v", got)
 	}
 }
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -20,27 +20,27 @@
 
 func sampled(id string) bool { return xxhash.Sum64String(id)%sampleOneIn == 0 }
 
-// logEnd writes what became of a request: always where it failed, was late or
+// logResult writes what became of a request: always where it failed, was late or
 // was repeated, else for a sample.
-func (s *Service) logEnd(j *job, err error) {
+func (s *Service) logResult(j *job, err error) {
 	if scheduled(j.r.Service, &j.r.Call) {
-		s.outcomes.note(outcomeOf(j, err))
+		s.outcomes.count(outcomeOf(j, err))
 	}
 	switch {
 	case errors.Is(err, context.Canceled):
 		if sampled(j.r.Call.ID) {
-			s.log.Request("Caller has gone.", j.story()...)
+			s.log.Request("Caller has gone.", j.logValues()...)
 		}
 	case err != nil:
 		code, after := "aborted", time.Duration(0)
 		if e, ok := result.FromError(err); ok {
 			code, after = e.Code.String(), e.RetryAfter
 		}
-		s.log.Request("Request failed.", append(j.story(), "code", code, "retry_after", after, "reason", j.reason, "detail", err)...)
+		s.log.Request("Request failed.", append(j.logValues(), "code", code, "retry_after", after, "reason", j.reason, "detail", err)...)
 	case j.r.Route.Stream && j.timing.late(j.r.Route):
-		s.log.Request("Answer late.", append(j.story(), "objective", j.r.Route.Objective, "longest_pause", j.r.Route.Pause)...)
+		s.log.Request("Answer late.", append(j.logValues(), "objective", j.r.Route.Objective, "longest_pause", j.r.Route.Pause)...)
 	case j.history.Sent > 1 || j.history.Unsent > 0 || sampled(j.r.Call.ID):
-		s.log.Request("Request served.", j.story()...)
+		s.log.Request("Request served.", j.logValues()...)
 	}
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// logNext writes what follows an attempt that came to nothing.
-func (s *Service) logNext(j *job, o attempt.Outcome, next attempt.Next, end targetDeath) {
+// logFailedAttempt writes what follows an attempt that came to nothing.
+func (s *Service) logFailedAttempt(j *job, o attempt.Outcome, next attempt.Next, end targetDeath) {
 	values := []any{
 		"id", j.r.Call.ID, "number", j.number, "target", j.targetID, "outcome", o, "next", next,
 		"sent", j.history.Sent, "unsent", j.history.Unsent, "may_have_run", j.history.MayHaveRun, "reason", j.reason,
@@ -76,8 +76,8 @@
 	s.log.Request("Attempt failed.", values...)
 }
 
-// story returns what a line about a request tells.
-func (j *job) story() []any {
+// logValues returns what a line about a request tells.
+func (j *job) logValues() []any {
 	tokens := 0
 	if j.r.Call.Prompt != nil {
 		tokens = j.r.Call.Prompt.Tokens
