--- a/services/notice/counters.go
+++ b/services/notice/counters.go
@@ -12,16 +12,16 @@
 
 // counters are the figures of what targets have said, and of what was not sent for it.
 type counters struct {
-	set                              *metrics.Set
-	leaving, rests, unread, withheld *metrics.Counter
+	set                                *metrics.Set
+	leaving, pauses, invalid, withheld *metrics.Counter
 }
 
 func newCounters(figures string) counters {
 	set := metrics.NewSet()
 	return counters{
 		set: set, leaving: set.NewCounter(figures + "_targets_leaving_told_total"),
-		rests:    set.NewCounter(figures + "_rests_asked_total"),
-		unread:   set.NewCounter(figures + "_rests_unread_total"),
+		pauses:   set.NewCounter(figures + "_rests_asked_total"),
+		invalid:  set.NewCounter(figures + "_rests_unread_total"),
 		withheld: set.NewCounter(figures + "_sends_withheld_total"),
 	}
 }
@@ -29,9 +29,9 @@
 // WriteMetrics writes the figures in text form.
 func (s *Service) WriteMetrics(w io.Writer) { s.counters.set.WritePrometheus(w) }
 
-// linesAtOnce and linesEvery bound the lines about single answers: an engine that turns all away
+// logBurst and logInterval bound the lines about single answers: an engine that turns all away
 // would fill the log's budget with them. The counters have all.
 const (
-	linesAtOnce = 5
-	linesEvery  = time.Second
+	logBurst    = 5
+	logInterval = time.Second
 )
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -42,46 +42,46 @@
 	log  log.Logger
 	opts Options
 
-	// known counts what is known: while it is 0, as it mostly is, nothing is locked.
-	known atomic.Int64
+	// entries counts what is entries: while it is 0, as it mostly is, nothing is locked.
+	entries atomic.Int64
 
-	mu      sync.Mutex // mu guards the machines below.
-	leaving *leaving.Set
-	rests   *pushback.Table
-	expired time.Time
+	mu         sync.Mutex // mu guards the machines below.
+	leaving    *leaving.Set
+	pauses     *pushback.Table
+	lastExpiry time.Time
 
-	counters counters
-	lines    *log.RateLimiter
+	counters   counters
+	logLimiter *log.RateLimiter
 }
 
 // New returns a service that has heard nothing.
 func New(logger log.Logger, o Options) *Service {
 	return &Service{
-		log: logger, opts: o, leaving: leaving.New(), rests: pushback.New(), counters: newCounters(o.MetricsPrefix), lines: log.NewRateLimiter(linesEvery, linesAtOnce),
+		log: logger, opts: o, leaving: leaving.New(), pauses: pushback.New(), counters: newCounters(o.MetricsPrefix), logLimiter: log.NewRateLimiter(logInterval, logBurst),
 	}
 }
 
-// expireEvery is how often what is over is looked for.
-const expireEvery = time.Second
+// expireInterval is how often what is over is looked for.
+const expireInterval = time.Second
 
-// locked runs a step of the machines.
-func (s *Service) locked(step func(now time.Time)) {
+// update runs a step of the machines.
+func (s *Service) update(step func(now time.Time)) {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	step(now)
-	if now.Sub(s.expired) >= expireEvery {
-		s.expired = now
-		s.rests.Expire(now)
+	if now.Sub(s.lastExpiry) >= expireInterval {
+		s.lastExpiry = now
+		s.pauses.Expire(now)
 		s.leaving.Expire(now)
 	}
-	s.known.Store(int64(s.leaving.Len() + s.rests.Len()))
+	s.entries.Store(int64(s.leaving.Len() + s.pauses.Len()))
 }
 
 // Answered implements upstream.Observer.
 func (s *Service) Answered(t *routing.Target, v upstream.Verdict) {
 	if v.Leaving {
-		s.leaves(t)
+		s.addLeaving(t)
 	}
 	s.PauseTarget(t.ID, t.Service, v.Rest)
 }
@@ -89,16 +89,16 @@
 // PauseTarget takes what a target of a service says of the rest that it wants.
 func (s *Service) PauseTarget(target, service string, r retryafter.Result) {
 	if r.Delay > 0 {
-		s.rest(target, service, r.Delay)
+		s.addPause(target, service, r.Delay)
 	}
 	if r.Invalid > 0 {
-		s.unread(target, service, r.Invalid)
+		s.countInvalid(target, service, r.Invalid)
 	}
 }
 
-func (s *Service) leaves(t *routing.Target) {
+func (s *Service) addLeaving(t *routing.Target) {
 	news := false
-	s.locked(func(now time.Time) { news = s.leaving.Add(now, t.ID) })
+	s.update(func(now time.Time) { news = s.leaving.Add(now, t.ID) })
 	if !news {
 		return
 	}
@@ -109,22 +109,22 @@
 	}
 }
 
-func (s *Service) rest(target, service string, d time.Duration) {
+func (s *Service) addPause(target, service string, d time.Duration) {
 	var before, left time.Duration
 	now := s.opts.Clock.Now()
-	s.locked(func(now time.Time) {
-		before = s.rests.Remaining(now, target)
-		left = s.rests.Pause(now, target, d).Sub(now)
+	s.update(func(now time.Time) {
+		before = s.pauses.Remaining(now, target)
+		left = s.pauses.Pause(now, target, d).Sub(now)
 	})
-	s.counters.rests.Inc()
-	if tell, hidden := s.lines.Allow(now); tell {
+	s.counters.pauses.Inc()
+	if tell, hidden := s.logLimiter.Allow(now); tell {
 		s.log.Info("Target wants rest.", "target", target, "service", service, "for", d, "left", left, "left_before", before, "not told of", hidden)
 	}
 }
 
-func (s *Service) unread(target, service string, values int) {
-	s.counters.unread.Add(values)
-	if tell, hidden := s.lines.Allow(s.opts.Clock.Now()); tell {
+func (s *Service) countInvalid(target, service string, values int) {
+	s.counters.invalid.Add(values)
+	if tell, hidden := s.logLimiter.Allow(s.opts.Clock.Now()); tell {
 		s.log.Warn("Time to rest not understood.", "target", target, "service", service, "values", values, "not told of", hidden)
 	}
 }
@@ -138,18 +138,18 @@
 // Start asks right before a request is written whether its target may get it. The permit must be
 // ended.
 func (s *Service) Start(target string) (Permit, error) {
-	if s.known.Load() == 0 {
+	if s.entries.Load() == 0 {
 		return Permit{}, nil
 	}
 	var err error
 	counted := false
-	s.locked(func(now time.Time) {
+	s.update(func(now time.Time) {
 		if _, leaves := s.leaving.Since(target); leaves {
 			err = ErrLeaving
 			return
 		}
 		ok := false
-		if counted, ok = s.rests.TryStart(now, target); !ok {
+		if counted, ok = s.pauses.TryStart(now, target); !ok {
 			err = ErrPaused
 		}
 	})
@@ -167,16 +167,16 @@
 // will come.
 func (p Permit) End(taken bool) {
 	if p.s != nil {
-		p.s.locked(func(time.Time) { p.s.rests.Done(p.target, taken) })
+		p.s.update(func(time.Time) { p.s.pauses.Done(p.target, taken) })
 	}
 }
 
 // Blocked tells whether a target wants nothing from this process now, and for how long.
 func (s *Service) Blocked(target string) (left time.Duration, closed bool) {
-	if s.known.Load() == 0 {
+	if s.entries.Load() == 0 {
 		return 0, false
 	}
-	s.locked(func(now time.Time) { left, closed = s.rests.Blocked(now, target) })
+	s.update(func(now time.Time) { left, closed = s.pauses.Blocked(now, target) })
 	return left, closed
 }
 
@@ -189,21 +189,21 @@
 
 // PausedAmong returns which of some targets want nothing now.
 func (s *Service) PausedAmong(targets iter.Seq[string]) PausedTargets {
-	if s.known.Load() == 0 {
+	if s.entries.Load() == 0 {
 		return PausedTargets{}
 	}
-	return s.restsAmong(targets)
+	return s.pausedAmong(targets)
 }
 
-func (s *Service) restsAmong(targets iter.Seq[string]) PausedTargets {
+func (s *Service) pausedAmong(targets iter.Seq[string]) PausedTargets {
 	var r PausedTargets
 	others := 0
-	s.locked(func(now time.Time) {
-		if s.rests.Len() == 0 {
+	s.update(func(now time.Time) {
+		if s.pauses.Len() == 0 {
 			return
 		}
 		for target := range targets {
-			left, closed := s.rests.Blocked(now, target)
+			left, closed := s.pauses.Blocked(now, target)
 			if !closed {
 				others++
 				continue
@@ -220,17 +220,17 @@
 
 // Leaves implements follow.Leavers.
 func (s *Service) Leaves(target string) bool {
-	if s.known.Load() == 0 {
+	if s.entries.Load() == 0 {
 		return false
 	}
 	leaves := false
-	s.locked(func(now time.Time) { leaves = s.leaving.MarkListed(now, target) })
+	s.update(func(now time.Time) { leaves = s.leaving.MarkListed(now, target) })
 	return leaves
 }
 
 // Leaving implements follow.Leavers.
 func (s *Service) Leaving() []leaving.Announcement {
-	if s.known.Load() == 0 {
+	if s.entries.Load() == 0 {
 		return nil
 	}
 	s.mu.Lock()
@@ -243,7 +243,7 @@
 	if len(told) == 0 {
 		return nil
 	}
-	s.locked(func(now time.Time) {
+	s.update(func(now time.Time) {
 		for _, l := range told {
 			if s.leaving.Merge(now, l) {
 				news = append(news, l.ID)
--- a/services/notice/notice_test.go
+++ b/services/notice/notice_test.go
@@ -27,7 +27,7 @@
 	return New(log.New("notice"), Options{Clock: c, MetricsPrefix: "test", OnLeaving: func() { told++ }}), c, &told
 }
 
-func TestWhatAnAnswerSaysHoldsAtOnce(t *testing.T) {
+func TestAnswerTakesEffectAtOnce(t *testing.T) {
 	s, c, told := newService()
 	a, b := &routing.Target{ID: "a"}, &routing.Target{ID: "b"}
 	for range 2 {
@@ -68,7 +68,7 @@
 }
 
 // Looking costs a load of an atomic number while no target has said anything of itself.
-func BenchmarkStartWhileNothingIsKnown(b *testing.B) {
+func BenchmarkStartWithoutPauses(b *testing.B) {
 	s, _, _ := newService()
 	for b.Loop() {
 		permit, err := s.Start("a")
@@ -79,7 +79,7 @@
 	}
 }
 
-func BenchmarkRestsAmongWhileNothingIsKnown(b *testing.B) {
+func BenchmarkPausedAmongWithoutPauses(b *testing.B) {
 	s, _, _ := newService()
 	targets := slices.Values([]string{"a", "b", "c"})
 	for b.Loop() {
@@ -87,7 +87,7 @@
 	}
 }
 
-func BenchmarkStartWhileSomeRest(b *testing.B) {
+func BenchmarkStartWithOtherTargetPaused(b *testing.B) {
 	s, _, _ := newService()
 	s.PauseTarget("other", "", retryafter.Result{Delay: time.Minute})
 	for b.Loop() {
