--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -48,9 +48,9 @@
 		return err
 	}
 	s.prepare(j)
-	s.firstAttempt(j)
+	s.countFirstAttempt(j)
 	s.beginTry(j, c.Body)
-	defer j.past.End()
+	defer j.try.End()
 	st := &stream{s: s, j: j, chat: c, sink: sink, caller: ctx}
 	err = st.run()
 	s.counters.done(outcomeLabel(err))
@@ -97,7 +97,7 @@
 		},
 	}
 	j.order = policy.DefaultOrder(j.request)
-	j.cost = s.promptCost(j) + s.guess(j, float64(c.MaxTokens)*pool.OutputWeight/2)
+	j.cost = s.promptCost(j) + s.estimate(j, float64(c.MaxTokens)*pool.OutputWeight/2)
 	return j, nil
 }
 
@@ -130,7 +130,7 @@
 		outcome, status, err := st.try()
 		if err == nil {
 			st.complete()
-			st.j.past.Passed()
+			st.j.try.Passed()
 			return nil
 		}
 		err = withHistory(err, ran)
@@ -139,7 +139,7 @@
 			return err
 		}
 		if outcome == "" || !st.s.mayRetry(st.j, st.attempt, outcome, status) {
-			return st.j.final(err)
+			return st.j.finalError(err)
 		}
 		if outcome != outcomeNotRun {
 			st.s.counters.restarted.Inc()
@@ -186,7 +186,7 @@
 	streamID := fmt.Sprintf("%s.%d", j.requestID, st.attempt)
 	started := st.s.opts.Clock.Now()
 	resp, err := s.opts.Engine.StartStream(ctx, target.Address, target.Name, st.header(streamID), st.chat.Body)
-	j.permit.End(taken(err))
+	j.permit.End(accepted(err))
 	if err != nil {
 		return st.startFailed(ctx, target, err, &fin)
 	}
@@ -205,7 +205,7 @@
 	}
 	fin.Failed = !st.callerGone
 	j.deny = append(j.deny, target.Name)
-	s.lookAtEnd(ctx, j, target)
+	s.checkTargetDeath(ctx, j, target)
 	return outcomeUnknown, 0, err
 }
 
@@ -217,7 +217,7 @@
 	if !a.Ran {
 		return outcomeNotRun, a.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
-	st.s.lookAtEnd(ctx, st.j, target)
+	st.s.checkTargetDeath(ctx, st.j, target)
 	return outcomeUnknown, 0, result.Wrap(result.OutcomeUnknown, err)
 }
 
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -35,12 +35,12 @@
 const (
 	maxAttempts   = 4
 	bytesPerToken = 4
-	// linger is how long an answer that is not kept goes on after its caller
+	// callerGracePeriod is how long an answer that is not kept goes on after its caller
 	// was cut off, so that the caller may come back.
-	linger         = 5 * time.Second
-	prefixAge      = 5 * time.Minute
-	prefixesKept   = 256
-	policyWarnEach = time.Second
+	callerGracePeriod  = 5 * time.Second
+	prefixTTL          = 5 * time.Minute
+	maxPrefixes        = 256
+	policyWarnInterval = time.Second
 )
 
 // Options are the parts of a Service.
@@ -67,23 +67,23 @@
 
 // Service carries requests out.
 type Service struct {
-	t        *tomb.Tomb
-	log      log.Logger
-	opts     Options
-	counters *counters
-	endings  *netopt.ExitDetector
+	t            *tomb.Tomb
+	log          log.Logger
+	opts         Options
+	counters     *counters
+	exitDetector *netopt.ExitDetector
 
-	mu         sync.Mutex
-	budgets    *budget.Set
-	estimates  estimates
-	prefixes   map[string]*place.PrefixMap // by target, from what this router sent itself
-	policyWarn time.Time
+	mu             sync.Mutex
+	budgets        *budget.Set
+	estimates      estimates
+	prefixes       map[string]*place.PrefixMap // by target, from what this router sent itself
+	lastPolicyWarn time.Time
 }
 
 // New returns a service whose detached work ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	return &Service{
-		t: t, log: logger, opts: o, counters: newCounters(), endings: netopt.NewExitDetector(),
+		t: t, log: logger, opts: o, counters: newCounters(), exitDetector: netopt.NewExitDetector(),
 		budgets:   budget.NewSet(o.RetryRatio, o.RetryBurst),
 		estimates: estimates{},
 		prefixes:  map[string]*place.PrefixMap{},
@@ -107,7 +107,7 @@
 	// budgetSpent tells that a retry was allowed but for the budget.
 	budgetSpent bool
 	uri         string
-	past        quarantine.Try // past is what earlier tries of the request have done.
+	try         quarantine.Try // past is what earlier tries of the request have done.
 	permit      notice.Permit  // permit is that to send to the target of the attempt.
 	sentAt      time.Time      // sentAt is when the last attempt began.
 }
@@ -173,7 +173,7 @@
 	defer s.mu.Unlock()
 	m := s.prefixes[target]
 	if m == nil {
-		m = place.NewPrefixMap(prefixAge, prefixesKept)
+		m = place.NewPrefixMap(prefixTTL, maxPrefixes)
 		s.prefixes[target] = m
 	}
 	m.Note(s.opts.Clock.Now(), prefix)
@@ -189,37 +189,37 @@
 	s.opts.Trace.Record(j.requestID, j.account.Name, "policy", "%s failed, safe default used: %v", function, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := s.opts.Clock.Now(); now.Sub(s.policyWarn) > policyWarnEach {
-		s.policyWarn = now
+	if now := s.opts.Clock.Now(); now.Sub(s.lastPolicyWarn) > policyWarnInterval {
+		s.lastPolicyWarn = now
 		s.log.Warn("Policy failed, safe default used.", "function", function, "reason", err)
 	}
 }
 
 // submit queues the request and waits for a target that may get it.
 func (s *Service) submit(ctx context.Context, j *job) (admit.RequestID, *conf.Target, error) {
-	for range maxWithheld {
+	for range maxPausedGrants {
 		id, target, err := s.submitOnce(ctx, j)
 		if err != nil || s.startSending(j, target) {
 			return id, target, err
 		}
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 	}
-	return 0, nil, result.New(result.NoTarget, "%d targets in a row want rest", maxWithheld).WithRetryAfter(time.Second)
+	return 0, nil, result.New(result.NoTarget, "%d targets in a row want rest", maxPausedGrants).WithRetryAfter(time.Second)
 }
 
 // submitOnce queues the request and waits for a target.
 func (s *Service) submitOnce(ctx context.Context, j *job) (admit.RequestID, *conf.Target, error) {
 	id := s.opts.Loop.NextID()
-	if err := s.mayBeSent(j); err != nil {
+	if err := s.checkQuarantine(j); err != nil {
 		return id, nil, err
 	}
-	rests := s.restsOf(j)
+	rests := s.pausedTargets(j)
 	if rests.All {
-		return id, nil, s.allRest(j, rests)
+		return id, nil, s.allPausedError(j, rests)
 	}
 	d, err := s.opts.Loop.Submit(ctx, admit.Request{
 		ID: id, Account: j.account.Name, Pool: j.pool.Name, Rank: j.order.Rank, Interactive: j.order.Interactive,
-		Cost: j.cost, Bytes: int64(j.request.Bytes), Deadline: j.deadline, Deny: j.denied(rests), Prefer: j.prefer, Prefix: j.prefix,
+		Cost: j.cost, Bytes: int64(j.request.Bytes), Deadline: j.deadline, Deny: j.denyList(rests), Prefer: j.prefer, Prefix: j.prefix,
 		Weight: j.account.Weight, MaxQueued: j.account.MaxQueued, MaxBytes: j.account.MaxQueuedBytes,
 	})
 	if err != nil {
@@ -244,7 +244,7 @@
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 		return id, nil, result.New(result.NoTarget, "target %s has left", d.Target).WithRetryAfter(time.Second)
 	}
-	if err := s.mayBeSent(j); err != nil { // another router may have seen a target end meanwhile
+	if err := s.checkQuarantine(j); err != nil { // another router may have seen a target end meanwhile
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 		return id, nil, err
 	}
@@ -275,8 +275,8 @@
 	return allowed
 }
 
-// final returns the error of a request that gets no further attempt.
-func (j *job) final(err error) error {
+// finalError returns the error of a request that gets no further attempt.
+func (j *job) finalError(err error) error {
 	if !j.budgetSpent || result.Convert(err).Execution() != result.RanNo {
 		return err
 	}
@@ -290,7 +290,7 @@
 	return ok
 }
 
-func (s *Service) firstAttempt(j *job) {
+func (s *Service) countFirstAttempt(j *job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budgets.Attempt(j.account.Name, j.pool.Name)
--- a/services/dispatch/estimate.go
+++ b/services/dispatch/estimate.go
@@ -6,8 +6,8 @@
 const (
 	estimateWeight = 0.2 // weight of the newest sample
 	maxEstimates   = 65536
-	// firstGuess bounds the estimate while nothing of the class has ended yet.
-	firstGuess = 256
+	// maxFirstEstimate bounds the estimate while nothing of the class has ended yet.
+	maxFirstEstimate = 256
 )
 
 type estimateKey struct{ account, pool, class string }
@@ -16,9 +16,9 @@
 // units. They are a guess: fairness holds whatever they say.
 type estimates map[estimateKey]float64
 
-// guess returns the average of the account, else that of all accounts of the
+// estimate returns the average of the account, else that of all accounts of the
 // class, else the fallback.
-func (e estimates) guess(key estimateKey, fallback float64) float64 {
+func (e estimates) estimate(key estimateKey, fallback float64) float64 {
 	if v, ok := e[key]; ok {
 		return v
 	}
@@ -26,7 +26,7 @@
 	if v, ok := e[key]; ok {
 		return v
 	}
-	return min(fallback, firstGuess)
+	return min(fallback, maxFirstEstimate)
 }
 
 func (e estimates) learn(key estimateKey, cost float64) {
@@ -41,10 +41,10 @@
 	e[key] = estimateWeight*cost + (1-estimateWeight)*old
 }
 
-func (s *Service) guess(j *job, fallback float64) float64 {
+func (s *Service) estimate(j *job, fallback float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(s.estimates.guess(estimateKey{j.account.Name, j.pool.Name, j.order.Class}, fallback), j.pool.MaxCost)
+	return min(s.estimates.estimate(estimateKey{j.account.Name, j.pool.Name, j.order.Class}, fallback), j.pool.MaxCost)
 }
 
 func (s *Service) learn(j *job, cost float64) {
--- a/services/dispatch/history_test.go
+++ b/services/dispatch/history_test.go
@@ -11,7 +11,7 @@
 
 // A router that stopped said "draining, not run" of requests whose first
 // attempt had run already.
-func TestLaterRefusalDoesNotHideEarlierRun(t *testing.T) {
+func TestLaterRefusalKeepsEarlierExecution(t *testing.T) {
 	refusal := result.New(result.Draining, "stopping")
 	for _, c := range []struct{ before, want result.Ran }{
 		{result.RanNo, result.RanNo},
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// inlineBody is the size of the largest answer that is kept in the row.
-	inlineBody   = 16 << 10
-	attemptIDTag = "att"
+	// maxInlineBody is the size of the largest answer that is kept in the row.
+	maxInlineBody = 16 << 10
+	attemptIDTag  = "att"
 )
 
 // once serves a call that must not be repeated: it is sent only under a claim.
@@ -62,7 +62,7 @@
 		return
 	}
 	row.State, row.Status, row.ContentType = core.StateDone, a.Status, a.ContentType
-	if len(a.Body) <= inlineBody {
+	if len(a.Body) <= maxInlineBody {
 		row.Body = a.Body
 		held.Record(row)
 		return
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -49,9 +49,9 @@
 		return PlainAnswer{}, err
 	}
 	s.prepare(j)
-	s.firstAttempt(j)
+	s.countFirstAttempt(j)
 	s.beginTry(j, c.Body)
-	defer j.past.End()
+	defer j.try.End()
 	var a PlainAnswer
 	if c.IdempotencyKey != "" && !s.repeatable(j, 1, outcomeUnknown, 0) {
 		a, err = s.once(ctx, j, c)
@@ -80,7 +80,7 @@
 		},
 	}
 	j.order = policy.DefaultOrder(j.request)
-	j.cost = s.guess(j, 10*pool.MilliWeight)
+	j.cost = s.estimate(j, 10*pool.MilliWeight)
 	return j, nil
 }
 
@@ -97,7 +97,7 @@
 			ran = result.RanYes
 		}
 		if err == nil && status < http.StatusInternalServerError {
-			j.past.Passed()
+			j.try.Passed()
 			return a, nil
 		}
 		if err == nil {
@@ -108,7 +108,7 @@
 		}
 		if !s.mayRetry(j, number, outcome, status) {
 			if err != nil {
-				err = j.final(err)
+				err = j.finalError(err)
 			}
 			return a, err
 		}
@@ -148,7 +148,7 @@
 		return a, outcomeNotRun, at.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
 	fin.Failed = ctx.Err() == nil
-	s.lookAtEnd(ctx, j, target)
+	s.checkTargetDeath(ctx, j, target)
 	return a, outcomeUnknown, 0, result.Wrap(result.OutcomeUnknown, err)
 }
 
@@ -174,7 +174,7 @@
 	req.Header.Set(engine.HeaderRequest, j.requestID)
 	req.Header.Set(engine.HeaderAccount, j.account.Name)
 	resp, err := s.opts.Engine.Do(req, target.Name, once)
-	j.permit.End(taken(err))
+	j.permit.End(accepted(err))
 	if err != nil {
 		return PlainAnswer{}, err
 	}
--- a/services/dispatch/pump.go
+++ b/services/dispatch/pump.go
@@ -49,13 +49,13 @@
 func (p *pump) run(resp *http.Response) error {
 	st := p.st
 	if !st.callerGone && st.sink.Begin(st.token(p.target, p.streamID), st.attempt) != nil {
-		p.lostCaller()
+		p.setCallerGone()
 	}
-	stop := context.AfterFunc(st.caller, func() { p.stopLater() })
+	stop := context.AfterFunc(st.caller, func() { p.stopAfterGrace() })
 	defer stop()
 	err := p.read(resp)
 	for try := 0; err != nil && p.ctx.Err() == nil && try < resumeTries; try++ {
-		p.pause(try)
+		p.backOff(try)
 		again, resumeErr := st.s.opts.Engine.ResumeStream(p.ctx, p.target.Address, p.target.Name, p.streamID, p.last)
 		if resumeErr != nil {
 			continue
@@ -78,7 +78,7 @@
 	return result.Wrap(result.StreamBroken, err)
 }
 
-func (p *pump) pause(try int) {
+func (p *pump) backOff(try int) {
 	if try == 0 {
 		return
 	}
@@ -88,14 +88,14 @@
 	}
 }
 
-// stopLater ends an answer that is not kept some time after its caller went.
-func (p *pump) stopLater() {
+// stopAfterGrace ends an answer that is not kept some time after its caller went.
+func (p *pump) stopAfterGrace() {
 	if p.st.j.order.Keep {
 		return
 	}
 	select {
 	case <-p.ctx.Done():
-	case <-p.st.s.opts.Clock.After(linger):
+	case <-p.st.s.opts.Clock.After(callerGracePeriod):
 		p.cancel()
 	}
 }
@@ -106,7 +106,7 @@
 	_ = p.st.s.opts.Engine.CancelStream(ctx, p.target.Address, p.streamID)
 }
 
-func (p *pump) lostCaller() {
+func (p *pump) setCallerGone() {
 	st := p.st
 	if st.callerGone {
 		return
@@ -123,16 +123,16 @@
 			return err
 		}
 		p.last = ev.ID
-		p.take(ev)
+		p.handle(ev)
 		if ev.Done() {
 			return nil
 		}
 	}
 }
 
-// take accounts for an event and passes it on. Events are remembered as long
+// handle accounts for an event and passes it on. Events are remembered as long
 // as the answer may have to be kept.
-func (p *pump) take(ev engine.Event) {
+func (p *pump) handle(ev engine.Event) {
 	st := p.st
 	st.s.counters.tokens.Inc()
 	p.measure(ev)
@@ -141,7 +141,7 @@
 		st.bytes += int64(len(ev.Data))
 	}
 	if !st.callerGone && st.sink.Event(ev) != nil {
-		p.lostCaller()
+		p.setCallerGone()
 	}
 }
 
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -14,14 +14,14 @@
 
 // beginTry begins a try of a request; the job's try must be ended.
 func (s *Service) beginTry(j *job, body []byte) {
-	j.past = s.opts.Quarantine.Try(core.Identity{
+	j.try = s.opts.Quarantine.Try(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
 	})
 }
 
-// mayBeSent returns why the request must not be sent to a target, or nil.
-func (s *Service) mayBeSent(j *job) error {
-	err := j.past.MayBeSent()
+// checkQuarantine returns why the request must not be sent to a target, or nil.
+func (s *Service) checkQuarantine(j *job) error {
+	err := j.try.MayBeSent()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
 		s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "%v", err)
@@ -29,17 +29,17 @@
 	return err
 }
 
-// lookAtEnd finds out whether the target of an attempt that broke off has ended under it, and
+// checkTargetDeath finds out whether the target of an attempt that broke off has ended under it, and
 // remembers the request if so. One that was to leave accuses nobody.
-func (s *Service) lookAtEnd(ctx context.Context, j *job, t *conf.Target) {
+func (s *Service) checkTargetDeath(ctx context.Context, j *job, t *conf.Target) {
 	if t.Leaving {
 		return
 	}
-	past, sentAt := j.past, j.sentAt
-	ask := func(ctx context.Context) (ended, known bool) { return s.endings.Exited(ctx, t.Name, t.Address) }
+	past, sentAt := j.try, j.sentAt
+	ask := func(ctx context.Context) (ended, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
 	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
 	if ended {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
-		j.past.Accuse(t.Name, sentAt)
+		s.opts.Trace.Record(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.try.Request())
+		j.try.Accuse(t.Name, sentAt)
 	}
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -13,12 +13,12 @@
 	"madderway/services/notice"
 )
 
-// maxWithheld bounds how often a granted target is given back since it wants rest. Each grant
+// maxPausedGrants bounds how often a granted target is given back since it wants rest. Each grant
 // names those that were known; another one has asked for it meanwhile.
-const maxWithheld = 4
+const maxPausedGrants = 4
 
-// restsOf returns which targets of the job's pool want nothing from this router now.
-func (s *Service) restsOf(j *job) notice.PausedTargets {
+// pausedTargets returns which targets of the job's pool want nothing from this router now.
+func (s *Service) pausedTargets(j *job) notice.PausedTargets {
 	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
 		for _, t := range j.snapshot.Index.TargetsOf(j.pool.Name) {
 			if !t.Leaving && !yield(t.Name) {
@@ -28,9 +28,9 @@
 	})
 }
 
-// allRest returns the error of a call that only targets at rest could serve, with the time at
+// allPausedError returns the error of a call that only targets at rest could serve, with the time at
 // which the first of them may be tried.
-func (s *Service) allRest(j *job, r notice.PausedTargets) error {
+func (s *Service) allPausedError(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
 	s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
 	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
@@ -49,16 +49,16 @@
 	return true
 }
 
-// denied returns the targets that may not be granted.
-func (j *job) denied(r notice.PausedTargets) []string {
+// denyList returns the targets that may not be granted.
+func (j *job) denyList(r notice.PausedTargets) []string {
 	if len(r.Targets) == 0 {
 		return j.deny
 	}
 	return slices.Concat(j.deny, r.Targets)
 }
 
-// taken tells whether a target took a call, as far as its answer tells.
-func taken(err error) bool {
+// accepted tells whether a target took a call, as far as its answer tells.
+func accepted(err error) bool {
 	a, failed := engine.AsAttempt(err)
 	return !failed || a.Ran
 }
--- a/services/dispatch/resume.go
+++ b/services/dispatch/resume.go
@@ -67,14 +67,14 @@
 		reader := engine.NewEventReader(resp.Body, last)
 		last, err = copyEvents(reader, last, sink)
 		_ = resp.Body.Close()
-		if err == nil || !engineBroke(err) {
+		if err == nil || !isEngineError(err) {
 			return true, nil
 		}
 	}
 	return true, result.New(result.StreamBroken, "stream of %s ended at offset %d", token.Target, last).WithRetryAfter(time.Second)
 }
 
-func engineBroke(err error) bool {
+func isEngineError(err error) bool {
 	_, caller := err.(callerGone)
 	return !caller
 }
