--- a/services/trace/story.go
+++ b/services/trace/story.go
@@ -11,14 +11,14 @@
 	"madderway/modules/log"
 )
 
-const maxLine = 1 << 20
+const maxLineLen = 1 << 20
 
 // ReadLines reads the lines of a log; what is not a line of the program is
 // passed over.
 func ReadLines(r io.Reader) ([]log.Line, error) {
 	var lines []log.Line
 	scan := bufio.NewScanner(r)
-	scan.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scan.Buffer(make([]byte, 0, 64<<10), maxLineLen)
 	for scan.Scan() {
 		if l, ok := log.ParseLine(scan.Text()); ok {
 			lines = append(lines, l)
--- a/services/trace/story_test.go
+++ b/services/trace/story_test.go
@@ -17,7 +17,7 @@
 something else altogether
 `
 
-func TestStoryJoinsEntryAndScheduler(t *testing.T) {
+func TestLinesOfRequestJoinsEntryAndScheduler(t *testing.T) {
 	lines, err := ReadLines(strings.NewReader(gathered))
 	if err != nil || len(lines) != 5 {
 		t.Fatalf("%d lines, %v", len(lines), err)
