--- a/services/order/order.go
+++ b/services/order/order.go
@@ -88,7 +88,7 @@
 
 func (s *Service) write(ctx context.Context, l *lease.Lease, key string, a lease.WriteRow) (lease.Action, uint64) {
 	res := s.commit(ctx, key, a.Row, a.IfVersion)
-	return l.OnWritten(s.opts.Clock.Now(), resultOf(res.Outcome)), res.Row(key).Version
+	return l.OnWritten(s.opts.Clock.Now(), leaseResult(res.Outcome)), res.Row(key).Version
 }
 
 func (s *Service) commit(ctx context.Context, key string, r lease.Row, version uint64) platform.TxResult {
@@ -102,7 +102,7 @@
 	})
 }
 
-func resultOf(o platform.Outcome) lease.Result {
+func leaseResult(o platform.Outcome) lease.Result {
 	switch o {
 	case platform.OutcomeOK:
 		return lease.ResultOK
