--- a/services/forward/guard_test.go
+++ b/services/forward/guard_test.go
@@ -17,21 +17,21 @@
 	"madderway/services/upstream"
 )
 
-func testGuard(c clock.Clock) *Guard {
-	return guardWith(c, func(time.Time) time.Duration { return 0 })
+func newTestGuard(c clock.Clock) *Guard {
+	return newGuardWithOverdue(c, func(time.Time) time.Duration { return 0 })
 }
 
-func guardWith(c clock.Clock, overdue func(time.Time) time.Duration) *Guard {
+func newGuardWithOverdue(c clock.Clock, overdue func(time.Time) time.Duration) *Guard {
 	return NewGuard(log.New("guard"), c, GuardOptions{Bytes: func() (uint64, uint64) { return 0, 0 }, OnDutiesChanged: func(bool, bool) {}, Overdue: overdue})
 }
 
 // A gateway that is short of processor time passes events on in groups, the first one
 // at once; any other passes each on as it comes.
-func TestStrainedGatewayGathersEvents(t *testing.T) {
+func TestOverloadedGatewayCoalescesEvents(t *testing.T) {
 	for _, strained := range []bool{false, true} {
 		c := clock.NewFake()
-		j := impatientJob(func() bool { return true })
-		j.s = &Service{opts: Options{Clock: c, Guard: testGuard(c)}}
+		j := slowJob(func() bool { return true })
+		j.s = &Service{opts: Options{Clock: c, Guard: newTestGuard(c)}}
 		j.s.opts.Guard.overloaded.Store(strained)
 		j.ctx = t.Context()
 		j.r.Route.Stream = true
@@ -40,7 +40,7 @@
 		body, events := io.Pipe()
 		done := make(chan attempt.Outcome)
 		go func() {
-			done <- j.forwardStream(impatient{}, &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: body}, time.AfterFunc(time.Hour, func() {}))
+			done <- j.forwardStream(slowPlacement{}, &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: body}, time.AfterFunc(time.Hour, func() {}))
 		}()
 		const event = "id: 1\ndata: a\n\n"
 		send := func() { _, _ = io.WriteString(events, event) }
@@ -96,10 +96,10 @@
 }
 
 // A process so late that no sample of its lateness comes refuses requests all the same.
-func TestNoReportOfLatenessIsOverload(t *testing.T) {
+func TestMissingLatenessReportCountsAsOverload(t *testing.T) {
 	c := clock.NewFake()
 	began := c.Now()
-	g := guardWith(c, func(now time.Time) time.Duration { return now.Sub(began) })
+	g := newGuardWithOverdue(c, func(now time.Time) time.Duration { return now.Sub(began) })
 	refused := 0
 	for range 1000 {
 		c.Advance(time.Millisecond)
@@ -113,9 +113,9 @@
 }
 
 // The less is admitted, the later a refused request may come back.
-func TestRefusedComeBackLaterWhereLessIsAdmitted(t *testing.T) {
+func TestRetryAfterGrowsAsLessIsAdmitted(t *testing.T) {
 	c := clock.NewFake()
-	g := testGuard(c)
+	g := newTestGuard(c)
 	mean := func() time.Duration {
 		sum := time.Duration(0)
 		for range 1000 {
--- a/services/forward/second_test.go
+++ b/services/forward/second_test.go
@@ -12,7 +12,7 @@
 )
 
 // The line of a second names the account that was refused the most, and why.
-func TestSecondNamesWhoWasRefused(t *testing.T) {
+func TestRefusalSummaryNamesMostRefusedAccount(t *testing.T) {
 	var o outcomeCounts
 	o.count(outcomeInTime)
 	for i := range 3 {
@@ -38,8 +38,8 @@
 }
 
 // The line of a second tells how late the process came to its work in that second only.
-func TestSecondTellsLateness(t *testing.T) {
-	g := testGuard(clock.NewFake())
+func TestLatenessStatsAreResetEachSecond(t *testing.T) {
+	g := newTestGuard(clock.NewFake())
 	g.ObserveLateness(10 * time.Millisecond)
 	g.ObserveLateness(50 * time.Millisecond)
 	if got := g.lateness; got.mean() != 30*time.Millisecond || got.worst != 50*time.Millisecond {
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -19,10 +19,10 @@
 
 // A goroutine was about to send when the machine was suspended. Its target may have left, or
 // begun another life, when it goes on: the place no longer holds, and nothing is sent.
-func TestNothingIsSentToAStalePlace(t *testing.T) {
+func TestStalePlacementIsNotUsed(t *testing.T) {
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
-	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
 	c.Advance(maxPlacementAge)
 	if err := j.checkAtSend(); err != nil {
 		t.Errorf("a place that still holds: %v", err)
@@ -35,7 +35,7 @@
 
 // A request that has waited is not sent where its caller has left meanwhile; one that came just
 // now is sent without asking.
-func TestNothingIsSentForACallerWhoHasLeft(t *testing.T) {
+func TestRequestOfGoneCallerIsNotSent(t *testing.T) {
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
 	left, asked := false, 0
@@ -43,7 +43,7 @@
 		asked++
 		return left
 	}}
-	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
 	if err := j.checkAtSend(); err != nil || asked > 0 {
 		t.Errorf("right after it came: %v, asked %d times", err, asked)
 	}
@@ -57,10 +57,10 @@
 	}
 }
 
-// listed are targets that take work.
-type listed string
+// targetList are targets that take work.
+type targetList string
 
 // Targets implements Targets.
-func (l listed) Targets() *routing.TargetSet {
+func (l targetList) Targets() *routing.TargetSet {
 	return (&routing.TargetSet{Targets: []routing.Target{{ID: string(l)}}}).BuildIndex()
 }
--- a/services/forward/stream_test.go
+++ b/services/forward/stream_test.go
@@ -7,7 +7,7 @@
 
 // Of a stream that may go on at another target only whole events are passed on, and the last of
 // them is where that goes on: half an event would be joined with another run's.
-func TestResumableStreamPassesWholeEvents(t *testing.T) {
+func TestResumableStreamForwardsWholeEvents(t *testing.T) {
 	for _, c := range []struct{ bytes, whole, rest, last string }{
 		{"", "", "", "0"},
 		{"id: 1\ndata: a", "", "id: 1\ndata: a", "0"},
--- a/services/forward/watch_test.go
+++ b/services/forward/watch_test.go
@@ -17,32 +17,32 @@
 	"madderway/services/upstream"
 )
 
-// impatient is a place whose first part is waited for but a moment.
-type impatient struct{}
+// slowPlacement is a place whose first part is waited for but a moment.
+type slowPlacement struct{}
 
-func (impatient) target() *routing.Target         { return &routing.Target{ID: "t"} }
-func (impatient) began()                          {}
-func (impatient) ended(attempt.Outcome, bool)     {}
-func (impatient) done()                           {}
-func (impatient) canceled()                       {}
-func (impatient) firstPartTimeout() time.Duration { return time.Nanosecond }
+func (slowPlacement) target() *routing.Target         { return &routing.Target{ID: "t"} }
+func (slowPlacement) began()                          {}
+func (slowPlacement) ended(attempt.Outcome, bool)     {}
+func (slowPlacement) done()                           {}
+func (slowPlacement) canceled()                       {}
+func (slowPlacement) firstPartTimeout() time.Duration { return time.Nanosecond }
 
-func impatientJob(repeat func() bool) *job {
+func slowJob(repeat func() bool) *job {
 	route := &routing.Route{Repeat: routing.RepeatSafe, MaxAttempts: 2}
 	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, takeRepeat: repeat}
 }
 
 // An attempt is not cut for its slowness where the retry budget is spent: there
 // would be nothing to put in its place.
-func TestSlowAttemptIsKeptWithoutBudget(t *testing.T) {
+func TestSlowAttemptContinuesWithoutRetryBudget(t *testing.T) {
 	asked := make(chan struct{})
-	j := impatientJob(func() bool {
+	j := slowJob(func() bool {
 		close(asked)
 		return false
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer j.cutIfSlow(impatient{}, cancel).Stop()
+	defer j.cutIfSlow(slowPlacement{}, cancel).Stop()
 	<-asked
 	if ctx.Err() != nil || j.repeatReserved.Load() {
 		t.Error("the attempt was cut though the budget is spent")
@@ -50,15 +50,15 @@
 }
 
 // The repeat that was taken to cut an attempt is the one that replaces it.
-func TestRepeatIsTakenOnce(t *testing.T) {
+func TestReservedRetryIsTakenOnce(t *testing.T) {
 	taken := 0
-	j := impatientJob(func() bool {
+	j := slowJob(func() bool {
 		taken++
 		return taken == 1
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer j.cutIfSlow(impatient{}, cancel).Stop()
+	defer j.cutIfSlow(slowPlacement{}, cancel).Stop()
 	<-ctx.Done()
 	if !j.takeRetry() {
 		t.Error("the repeat that was taken ahead is gone")
@@ -70,10 +70,10 @@
 
 // What comes of an attempt that has just been cut for its slowness is not passed
 // on: the answer would break off, though its repeat can give the whole.
-func TestLateFirstEventOfACutAttemptStaysBehind(t *testing.T) {
+func TestLateFirstEventOfCutAttemptIsNotForwarded(t *testing.T) {
 	for _, cut := range []bool{true, false} {
-		j := impatientJob(func() bool { return true })
-		j.s = &Service{opts: Options{Clock: clock.System{}, Guard: testGuard(clock.System{})}}
+		j := slowJob(func() bool { return true })
+		j.s = &Service{opts: Options{Clock: clock.System{}, Guard: newTestGuard(clock.System{})}}
 		j.ctx = context.Background()
 		j.r.Route.Stream, j.r.Route.Resumable = true, true
 		recorder := httptest.NewRecorder()
@@ -84,7 +84,7 @@
 			fired.Stop()
 		}
 		a := &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("id: 1\ndata: a\n\n")}
-		outcome := j.forwardStream(impatient{}, a, fired)
+		outcome := j.forwardStream(slowPlacement{}, a, fired)
 		if written := recorder.Body.Len() > 0; written == cut {
 			t.Errorf("cut %v: %q was passed on", cut, recorder.Body.String())
 		}
@@ -96,7 +96,7 @@
 
 // A stream that has begun is worth waiting for a target that goes on with it; a
 // request that has not run is told at once.
-func TestBegunStreamWaitsForATarget(t *testing.T) {
+func TestBegunStreamRetriesPlacement(t *testing.T) {
 	route := &routing.Route{Stream: true, Resumable: true, MaxAttempts: 2}
 	for name, c := range map[string]struct {
 		history attempt.History
