--- a/services/forward/counters.go
+++ b/services/forward/counters.go
@@ -20,7 +20,7 @@
 // counters are the figures that a gateway tells of its requests.
 type counters struct {
 	set         *metrics.Set
-	repeats     *metrics.Counter
+	retries     *metrics.Counter
 	budgetSpent *metrics.Counter
 	throttled   *metrics.Counter
 	// placesReturned counts places given back unsent, as this gateway knew more of the target
@@ -44,7 +44,7 @@
 func newCounters() counters {
 	set := metrics.NewSet()
 	return counters{
-		set: set, repeats: set.NewCounter("madderway_gateway_repeats_total"),
+		set: set, retries: set.NewCounter("madderway_gateway_repeats_total"),
 		budgetSpent:    set.NewCounter("madderway_gateway_repeat_budget_spent_total"),
 		placesReturned: set.NewCounter("madderway_gateway_places_returned_total"),
 		throttled:      set.NewCounter("madderway_gateway_throttled_total"),
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -81,8 +81,8 @@
 		return j.s.opts.Clock.AfterFunc(j.r.Deadline.Sub(j.s.opts.Clock.Now())+time.Second, cancel)
 	}
 	return j.s.opts.Clock.AfterFunc(patience, func() {
-		if j.takeRepeat() {
-			j.repeatReserved.Store(true)
+		if j.takeFromRetryBudget() {
+			j.retryReserved.Store(true)
 			cancel()
 		}
 	})
@@ -90,7 +90,7 @@
 
 // takeRetry tells whether a further attempt is within the retry takeRetry; one that
 // was taken ahead is used up first.
-func (j *job) takeRetry() bool { return j.repeatReserved.Swap(false) || j.takeRepeat() }
+func (j *job) takeRetry() bool { return j.retryReserved.Swap(false) || j.takeFromRetryBudget() }
 
 func (j *job) noAnswer(p placement, err error) attempt.Outcome {
 	j.reason = err.Error()
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -114,7 +114,7 @@
 	ctx, cancel := clock.WithDeadline(ctx, s.opts.Clock, r.Deadline)
 	defer cancel()
 	j := &job{s: s, ctx: ctx, w: w, r: r, lastEvent: r.Call.LastEvent, history: attempt.History{Route: r.Route}, try: s.opts.Quarantine.Try(r.identity())}
-	j.takeRepeat = func() bool { return s.takeRepeat(r.Service.Name) }
+	j.takeFromRetryBudget = func() bool { return s.takeFromRetryBudget(r.Service.Name) }
 	if scheduled(r.Service, &r.Call) {
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
@@ -128,8 +128,8 @@
 // InFlight returns how many requests of engines are under way.
 func (s *Service) InFlight() int { return int(s.inFlight.Load()) }
 
-// takeRepeat takes one takeRepeat of a service from this gateway's share of the budget.
-func (s *Service) takeRepeat(service string) bool {
+// takeFromRetryBudget takes one takeFromRetryBudget of a service from this gateway's share of the budget.
+func (s *Service) takeFromRetryBudget(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	extra := budgetShare * s.opts.Retry.Extra / float64(s.opts.Mesh.Members())
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -34,31 +34,31 @@
 
 // job is one request on its way.
 type job struct {
-	s              *Service
-	ctx            context.Context
-	w              http.ResponseWriter
-	r              *Request
-	history        attempt.History
-	deny           []string
-	targetRef      *routing.Target // at is the target of the present attempt.
-	targetID       string
-	sourceID       string // source is the target that the beginning of the prompt is copied from, or empty.
-	scheduler      string // scheduler is the gateway that placed or refused it.
-	number         mesh.RequestID
-	reason         string
-	brokeOff       bool // broken tells that the last target ended its answer or connection early.
-	placedAt       time.Time
-	sentAt         time.Time
-	refusal        error          // refusal is why the request may not be sent to a target.
-	permit         notice.Permit  // permit is that to send to the target, while its answer has not begun.
-	try            quarantine.Try // past is what earlier tries of the request have done.
-	lastEvent      string
-	headOut        bool
-	takeRepeat     func() bool   // repeat takes one repeat from the retry budget.
-	repeatReserved atomic.Bool   // reserved tells that a repeat was taken ahead.
-	askedAfter     time.Duration // beforeAsk is how long after its head was read a scheduler was first asked.
-	waited         time.Duration // waited is how long the scheduler took to place it.
-	timing         streamTiming
+	s                   *Service
+	ctx                 context.Context
+	w                   http.ResponseWriter
+	r                   *Request
+	history             attempt.History
+	deny                []string
+	targetRef           *routing.Target // at is the target of the present attempt.
+	targetID            string
+	sourceID            string // source is the target that the beginning of the prompt is copied from, or empty.
+	scheduler           string // scheduler is the gateway that placed or refused it.
+	number              mesh.RequestID
+	reason              string
+	brokeOff            bool // broken tells that the last target ended its answer or connection early.
+	placedAt            time.Time
+	sentAt              time.Time
+	refusal             error          // refusal is why the request may not be sent to a target.
+	permit              notice.Permit  // permit is that to send to the target, while its answer has not begun.
+	try                 quarantine.Try // past is what earlier tries of the request have done.
+	lastEvent           string
+	headOut             bool
+	takeFromRetryBudget func() bool   // repeat takes one repeat from the retry budget.
+	retryReserved       atomic.Bool   // reserved tells that a repeat was taken ahead.
+	askedAfter          time.Duration // beforeAsk is how long after its head was read a scheduler was first asked.
+	waited              time.Duration // waited is how long the scheduler took to place it.
+	timing              streamTiming
 }
 
 // placement is a target that a request may be sent to, and where its end is told.
@@ -108,7 +108,7 @@
 		switch next {
 		case attempt.Again, attempt.Resume:
 			j.deny = append(j.deny, j.targetID)
-			j.s.counters.repeats.Inc()
+			j.s.counters.retries.Inc()
 			continue
 		case attempt.Deliver:
 			return j.deliver(answer)
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -39,7 +39,7 @@
 		n, err := a.Body.Read(chunk)
 		if n > 0 {
 			if j.timing.recordPart(j.s.opts.Clock.Now(), j.r.Received) {
-				if !impatient.Stop() && j.repeatReserved.Load() {
+				if !impatient.Stop() && j.retryReserved.Load() {
 					j.reason = "cut for its slowness"
 					return j.ended(p, attempt.Cut)
 				}
--- a/services/forward/watch_test.go
+++ b/services/forward/watch_test.go
@@ -29,7 +29,7 @@
 
 func slowJob(repeat func() bool) *job {
 	route := &routing.Route{Repeat: routing.RepeatSafe, MaxAttempts: 2}
-	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, takeRepeat: repeat}
+	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, takeFromRetryBudget: repeat}
 }
 
 // An attempt is not cut for its slowness where the retry budget is spent: there
@@ -44,7 +44,7 @@
 	defer cancel()
 	defer j.cutIfSlow(slowPlacement{}, cancel).Stop()
 	<-asked
-	if ctx.Err() != nil || j.repeatReserved.Load() {
+	if ctx.Err() != nil || j.retryReserved.Load() {
 		t.Error("the attempt was cut though the budget is spent")
 	}
 }
@@ -78,7 +78,7 @@
 		j.r.Route.Stream, j.r.Route.Resumable = true, true
 		recorder := httptest.NewRecorder()
 		j.w = recorder
-		j.repeatReserved.Store(cut)
+		j.retryReserved.Store(cut)
 		fired := time.AfterFunc(time.Hour, func() {})
 		if cut {
 			fired.Stop()
