--- a/services/forward/counters.go
+++ b/services/forward/counters.go
@@ -17,25 +17,24 @@
 	"madderway/models/routing"
 )
 
-// counters are the figures that a gateway tells of its requests.
+// counters are the metrics of a gateway's requests.
 type counters struct {
 	set         *metrics.Set
 	retries     *metrics.Counter
 	budgetSpent *metrics.Counter
 	throttled   *metrics.Counter
-	// placesReturned counts places given back unsent, as this gateway knew more of the target
-	// than its scheduler.
+	// placements given back unsent, since this gateway cannot use the target
 	placesReturned *metrics.Counter
-	// Requests that another gateway has served, those of which no answer came, and those
-	// that no gateway took.
+	// requests served by another gateway, those lost on the way, and those that no gateway
+	// took
 	handedOver, handOverLost, notHandedOver *metrics.Counter
 
 	askedAfter    *metrics.Histogram
 	placementTime *metrics.Histogram
-	byOutcome     *sync.Map // byOutcome holds figures by service and outcome: to name them anew took 4 % of a refusal.
+	byOutcome     *sync.Map // outcomeMetrics by service and outcome, a cache to avoid formatting names
 }
 
-// outcomeMetrics are those of the requests of one service that ended alike.
+// outcomeMetrics are the metrics of a service's requests with the same outcome.
 type outcomeMetrics struct {
 	requests *metrics.Counter
 	seconds  *metrics.Histogram
@@ -56,8 +55,8 @@
 	}
 }
 
-// record counts a request of a service that ended so, so long after it was read.
-func (c *counters) record(service *routing.Service, err error, after time.Duration) {
+// record counts a finished request; elapsed is the time since it was read.
+func (c *counters) record(service *routing.Service, err error, elapsed time.Duration) {
 	outcome := "done"
 	switch e, numbered := result.FromError(err); {
 	case numbered:
@@ -69,10 +68,9 @@
 	}
 	f := c.metricsOf(service.Name, outcome)
 	f.requests.Inc()
-	f.seconds.Update(after.Seconds())
+	f.seconds.Update(elapsed.Seconds())
 }
 
-// metricsOf returns the figures of a service's requests that ended so.
 func (c *counters) metricsOf(service, outcome string) outcomeMetrics {
 	key := [2]string{service, outcome}
 	if f, ok := c.byOutcome.Load(key); ok {
@@ -86,7 +84,7 @@
 	return f
 }
 
-// WriteMetrics writes the figures in text form.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (s *Service) WriteMetrics(w io.Writer) {
 	s.counters.set.WritePrometheus(w)
 	s.opts.Guard.writeMetrics(w)
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -16,23 +16,23 @@
 	"madderway/services/upstream"
 )
 
-// maxBufferedResponse is the size up to which a plain answer is read whole before any of
-// it is passed on, so that a broken one can still be repeated.
+// maxBufferedResponse is the size in bytes up to which a response is buffered before any of it
+// is forwarded, so that a broken one can still be retried.
 const maxBufferedResponse = 256 << 10
 
-// failure is a target's own failure, read whole.
+// failure is an error response of a target.
 type failure struct {
 	answer *upstream.Answer
 	body   []byte
 }
 
-// exchange sends the request to the placed target and passes a success on. It
-// returns 0 where the caller has the whole answer.
+// exchange sends the request to the target and forwards a successful response. It returns 0
+// if the caller has the whole response.
 func (j *job) exchange(p placement) (attempt.Outcome, *failure) {
 	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
-	impatient := j.cutIfSlow(p, cancel)
-	defer impatient.Stop()
+	slowTimer := j.cutIfSlow(p, cancel)
+	defer slowTimer.Stop()
 	j.brokeOff, j.refusal, j.permit = false, nil, notice.Permit{}
 	a, err := j.s.opts.Client.Send(ctx, p.target(), j.sendRequest(p.target()))
 	j.permit.End(err == nil && !a.Verdict.NotRun)
@@ -57,7 +57,7 @@
 	defer a.Close()
 	j.history.Sent++
 	if a.Verdict.NotRun {
-		j.reason = "target did not run it"
+		j.reason = "target rejected the request without running it"
 		p.ended(attempt.NotRun, a.Verdict.Moved)
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedResponse))
 		return attempt.NotRun, nil
@@ -67,20 +67,20 @@
 		return j.readFailure(p, a)
 	}
 	if j.r.Route.Stream {
-		return j.forwardStream(p, a, impatient), nil
+		return j.forwardStream(p, a, slowTimer), nil
 	}
 	return j.forwardWhole(p, a), nil
 }
 
-// cutIfSlow cancels the attempt where its first part takes too long, another target
-// may try and the retry budget has a repeat for it. The repeat is taken before
-// the attempt is cut: one that is cut for nothing would be lost.
+// cutIfSlow cancels the attempt if its first part takes too long, the route permits another
+// attempt and the retry budget has a retry left. The retry is reserved before the attempt is
+// cut, so that no attempt is cut without a replacement.
 func (j *job) cutIfSlow(p placement, cancel func()) clock.Timer {
-	patience := p.firstPartTimeout()
-	if patience == 0 || !j.r.Route.MayRepeat() || j.history.Sent+1 >= j.r.Route.MaxAttempts {
+	timeout := p.firstPartTimeout()
+	if timeout == 0 || !j.r.Route.MayRepeat() || j.history.Sent+1 >= j.r.Route.MaxAttempts {
 		return j.s.opts.Clock.AfterFunc(j.r.Deadline.Sub(j.s.opts.Clock.Now())+time.Second, cancel)
 	}
-	return j.s.opts.Clock.AfterFunc(patience, func() {
+	return j.s.opts.Clock.AfterFunc(timeout, func() {
 		if j.takeFromRetryBudget() {
 			j.retryReserved.Store(true)
 			cancel()
@@ -88,8 +88,8 @@
 	})
 }
 
-// takeRetry tells whether a further attempt is within the retry takeRetry; one that
-// was taken ahead is used up first.
+// takeRetry reports whether the retry budget permits another attempt. A reserved retry is used
+// first.
 func (j *job) takeRetry() bool { return j.retryReserved.Swap(false) || j.takeFromRetryBudget() }
 
 func (j *job) noAnswer(p placement, err error) attempt.Outcome {
@@ -108,8 +108,7 @@
 	return j.ended(p, outcome)
 }
 
-// ended tells the place how the attempt came out, unless the caller has gone
-// or the time is over.
+// ended reports the outcome to the placement; a gone caller or a passed deadline overrides it.
 func (j *job) ended(p placement, o attempt.Outcome) attempt.Outcome {
 	if j.ctx.Err() == context.Canceled {
 		p.canceled()
@@ -125,19 +124,19 @@
 func (j *job) readFailure(p placement, a *upstream.Answer) (attempt.Outcome, *failure) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse))
 	if err != nil {
-		j.brokeOff, j.reason = true, "failure broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "error response broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown), nil
 	}
 	j.reason = http.StatusText(a.Status)
 	p.ended(attempt.Failed, false)
 	if a.Status < http.StatusInternalServerError {
-		// The target refuses the request itself; another one would too.
+		// The target rejects the request itself, and so would any other.
 		j.history.Sent = max(j.history.Sent, j.r.Route.MaxAttempts)
 	}
 	return attempt.Failed, &failure{a, body}
 }
 
-// deliver passes a target's failure on as it came.
+// deliver forwards a target's error response.
 func (j *job) deliver(f *failure) error {
 	j.writeHead(f.answer)
 	_, _ = j.w.Write(f.body)
@@ -147,7 +146,7 @@
 func (j *job) forwardWhole(p placement, a *upstream.Answer) attempt.Outcome {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse+1))
 	if err != nil {
-		j.brokeOff, j.reason = true, "answer broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "response broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown)
 	}
 	p.began()
@@ -165,14 +164,14 @@
 
 func (j *job) copyRest(p placement, a *upstream.Answer) attempt.Outcome {
 	if _, err := io.Copy(j.w, a.Body); err != nil {
-		j.brokeOff, j.reason = true, "answer broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "response broke off: "+err.Error()
 		return j.ended(p, attempt.Cut)
 	}
 	p.done()
 	return 0
 }
 
-// writeHead passes the head of an answer on.
+// writeHead forwards the status and the header of a response.
 func (j *job) writeHead(a *upstream.Answer) {
 	upstream.RemoveHopByHop(a.Header)
 	h := j.w.Header()
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package forward takes a request to a target and its answer back to the
-// caller: it asks for a target, exchanges, repeats what may be repeated, and
-// passes on nothing but whole and own answers.
+// Package forward sends requests to targets and their responses back to the callers. A Service
+// gets a placement for each request, sends it, retries where the route and the retry budget
+// permit it, and forwards only complete responses or complete events of one attempt. A Guard
+// protects the gateway from overload.
 package forward
 
 import (
@@ -30,25 +31,25 @@
 	"madderway/services/upstream"
 )
 
-// ErrAborted tells that a part of an answer is out and the connection must end.
+// ErrAborted reports that part of a response was forwarded and the connection must be closed.
 var ErrAborted = errors.New("the answer broke off")
 
-// RetryBudget bounds the repeats of the whole fleet.
+// RetryBudget limits the retries of the whole fleet.
 type RetryBudget struct {
 	Window time.Duration
-	Ratio  float64 // of first sends
-	Extra  float64 // beyond the ratio, of all gateways together
+	Ratio  float64 // retries per first attempt
+	Extra  float64 // retries beyond the ratio, of all gateways together
 }
 
-// budgetShare leaves room for gateways that count differently for a while.
+// budgetShare is a margin for gateways whose counts or membership lists differ for a while.
 const budgetShare = 0.7
 
-// Targets are the targets as they are known; follow.Service implements it.
+// Targets provides the current list of targets; follow.Service implements it.
 type Targets interface {
 	Targets() *routing.TargetSet
 }
 
-// Options are the parts of a Service.
+// Options are the settings and dependencies of a Service.
 type Options struct {
 	DataHall string
 	Clock    clock.Clock
@@ -57,12 +58,12 @@
 	Client   *upstream.Client
 	Guard    *Guard
 	Retry    RetryBudget
-	// Quarantine are those under which targets ended.
+	// Quarantine keeps requests under which targets died from being sent again.
 	Quarantine *quarantine.Service
-	// Notices are what targets have said of themselves.
+	// Notices holds what targets announced in their responses: that they leave, or a pause.
 	Notices *notice.Service
-	// Connections tells how many connections of callers are open, and how many were
-	// turned away since the start.
+	// Connections returns the number of open caller connections, and of those rejected since
+	// the start.
 	Connections func() (open int, turnedAway uint64)
 }
 
@@ -71,17 +72,16 @@
 	log  log.Logger
 	opts Options
 
-	mu       sync.Mutex // mu guards the machines below.
+	mu       sync.Mutex // guards balancer, windows, throttle and opts.Retry
 	balancer *balance.Balancer
 	windows  map[string]*budget.Window
 	throttle *throttle.Throttle
 
 	counters counters
 	outcomes outcomeCounts
-	inFlight atomic.Int64 // running is how many requests of engines are under way.
+	inFlight atomic.Int64 // requests to engines
 }
 
-// New returns a service.
 func New(logger log.Logger, o Options) *Service {
 	return &Service{log: logger, opts: o, balancer: balance.New(o.DataHall, rand.Float64), windows: map[string]*budget.Window{}, throttle: throttle.New(), counters: newCounters()}
 }
@@ -99,17 +99,17 @@
 	Account  *routing.ClientAccount
 	Received time.Time
 	Deadline time.Time
-	// CallerGone tells whether the caller has closed its connection; nil where that is told by the
-	// context alone.
+	// CallerGone reports whether the caller has closed its connection; nil if only the context
+	// tells.
 	CallerGone func() bool
-	// HandedOverBy is the gateway that has handed the request over, or empty.
+	// HandedOverBy is the gateway that handed the request over, or empty.
 	HandedOverBy string
 }
 
 func (r *Request) account() string { return r.Account.GetName() }
 
-// Serve answers a request. It returns ErrAborted where the connection must end,
-// and a numbered error where nothing has been written yet.
+// Serve answers a request. It returns ErrAborted if the connection must be closed, and an
+// ErrResult if nothing was written yet.
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, r *Request) error {
 	ctx, cancel := clock.WithDeadline(ctx, s.opts.Clock, r.Deadline)
 	defer cancel()
@@ -125,10 +125,10 @@
 	return err
 }
 
-// InFlight returns how many requests of engines are under way.
+// InFlight returns the number of requests to engines in flight.
 func (s *Service) InFlight() int { return int(s.inFlight.Load()) }
 
-// takeFromRetryBudget takes one takeFromRetryBudget of a service from this gateway's share of the budget.
+// takeFromRetryBudget takes a retry of a service from this gateway's share of the budget.
 func (s *Service) takeFromRetryBudget(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,26 +155,24 @@
 	return w
 }
 
-// throttledRetryAfter is when a request that was refused since its account asks for far more
-// than it is given may come back: the account may have got something by then.
+// throttledRetryAfter is the retry time for throttled accounts.
 const throttledRetryAfter = time.Second
 
-// maxRefusalLines is how many refusals at the entry are told one by one in a second.
+// maxRefusalLines is the number of early refusals that are logged one by one in a second.
 const maxRefusalLines = 10
 
-// Admission is what becomes of a request that is not refused.
+// Admission is the decision on a request that is not refused.
 type Admission int
 
-// The admissions.
+// Decisions on a request.
 const (
 	Serve    Admission = iota + 1 // this gateway serves it
 	HandOver                      // another gateway of the data hall serves it
 )
 
-// Admit counts a request and refuses it where this gateway is overloaded, or its
-// account asks for far more than it is given. It is asked before the body is
-// read, so that a flood costs little. Movable tells whether the request can be
-// handed over to another gateway, which then counts it as its own.
+// Admit counts a request and refuses it if this gateway is overloaded or the account is
+// throttled. Call it before the body is read, so that a flood costs little. movable reports
+// whether the request can be handed over to another gateway, which then counts it as its own.
 func (s *Service) Admit(call *upstream.Call, service *routing.Service, account *routing.ClientAccount, movable bool) (Admission, error) {
 	if !scheduled(service, call) {
 		return Serve, nil
@@ -189,40 +187,38 @@
 		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
 		return HandOver, nil
 	case !s.admitThrottled(name):
-		err = result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(throttledRetryAfter)
+		err = result.New(result.QueueFull, "the account is throttled: it sends far more requests than can be placed").WithRetryAfter(throttledRetryAfter)
 	default:
 		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
 		return Serve, nil
 	}
 	s.counters.record(service, err, 0)
-	// A flood is told in full at the beginning of each second, then by a sample and by
-	// the counts in the lines of a second: the budget of the log is for what tells more.
+	// A flood is logged in full at the beginning of each second, then by a sample and by the
+	// counts of each second, to save log volume for other messages.
 	if n := s.outcomes.countRefused(account.GetName(), result.Convert(err).Code, call.Prompt.Tokens); n <= maxRefusalLines || sampled(call.ID) {
-		s.log.Request("Request refused at the entry.", "id", call.ID, "account", account.GetName(), "service", service.Name, "error", err)
+		s.log.Request("Request refused before its body was read.", "id", call.ID, "account", account.GetName(), "service", service.Name, "error", err)
 	}
 	return 0, err
 }
 
-// newOverloadError is the refusal of a request for which this gateway has no time.
 func (s *Service) newOverloadError() *result.ErrResult {
-	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").WithRetryAfter(s.opts.Guard.retryAfter())
+	return result.New(result.Overloaded, "this gateway is overloaded").WithRetryAfter(s.opts.Guard.retryAfter())
 }
 
-// OverloadError returns the refusal of a request that could not be handed over in time.
+// OverloadError returns the error for a request that could not be handed over in time.
 func (s *Service) OverloadError() error { return s.newOverloadError() }
 
-// HandOverResult tells of a request that another gateway was to serve.
+// HandOverResult is the result of handing a request over to another gateway.
 type HandOverResult struct {
 	ID, Account string
-	Peer        string // Peer is empty where no gateway took it; it was served here.
+	Peer        string // empty if no gateway took the request; it was served here
 	Elapsed     time.Duration
-	Bytes       int64 // Bytes are those of the answer that was passed on.
-	Lost        bool  // Lost tells that no answer came.
-	CallerGone  bool  // Gone tells that the caller has left.
+	Bytes       int64 // length of the forwarded response
+	Lost        bool  // no response came
+	CallerGone  bool
 }
 
-// RecordHandOver counts a request that was handed over, and tells of it where it failed or
-// the request is of the sample.
+// RecordHandOver counts a request that was handed over. It logs lost ones and a sample.
 func (s *Service) RecordHandOver(h HandOverResult) {
 	switch {
 	case h.Peer == "" && !h.Lost:
@@ -230,19 +226,18 @@
 		return
 	case h.Lost && !h.CallerGone:
 		s.counters.handOverLost.Inc()
-		s.log.Request("Request handed over and lost.", "id", h.ID, "account", h.Account, "peer", h.Peer, "after", h.Elapsed)
+		s.log.Request("Request handed over, no response.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed)
 	case sampled(h.ID):
-		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "after", h.Elapsed, "bytes", h.Bytes, "gone", h.CallerGone)
+		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed, "bytes", h.Bytes, "caller_gone", h.CallerGone)
 	}
 	s.counters.handedOver.Inc()
 	s.outcomes.count(outcomeHandedOver)
 }
 
-// Overloaded tells whether requests are refused for want of processor time.
+// Overloaded reports whether requests are handed over or refused for lack of processor time.
 func (s *Service) Overloaded() bool { return s.opts.Guard.Overloaded() }
 
-// admitThrottled tells whether a scheduler is to be asked for a request of an
-// account.
+// admitThrottled reports whether the throttle lets a request of an account through.
 func (s *Service) admitThrottled(account string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -253,7 +248,7 @@
 	return ok
 }
 
-// scheduled tells whether a scheduler decides where a request goes.
+// scheduled reports whether a cell's scheduler places the request.
 func scheduled(service *routing.Service, call *upstream.Call) bool {
 	return service.Engine != nil && call.Prompt != nil
 }
@@ -264,8 +259,8 @@
 	s.throttle.Accepted(s.opts.Clock.Now(), account)
 }
 
-// SetRetryBudget changes the retry budget. What was counted in windows of another
-// length is forgotten.
+// SetRetryBudget changes the retry budget. The windows are reset if their length or ratio
+// changes.
 func (s *Service) SetRetryBudget(b RetryBudget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -275,7 +270,7 @@
 	s.opts.Retry = b
 }
 
-// SetTargets forgets what is known of targets that are gone.
+// SetTargets removes the state of targets that are no longer listed.
 func (s *Service) SetTargets(targets *routing.TargetSet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/forward/guard.go
+++ b/services/forward/guard.go
@@ -17,15 +17,14 @@
 	"madderway/modules/log"
 )
 
-// Guard keeps a gateway from taking more than it can serve in time. It is told
-// how late the process comes to its work, and asked for each request that would
-// stay for long.
+// Guard protects a gateway from overload. It observes how late the process runs its work, and
+// decides for each request whether to serve it, hand it over or refuse it.
 type Guard struct {
 	log   log.Logger
 	clock clock.Clock
 
 	opts GuardOptions
-	// overloaded tells that some requests are handed over or refused for want of processor time.
+	// whether some requests are handed over or refused for lack of processor time
 	overloaded atomic.Bool
 
 	mu       sync.Mutex
@@ -35,12 +34,12 @@
 	lateness latenessStats
 }
 
-// latenessStats is how late the process came to its work since the last line.
+// latenessStats summarize the lateness of the process since the last log line.
 type latenessStats struct {
 	samples       int
 	sum           time.Duration
 	worst         time.Duration
-	handOverDelay time.Duration // queued is the longest that requests waited to be handed over.
+	handOverDelay time.Duration // the longest delay of requests before they were handed over
 }
 
 func (l *latenessStats) add(lateness, queued time.Duration) {
@@ -57,68 +56,66 @@
 	return l.sum / time.Duration(l.samples)
 }
 
-// GuardOptions are what a Guard sees of the gateway, and tells it.
+// GuardOptions are the inputs of a Guard and its callback.
 type GuardOptions struct {
-	// Bytes tells what has crossed the machine's link so far, LinkMbps how many
-	// megabits it carries in a second, 0 where that is not known.
+	// Bytes returns the bytes sent and received by the machine since its start. LinkMbps is
+	// the capacity of its link in megabits per second, 0 if unknown.
 	Bytes    func() (sent, received uint64)
 	LinkMbps float64
-	// HandOverAvailable tells whether there is another gateway to hand requests over to; nil where
-	// nothing is handed over.
+	// HandOverAvailable reports whether another gateway takes requests; nil if nothing is
+	// handed over.
 	HandOverAvailable func() bool
-	// HandOverDelay tells for how long requests wait that are to be handed over; nil where nothing is.
+	// HandOverDelay returns how long requests wait to be handed over; nil if nothing is.
 	HandOverDelay func(now time.Time) time.Duration
-	// Overdue tells how late the next report of lateness already is.
+	// Overdue returns how late the next call of ObserveLateness is.
 	Overdue func(now time.Time) time.Duration
-	// OnDutiesChanged is called when the gateway can no longer schedule for others, with
-	// whether that is for its link, and when it can again.
+	// OnDutiesChanged is called when the gateway stops or resumes scheduling for others.
+	// linkFull reports whether it stops for its network link.
 	OnDutiesChanged func(keepsUp, linkFull bool)
 }
 
-// NewGuard returns a guard that admits everything.
+// NewGuard returns a guard that admits all requests.
 func NewGuard(logger log.Logger, c clock.Clock, o GuardOptions) *Guard {
 	return &Guard{log: logger, clock: c, opts: o, governor: overload.New(), link: overload.NewLink(o.LinkMbps)}
 }
 
-// ObserveLateness takes how late the process has come to its work.
+// ObserveLateness takes the lateness of the process: how long its work waited before it ran.
 func (g *Guard) ObserveLateness(lateness time.Duration) {
 	now := g.clock.Now()
 	sent, received := g.opts.Bytes()
-	relief := g.opts.HandOverAvailable != nil && g.opts.HandOverAvailable()
-	// What was admitted and waits for another gateway is as much a sign of too much work as
-	// what waits for this process: callers left while their requests stood there.
+	handOverAvailable := g.opts.HandOverAvailable != nil && g.opts.HandOverAvailable()
+	// Admitted requests that wait to be handed over are a sign of overload too.
 	queued := time.Duration(0)
 	if g.opts.HandOverDelay != nil {
 		queued = g.opts.HandOverDelay(now)
 	}
 	g.mu.Lock()
 	g.lateness.add(lateness, queued)
-	g.governor.SetHandOverAvailable(relief)
+	g.governor.SetHandOverAvailable(handOverAvailable)
 	use := g.link.Observe(now, sent, received)
 	changed := g.governor.Observe(now, max(lateness, queued))
 	share, own, refused := g.governor.AcceptedShare(), g.governor.ServedShare(), g.governor.Refused()
 	g.overloaded.Store(own < 1)
-	keepsUp, moved := g.duties.Observe(now, own, use)
+	keepsUp, changedDuties := g.duties.Observe(now, own, use)
 	g.mu.Unlock()
-	if moved {
-		g.log.Info("Scheduling for others changed.", "keeps_up", keepsUp, "late", lateness, "link", percent(use), "share", share, "own", own)
+	if changedDuties {
+		g.log.Info("Scheduling for other gateways changed.", "keeps_up", keepsUp, "late", lateness, "link", percent(use), "share", share, "own", own)
 		g.opts.OnDutiesChanged(keepsUp, overload.Full(use))
 	}
 	switch {
 	case !changed:
 	case own < 1:
-		g.log.Warn("Overloaded, handing over or refusing some requests.", "late", lateness, "link", percent(use), "share", share, "own", own, "relief", relief)
+		g.log.Warn("Overloaded, some requests are handed over or refused.", "late", lateness, "link", percent(use), "share", share, "own", own, "hand_over_available", handOverAvailable)
 	default:
-		g.log.Info("No longer overloaded.", "refused since the start", refused)
+		g.log.Info("No longer overloaded.", "refused_total", refused)
 	}
 }
 
-// minOverdue is how late a report of lateness must be to count before it has come: a
-// process that is late by seconds reports nothing in that time.
+// minOverdue is the least delay of the next lateness report that counts as lateness before the
+// report: a process that stands still reports nothing.
 const minOverdue = 100 * time.Millisecond
 
-// admit tells what becomes of a request of an account; movable tells whether it can be
-// handed over.
+// admit decides on a request of an account; movable reports whether it can be handed over.
 func (g *Guard) admit(account string, movable bool) overload.Verdict {
 	now := g.clock.Now()
 	if overdue := g.opts.Overdue(now); overdue >= minOverdue {
@@ -129,13 +126,12 @@
 	return g.governor.Admit(now, account, rand.Float64(), movable)
 }
 
-// When a request that was refused for want of processor time may come back, spread by a
-// half to either side. The balancer brings it to this gateway again. Where shortRetryShare or
-// more is admitted it comes after baseRetryAfter over the share, and may still be served within
-// its objective. Where less is, most would be refused again, and a refusal takes a quarter
-// of the processor time of a stream: all returns together would take more than they bring.
-// They come after the time in which as much is admitted as was refused in longRetryUnit, four
-// seconds and more, maxRetryAfter at most: as long as the most patient callers wait.
+// Retry times of requests refused for overload, spread by half to either side. From
+// shortRetryShare of admitted requests on, a retry is likely to succeed: it comes after
+// baseRetryAfter divided by the share, often still within the objective. Below, most retries
+// would be refused again and refusals would use up the processor: retries come after the time
+// in which the gateway admits as many requests as it refused in longRetryUnit, within the
+// patience of callers.
 const (
 	shortRetryShare = 0.2
 	baseRetryAfter  = 50 * time.Millisecond
@@ -143,7 +139,6 @@
 	maxRetryAfter   = 10 * time.Second
 )
 
-// retryAfter returns when a request that was refused may come back.
 func (g *Guard) retryAfter() time.Duration {
 	g.mu.Lock()
 	share := g.governor.AcceptedShare()
@@ -155,8 +150,7 @@
 	return time.Duration((0.5 + rand.Float64()) * float64(after))
 }
 
-// resetStats returns the share that is admitted now, what that was concluded from, and how late
-// the process has come to its work since the last call, for the line of a second.
+// resetStats returns the state of the guard as log values, and starts a new second.
 func (g *Guard) resetStats() []any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,10 +160,10 @@
 	return []any{"arriving", math.Round(arriving), "serve_takes", serve.Round(time.Microsecond), "hand_over_takes", handOver.Round(time.Microsecond), "refuse_takes", refuse.Round(time.Microsecond), "share", percent(g.governor.AcceptedShare()), "own", percent(g.governor.ServedShare()), "late_mean", l.mean().Round(time.Millisecond), "late_worst", l.worst.Round(time.Millisecond), "hand_over_queued", l.handOverDelay.Round(time.Millisecond)}
 }
 
-// percent rounds a share to hundredths, for log lines.
+// percent rounds a share to two decimals for log lines.
 func percent(share float64) float64 { return math.Round(100*share) / 100 }
 
-// Overloaded tells whether the gateway is short of processor time.
+// Overloaded reports whether requests are handed over or refused for lack of processor time.
 func (g *Guard) Overloaded() bool { return g.overloaded.Load() }
 
 func (g *Guard) writeMetrics(w io.Writer) {
--- a/services/forward/guard_test.go
+++ b/services/forward/guard_test.go
@@ -25,14 +25,14 @@
 	return NewGuard(log.New("guard"), c, GuardOptions{Bytes: func() (uint64, uint64) { return 0, 0 }, OnDutiesChanged: func(bool, bool) {}, Overdue: overdue})
 }
 
-// A gateway that is short of processor time passes events on in groups, the first one
-// at once; any other passes each on as it comes.
+// Guards against an overloaded gateway that forwards each event by itself, and against delayed
+// first events.
 func TestOverloadedGatewayCoalescesEvents(t *testing.T) {
-	for _, strained := range []bool{false, true} {
+	for _, overloaded := range []bool{false, true} {
 		c := clock.NewFake()
 		j := slowJob(func() bool { return true })
 		j.s = &Service{opts: Options{Clock: c, Guard: newTestGuard(c)}}
-		j.s.opts.Guard.overloaded.Store(strained)
+		j.s.opts.Guard.overloaded.Store(overloaded)
 		j.ctx = t.Context()
 		j.r.Route.Stream = true
 		passed := &countingWriter{ResponseRecorder: httptest.NewRecorder(), wrote: make(chan int, 8)}
@@ -46,15 +46,15 @@
 		send := func() { _, _ = io.WriteString(events, event) }
 		send()
 		if n := <-passed.wrote; n != len(event) {
-			t.Errorf("strained %v: the first event came as %d bytes", strained, n)
+			t.Errorf("overloaded %v: first event forwarded in a write of %d bytes", overloaded, n)
 		}
-		// A pipe takes a write once it is read: while events gather nobody reads.
+		// A write to the pipe returns once it is read; nobody reads while events are collected.
 		next := make(chan struct{})
 		go func() {
 			send()
 			close(next)
 		}()
-		if strained {
+		if overloaded {
 			for waiting := true; waiting; {
 				select {
 				case <-next:
@@ -66,10 +66,10 @@
 		}
 		<-next
 		if n := <-passed.wrote; n != len(event) {
-			t.Errorf("strained %v: %d bytes followed", strained, n)
+			t.Errorf("overloaded %v: second event forwarded in a write of %d bytes", overloaded, n)
 		}
-		if since := c.Now().Sub(clock.NewFake().Now()); strained != (since >= coalesceInterval) {
-			t.Errorf("strained %v: the second event was read after %v", strained, since)
+		if since := c.Now().Sub(clock.NewFake().Now()); overloaded != (since >= coalesceInterval) {
+			t.Errorf("overloaded %v: second event read after %v", overloaded, since)
 		}
 		_ = events.Close()
 		ended := false
@@ -84,7 +84,7 @@
 	}
 }
 
-// countingWriter tells how many bytes each write has.
+// countingWriter sends the length of each write to a channel.
 type countingWriter struct {
 	*httptest.ResponseRecorder
 	wrote chan int
@@ -95,11 +95,11 @@
 	return w.ResponseRecorder.Write(p)
 }
 
-// A process so late that no sample of its lateness comes refuses requests all the same.
+// Guards against admitting requests while the process is too late to report its lateness.
 func TestMissingLatenessReportCountsAsOverload(t *testing.T) {
 	c := clock.NewFake()
-	began := c.Now()
-	g := newGuardWithOverdue(c, func(now time.Time) time.Duration { return now.Sub(began) })
+	start := c.Now()
+	g := newGuardWithOverdue(c, func(now time.Time) time.Duration { return now.Sub(start) })
 	refused := 0
 	for range 1000 {
 		c.Advance(time.Millisecond)
@@ -108,11 +108,11 @@
 		}
 	}
 	if refused < 300 {
-		t.Errorf("%d of 1,000 requests were refused by a process that had stood still for a second", refused)
+		t.Errorf("refused %d of 1,000 requests after the process stood still for a second, want at least 300", refused)
 	}
 }
 
-// The less is admitted, the later a refused request may come back.
+// Guards against retries that use up the time of an overloaded gateway.
 func TestRetryAfterGrowsAsLessIsAdmitted(t *testing.T) {
 	c := clock.NewFake()
 	g := newTestGuard(c)
@@ -121,19 +121,19 @@
 		for range 1000 {
 			after := g.retryAfter()
 			if after > maxRetryAfter*3/2 {
-				t.Fatalf("may come back after %v", after)
+				t.Fatalf("retry after %v, want at most 3/2 of maxRetryAfter", after)
 			}
 			sum += after
 		}
 		return sum / 1000
 	}
-	calm := mean()
+	idle := mean()
 	for range 500 {
 		c.Advance(10 * time.Millisecond)
 		g.admit("flood", true)
 		g.ObserveLateness(100 * time.Millisecond)
 	}
-	if flooded := mean(); flooded < 3*calm {
-		t.Errorf("%v in a flood, %v in a calm", flooded, calm)
+	if loaded := mean(); loaded < 3*idle {
+		t.Errorf("mean retry time %v when overloaded, %v when idle, want at least three times as much", loaded, idle)
 	}
 }
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -19,20 +19,20 @@
 	"madderway/services/upstream"
 )
 
-// maxRounds bounds the placements of one request, whatever happens.
+// maxRounds limits the placements of one request.
 const maxRounds = 8
 
-// A stream that has begun asks for another target so often and so long; callers
-// give one up after a pause of two seconds.
+// The retry of placements for a stream that has begun, shorter than the two seconds after which
+// callers give up.
 const (
 	placementRetryInterval = 100 * time.Millisecond
 	placementRetryTimeout  = 1200 * time.Millisecond
 )
 
-// shortRetryAfter is when a caller may come back where the reason passes quickly.
+// shortRetryAfter is the retry time for conditions that pass quickly.
 const shortRetryAfter = 250 * time.Millisecond
 
-// job is one request on its way.
+// job is the state of a request.
 type job struct {
 	s                   *Service
 	ctx                 context.Context
@@ -40,37 +40,37 @@
 	r                   *Request
 	history             attempt.History
 	deny                []string
-	targetRef           *routing.Target // at is the target of the present attempt.
+	targetRef           *routing.Target // target of the current attempt
 	targetID            string
-	sourceID            string // source is the target that the beginning of the prompt is copied from, or empty.
-	scheduler           string // scheduler is the gateway that placed or refused it.
+	sourceID            string // target from which the cached prompt prefix is copied, or empty
+	scheduler           string // gateway that placed or refused the request
 	number              mesh.RequestID
 	reason              string
-	brokeOff            bool // broken tells that the last target ended its answer or connection early.
+	brokeOff            bool // the last target ended its response or connection early
 	placedAt            time.Time
 	sentAt              time.Time
-	refusal             error          // refusal is why the request may not be sent to a target.
-	permit              notice.Permit  // permit is that to send to the target, while its answer has not begun.
-	try                 quarantine.Try // past is what earlier tries of the request have done.
+	refusal             error          // why the request must not be sent to a target
+	permit              notice.Permit  // to send to the target, held until its response begins
+	try                 quarantine.Try // current try of the request in the quarantine
 	lastEvent           string
 	headOut             bool
-	takeFromRetryBudget func() bool   // repeat takes one repeat from the retry budget.
-	retryReserved       atomic.Bool   // reserved tells that a repeat was taken ahead.
-	askedAfter          time.Duration // beforeAsk is how long after its head was read a scheduler was first asked.
-	waited              time.Duration // waited is how long the scheduler took to place it.
+	takeFromRetryBudget func() bool
+	retryReserved       atomic.Bool   // a retry was taken before the attempt was cut
+	askedAfter          time.Duration // time from the request's head to the first ask of a scheduler
+	waited              time.Duration // time that the scheduler took to place the request
 	timing              streamTiming
 }
 
-// placement is a target that a request may be sent to, and where its end is told.
+// placement is a target chosen for an attempt; it takes reports on the attempt.
 type placement interface {
 	target() *routing.Target
-	// began tells that the first part of the answer came.
+	// began reports the first part of the response.
 	began()
-	// ended tells how the attempt came out; it is called once.
+	// ended reports a failed attempt. One of ended, done and canceled is called, once.
 	ended(o attempt.Outcome, moved bool)
-	// done tells that the answer was whole.
+	// done reports a complete response.
 	done()
-	// canceled tells that the caller has gone.
+	// canceled reports that the caller is gone.
 	canceled()
 	// firstPartTimeout is how long the first part of the answer may take before another
 	// target is tried, 0 for as long as there is time.
@@ -88,7 +88,7 @@
 			return j.placementError(err)
 		}
 		j.targetRef, j.targetID, j.placedAt = p.target(), p.target().ID, j.s.opts.Clock.Now()
-		outcome, answer := j.exchange(p)
+		outcome, failure := j.exchange(p)
 		if outcome == 0 {
 			j.try.Passed()
 			return nil
@@ -111,7 +111,7 @@
 			j.s.counters.retries.Inc()
 			continue
 		case attempt.Deliver:
-			return j.deliver(answer)
+			return j.deliver(failure)
 		case attempt.Refuse:
 			return result.New(result.TargetRefused, "%s", j.reason).WithRetryAfter(shortRetryAfter)
 		case attempt.Unclear:
@@ -122,17 +122,17 @@
 			return ErrAborted
 		}
 	}
-	return j.placementError(result.New(result.NoTarget, "no target after %d rounds", maxRounds).WithRetryAfter(shortRetryAfter))
+	return j.placementError(result.New(result.NoTarget, "no target after %d placements", maxRounds).WithRetryAfter(shortRetryAfter))
 }
 
-// placeWithRetry finds a target. One for a stream that another target has begun is
-// asked for again and again for a while: the caller has a part of the answer.
+// placeWithRetry finds a target. A stream that has begun retries for a while, as the caller
+// has part of its response.
 func (j *job) placeWithRetry() (placement, error) {
-	began := j.s.opts.Clock.Now()
+	start := j.s.opts.Clock.Now()
 	for {
 		p, err := j.place()
 		now := j.s.opts.Clock.Now()
-		if err == nil || !shouldRetryPlacement(j.history, j.r.Deadline.Sub(now), now.Sub(began)) {
+		if err == nil || !shouldRetryPlacement(j.history, j.r.Deadline.Sub(now), now.Sub(start)) {
 			return p, err
 		}
 		select {
@@ -143,15 +143,15 @@
 	}
 }
 
-// shouldRetryPlacement tells whether a target is worth asking for once more, so much time
-// before the deadline and so long after the first try.
-func shouldRetryPlacement(h attempt.History, left, tried time.Duration) bool {
+// shouldRetryPlacement reports whether to ask for a target again; remaining is the time to the
+// deadline, elapsed that since the first ask.
+func shouldRetryPlacement(h attempt.History, remaining, elapsed time.Duration) bool {
 	resumable := h.Route.Stream && h.Route.Resumable
-	return resumable && h.MayHaveRun && h.Sent < h.Route.MaxAttempts && left > 2*placementRetryInterval && tried < placementRetryTimeout
+	return resumable && h.MayHaveRun && h.Sent < h.Route.MaxAttempts && remaining > 2*placementRetryInterval && elapsed < placementRetryTimeout
 }
 
-// placementError ends a request that finds no further target. Where an earlier
-// attempt may have been executed, "not run" would be a lie.
+// placementError returns the error for a request that gets no further target. If an earlier
+// attempt may have run, the error says so.
 func (j *job) placementError(err error) error {
 	if j.ctx.Err() == context.Canceled {
 		return j.ctx.Err()
@@ -163,7 +163,7 @@
 		return result.New(result.OutcomeUnknown, "%s; then %v", j.reason, err)
 	}
 	if j.ctx.Err() != nil {
-		return result.New(result.QueueTimeout, "the time is over").WithRetryAfter(shortRetryAfter)
+		return result.New(result.QueueTimeout, "the deadline passed before the request was placed").WithRetryAfter(shortRetryAfter)
 	}
 	return err
 }
@@ -175,7 +175,7 @@
 	return j.placePlain()
 }
 
-// sendRequest counts the send and makes the request for the target.
+// sendRequest returns the request for a target, and counts the first send.
 func (j *job) sendRequest(t *routing.Target) *upstream.Request {
 	if j.history.Sent == 0 && j.history.Unsent == 0 {
 		j.s.countFirstSend(j.r.Service.Name)
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -13,17 +13,17 @@
 	"madderway/services/notice"
 )
 
-// noTargetRetryAfter is when a caller may come back whom no target may serve: a new target is listed
-// here within a second or two of its start.
+// noTargetRetryAfter is the retry time if no target takes work; a new target is listed within
+// seconds of its start.
 const noTargetRetryAfter = time.Second
 
-// errWithheld tells that a request was not sent since its target leaves, wants rest or is no
+// errWithheld reports that a request was not sent as its target leaves, is paused or is no
 // longer listed.
-var errWithheld = errors.New("the target takes nothing now")
+var errWithheld = errors.New("the target accepts no requests now")
 
-// startSending takes the permit to send to the target of the attempt. It is asked beside the
-// first byte, where all ways to a target meet: the place may be older than the target's word,
-// or come from a scheduler that has not heard it.
+// startSending takes the permit to send to the target of the attempt. It is called right before
+// the first byte is written, since the target may have announced a pause or its end after the
+// placement, or without the knowledge of the scheduler.
 func (j *job) startSending() error {
 	if now := j.s.opts.Targets.Targets().Find(j.targetRef.ID); now == nil || !now.AcceptsWork() {
 		return errWithheld
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// pausedTargets returns which targets of a service want nothing from this gateway now. Schedulers are
-// told with each ask: only this gateway knows what it was asked for, and they may change.
+// pausedTargets returns the targets of a service that asked this gateway for a pause. They are
+// sent with each ask, as schedulers do not know them.
 func (s *Service) pausedTargets(service string) notice.PausedTargets {
 	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
 		for _, t := range s.opts.Targets.Targets().ByService(service) {
@@ -48,13 +48,12 @@
 	})
 }
 
-// allPausedError returns the error of a request that only targets at rest could serve: to wait would
-// be in vain, and the caller is told when the first of them may be tried.
+// allPausedError returns the error for a request whose targets are all paused.
 func allPausedError(service string, r notice.PausedTargets) error {
-	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.RetryAfter, shortRetryAfter))
+	return result.New(result.NoTarget, "all %d targets of %s are paused", len(r.Targets), service).WithRetryAfter(max(r.RetryAfter, shortRetryAfter))
 }
 
-// denyList returns the targets that a scheduler is not to choose.
+// denyList returns the targets that a scheduler must not choose.
 func (j *job) denyList(r notice.PausedTargets) []string {
 	if len(r.Targets) == 0 {
 		return j.deny
@@ -62,21 +61,20 @@
 	return slices.Concat(j.deny, r.Targets)
 }
 
-// usableTarget returns the target of a place where it may get the request, or nil.
+// usableTarget returns the target of a placement, or nil if it must not get the request.
 func (j *job) usableTarget(id string) *routing.Target {
 	t := j.s.opts.Targets.Targets().Find(id)
 	if t == nil || !t.AcceptsWork() {
 		return nil
 	}
-	if _, rests := j.s.opts.Notices.Blocked(id); rests {
+	if _, paused := j.s.opts.Notices.Blocked(id); paused {
 		return nil
 	}
 	return t
 }
 
-// denyUnusable denies the target of a place that may not get the request, and all others that
-// take no work, as its scheduler may not have heard of them either: with several targets that
-// leave, one after the other would come back until the request is given up.
+// denyUnusable denies a target and all others that take no work, as the scheduler may not know
+// about them yet and would choose them one after the other.
 func (j *job) denyUnusable(id string) {
 	j.deny = append(j.deny, id)
 	for _, t := range j.s.opts.Targets.Targets().ByService(j.r.Service.Name) {
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -18,19 +18,17 @@
 )
 
 const (
-	// holdShare is the part of the objective that a request may wait for a
-	// target: one refused by then may still be served in time elsewhere.
+	// holdShare is the share of the objective that a request may wait for a target. A request
+	// refused by then can still be served in time elsewhere.
 	holdShare = 0.25
 	holdSlack = 20 * time.Millisecond
-	// firstEventFactor is how many objectives the first event of a stream that may
-	// be repeated can take before another target is tried.
+	// firstEventFactor times the objective is the timeout for the first event of a stream.
 	firstEventFactor = 2
-	// plainLatencyFactor is how many usual times a plain answer may take before
-	// another target is tried.
+	// plainLatencyFactor times the usual latency is the timeout for a plain response.
 	plainLatencyFactor = 4
 )
 
-// enginePlacement is a place that the scheduler of a cell gave.
+// enginePlacement is a placement by the scheduler of a cell.
 type enginePlacement struct {
 	j  *job
 	t  *routing.Target
@@ -40,7 +38,7 @@
 func (j *job) placeEngine() (placement, error) {
 	rests := j.s.pausedTargets(j.r.Service.Name)
 	if rests.All {
-		// Callers of an account that is throttled are told to come back after a second.
+		// Throttled accounts get a longer retry time, so this request must not count.
 		j.disregard()
 		return nil, allPausedError(j.r.Service.Name, rests)
 	}
@@ -62,30 +60,29 @@
 		return nil, result.Wrap(result.Draining, err).WithRetryAfter(shortRetryAfter)
 	}
 	if d.Target == "" {
-		return nil, result.New(result.NotInTime, "refused by %s", d.Scheduler).WithRetryAfter(d.RetryAfter)
+		return nil, result.New(result.NotInTime, "refused by scheduler %s", d.Scheduler).WithRetryAfter(d.RetryAfter)
 	}
 	j.s.countAccepted(j.r.account())
 	j.waited, j.sourceID = d.Waited, d.Source
 	j.s.counters.placementTime.Update(d.Waited.Seconds())
 	t := j.usableTarget(d.Target)
 	if t == nil {
-		// The scheduler knows the list at another revision, or has not heard what the target
-		// says of itself. That says nothing of its health: a new one is known to some gateways
-		// before others.
+		// The scheduler has another revision of the list, or does not know what the target
+		// announced. The target may be healthy.
 		j.s.opts.Mesh.Ended(id, batch.OutcomeUnlisted)
 		j.s.counters.placesReturned.Inc()
 		j.denyUnusable(d.Target)
 		j.history.Unsent++
 		if j.history.Unsent > maxRounds/2 {
-			return nil, result.New(result.NoTarget, "target %s is not known here", d.Target).WithRetryAfter(shortRetryAfter)
+			return nil, result.New(result.NoTarget, "target %s is not usable from this gateway", d.Target).WithRetryAfter(shortRetryAfter)
 		}
 		return j.placeEngine()
 	}
 	return &enginePlacement{j, t, id}, nil
 }
 
-// sourceAddress returns where a target copies from, empty where the source is not
-// listed any more or leaves: its address may be another's by now.
+// sourceAddress returns the address of the target to copy a prefix from. It is empty if that is
+// no longer listed or leaves, as the address may be reused.
 func (s *Service) sourceAddress(id string) string {
 	if id == "" {
 		return ""
@@ -131,7 +128,7 @@
 	}
 }
 
-// plainPlacement is a place that this gateway chose by itself.
+// plainPlacement is a placement by this gateway.
 type plainPlacement struct {
 	j    *job
 	pick *balance.Pick
@@ -146,14 +143,14 @@
 	case pick == nil && rests.All:
 		return nil, allPausedError(j.r.Service.Name, rests)
 	case pick == nil && !slices.ContainsFunc(targets, (*routing.Target).AcceptsWork):
-		return nil, result.New(result.NoTarget, "no target of %s takes work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(noTargetRetryAfter)
+		return nil, result.New(result.NoTarget, "no target of %s accepts work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(noTargetRetryAfter)
 	case pick == nil:
-		return nil, result.New(result.NoTarget, "no target of %s, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(shortRetryAfter)
+		return nil, result.New(result.NoTarget, "no usable target of %s, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(shortRetryAfter)
 	}
 	return &plainPlacement{j, pick}, nil
 }
 
-// plainLimits returns what this gateway may send to the targets of a plain service.
+// plainLimits returns the limits for the targets of a plain service.
 func (s *Service) plainLimits(service *routing.Service) balance.Limits {
 	return balance.Limits{ColdRate: service.ColdRate, ColdShare: cold.IndependentShare(s.opts.Mesh.Known())}
 }
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -14,20 +14,20 @@
 	requests "madderway/services/quarantine"
 )
 
-// targetDeath is what is known of a target whose answer broke off.
+// targetDeath is the result of the check of a target whose response broke off.
 type targetDeath struct {
-	checked bool // looked tells that the target was asked whether it is still there.
+	checked bool // whether the target could be checked
 	died    bool
-	request quarantine.Fingerprint // request is the one under which it ended.
+	request quarantine.Fingerprint // the request under which the target died
 }
 
-// identity returns what makes another try the same request.
+// identity returns the parts that make two tries the same request.
 func (r *Request) identity() quarantine.Identity {
 	return quarantine.Identity{Account: r.account(), Method: r.Method, Host: r.Host, URI: r.URI, Body: r.Body}
 }
 
-// checkQuarantine returns why the request must not be sent to a target, or nil. The account's other
-// requests are not throttled for one that is refused for its past.
+// checkQuarantine returns an error if the request is quarantined. Such a request does not count
+// for the throttle of its account.
 func (j *job) checkQuarantine() error {
 	err := j.try.MayBeSent()
 	if err != nil && scheduled(j.r.Service, &j.r.Call) {
@@ -36,34 +36,32 @@
 	return err
 }
 
-// disregard has the account not throttled for a request that no scheduler was asked for.
+// disregard excludes a request that no scheduler was asked for from the throttle.
 func (j *job) disregard() {
 	j.s.mu.Lock()
 	defer j.s.mu.Unlock()
 	j.s.throttle.Disregard(j.s.opts.Clock.Now(), j.r.account())
 }
 
-// maxPlacementAge is how long a place may be old when the request is sent. A connect takes 400 ms
-// at most, so that after longer this process stood still or its machine was suspended, and
-// the target may have left, been evacuated or begun another life meanwhile.
+// maxPlacementAge is the greatest age of a placement at the time of sending. An older one means
+// that this process stood still; the target may be another incarnation by now.
 const maxPlacementAge = time.Second
 
-// callerCheckAfter is how long after a request was read it is asked, right before it is sent, whether
-// its caller has left. Most are sent within some milliseconds.
+// callerCheckAfter is the age from which a request is checked for a gone caller before it is
+// sent; most are sent earlier.
 const callerCheckAfter = 200 * time.Millisecond
 
-// errStalePlacement tells that a request was not sent since its place may no longer hold.
-var errStalePlacement = errors.New("the place was too old to send to")
+// errStalePlacement reports that a request was not sent since its placement was too old.
+var errStalePlacement = errors.New("the placement expired before the request was sent")
 
-// checkAtSend looks once more when a connection is there: while the request waited for one,
-// another gateway may have seen a target end under it, or this process stood still.
+// checkAtSend repeats the checks once a connection is there: while the request waited, another
+// gateway may have seen a target die under it, or this process may have stood still.
 func (j *job) checkAtSend() error {
 	j.sentAt = j.s.opts.Clock.Now()
 	if j.sentAt.Sub(j.placedAt) > maxPlacementAge {
 		return errStalePlacement
 	}
-	// A process that is short of time learns late that a caller has left: 299 requests in
-	// half a second were sent on for nobody. One that came just now is not asked for.
+	// An overloaded process learns late that a caller is gone.
 	if j.r.CallerGone != nil && j.sentAt.Sub(j.r.Received) > callerCheckAfter && j.r.CallerGone() {
 		j.refusal = context.Canceled
 		return j.refusal
@@ -74,8 +72,8 @@
 	return j.startSending()
 }
 
-// checkTargetDeath finds out whether the target of an attempt that broke off has ended under it,
-// and remembers the request if so.
+// checkTargetDeath checks whether the target of a broken attempt died, and records the request
+// if so.
 func (j *job) checkTargetDeath(t *routing.Target, o attempt.Outcome) targetDeath {
 	if !j.brokeOff || o != attempt.Unknown && o != attempt.Cut {
 		return targetDeath{}
@@ -90,7 +88,7 @@
 	return targetDeath{checked: true, died: true, request: j.try.Request()}
 }
 
-// recordDeath remembers the request under which a target has ended, unless that was to leave.
+// recordDeath records a request under which a target died, unless the target was leaving.
 func (s *Service) recordDeath(past *requests.Try, t *routing.Target, sentAt time.Time) {
 	if now := s.opts.Targets.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
 		past.Accuse(t.ID, sentAt)
--- a/services/forward/second.go
+++ b/services/forward/second.go
@@ -12,46 +12,44 @@
 	"madderway/models/result"
 )
 
-// outcomeCounts counts how the requests of engines ended since the last line.
+// outcomeCounts count the outcomes of requests to engines since the last log line.
 type outcomeCounts struct {
 	mu       sync.Mutex
 	counts   map[string]int
-	refused  map[refusalKey]volume // refused are those that were refused at the entry.
-	admitted map[string]volume     // taken are those of each account that were not.
+	refused  map[refusalKey]volume // refused before the body was read
+	admitted map[string]volume     // not refused before the body was read, by account
 }
 
-// volume is a number of requests and the tokens of their prompts.
+// volume is a number of requests and of prompt tokens.
 type volume struct{ requests, tokens int }
 
 func (v volume) plus(tokens int) volume { return volume{v.requests + 1, v.tokens + tokens} }
 
-// refusalKey is an account and why its requests are refused at the entry.
 type refusalKey struct {
 	account string
 	reason  result.Code
 }
 
-// refusalSummary sum up who was refused at the entry: the account and reason with the most
-// requests, their volume, what was taken of that account, and how many accounts were refused.
+// refusalSummary describes the early refusals of a second by the account and reason with the
+// most requests.
 type refusalSummary struct {
 	refusalKey
-	most     volume
-	admitted volume
-	accounts int
+	most     volume // refused requests of the account for the reason
+	admitted volume // admitted requests of the account
+	accounts int    // number of accounts with refused requests
 }
 
-// Names of the outcomes of a line; failures go by the name of their code.
+// Outcomes in the log line; refusals and failures have the name of their result code.
 const (
 	outcomeInTime  = "in_time"
 	outcomeLate    = "late"
 	outcomeGone    = "gone"
 	outcomeAborted = "aborted"
 	outcomeRefused = "refused_at_entry"
-	// outcomeHandedOver is that of requests which another gateway has served.
+	// Requests that another gateway served.
 	outcomeHandedOver = "handed_over"
 )
 
-// logInterval is how often a line is written.
 const logInterval = time.Second
 
 func (o *outcomeCounts) count(name string) {
@@ -63,8 +61,7 @@
 	o.counts[name]++
 }
 
-// countRefused counts a request that was refused at the entry, and returns how many were
-// since the last line.
+// countRefused counts an early refusal, and returns their number since the last log line.
 func (o *outcomeCounts) countRefused(account string, reason result.Code, tokens int) int {
 	o.count(outcomeRefused)
 	o.mu.Lock()
@@ -77,7 +74,7 @@
 	return o.counts[outcomeRefused]
 }
 
-// countAdmitted counts a request that was not refused at the entry.
+// countAdmitted counts a request that was not refused early.
 func (o *outcomeCounts) countAdmitted(account string, tokens int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,7 +84,7 @@
 	o.admitted[account] = o.admitted[account].plus(tokens)
 }
 
-// reset returns what was counted and begins anew.
+// reset returns the counts and sets them to zero.
 func (o *outcomeCounts) reset() (map[string]int, refusalSummary) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -103,8 +100,7 @@
 	return counts, sum
 }
 
-// LogSeconds writes, each second until stop is closed, how the requests of engines
-// ended at this gateway.
+// LogSeconds logs the outcomes of requests to engines every second until stop is closed.
 func (s *Service) LogSeconds(stop <-chan struct{}) {
 	for {
 		select {
@@ -113,18 +109,18 @@
 		case <-s.opts.Clock.After(logInterval):
 		}
 		counts, refused := s.outcomes.reset()
-		strain := s.opts.Guard.resetStats()
+		guardValues := s.opts.Guard.resetStats()
 		if len(counts) == 0 {
 			continue
 		}
 		open, turnedAway := s.opts.Connections()
-		values := append(strain, "streams", s.InFlight(), "connections", open, "turned_away_total", turnedAway)
+		values := append(guardValues, "streams", s.InFlight(), "connections", open, "turned_away_total", turnedAway)
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
 			values = append(values, name, counts[name])
 		}
 		s.log.Info("Second of a gateway.", values...)
 		if refused.most.requests > 0 {
-			s.log.Info("Refused at the entry.", "account", refused.account, "reason", refused.reason, "requests", refused.most.requests, "tokens", refused.most.tokens,
+			s.log.Info("Early refusals in a second.", "account", refused.account, "reason", refused.reason, "requests", refused.most.requests, "tokens", refused.most.tokens,
 				"taken", refused.admitted.requests, "taken_tokens", refused.admitted.tokens, "accounts", refused.accounts)
 		}
 	}
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -17,47 +17,45 @@
 	requests "madderway/services/quarantine"
 )
 
-// A goroutine was about to send when the machine was suspended. Its target may have left, or
-// begun another life, when it goes on: the place no longer holds, and nothing is sent.
+// Guards against sending to a target that left or restarted while this process stood still.
 func TestStalePlacementIsNotUsed(t *testing.T) {
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
 	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
 	c.Advance(maxPlacementAge)
 	if err := j.checkAtSend(); err != nil {
-		t.Errorf("a place that still holds: %v", err)
+		t.Errorf("fresh placement: got error %v", err)
 	}
 	c.Advance(3 * time.Second)
 	if err := j.checkAtSend(); !errors.Is(err, errStalePlacement) {
-		t.Errorf("a stale place: %v", err)
+		t.Errorf("stale placement: got error %v, want errStalePlacement", err)
 	}
 }
 
-// A request that has waited is not sent where its caller has left meanwhile; one that came just
-// now is sent without asking.
+// Guards against work for gone callers, and against checking callers of fresh requests.
 func TestRequestOfGoneCallerIsNotSent(t *testing.T) {
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
-	left, asked := false, 0
+	gone, checks := false, 0
 	r := &Request{Received: c.Now(), CallerGone: func() bool {
-		asked++
-		return left
+		checks++
+		return gone
 	}}
 	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), targetRef: &routing.Target{ID: "t"}}
-	if err := j.checkAtSend(); err != nil || asked > 0 {
-		t.Errorf("right after it came: %v, asked %d times", err, asked)
+	if err := j.checkAtSend(); err != nil || checks > 0 {
+		t.Errorf("fresh request: got error %v, %d checks of the caller, want none", err, checks)
 	}
 	c.Advance(2 * callerCheckAfter)
-	if err := j.checkAtSend(); err != nil || asked != 1 {
-		t.Errorf("its caller waits: %v, asked %d times", err, asked)
+	if err := j.checkAtSend(); err != nil || checks != 1 {
+		t.Errorf("caller present: got error %v, %d checks of the caller, want 1", err, checks)
 	}
-	left = true
+	gone = true
 	if err := j.checkAtSend(); !errors.Is(err, context.Canceled) {
-		t.Errorf("its caller has left: %v", err)
+		t.Errorf("caller gone: got error %v, want context.Canceled", err)
 	}
 }
 
-// targetList are targets that take work.
+// targetList lists one target, which accepts work.
 type targetList string
 
 // Targets implements Targets.
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -17,10 +17,9 @@
 
 const (
 	streamChunk = 4 << 10
-	// coalesceInterval is how long a gateway that is short of processor time lets the events of
-	// a stream gather before it passes them on. The first one is never held. Each passing
-	// on costs two system calls and a wake-up or two; events come every 25 to 50 ms, and
-	// callers notice pauses from 300 ms on.
+	// coalesceInterval is how long an overloaded gateway collects events before it forwards
+	// them, to save system calls. The first event is never delayed. The interval is well below
+	// the pauses that callers notice.
 	coalesceInterval = 80 * time.Millisecond
 )
 
@@ -29,18 +28,18 @@
 	idField  = []byte("id:")
 )
 
-// forwardStream passes the events of a stream on as they come. On a route whose streams
-// may be resumed only whole events go out, so that another target can go on.
-func (j *job) forwardStream(p placement, a *upstream.Answer, impatient clock.Timer) attempt.Outcome {
+// forwardStream forwards the events of a stream as they come. On resumable routes it forwards
+// only complete events, so that another target can continue the stream.
+func (j *job) forwardStream(p placement, a *upstream.Answer, slowTimer clock.Timer) attempt.Outcome {
 	flusher := http.NewResponseController(j.w)
 	chunk := make([]byte, streamChunk)
-	var held []byte // held are the bytes of an event that is not whole yet.
+	var held []byte // an incomplete event
 	for {
 		n, err := a.Body.Read(chunk)
 		if n > 0 {
 			if j.timing.recordPart(j.s.opts.Clock.Now(), j.r.Received) {
-				if !impatient.Stop() && j.retryReserved.Load() {
-					j.reason = "cut for its slowness"
+				if !slowTimer.Stop() && j.retryReserved.Load() {
+					j.reason = "first part too slow, attempt cut"
 					return j.ended(p, attempt.Cut)
 				}
 				p.began()
@@ -67,8 +66,8 @@
 	}
 }
 
-// coalesce lets further events come where this gateway is short of processor time, or the
-// one that passes them on is.
+// coalesce waits for further events if this gateway is overloaded, or the one that handed the
+// request over is.
 func (j *job) coalesce() {
 	if !j.s.opts.Guard.Overloaded() && j.r.HandedOverBy == "" {
 		return
@@ -91,7 +90,7 @@
 
 func (j *job) endStream(p placement, a *upstream.Answer, flusher *http.ResponseController, held []byte) attempt.Outcome {
 	if len(held) > 0 {
-		j.brokeOff, j.reason = true, "stream ended inside an event"
+		j.brokeOff, j.reason = true, "stream ended within an event"
 		return j.ended(p, attempt.Cut)
 	}
 	if !j.headOut && !j.forwardEvents(a, flusher, nil) {
@@ -102,8 +101,8 @@
 	return 0
 }
 
-// wholeEvents divides bytes into whole events and the rest, and notes the ID of
-// the last whole one.
+// wholeEvents splits bytes into complete events and the rest, and notes the ID of the last
+// complete event.
 func (j *job) wholeEvents(b []byte) (whole, rest []byte) {
 	at := bytes.LastIndex(b, eventEnd)
 	if at < 0 {
@@ -119,14 +118,14 @@
 	return whole, rest
 }
 
-// streamTiming is how the parts of a stream came.
+// streamTiming records when the parts of a stream arrived.
 type streamTiming struct {
-	first time.Duration // first is the time from the request to the first part.
-	pause time.Duration // pause is the longest time between two parts.
+	first time.Duration // from the request to the first part
+	pause time.Duration // the longest time between two parts
 	last  time.Time
 }
 
-// recordPart takes the time of a part and tells whether it is the first one.
+// recordPart records the arrival of a part and reports whether it is the first one.
 func (p *streamTiming) recordPart(now, received time.Time) bool {
 	if p.last.IsZero() {
 		p.first, p.last = now.Sub(received), now
@@ -137,7 +136,7 @@
 	return false
 }
 
-// late tells whether the stream missed its route's objectives.
+// late reports whether the stream missed the objectives of its route.
 func (p *streamTiming) late(r *routing.Route) bool {
 	return p.first > r.Objective || r.Pause > 0 && p.pause > r.Pause
 }
--- a/services/forward/stream_test.go
+++ b/services/forward/stream_test.go
@@ -5,8 +5,8 @@
 
 import "testing"
 
-// Of a stream that may go on at another target only whole events are passed on, and the last of
-// them is where that goes on: half an event would be joined with another run's.
+// Guards against forwarding part of an event, which would be joined with an event of another
+// target.
 func TestResumableStreamForwardsWholeEvents(t *testing.T) {
 	for _, c := range []struct{ bytes, whole, rest, last string }{
 		{"", "", "", "0"},
@@ -20,7 +20,7 @@
 		j := &job{lastEvent: "0"}
 		whole, rest := j.wholeEvents([]byte(c.bytes))
 		if string(whole) != c.whole || string(rest) != c.rest || j.lastEvent != c.last {
-			t.Errorf("%q: %q, %q, goes on after %s", c.bytes, whole, rest, j.lastEvent)
+			t.Errorf("%q: got whole %q, rest %q, last event %s", c.bytes, whole, rest, j.lastEvent)
 		}
 	}
 }
--- a/services/forward/watch_test.go
+++ b/services/forward/watch_test.go
@@ -17,7 +17,7 @@
 	"madderway/services/upstream"
 )
 
-// slowPlacement is a place whose first part is waited for but a moment.
+// slowPlacement is a placement whose first part is always late.
 type slowPlacement struct{}
 
 func (slowPlacement) target() *routing.Target         { return &routing.Target{ID: "t"} }
@@ -27,13 +27,12 @@
 func (slowPlacement) canceled()                       {}
 func (slowPlacement) firstPartTimeout() time.Duration { return time.Nanosecond }
 
-func slowJob(repeat func() bool) *job {
+func slowJob(take func() bool) *job {
 	route := &routing.Route{Repeat: routing.RepeatSafe, MaxAttempts: 2}
-	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, takeFromRetryBudget: repeat}
+	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, takeFromRetryBudget: take}
 }
 
-// An attempt is not cut for its slowness where the retry budget is spent: there
-// would be nothing to put in its place.
+// Guards against cutting an attempt that nothing can replace.
 func TestSlowAttemptContinuesWithoutRetryBudget(t *testing.T) {
 	asked := make(chan struct{})
 	j := slowJob(func() bool {
@@ -45,11 +44,11 @@
 	defer j.cutIfSlow(slowPlacement{}, cancel).Stop()
 	<-asked
 	if ctx.Err() != nil || j.retryReserved.Load() {
-		t.Error("the attempt was cut though the budget is spent")
+		t.Error("attempt cut without a retry left in the budget")
 	}
 }
 
-// The repeat that was taken to cut an attempt is the one that replaces it.
+// Guards against taking two retries from the budget for one attempt that was cut.
 func TestReservedRetryIsTakenOnce(t *testing.T) {
 	taken := 0
 	j := slowJob(func() bool {
@@ -61,15 +60,15 @@
 	defer j.cutIfSlow(slowPlacement{}, cancel).Stop()
 	<-ctx.Done()
 	if !j.takeRetry() {
-		t.Error("the repeat that was taken ahead is gone")
+		t.Error("reserved retry is lost")
 	}
 	if taken != 1 || j.takeRetry() {
-		t.Errorf("%d repeats were taken", taken)
+		t.Errorf("%d retries taken from the budget, want 1", taken)
 	}
 }
 
-// What comes of an attempt that has just been cut for its slowness is not passed
-// on: the answer would break off, though its repeat can give the whole.
+// Guards against forwarding the response of a cut attempt, which would break off although its
+// retry can succeed.
 func TestLateFirstEventOfCutAttemptIsNotForwarded(t *testing.T) {
 	for _, cut := range []bool{true, false} {
 		j := slowJob(func() bool { return true })
@@ -86,7 +85,7 @@
 		a := &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("id: 1\ndata: a\n\n")}
 		outcome := j.forwardStream(slowPlacement{}, a, fired)
 		if written := recorder.Body.Len() > 0; written == cut {
-			t.Errorf("cut %v: %q was passed on", cut, recorder.Body.String())
+			t.Errorf("cut %v: forwarded %q", cut, recorder.Body.String())
 		}
 		if (outcome == attempt.Cut) != cut {
 			t.Errorf("cut %v: outcome %v", cut, outcome)
@@ -94,27 +93,27 @@
 	}
 }
 
-// A stream that has begun is worth waiting for a target that goes on with it; a
-// request that has not run is told at once.
+// Guards against giving up a stream that another target could resume, and against delaying the
+// error of a request that has not run.
 func TestBegunStreamRetriesPlacement(t *testing.T) {
 	route := &routing.Route{Stream: true, Resumable: true, MaxAttempts: 2}
 	for name, c := range map[string]struct {
-		history attempt.History
-		left    time.Duration
-		want    bool
+		history   attempt.History
+		remaining time.Duration
+		want      bool
 	}{
-		"begun":                 {attempt.History{Route: route, Sent: 1, MayHaveRun: true, HeadForwarded: true}, time.Second, true},
-		"sent":                  {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Second, true},
-		"not sent":              {attempt.History{Route: route}, time.Second, false},
-		"time is over":          {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Millisecond, false},
-		"may not be repeated":   {attempt.History{Route: &routing.Route{Stream: true}, Sent: 1, MayHaveRun: true}, time.Second, false},
-		"no further attempt is": {attempt.History{Route: route, Sent: 2, MayHaveRun: true}, time.Second, false},
+		"begun":           {attempt.History{Route: route, Sent: 1, MayHaveRun: true, HeadForwarded: true}, time.Second, true},
+		"sent":            {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Second, true},
+		"not sent":        {attempt.History{Route: route}, time.Second, false},
+		"deadline close":  {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Millisecond, false},
+		"not resumable":   {attempt.History{Route: &routing.Route{Stream: true}, Sent: 1, MayHaveRun: true}, time.Second, false},
+		"no attempt left": {attempt.History{Route: route, Sent: 2, MayHaveRun: true}, time.Second, false},
 	} {
-		if got := shouldRetryPlacement(c.history, c.left, 0); got != c.want {
+		if got := shouldRetryPlacement(c.history, c.remaining, 0); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if shouldRetryPlacement(c.history, c.left, placementRetryTimeout) {
-			t.Errorf("%s: waits without end", name)
+		if shouldRetryPlacement(c.history, c.remaining, placementRetryTimeout) {
+			t.Errorf("%s: retries after the timeout", name)
 		}
 	}
 }
