--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -18,7 +18,7 @@
 	"madderway/services/engine"
 )
 
-// Chat is a caller's request for a completion.
+// Chat is a request for a chat completion.
 type Chat struct {
 	RequestID string
 	Account   *conf.ClientAccount
@@ -26,19 +26,18 @@
 	Class     string
 	MaxTokens int
 	Stream    bool
-	Prefix    string // Prefix names the start of the prompt, for affinity.
-	Body      []byte // Body is sent to the engine as it came, with streaming switched on.
+	Prefix    string // identifies the start of the prompt, for cache affinity
+	Body      []byte // sent to the engine unchanged, with streaming switched on
 }
 
-// Sink takes the events of an answer. An error tells that the caller has gone.
+// Sink receives the events of a response. It returns an error if the caller is gone.
 type Sink interface {
 	// Begin is called before the first event of each attempt.
 	Begin(token string, attempt int) error
-	// Event takes the next event.
+	// Event is called with each event.
 	Event(ev engine.Event) error
 }
 
-// chatPath is where completions are asked for.
 const chatPath = "/v1/chat/completions"
 
 // Chat serves a completion. The returned error is an ErrResult.
@@ -105,7 +104,7 @@
 	return float64(j.request.Bytes/bytesPerToken) * j.pool.PromptWeight
 }
 
-// stream is one completion with all its attempts.
+// stream is the state of a completion over all its attempts.
 type stream struct {
 	s      *Service
 	j      *job
@@ -114,7 +113,7 @@
 	caller context.Context
 
 	attempt    int
-	events     []string // events are the data of the current attempt, kept while the answer may have to be kept.
+	events     []string // data of the current attempt's events, up to the limit of kept responses
 	bytes      int64
 	callerGone bool
 	outputs    int
@@ -122,7 +121,7 @@
 	usage      *usage
 }
 
-// run makes attempts until one is complete.
+// run makes attempts until one succeeds or no retry is permitted.
 func (st *stream) run() error {
 	ran := result.RanNo
 	for {
@@ -147,8 +146,7 @@
 	}
 }
 
-// withHistory corrects an error that says "not run" of the last attempt when an
-// earlier attempt ran or may have run.
+// withHistory corrects an error that says "not run" if an earlier attempt ran or may have run.
 func withHistory(err error, ran result.Ran) error {
 	e := result.Convert(err)
 	if ran == result.RanNo || e.Execution() != result.RanNo {
@@ -159,7 +157,7 @@
 	return &corrected
 }
 
-// try makes one attempt. An empty outcome tells that no retry can help.
+// try makes one attempt. An empty outcome means that a retry is useless.
 func (st *stream) try() (outcome string, status int, err error) {
 	j, s := st.j, st.s
 	waitCtx := st.caller
@@ -193,7 +191,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		fin.Failed = resp.StatusCode >= http.StatusInternalServerError
-		return outcomeFailed, resp.StatusCode, result.New(result.TargetFailed, "target %s answered %d", target.Name, resp.StatusCode)
+		return outcomeFailed, resp.StatusCode, result.New(result.TargetFailed, "target %s responded with status %d", target.Name, resp.StatusCode)
 	}
 	s.notePrefix(target.Name, j.prefix)
 	st.prompt = s.promptCost(j)
@@ -238,7 +236,7 @@
 	return h
 }
 
-// cost is what the attempt has cost so far, in service units.
+// cost returns the cost of the attempt so far, in service units.
 func (st *stream) cost() float64 {
 	pool := st.j.pool
 	if st.usage != nil {
@@ -251,14 +249,14 @@
 	return st.prompt + float64(st.outputs)*pool.OutputWeight
 }
 
-// complete keeps an answer whose caller has gone and learns from its cost.
+// complete updates the cost estimates, and keeps the response if the caller is gone.
 func (st *stream) complete() {
 	st.s.learn(st.j, float64(st.outputs)*st.j.pool.OutputWeight)
 	if !st.callerGone {
 		return
 	}
 	kept := st.s.opts.Answers.Keep(*st.j.account, st.j.requestID, "text/event-stream", st.events)
-	st.s.opts.Trace.Record(st.j.requestID, st.j.account.Name, "keep", "caller gone, answer of %d events kept: %t", len(st.events), kept)
+	st.s.opts.Trace.Record(st.j.requestID, st.j.account.Name, "keep", "caller gone, response of %d events kept: %t", len(st.events), kept)
 }
 
 func (st *stream) token(target *conf.Target, streamID string) string {
--- a/services/dispatch/counters.go
+++ b/services/dispatch/counters.go
@@ -54,5 +54,5 @@
 	c.set.GetOrCreateHistogram(fmt.Sprintf(`madderway_wait_seconds{class=%q}`, class)).Update(d.Seconds())
 }
 
-// WriteMetrics writes the metrics in the text format.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (s *Service) WriteMetrics(w io.Writer) { s.counters.set.WritePrometheus(w) }
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package dispatch carries a caller's request out: it runs the policy, waits
-// for a grant, talks to the target, retries what may be retried and accounts
-// for the cost.
+// Package dispatch serves the requests of callers: it runs the policy, waits for a grant of a
+// target, sends the request, retries where the policy and the retry budget permit it, and
+// accounts for the cost. Completions are streamed and can be resumed; calls of plain services
+// can be protected against repetition by an idempotency key.
 package dispatch
 
 import (
@@ -35,15 +36,15 @@
 const (
 	maxAttempts   = 4
 	bytesPerToken = 4
-	// callerGracePeriod is how long an answer that is not kept goes on after its caller
-	// was cut off, so that the caller may come back.
+	// callerGracePeriod is the time that an attempt continues without its caller if the response
+	// is not kept, so that the caller can resume.
 	callerGracePeriod  = 5 * time.Second
 	prefixTTL          = 5 * time.Minute
 	maxPrefixes        = 256
 	policyWarnInterval = time.Second
 )
 
-// Options are the parts of a Service.
+// Options are the settings and dependencies of a Service.
 type Options struct {
 	RouterID       string
 	Incarnation    uint64
@@ -59,13 +60,13 @@
 	RetryRatio     float64
 	RetryBurst     float64
 	ClaimRetention time.Duration
-	// Quarantine are those under which targets ended.
+	// Quarantine keeps requests under which targets died from being sent again.
 	Quarantine *quarantine.Service
-	// Notices are what targets have said of themselves.
+	// Notices holds what targets announced in their responses: that they leave, or a pause.
 	Notices *notice.Service
 }
 
-// Service carries requests out.
+// Service serves requests.
 type Service struct {
 	t            *tomb.Tomb
 	log          log.Logger
@@ -76,11 +77,11 @@
 	mu             sync.Mutex
 	budgets        *budget.Set
 	estimates      estimates
-	prefixes       map[string]*place.PrefixMap // by target, from what this router sent itself
+	prefixes       map[string]*place.PrefixMap // prefixes sent by this router, by target
 	lastPolicyWarn time.Time
 }
 
-// New returns a service whose detached work ends with the tomb.
+// New returns a service whose background work ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	return &Service{
 		t: t, log: logger, opts: o, counters: newCounters(), exitDetector: netopt.NewExitDetector(),
@@ -90,7 +91,7 @@
 	}
 }
 
-// job is a request on its way through the router.
+// job is the state of a request.
 type job struct {
 	requestID string
 	account   *conf.ClientAccount
@@ -100,27 +101,27 @@
 	request   policy.Request
 	order     policy.Order
 	prefix    string
-	cost      float64 // cost is the estimate, in service units.
+	cost      float64 // estimate in service units
 	deadline  time.Time
 	deny      []string
 	prefer    map[string]float64
-	// budgetSpent tells that a retry was allowed but for the budget.
+	// the policy permitted a retry, but the budget did not
 	budgetSpent bool
 	uri         string
-	try         quarantine.Try // past is what earlier tries of the request have done.
-	permit      notice.Permit  // permit is that to send to the target of the attempt.
-	sentAt      time.Time      // sentAt is when the last attempt began.
+	try         quarantine.Try // current try of the request in the quarantine
+	permit      notice.Permit  // to send to the target of the attempt
+	sentAt      time.Time      // start of the last attempt
 }
 
-// Admit tells whether requests may be admitted now.
+// Admit returns an error if requests cannot be admitted now.
 func (s *Service) Admit() error {
 	if s.opts.Config.Snapshot() == nil || !s.opts.Config.Admits() {
-		return result.New(result.NotReady, "no configuration is known to be in force").WithRetryAfter(time.Second)
+		return result.New(result.NotReady, "the configuration is missing or may be outdated").WithRetryAfter(time.Second)
 	}
 	return nil
 }
 
-// prepare runs the policy's order and place for a request.
+// prepare runs the order and place functions of the policy for a request.
 func (s *Service) prepare(j *job) {
 	now := s.opts.Clock.Now()
 	j.deadline = now.Add(time.Duration(j.pool.TimeoutMS) * time.Millisecond)
@@ -134,8 +135,8 @@
 		order.Class, order.Rank, order.Interactive, j.pool.Name, j.cost, j.snapshot.Index.Version)
 }
 
-// place asks the policy where the request may go, and adds a hint for targets
-// that were sent the same prompt prefix lately.
+// place asks the policy which targets may get the request, and prefers targets that recently got
+// the same prompt prefix.
 func (s *Service) place(j *job) {
 	j.prefer = map[string]float64{}
 	now := s.opts.Clock.Now()
@@ -179,8 +180,7 @@
 	m.Note(s.opts.Clock.Now(), prefix)
 }
 
-// policyFailed counts and logs a policy that failed; the safe default is in
-// its place already.
+// policyFailed counts and logs a failure of a policy, whose safe default is used.
 func (s *Service) policyFailed(j *job, function string, err error) {
 	if err == nil {
 		return
@@ -195,7 +195,7 @@
 	}
 }
 
-// submit queues the request and waits for a target that may get it.
+// submit queues the request and waits for a target that is not paused.
 func (s *Service) submit(ctx context.Context, j *job) (admit.RequestID, *conf.Target, error) {
 	for range maxPausedGrants {
 		id, target, err := s.submitOnce(ctx, j)
@@ -204,7 +204,7 @@
 		}
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 	}
-	return 0, nil, result.New(result.NoTarget, "%d targets in a row want rest", maxPausedGrants).WithRetryAfter(time.Second)
+	return 0, nil, result.New(result.NoTarget, "%d granted targets in a row were paused", maxPausedGrants).WithRetryAfter(time.Second)
 }
 
 // submitOnce queues the request and waits for a target.
@@ -213,13 +213,13 @@
 	if err := s.checkQuarantine(j); err != nil {
 		return id, nil, err
 	}
-	rests := s.pausedTargets(j)
-	if rests.All {
-		return id, nil, s.allPausedError(j, rests)
+	paused := s.pausedTargets(j)
+	if paused.All {
+		return id, nil, s.allPausedError(j, paused)
 	}
 	d, err := s.opts.Loop.Submit(ctx, admit.Request{
 		ID: id, Account: j.account.Name, Pool: j.pool.Name, Rank: j.order.Rank, Interactive: j.order.Interactive,
-		Cost: j.cost, Bytes: int64(j.request.Bytes), Deadline: j.deadline, Deny: j.denyList(rests), Prefer: j.prefer, Prefix: j.prefix,
+		Cost: j.cost, Bytes: int64(j.request.Bytes), Deadline: j.deadline, Deny: j.denyList(paused), Prefer: j.prefer, Prefix: j.prefix,
 		Weight: j.account.Weight, MaxQueued: j.account.MaxQueued, MaxBytes: j.account.MaxQueuedBytes,
 	})
 	if err != nil {
@@ -235,16 +235,16 @@
 		d.Target, d.Scheduler, d.Grant, d.Waited.Round(time.Microsecond))
 	target, ok := j.snapshot.Index.Target(d.Target)
 	if !ok {
-		// The grant came under a later configuration than the request.
+		// The grant may be of a later configuration than the request.
 		if now := s.opts.Config.Snapshot(); now != nil {
 			target, ok = now.Index.Target(d.Target)
 		}
 	}
 	if !ok {
 		s.opts.Loop.Finish(admit.Finished{ID: id})
-		return id, nil, result.New(result.NoTarget, "target %s has left", d.Target).WithRetryAfter(time.Second)
+		return id, nil, result.New(result.NoTarget, "target %s is no longer listed", d.Target).WithRetryAfter(time.Second)
 	}
-	if err := s.checkQuarantine(j); err != nil { // another router may have seen a target end meanwhile
+	if err := s.checkQuarantine(j); err != nil { // another router may have seen a target die meanwhile
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 		return id, nil, err
 	}
@@ -252,8 +252,7 @@
 	return id, target, nil
 }
 
-// mayRetry decides whether another attempt may follow. Number counts the
-// attempts made.
+// mayRetry reports whether another attempt may follow; number is the number of attempts made.
 func (s *Service) mayRetry(j *job, number int, outcome string, status int) bool {
 	if number >= maxAttempts || !s.opts.Clock.Now().Before(j.deadline) {
 		return false
@@ -275,7 +274,7 @@
 	return allowed
 }
 
-// finalError returns the error of a request that gets no further attempt.
+// finalError returns the error for a request without a further attempt.
 func (j *job) finalError(err error) error {
 	if !j.budgetSpent || result.Convert(err).Execution() != result.RanNo {
 		return err
@@ -296,14 +295,14 @@
 	s.budgets.Attempt(j.account.Name, j.pool.Name)
 }
 
-// The outcomes that policies are asked about.
+// Outcomes passed to policies.
 const (
 	outcomeNotRun  = "not_run"
 	outcomeFailed  = "failed"
 	outcomeUnknown = "unknown"
 )
 
-// detached returns a context that ends with the router, not with the caller.
+// detached returns a context that outlives the caller and ends with the deadline or the router.
 func (s *Service) detached(j *job) (context.Context, context.CancelFunc) {
 	return clock.WithDeadline(s.t.Context(context.Background()), s.opts.Clock, j.deadline)
 }
--- a/services/dispatch/estimate.go
+++ b/services/dispatch/estimate.go
@@ -4,20 +4,18 @@
 package dispatch
 
 const (
-	estimateWeight = 0.2 // weight of the newest sample
+	estimateWeight = 0.2 // weight of the newest sample in the moving average
 	maxEstimates   = 65536
-	// maxFirstEstimate bounds the estimate while nothing of the class has ended yet.
+	// maxFirstEstimate limits the estimate while no request of the class has finished.
 	maxFirstEstimate = 256
 )
 
 type estimateKey struct{ account, pool, class string }
 
-// estimates are the average costs by account, pool and class, in service
-// units. They are a guess: fairness holds whatever they say.
+// estimates are the average costs in service units. Fairness does not depend on their accuracy.
 type estimates map[estimateKey]float64
 
-// estimate returns the average of the account, else that of all accounts of the
-// class, else the fallback.
+// estimate returns the average of the account, or that of all accounts, or the fallback.
 func (e estimates) estimate(key estimateKey, fallback float64) float64 {
 	if v, ok := e[key]; ok {
 		return v
--- a/services/dispatch/history_test.go
+++ b/services/dispatch/history_test.go
@@ -9,8 +9,7 @@
 	"madderway/models/result"
 )
 
-// A router that stopped said "draining, not run" of requests whose first
-// attempt had run already.
+// Guards against the error "draining, not run" for a request whose first attempt has run.
 func TestLaterRefusalKeepsEarlierExecution(t *testing.T) {
 	refusal := result.New(result.Draining, "stopping")
 	for _, c := range []struct{ before, want result.Ran }{
@@ -23,10 +22,10 @@
 		}
 	}
 	if refusal.Execution() != result.RanNo {
-		t.Error("the original error was changed")
+		t.Error("withHistory changed the original error")
 	}
 	unknown := result.New(result.OutcomeUnknown, "cut")
 	if got := result.Convert(withHistory(unknown, result.RanNo)).Execution(); got != result.RanUnknown {
-		t.Errorf("unknown became %q", got)
+		t.Errorf("unknown outcome: got %q, want RanUnknown", got)
 	}
 }
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// maxInlineBody is the size of the largest answer that is kept in the row.
+	// maxInlineBody is the size in bytes of the largest response kept in the row of the claim.
 	maxInlineBody = 16 << 10
 	attemptIDTag  = "att"
 )
 
-// once serves a call that must not be repeated: it is sent only under a claim.
+// once serves a call that must not be repeated. It is sent only under a claim.
 func (s *Service) once(ctx context.Context, j *job, c Plain) (PlainAnswer, error) {
 	row := core.Row{
 		Attempt: ident.New(attemptIDTag), Digest: digestOf(c), Router: s.opts.RouterID,
@@ -53,8 +53,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// record writes the outcome into the claim's row; a large answer goes to the
-// object store first.
+// record writes the outcome into the row of the claim. A large response is written to the object
+// store first.
 func (s *Service) record(row core.Row, a PlainAnswer, err error, held *claim.Held) {
 	if err != nil {
 		row.State = core.StateUnknown
@@ -72,7 +72,7 @@
 		defer cancel()
 		name, err := s.opts.Answers.PutBody(ctx, row.Attempt, a.Body)
 		if err != nil {
-			s.log.Warn("Could not keep a large answer.", "request", row.RequestID, "reason", err)
+			s.log.Warn("Could not store a large response.", "request", row.RequestID, "reason", err)
 		}
 		row.Object = name
 		held.Record(row)
@@ -80,7 +80,7 @@
 	})
 }
 
-// replay answers a call whose claim another attempt holds or held.
+// replay answers a call whose claim belongs to another attempt.
 func (s *Service) replay(ctx context.Context, o claim.Outcome) (PlainAnswer, error) {
 	switch o.Verdict {
 	case core.VerdictRecorded:
@@ -88,7 +88,7 @@
 	case core.VerdictKeyReused:
 		return PlainAnswer{}, result.New(result.KeyReused, "the key belongs to request %s", o.Row.RequestID)
 	case core.VerdictInProgress:
-		return PlainAnswer{}, result.New(result.ClaimInProgress, "request %s at router %s has not ended", o.Row.RequestID, o.Row.Router).WithRetryAfter(time.Second)
+		return PlainAnswer{}, result.New(result.ClaimInProgress, "request %s at router %s is in progress", o.Row.RequestID, o.Row.Router).WithRetryAfter(time.Second)
 	case core.VerdictUnknown:
 		return PlainAnswer{}, result.New(result.OutcomeUnknown, "request %s may have run and will not be repeated", o.Row.RequestID)
 	default:
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -20,13 +20,13 @@
 
 const maxPlainResponse = 16 << 20
 
-// Plain is a caller's call of a plain service.
+// Plain is a call of a plain service.
 type Plain struct {
 	RequestID      string
 	Account        *conf.ClientAccount
 	Pool           string
 	Method         string
-	Path           string // Path begins with a slash and is sent to the target.
+	Path           string // sent to the target, with a leading slash
 	Query          string
 	Header         http.Header
 	Body           []byte
@@ -34,12 +34,12 @@
 	IdempotencyKey string
 }
 
-// PlainAnswer is the answer of a plain service.
+// PlainAnswer is the response of a plain service.
 type PlainAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	Replayed    bool // Replayed tells that the answer was recorded by an earlier call.
+	Replayed    bool // recorded by an earlier call
 }
 
 // Plain serves a call of a plain service. The returned error is an ErrResult.
@@ -84,8 +84,8 @@
 	return j, nil
 }
 
-// plainAttempts makes attempts until one has an answer. once forbids another
-// attempt after any that may have run.
+// plainAttempts makes attempts until one gets a response. If once is true, it makes no further
+// attempt after one that may have run.
 func (s *Service) plainAttempts(ctx context.Context, j *job, c Plain, once bool) (PlainAnswer, error) {
 	ran := result.RanNo
 	for number := 1; ; number++ {
@@ -115,7 +115,7 @@
 	}
 }
 
-// tryPlain makes one attempt. An empty outcome tells that no retry can help.
+// tryPlain makes one attempt. An empty outcome means that a retry is useless.
 func (s *Service) tryPlain(ctx context.Context, j *job, c Plain, once bool) (a PlainAnswer, outcome string, status int, err error) {
 	id, target, err := s.submit(ctx, j)
 	if err != nil {
@@ -137,7 +137,7 @@
 	}()
 	a, err = s.sendPlain(ctx, j, c, target, once)
 	if err == nil {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "attempt", "%s answered %d", target.Name, a.Status)
+		s.opts.Trace.Record(j.requestID, j.account.Name, "attempt", "%s responded with status %d", target.Name, a.Status)
 		return a, "", a.Status, nil
 	}
 	s.opts.Trace.Record(j.requestID, j.account.Name, "attempt", "%s: %v", target.Name, err)
@@ -153,8 +153,8 @@
 }
 
 func (s *Service) sendPlain(ctx context.Context, j *job, c Plain, target *conf.Target, once bool) (PlainAnswer, error) {
-	// A call that must not be repeated goes on when its caller leaves, so that
-	// its outcome can be recorded.
+	// A call that must not be repeated continues without its caller, so that its outcome can be
+	// recorded.
 	base := ctx
 	if once {
 		base = s.t.Context(context.Background())
@@ -181,7 +181,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainResponse+1))
 	if err == nil && len(body) > maxPlainResponse {
-		err = errors.New("the answer is too large")
+		err = errors.New("the response is too large")
 	}
 	if err != nil {
 		return PlainAnswer{}, engine.ErrAttempt{Target: target.Name, Ran: true, Cause: err}
--- a/services/dispatch/pump.go
+++ b/services/dispatch/pump.go
@@ -21,14 +21,14 @@
 	resumeDelay = 50 * time.Millisecond
 )
 
-// usage is what an engine says at the end of a stream.
+// usage is the token usage in the last events of an engine's stream.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// pump moves the events of one attempt from the target to the caller.
+// pump forwards the events of one attempt from the target to the caller.
 type pump struct {
 	st       *stream
 	id       admit.RequestID
@@ -44,8 +44,8 @@
 	lastAt     time.Time
 }
 
-// run reads until the last event. A broken connection is resumed from the
-// last offset, at the same target.
+// run reads until the last event. A broken connection is resumed at the same target after the
+// last event.
 func (p *pump) run(resp *http.Response) error {
 	st := p.st
 	if !st.callerGone && st.sink.Begin(st.token(p.target, p.streamID), st.attempt) != nil {
@@ -88,7 +88,8 @@
 	}
 }
 
-// stopAfterGrace ends an answer that is not kept some time after its caller went.
+// stopAfterGrace cancels the attempt a while after the caller has gone, unless the response is
+// kept.
 func (p *pump) stopAfterGrace() {
 	if p.st.j.order.Keep {
 		return
@@ -130,8 +131,8 @@
 	}
 }
 
-// handle accounts for an event and passes it on. Events are remembered as long
-// as the answer may have to be kept.
+// handle accounts for an event and forwards it. It stores the data up to the limit of kept
+// responses.
 func (p *pump) handle(ev engine.Event) {
 	st := p.st
 	st.s.counters.tokens.Inc()
@@ -160,7 +161,7 @@
 		return
 	}
 	st.outputs++
-	// The core charges ahead in growing steps, so it need not hear of each.
+	// The core charges ahead in growing steps, so not every token needs a report.
 	if st.outputs%8 == 0 {
 		st.s.opts.Loop.Progress(p.id, st.cost())
 	}
@@ -175,7 +176,7 @@
 	}
 }
 
-// tokenGap is the average time between two tokens.
+// tokenGap returns the average time between two tokens.
 func (p *pump) tokenGap() time.Duration {
 	if p.st.outputs < 2 {
 		return 0
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -12,14 +12,14 @@
 	"madderway/services/quarantine"
 )
 
-// beginTry begins a try of a request; the job's try must be ended.
+// beginTry starts a try of the request in the quarantine; the try must be ended.
 func (s *Service) beginTry(j *job, body []byte) {
 	j.try = s.opts.Quarantine.Try(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
 	})
 }
 
-// checkQuarantine returns why the request must not be sent to a target, or nil.
+// checkQuarantine returns an error if the request is quarantined.
 func (s *Service) checkQuarantine(j *job) error {
 	err := j.try.MayBeSent()
 	if err != nil {
@@ -29,8 +29,8 @@
 	return err
 }
 
-// checkTargetDeath finds out whether the target of an attempt that broke off has ended under it, and
-// remembers the request if so. One that was to leave accuses nobody.
+// checkTargetDeath checks whether the target of a broken attempt died, and records the request if
+// so. A leaving target may exit on purpose.
 func (s *Service) checkTargetDeath(ctx context.Context, j *job, t *conf.Target) {
 	if t.Leaving {
 		return
@@ -39,7 +39,7 @@
 	ask := func(ctx context.Context) (ended, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
 	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
 	if ended {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.try.Request())
+		s.opts.Trace.Record(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
 		j.try.Accuse(t.Name, sentAt)
 	}
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -13,11 +13,11 @@
 	"madderway/services/notice"
 )
 
-// maxPausedGrants bounds how often a granted target is given back since it wants rest. Each grant
-// names those that were known; another one has asked for it meanwhile.
+// maxPausedGrants is the number of grants of a request that may be given back since the target
+// asked for a pause after the request was queued.
 const maxPausedGrants = 4
 
-// pausedTargets returns which targets of the job's pool want nothing from this router now.
+// pausedTargets returns the targets of the job's pool that asked this router for a pause.
 func (s *Service) pausedTargets(j *job) notice.PausedTargets {
 	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
 		for _, t := range j.snapshot.Index.TargetsOf(j.pool.Name) {
@@ -28,16 +28,15 @@
 	})
 }
 
-// allPausedError returns the error of a call that only targets at rest could serve, with the time at
-// which the first of them may be tried.
+// allPausedError returns the error for a call whose targets are all paused.
 func (s *Service) allPausedError(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
-	s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
-	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
+	s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "all %d targets are paused, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
+	return result.New(result.NoTarget, "all %d targets of pool %s are paused", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
 }
 
-// startSending takes the permit to send to a target that was granted, and reports false where
-// that wants rest.
+// startSending takes the permit to send to a granted target. It returns false if the target is
+// paused or leaving.
 func (s *Service) startSending(j *job, t *conf.Target) bool {
 	permit, err := s.opts.Notices.Start(t.Name)
 	if err != nil {
@@ -49,7 +48,7 @@
 	return true
 }
 
-// denyList returns the targets that may not be granted.
+// denyList returns the targets that must not be granted.
 func (j *job) denyList(r notice.PausedTargets) []string {
 	if len(r.Targets) == 0 {
 		return j.deny
@@ -57,7 +56,7 @@
 	return slices.Concat(j.deny, r.Targets)
 }
 
-// accepted tells whether a target took a call, as far as its answer tells.
+// accepted reports whether a target accepted a call, as far as the error tells.
 func accepted(err error) bool {
 	a, failed := engine.AsAttempt(err)
 	return !failed || a.Ran
--- a/services/dispatch/resume.go
+++ b/services/dispatch/resume.go
@@ -14,17 +14,16 @@
 	"madderway/services/platform"
 )
 
-// Resume is a caller's wish for the rest of an answer.
+// Resume is a request for the rest of a response.
 type Resume struct {
 	RequestID string
 	Account   *conf.ClientAccount
-	Token     string // Token came with the first bytes; empty where it was lost.
-	Offset    int    // Offset is the ID of the last event that the caller has.
+	Token     string // from the beginning of the response; empty if it was lost
+	Offset    int    // ID of the last event that the caller has
 }
 
-// Resume sends the rest of an answer: from the engine's stream by the token,
-// else from the object store. Only the account that asked for the answer gets
-// it.
+// Resume sends the rest of a response: by the token from the engine's stream, or else from the
+// object store. Only the account of the original request gets it.
 func (s *Service) Resume(ctx context.Context, r Resume, sink Sink) error {
 	if err := s.Admit(); err != nil {
 		return err
@@ -41,8 +40,8 @@
 	return s.resumeKept(ctx, r, sink)
 }
 
-// resumeStream continues an engine's stream. done is false where the engine
-// does not have it and nothing was sent yet.
+// resumeStream continues an engine's stream. done is false if the engine does not have it and
+// nothing was sent yet.
 func (s *Service) resumeStream(ctx context.Context, r Resume, token answer.Token, sink Sink) (done bool, err error) {
 	address := token.Address
 	if t, ok := s.opts.Config.Snapshot().Index.Target(token.Target); ok {
@@ -101,7 +100,7 @@
 func (s *Service) resumeKept(ctx context.Context, r Resume, sink Sink) error {
 	kept, err := s.opts.Answers.Fetch(ctx, r.Account.Name, r.RequestID)
 	if platform.IsErrObjectNotExist(err) {
-		absent := result.New(result.NotFound, "no answer %s is kept for this account; it may not be complete yet", r.RequestID).WithRetryAfter(time.Second)
+		absent := result.New(result.NotFound, "no response %s is kept for this account; it may not be complete yet", r.RequestID).WithRetryAfter(time.Second)
 		absent.Ran = result.RanUnknown
 		return absent
 	}
--- a/services/forward/guard.go
+++ b/services/forward/guard.go
@@ -42,9 +42,9 @@
 	handOverDelay time.Duration // the longest delay of requests before they were handed over
 }
 
-func (l *latenessStats) add(lateness, queued time.Duration) {
+func (l *latenessStats) add(lateness, delay time.Duration) {
 	l.samples++
-	l.handOverDelay = max(l.handOverDelay, queued)
+	l.handOverDelay = max(l.handOverDelay, delay)
 	l.sum += lateness
 	l.worst = max(l.worst, lateness)
 }
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -72,8 +72,8 @@
 	done()
 	// canceled reports that the caller is gone.
 	canceled()
-	// firstPartTimeout is how long the first part of the answer may take before another
-	// target is tried, 0 for as long as there is time.
+	// firstPartTimeout returns the time after which another target is tried if the response
+	// has not begun, 0 for no limit but the deadline.
 	firstPartTimeout() time.Duration
 }
 
@@ -102,9 +102,9 @@
 		if j.ctx.Err() == context.Canceled {
 			return j.ctx.Err()
 		}
-		end := j.checkTargetDeath(p.target(), outcome)
+		death := j.checkTargetDeath(p.target(), outcome)
 		next := attempt.Decide(outcome, j.history, j.takeRetry)
-		j.s.logFailedAttempt(j, outcome, next, end)
+		j.s.logFailedAttempt(j, outcome, next, death)
 		switch next {
 		case attempt.Again, attempt.Resume:
 			j.deny = append(j.deny, j.targetID)
--- a/services/notice/counters.go
+++ b/services/notice/counters.go
@@ -10,27 +10,26 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// counters are the figures of what targets have said, and of what was not sent for it.
+// counters are the metrics of announcements by targets, and of requests withheld because of them.
 type counters struct {
 	set                                *metrics.Set
 	leaving, pauses, invalid, withheld *metrics.Counter
 }
 
-func newCounters(figures string) counters {
+func newCounters(prefix string) counters {
 	set := metrics.NewSet()
 	return counters{
-		set: set, leaving: set.NewCounter(figures + "_targets_leaving_told_total"),
-		pauses:   set.NewCounter(figures + "_rests_asked_total"),
-		invalid:  set.NewCounter(figures + "_rests_unread_total"),
-		withheld: set.NewCounter(figures + "_sends_withheld_total"),
+		set: set, leaving: set.NewCounter(prefix + "_targets_leaving_told_total"),
+		pauses:   set.NewCounter(prefix + "_rests_asked_total"),
+		invalid:  set.NewCounter(prefix + "_rests_unread_total"),
+		withheld: set.NewCounter(prefix + "_sends_withheld_total"),
 	}
 }
 
-// WriteMetrics writes the figures in text form.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (s *Service) WriteMetrics(w io.Writer) { s.counters.set.WritePrometheus(w) }
 
-// logBurst and logInterval bound the lines about single answers: an engine that turns all away
-// would fill the log's budget with them. The counters have all.
+// The rate limit of log lines about single responses; the counters count all of them.
 const (
 	logBurst    = 5
 	logInterval = time.Second
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package notice hears what targets say of themselves in their answers: that they leave, and
-// that they want rest. It holds for the whole process what core/leaving and core/pushback decide.
+// Package notice tracks what targets announce in their responses: that they leave, or that they
+// need a pause. A Service combines the sets of core/leaving and core/pushback for the whole
+// process and is safe for concurrent use.
 package notice
 
 import (
@@ -21,31 +22,31 @@
 	"madderway/services/upstream"
 )
 
-// The reasons why nothing is sent to a target.
+// Reasons why a request must not be sent to a target.
 var (
-	ErrLeaving = errors.New("the target leaves")
-	ErrPaused  = errors.New("the target wants rest")
+	ErrLeaving = errors.New("the target is leaving")
+	ErrPaused  = errors.New("the target is paused")
 )
 
-// Options are the parts of a Service.
+// Options are the settings and dependencies of a Service.
 type Options struct {
 	Clock clock.Clock
-	// MetricsPrefix is what the names of the figures begin with.
+	// MetricsPrefix is the prefix of the metric names.
 	MetricsPrefix string
-	// OnLeaving is called when this process learns from an answer that a target leaves. What
-	// it makes of that holds before the answer is used.
+	// OnLeaving is called when a response announces that a target leaves. Its effects are in
+	// place before the response is used.
 	OnLeaving func()
 }
 
-// Service holds what targets have said.
+// Service holds the announcements of all targets.
 type Service struct {
 	log  log.Logger
 	opts Options
 
-	// entries counts what is entries: while it is 0, as it mostly is, nothing is locked.
+	// number of targets that leave, pause or start slowly; nothing is locked while it is 0
 	entries atomic.Int64
 
-	mu         sync.Mutex // mu guards the machines below.
+	mu         sync.Mutex // guards leaving, pauses and lastExpiry
 	leaving    *leaving.Set
 	pauses     *pushback.Table
 	lastExpiry time.Time
@@ -54,17 +55,16 @@
 	logLimiter *log.RateLimiter
 }
 
-// New returns a service that has heard nothing.
+// New returns a service without announcements.
 func New(logger log.Logger, o Options) *Service {
 	return &Service{
 		log: logger, opts: o, leaving: leaving.New(), pauses: pushback.New(), counters: newCounters(o.MetricsPrefix), logLimiter: log.NewRateLimiter(logInterval, logBurst),
 	}
 }
 
-// expireInterval is how often what is over is looked for.
 const expireInterval = time.Second
 
-// update runs a step of the machines.
+// update calls step with the lock held, and expires old entries once in a while.
 func (s *Service) update(step func(now time.Time)) {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
@@ -86,7 +86,7 @@
 	s.PauseTarget(t.ID, t.Service, v.Rest)
 }
 
-// PauseTarget takes what a target of a service says of the rest that it wants.
+// PauseTarget handles the pause that a target of a service asked for.
 func (s *Service) PauseTarget(target, service string, r retryafter.Result) {
 	if r.Delay > 0 {
 		s.addPause(target, service, r.Delay)
@@ -97,46 +97,46 @@
 }
 
 func (s *Service) addLeaving(t *routing.Target) {
-	news := false
-	s.update(func(now time.Time) { news = s.leaving.Add(now, t.ID) })
-	if !news {
+	added := false
+	s.update(func(now time.Time) { added = s.leaving.Add(now, t.ID) })
+	if !added {
 		return
 	}
 	s.counters.leaving.Inc()
-	s.log.Info("Target says that it leaves.", "target", t.ID, "service", t.Service, "listed_leaving", t.Leaving)
+	s.log.Info("Target is leaving.", "target", t.ID, "service", t.Service, "listed_leaving", t.Leaving)
 	if s.opts.OnLeaving != nil {
 		s.opts.OnLeaving()
 	}
 }
 
 func (s *Service) addPause(target, service string, d time.Duration) {
-	var before, left time.Duration
+	var before, remaining time.Duration
 	now := s.opts.Clock.Now()
 	s.update(func(now time.Time) {
 		before = s.pauses.Remaining(now, target)
-		left = s.pauses.Pause(now, target, d).Sub(now)
+		remaining = s.pauses.Pause(now, target, d).Sub(now)
 	})
 	s.counters.pauses.Inc()
-	if tell, hidden := s.logLimiter.Allow(now); tell {
-		s.log.Info("Target wants rest.", "target", target, "service", service, "for", d, "left", left, "left_before", before, "not told of", hidden)
+	if allowed, suppressed := s.logLimiter.Allow(now); allowed {
+		s.log.Info("Target asked for a pause.", "target", target, "service", service, "pause", d, "remaining", remaining, "remaining_before", before, "suppressed", suppressed)
 	}
 }
 
 func (s *Service) countInvalid(target, service string, values int) {
 	s.counters.invalid.Add(values)
-	if tell, hidden := s.logLimiter.Allow(s.opts.Clock.Now()); tell {
-		s.log.Warn("Time to rest not understood.", "target", target, "service", service, "values", values, "not told of", hidden)
+	if allowed, suppressed := s.logLimiter.Allow(s.opts.Clock.Now()); allowed {
+		s.log.Warn("Pause of a target not understood.", "target", target, "service", service, "values", values, "suppressed", suppressed)
 	}
 }
 
-// Permit allows to send one request to a target. The zero Permit counts nothing.
+// Permit permits one request to a target. The zero Permit needs no End.
 type Permit struct {
 	s      *Service
 	target string
 }
 
-// Start asks right before a request is written whether its target may get it. The permit must be
-// ended.
+// Start returns a permit if the target may get a request now. Call it right before the request
+// is written, and end the permit.
 func (s *Service) Start(target string) (Permit, error) {
 	if s.entries.Load() == 0 {
 		return Permit{}, nil
@@ -163,31 +163,31 @@
 	return Permit{s, target}, nil
 }
 
-// End tells that the answer has begun, and whether the target took the request, or that none
-// will come.
-func (p Permit) End(taken bool) {
+// End reports that the response began or the request failed, and whether the target accepted
+// the request.
+func (p Permit) End(accepted bool) {
 	if p.s != nil {
-		p.s.update(func(time.Time) { p.s.pauses.Done(p.target, taken) })
+		p.s.update(func(time.Time) { p.s.pauses.Done(p.target, accepted) })
 	}
 }
 
-// Blocked tells whether a target wants nothing from this process now, and for how long.
-func (s *Service) Blocked(target string) (left time.Duration, closed bool) {
+// Blocked reports whether a target must not get a request now, and when to retry.
+func (s *Service) Blocked(target string) (retryAfter time.Duration, blocked bool) {
 	if s.entries.Load() == 0 {
 		return 0, false
 	}
-	s.update(func(now time.Time) { left, closed = s.pauses.Blocked(now, target) })
-	return left, closed
+	s.update(func(now time.Time) { retryAfter, blocked = s.pauses.Blocked(now, target) })
+	return retryAfter, blocked
 }
 
-// PausedTargets are those of some targets that want nothing from this process now.
+// PausedTargets are those of a list of targets that must not get requests now.
 type PausedTargets struct {
 	Targets    []string
-	All        bool          // All tells that there is no other one.
-	RetryAfter time.Duration // First is when the first of them may be tried again.
+	All        bool          // no target of the list is usable
+	RetryAfter time.Duration // time until the first of them may be tried again
 }
 
-// PausedAmong returns which of some targets want nothing now.
+// PausedAmong returns the targets of a list that must not get requests now.
 func (s *Service) PausedAmong(targets iter.Seq[string]) PausedTargets {
 	if s.entries.Load() == 0 {
 		return PausedTargets{}
@@ -196,26 +196,26 @@
 }
 
 func (s *Service) pausedAmong(targets iter.Seq[string]) PausedTargets {
-	var r PausedTargets
+	var p PausedTargets
 	others := 0
 	s.update(func(now time.Time) {
 		if s.pauses.Len() == 0 {
 			return
 		}
 		for target := range targets {
-			left, closed := s.pauses.Blocked(now, target)
-			if !closed {
+			retryAfter, blocked := s.pauses.Blocked(now, target)
+			if !blocked {
 				others++
 				continue
 			}
-			if len(r.Targets) == 0 || left < r.RetryAfter {
-				r.RetryAfter = left
+			if len(p.Targets) == 0 || retryAfter < p.RetryAfter {
+				p.RetryAfter = retryAfter
 			}
-			r.Targets = append(r.Targets, target)
+			p.Targets = append(p.Targets, target)
 		}
 	})
-	r.All = others == 0 && len(r.Targets) > 0
-	return r
+	p.All = others == 0 && len(p.Targets) > 0
+	return p
 }
 
 // Leaves implements follow.Leavers.
@@ -239,16 +239,16 @@
 }
 
 // MergeLeaving implements follow.Leavers.
-func (s *Service) MergeLeaving(told []leaving.Announcement) (news []string) {
-	if len(told) == 0 {
+func (s *Service) MergeLeaving(announced []leaving.Announcement) (added []string) {
+	if len(announced) == 0 {
 		return nil
 	}
 	s.update(func(now time.Time) {
-		for _, l := range told {
-			if s.leaving.Merge(now, l) {
-				news = append(news, l.ID)
+		for _, a := range announced {
+			if s.leaving.Merge(now, a) {
+				added = append(added, a.ID)
 			}
 		}
 	})
-	return news
+	return added
 }
--- a/services/notice/notice_test.go
+++ b/services/notice/notice_test.go
@@ -23,51 +23,51 @@
 }
 
 func newService() (*Service, *clock.Fake, *int) {
-	c, told := clock.NewFake(), 0
-	return New(log.New("notice"), Options{Clock: c, MetricsPrefix: "test", OnLeaving: func() { told++ }}), c, &told
+	c, calls := clock.NewFake(), 0
+	return New(log.New("notice"), Options{Clock: c, MetricsPrefix: "test", OnLeaving: func() { calls++ }}), c, &calls
 }
 
 func TestAnswerTakesEffectAtOnce(t *testing.T) {
-	s, c, told := newService()
+	s, c, calls := newService()
 	a, b := &routing.Target{ID: "a"}, &routing.Target{ID: "b"}
 	for range 2 {
 		s.Answered(a, upstream.Verdict{Leaving: true})
 	}
 	s.Answered(b, upstream.Verdict{Rest: retryafter.Result{Delay: 3 * time.Second}})
 	s.Answered(&routing.Target{ID: "c"}, upstream.Verdict{Rest: retryafter.Result{Invalid: 1}})
-	if *told != 1 || !s.Leaves("a") || s.Leaves("b") {
-		t.Errorf("told %d times, a leaves %v, b %v", *told, s.Leaves("a"), s.Leaves("b"))
+	if *calls != 1 || !s.Leaves("a") || s.Leaves("b") {
+		t.Errorf("%d calls of OnLeaving, a leaves: %v, b leaves: %v, want 1, true, false", *calls, s.Leaves("a"), s.Leaves("b"))
 	}
 	if _, err := s.Start("a"); !errors.Is(err, ErrLeaving) {
-		t.Errorf("sent to a target that leaves: %v", err)
+		t.Errorf("leaving target: got error %v, want ErrLeaving", err)
 	}
 	if _, err := s.Start("b"); !errors.Is(err, ErrPaused) {
-		t.Errorf("sent to a target at rest: %v", err)
+		t.Errorf("paused target: got error %v, want ErrPaused", err)
 	}
 	if _, err := s.Start("c"); err != nil {
-		t.Errorf("a time that was not understood: %v", err)
+		t.Errorf("invalid pause: got error %v", err)
 	}
 	r := s.PausedAmong(slices.Values([]string{"b", "c"}))
 	if !slices.Equal(r.Targets, []string{"b"}) || r.All || r.RetryAfter != 3*time.Second {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v, want b paused for 3 s", r)
 	}
 	if r := s.PausedAmong(slices.Values([]string{"b"})); !r.All {
-		t.Errorf("%+v, it is the only one", r)
+		t.Errorf("only target: got %+v, want all paused", r)
 	}
 	c.Advance(3 * time.Second)
 	permit, err := s.Start("b")
 	if _, again := s.Start("b"); err != nil || !errors.Is(again, ErrPaused) {
-		t.Errorf("after the rest: %v, and beside the first one %v", err, again)
+		t.Errorf("after the pause: got %v for the first request, %v for the second one in flight, want nil, ErrPaused", err, again)
 	}
 	permit.End(true)
 	for range 2 {
 		if _, err := s.Start("b"); err != nil {
-			t.Errorf("after it took one: %v", err)
+			t.Errorf("after an accepted request: got error %v", err)
 		}
 	}
 }
 
-// Looking costs a load of an atomic number while no target has said anything of itself.
+// The usual case, without announcements, must not take a lock.
 func BenchmarkStartWithoutPauses(b *testing.B) {
 	s, _, _ := newService()
 	for b.Loop() {
--- a/services/order/order.go
+++ b/services/order/order.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package order gives fenced orders to engines, under a lease in the
-// platform's table.
+// Package order sends orders to engines. Each order is fenced by the epoch of a lease in the
+// platform's table, so that an engine can reject an outdated one.
 package order
 
 import (
@@ -21,13 +21,13 @@
 
 const keyPrefix = "lease/"
 
-// Sender gives an order to a target.
+// Sender sends an order to a target.
 type Sender interface {
-	// Send returns an error where the target refused or could not be reached.
+	// Send returns an error if the target refused or was unreachable.
 	Send(ctx context.Context, address string, o engine.Order) error
 }
 
-// Options are the parts of a Service.
+// Options are the settings and dependencies of a Service.
 type Options struct {
 	RouterID    string
 	Incarnation uint64
@@ -38,17 +38,16 @@
 	Timeout     time.Duration
 }
 
-// Service gives orders.
+// Service sends fenced orders.
 type Service struct {
 	log  log.Logger
 	opts Options
 }
 
-// New returns a service.
 func New(logger log.Logger, o Options) *Service { return &Service{logger, o} }
 
-// Give sends one order to a target, fenced by a new epoch, and returns the
-// epoch. The returned error is an ErrResult.
+// Give acquires the lease of a target, sends it one order with a new epoch and returns the epoch.
+// The error is an ErrResult.
 func (s *Service) Give(ctx context.Context, target *conf.Target, o engine.Order) (uint64, error) {
 	l := lease.New(s.opts.Lease, s.opts.RouterID, s.opts.Incarnation, target.ChecksOrders)
 	key := keyPrefix + target.Name
@@ -56,7 +55,7 @@
 	version := uint64(0)
 	for {
 		if ctx.Err() != nil {
-			return 0, result.New(result.OrderRefused, "the lease of %s was not to be had in time", target.Name).WithRetryAfter(time.Second)
+			return 0, result.New(result.OrderRefused, "could not acquire the lease of %s in time", target.Name).WithRetryAfter(time.Second)
 		}
 		switch a := action.(type) {
 		case lease.ReadRow:
@@ -117,15 +116,15 @@
 
 func (s *Service) send(ctx context.Context, l *lease.Lease, key string, version uint64, target *conf.Target, g lease.GiveOrder, o engine.Order) error {
 	if !l.MaySend(s.opts.Clock.Now(), g) {
-		return result.New(result.OrderRefused, "the lease of %s lapsed before the order was sent", target.Name).WithRetryAfter(time.Second)
+		return result.New(result.OrderRefused, "the lease of %s expired before the order was sent", target.Name).WithRetryAfter(time.Second)
 	}
 	o.Epoch = g.Epoch
 	sendCtx, cancel := context.WithTimeout(ctx, s.opts.Lease.MaxSend)
 	defer cancel()
 	err := s.opts.Sender.Send(sendCtx, target.Address, o)
-	s.log.Info("Order given.", "target", target.Name, "action", o.Action, "epoch", o.Epoch, "error", err)
+	s.log.Info("Order sent.", "target", target.Name, "action", o.Action, "epoch", o.Epoch, "error", err)
 	if err != nil {
-		// The order may still be on its way, so the lease is left to lapse.
+		// The order may still arrive, so the lease is left to expire.
 		return result.Wrap(result.OrderRefused, err)
 	}
 	s.commit(ctx, key, l.Release(), version)
--- a/services/trace/story.go
+++ b/services/trace/story.go
@@ -13,8 +13,7 @@
 
 const maxLineLen = 1 << 20
 
-// ReadLines reads the lines of a log; what is not a line of the program is
-// passed over.
+// ReadLines parses the lines of a log and skips lines of other programs.
 func ReadLines(r io.Reader) ([]log.Line, error) {
 	var lines []log.Line
 	scan := bufio.NewScanner(r)
@@ -27,23 +26,22 @@
 	return lines, scan.Err()
 }
 
-// LinesOfRequest returns the lines about a request in the order of their times: those
-// that carry its ID, and those of schedulers, which know it by the entry
-// gateway and the number that it has there.
+// LinesOfRequest returns the lines about a request in the order of time. The lines of schedulers
+// lack its ID; they are found by the gateway that received it and its number there.
 func LinesOfRequest(lines []log.Line, id string) []log.Line {
-	type number struct{ process, number string }
-	numbers := map[number]bool{}
+	type entryNumber struct{ process, number string }
+	numbers := map[entryNumber]bool{}
 	for _, l := range lines {
 		if l.Values["id"] == id && l.Values["number"] != "" {
-			numbers[number{l.Process, l.Values["number"]}] = true
+			numbers[entryNumber{l.Process, l.Values["number"]}] = true
 		}
 	}
-	var story []log.Line
+	var out []log.Line
 	for _, l := range lines {
-		if l.Values["id"] == id || l.Values["entry"] != "" && numbers[number{l.Values["entry"], l.Values["number"]}] {
-			story = append(story, l)
+		if l.Values["id"] == id || l.Values["entry"] != "" && numbers[entryNumber{l.Values["entry"], l.Values["number"]}] {
+			out = append(out, l)
 		}
 	}
-	sort.SliceStable(story, func(i, j int) bool { return story[i].Time < story[j].Time })
-	return story
+	sort.SliceStable(out, func(i, j int) bool { return out[i].Time < out[j].Time })
+	return out
 }
--- a/services/trace/story_test.go
+++ b/services/trace/story_test.go
@@ -20,21 +20,21 @@
 func TestLinesOfRequestJoinsEntryAndScheduler(t *testing.T) {
 	lines, err := ReadLines(strings.NewReader(gathered))
 	if err != nil || len(lines) != 5 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+		t.Fatalf("got %d lines, error %v, want 5", len(lines), err)
 	}
-	story := LinesOfRequest(lines, "abc")
+	found := LinesOfRequest(lines, "abc")
 	var got []string
-	for _, l := range story {
+	for _, l := range found {
 		got = append(got, l.Process+" "+l.Message)
 	}
 	want := "g1 Attempt failed.|g2 Request refused.|g1 Request failed."
 	if strings.Join(got, "|") != want {
-		t.Errorf("story %q, want %q", strings.Join(got, "|"), want)
+		t.Errorf("got lines %q, want %q", strings.Join(got, "|"), want)
 	}
-	if v := story[2].Values["reason"]; v != `a "quoted" word` {
-		t.Errorf("reason %q", v)
+	if v := found[2].Values["reason"]; v != `a "quoted" word` {
+		t.Errorf("got reason %q", v)
 	}
 	if len(LinesOfRequest(lines, "unknown")) != 0 {
-		t.Error("an unknown request has a story")
+		t.Error("got lines for an unknown request")
 	}
 }
--- a/services/trace/trace.go
+++ b/services/trace/trace.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package trace remembers, within bounds and in memory, what a router decided
-// for each request, so that an operator can have it explained.
+// Package trace keeps the decisions about the latest requests of a router in memory, for
+// operators. It also finds the lines about a request in logs.
 package trace
 
 import (
@@ -16,7 +16,7 @@
 
 const maxEvents = 64
 
-// Event is one decision.
+// Event is a decision about a request.
 type Event struct {
 	At     time.Time `json:"at"`
 	Router string    `json:"router"`
@@ -24,14 +24,14 @@
 	Detail string    `json:"detail"`
 }
 
-// Record is all that a router remembers of a request.
+// Record holds the decisions about a request.
 type Record struct {
 	RequestID string  `json:"request_id"`
 	Account   string  `json:"account"`
 	Events    []Event `json:"events"`
 }
 
-// Recorder holds the records of the latest requests.
+// Recorder holds the records of the latest requests. It is safe for concurrent use.
 type Recorder struct {
 	router string
 	clock  clock.Clock
@@ -42,14 +42,15 @@
 	order   *list.List // of *Record, oldest first
 }
 
-// NewRecorder returns a book of a router that holds at most size records.
+// NewRecorder returns a recorder of a router for at most size records.
 func NewRecorder(router string, c clock.Clock, size int) *Recorder {
 	return &Recorder{router: router, clock: c, size: size, records: map[string]*list.Element{}, order: list.New()}
 }
 
-// Record adds a decision to the record of a request.
-func (b *Recorder) Record(requestID, account, what, format string, args ...any) {
-	ev := Event{b.clock.Now(), b.router, what, fmt.Sprintf(format, args...)}
+// Record adds a decision to the record of a request. The oldest record is evicted if there are
+// too many.
+func (b *Recorder) Record(requestID, account, kind, format string, args ...any) {
+	ev := Event{b.clock.Now(), b.router, kind, fmt.Sprintf(format, args...)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.records[requestID]
