--- a/services/forward/counters.go
+++ b/services/forward/counters.go
@@ -29,7 +29,7 @@
 	// took
 	handedOver, handOverLost, notHandedOver *metrics.Counter
 
-	askedAfter    *metrics.Histogram
+	beforeAsk     *metrics.Histogram
 	placementTime *metrics.Histogram
 	byOutcome     *sync.Map // outcomeMetrics by service and outcome, a cache to avoid formatting names
 }
@@ -50,7 +50,7 @@
 		handedOver:     set.NewCounter("madderway_gateway_handed_over_total"),
 		handOverLost:   set.NewCounter("madderway_gateway_handed_over_lost_total"),
 		notHandedOver:  set.NewCounter("madderway_gateway_not_handed_over_total"),
-		askedAfter:     set.NewHistogram("madderway_gateway_before_ask_seconds"),
+		beforeAsk:      set.NewHistogram("madderway_gateway_before_ask_seconds"),
 		placementTime:  set.NewHistogram("madderway_gateway_placement_seconds"), byOutcome: &sync.Map{},
 	}
 }
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -40,7 +40,7 @@
 	r                   *Request
 	history             attempt.History
 	deny                []string
-	targetRef           *routing.Target // target of the current attempt
+	target              *routing.Target // target of the current attempt
 	targetID            string
 	sourceID            string // target from which the cached prompt prefix is copied, or empty
 	scheduler           string // gateway that placed or refused the request
@@ -56,7 +56,7 @@
 	headOut             bool
 	takeFromRetryBudget func() bool
 	retryReserved       atomic.Bool   // a retry was taken before the attempt was cut
-	askedAfter          time.Duration // time from the request's head to the first ask of a scheduler
+	beforeAsk           time.Duration // time from the request's head to the first ask of a scheduler
 	waited              time.Duration // time that the scheduler took to place the request
 	timing              streamTiming
 }
@@ -87,7 +87,7 @@
 		if err != nil {
 			return j.placementError(err)
 		}
-		j.targetRef, j.targetID, j.placedAt = p.target(), p.target().ID, j.s.opts.Clock.Now()
+		j.target, j.targetID, j.placedAt = p.target(), p.target().ID, j.s.opts.Clock.Now()
 		outcome, failure := j.exchange(p)
 		if outcome == 0 {
 			j.try.Passed()
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -25,10 +25,10 @@
 // the first byte is written, since the target may have announced a pause or its end after the
 // placement, or without the knowledge of the scheduler.
 func (j *job) startSending() error {
-	if now := j.s.opts.Targets.Targets().Find(j.targetRef.ID); now == nil || !now.AcceptsWork() {
+	if now := j.s.opts.Targets.Targets().Find(j.target.ID); now == nil || !now.AcceptsWork() {
 		return errWithheld
 	}
-	permit, err := j.s.opts.Notices.Start(j.targetRef.ID)
+	permit, err := j.s.opts.Notices.Start(j.target.ID)
 	if err != nil {
 		return errors.Join(errWithheld, err)
 	}
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -43,9 +43,9 @@
 		return nil, allPausedError(j.r.Service.Name, rests)
 	}
 	id := j.s.opts.Mesh.NextID()
-	if j.askedAfter == 0 {
-		j.askedAfter = j.s.opts.Clock.Now().Sub(j.r.Received)
-		j.s.counters.askedAfter.Update(j.askedAfter.Seconds())
+	if j.beforeAsk == 0 {
+		j.beforeAsk = j.s.opts.Clock.Now().Sub(j.r.Received)
+		j.s.counters.beforeAsk.Update(j.beforeAsk.Seconds())
 	}
 	hold := time.Duration(holdShare*float64(j.r.Route.Objective)) - holdSlack - j.s.opts.Clock.Now().Sub(j.r.Received)
 	if j.history.Sent > 0 || j.history.Unsent > 0 {
