--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -36,11 +36,11 @@
 }
 
 func (j *job) placeEngine() (placement, error) {
-	rests := j.s.pausedTargets(j.r.Service.Name)
-	if rests.All {
+	paused := j.s.pausedTargets(j.r.Service.Name)
+	if paused.All {
 		// Throttled accounts get a longer retry time, so this request must not count.
 		j.disregard()
-		return nil, allPausedError(j.r.Service.Name, rests)
+		return nil, allPausedError(j.r.Service.Name, paused)
 	}
 	id := j.s.opts.Mesh.NextID()
 	if j.beforeAsk == 0 {
@@ -53,7 +53,7 @@
 	}
 	d, err := j.s.opts.Mesh.Submit(j.ctx, j.r.Service.Name, cell.Ask{
 		ID: id, Account: j.r.account(), Rank: routing.EffectiveRank(j.r.Route, j.r.Account), Prompt: j.r.Call.Prompt,
-		Hold: max(hold, 0), Objective: max(j.r.Route.Objective-j.s.opts.Clock.Now().Sub(j.r.Received), time.Millisecond), Deny: j.denyList(rests),
+		Hold: max(hold, 0), Objective: max(j.r.Route.Objective-j.s.opts.Clock.Now().Sub(j.r.Received), time.Millisecond), Deny: j.denyList(paused),
 	})
 	j.number, j.scheduler = id, d.Scheduler
 	if err != nil {
@@ -135,13 +135,13 @@
 }
 
 func (j *job) placePlain() (placement, error) {
-	targets, rests := j.s.opts.Targets.Targets().ByService(j.r.Service.Name), j.s.pausedTargets(j.r.Service.Name)
+	targets, paused := j.s.opts.Targets.Targets().ByService(j.r.Service.Name), j.s.pausedTargets(j.r.Service.Name)
 	j.s.mu.Lock()
-	pick := j.s.balancer.Choose(j.s.opts.Clock.Now(), targets, j.denyList(rests), j.s.plainLimits(j.r.Service))
+	pick := j.s.balancer.Choose(j.s.opts.Clock.Now(), targets, j.denyList(paused), j.s.plainLimits(j.r.Service))
 	j.s.mu.Unlock()
 	switch {
-	case pick == nil && rests.All:
-		return nil, allPausedError(j.r.Service.Name, rests)
+	case pick == nil && paused.All:
+		return nil, allPausedError(j.r.Service.Name, paused)
 	case pick == nil && !slices.ContainsFunc(targets, (*routing.Target).AcceptsWork):
 		return nil, result.New(result.NoTarget, "no target of %s accepts work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(noTargetRetryAfter)
 	case pick == nil:
