--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -53,7 +53,7 @@
 	st := &stream{s: s, j: j, chat: c, sink: sink, caller: ctx}
 	err = st.run()
 	s.counters.done(outcomeLabel(err))
-	s.opts.Trace.Record(c.RequestID, c.Account.Name, "outcome", "%s", outcomeText(err))
+	s.opts.Trace.Add(c.RequestID, c.Account.Name, "outcome", "%s", outcomeText(err))
 	return err
 }
 
@@ -211,7 +211,7 @@
 	fin.Failed = true
 	st.j.deny = append(st.j.deny, target.Name)
 	a, _ := engine.AsAttempt(err)
-	st.s.opts.Trace.Record(st.j.requestID, st.j.account.Name, "attempt", "%d at %s did not start: %v", st.attempt, target.Name, err)
+	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "attempt", "%d at %s did not start: %v", st.attempt, target.Name, err)
 	if !a.Ran {
 		return outcomeNotRun, a.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
@@ -256,7 +256,7 @@
 		return
 	}
 	kept := st.s.opts.Answers.Keep(*st.j.account, st.j.requestID, "text/event-stream", st.events)
-	st.s.opts.Trace.Record(st.j.requestID, st.j.account.Name, "keep", "caller gone, response of %d events kept: %t", len(st.events), kept)
+	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "keep", "caller gone, response of %d events kept: %t", len(st.events), kept)
 }
 
 func (st *stream) token(target *conf.Target, streamID string) string {
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -131,7 +131,7 @@
 	s.policyFailed(j, "order", err)
 	j.order = order
 	s.place(j)
-	s.opts.Trace.Record(j.requestID, j.account.Name, "order", "class %s, rank %d, interactive %t, pool %s, estimate %.0f units, configuration %d",
+	s.opts.Trace.Add(j.requestID, j.account.Name, "order", "class %s, rank %d, interactive %t, pool %s, estimate %.0f units, configuration %d",
 		order.Class, order.Rank, order.Interactive, j.pool.Name, j.cost, j.snapshot.Index.Version)
 }
 
@@ -186,7 +186,7 @@
 		return
 	}
 	s.counters.policyErrors.Inc()
-	s.opts.Trace.Record(j.requestID, j.account.Name, "policy", "%s failed, safe default used: %v", function, err)
+	s.opts.Trace.Add(j.requestID, j.account.Name, "policy", "%s failed, safe default used: %v", function, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now := s.opts.Clock.Now(); now.Sub(s.lastPolicyWarn) > policyWarnInterval {
@@ -226,12 +226,12 @@
 		return id, nil, err
 	}
 	if d.Refused != 0 {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "%s, retry after %s", d.Refused, d.RetryAfter)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "%s, retry after %s", d.Refused, d.RetryAfter)
 		s.counters.refused(d.Refused)
 		return id, nil, result.New(d.Refused, "account %s, pool %s", j.account.Name, j.pool.Name).WithRetryAfter(d.RetryAfter)
 	}
 	s.counters.waited(j.order.Class, d.Waited)
-	s.opts.Trace.Record(j.requestID, j.account.Name, "grant", "target %s, granted by %s (grant %d) after %s",
+	s.opts.Trace.Add(j.requestID, j.account.Name, "grant", "target %s, granted by %s (grant %d) after %s",
 		d.Target, d.Scheduler, d.Grant, d.Waited.Round(time.Microsecond))
 	target, ok := j.snapshot.Index.Target(d.Target)
 	if !ok {
@@ -267,7 +267,7 @@
 			j.budgetSpent = true
 		}
 	}
-	s.opts.Trace.Record(j.requestID, j.account.Name, "retry", "after %s of attempt %d: %t", outcome, number, allowed)
+	s.opts.Trace.Add(j.requestID, j.account.Name, "retry", "after %s of attempt %d: %t", outcome, number, allowed)
 	if allowed {
 		s.counters.retries.Inc()
 	}
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -33,10 +33,10 @@
 	defer cancel()
 	outcome := s.opts.Claims.Acquire(wait, claim.Key(j.account.Name, c.IdempotencyKey), row)
 	if outcome.Held == nil {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "claim", "not held: verdict %d, attempt %s of request %s", outcome.Verdict, outcome.Row.Attempt, outcome.Row.RequestID)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "claim", "not held: verdict %d, attempt %s of request %s", outcome.Verdict, outcome.Row.Attempt, outcome.Row.RequestID)
 		return s.replay(ctx, outcome)
 	}
-	s.opts.Trace.Record(j.requestID, j.account.Name, "claim", "held by attempt %s", row.Attempt)
+	s.opts.Trace.Add(j.requestID, j.account.Name, "claim", "held by attempt %s", row.Attempt)
 	a, err := s.plainAttempts(ctx, j, c, true)
 	if err != nil && result.Convert(err).Execution() == result.RanNo {
 		outcome.Held.Release()
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -59,7 +59,7 @@
 		a, err = s.plainAttempts(ctx, j, c, false)
 	}
 	s.counters.done(outcomeLabel(err))
-	s.opts.Trace.Record(c.RequestID, c.Account.Name, "outcome", "%s", outcomeText(err))
+	s.opts.Trace.Add(c.RequestID, c.Account.Name, "outcome", "%s", outcomeText(err))
 	return a, err
 }
 
@@ -137,10 +137,10 @@
 	}()
 	a, err = s.sendPlain(ctx, j, c, target, once)
 	if err == nil {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "attempt", "%s responded with status %d", target.Name, a.Status)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "attempt", "%s responded with status %d", target.Name, a.Status)
 		return a, "", a.Status, nil
 	}
-	s.opts.Trace.Record(j.requestID, j.account.Name, "attempt", "%s: %v", target.Name, err)
+	s.opts.Trace.Add(j.requestID, j.account.Name, "attempt", "%s: %v", target.Name, err)
 	at, _ := engine.AsAttempt(err)
 	j.deny = append(j.deny, target.Name)
 	if !at.Ran {
--- a/services/dispatch/pump.go
+++ b/services/dispatch/pump.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		st.s.counters.resumed.Inc()
-		st.s.opts.Trace.Record(st.j.requestID, st.j.account.Name, "resume", "stream of %s from offset %d", p.target.Name, p.last)
+		st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "resume", "stream of %s from offset %d", p.target.Name, p.last)
 		before := p.last
 		err = p.read(again)
 		_ = again.Body.Close()
@@ -113,7 +113,7 @@
 		return
 	}
 	st.callerGone = true
-	st.s.opts.Trace.Record(st.j.requestID, st.j.account.Name, "caller gone", "at offset %d", p.last)
+	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "caller gone", "at offset %d", p.last)
 }
 
 func (p *pump) read(resp *http.Response) error {
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -24,7 +24,7 @@
 	err := j.try.MayBeSent()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
-		s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "%v", err)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "%v", err)
 	}
 	return err
 }
@@ -39,7 +39,7 @@
 	ask := func(ctx context.Context) (ended, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
 	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
 	if ended {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
+		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
 		j.try.Accuse(t.Name, sentAt)
 	}
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -31,7 +31,7 @@
 // allPausedError returns the error for a call whose targets are all paused.
 func (s *Service) allPausedError(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
-	s.opts.Trace.Record(j.requestID, j.account.Name, "refused", "all %d targets are paused, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
+	s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "all %d targets are paused, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
 	return result.New(result.NoTarget, "all %d targets of pool %s are paused", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
 }
 
@@ -40,7 +40,7 @@
 func (s *Service) startSending(j *job, t *conf.Target) bool {
 	permit, err := s.opts.Notices.Start(t.Name)
 	if err != nil {
-		s.opts.Trace.Record(j.requestID, j.account.Name, "withheld", "%s: %v", t.Name, err)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "withheld", "%s: %v", t.Name, err)
 		j.deny = append(j.deny, t.Name)
 		return false
 	}
--- a/services/dispatch/resume.go
+++ b/services/dispatch/resume.go
@@ -58,7 +58,7 @@
 		}
 		if last == r.Offset && try == 0 {
 			s.counters.resumed.Inc()
-			s.opts.Trace.Record(r.RequestID, r.Account.Name, "resume", "caller back, stream of %s from offset %d", token.Target, last)
+			s.opts.Trace.Add(r.RequestID, r.Account.Name, "resume", "caller back, stream of %s from offset %d", token.Target, last)
 			if err := sink.Begin(r.Token, token.Attempt); err != nil {
 				return true, nil
 			}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return result.Wrap(result.AnswerUnavailable, err).WithRetryAfter(time.Second)
 	}
-	s.opts.Trace.Record(r.RequestID, r.Account.Name, "resume", "kept answer from offset %d", r.Offset)
+	s.opts.Trace.Add(r.RequestID, r.Account.Name, "resume", "kept answer from offset %d", r.Offset)
 	if err := sink.Begin(r.Token, 0); err != nil {
 		return nil
 	}
--- a/services/trace/trace.go
+++ b/services/trace/trace.go
@@ -47,9 +47,9 @@
 	return &Recorder{router: router, clock: c, size: size, records: map[string]*list.Element{}, order: list.New()}
 }
 
-// Record adds a decision to the record of a request. The oldest record is evicted if there are
+// Add adds a decision to the record of a request. The oldest record is evicted if there are
 // too many.
-func (b *Recorder) Record(requestID, account, kind, format string, args ...any) {
+func (b *Recorder) Add(requestID, account, kind, format string, args ...any) {
 	ev := Event{b.clock.Now(), b.router, kind, fmt.Sprintf(format, args...)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
