--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -80,16 +80,16 @@
 	}
 	past, sentAt := j.try, j.sentAt
 	ask := func(ctx context.Context) (ended, known bool) { return j.s.opts.Client.HasEnded(ctx, t) }
-	ended, known := requests.HasEnded(j.ctx, ask, func() { j.s.recordDeathOf(&past, t, sentAt) })
+	ended, known := requests.HasEnded(j.ctx, ask, func() { j.s.recordDeath(&past, t, sentAt) })
 	if !ended {
 		return targetDeath{checked: known}
 	}
-	j.s.recordDeathOf(&j.try, t, sentAt)
+	j.s.recordDeath(&j.try, t, sentAt)
 	return targetDeath{checked: true, died: true, request: j.try.Request()}
 }
 
-// recordDeathOf records a request under which a target died, unless the target was leaving.
-func (s *Service) recordDeathOf(past *requests.Try, t *routing.Target, sentAt time.Time) {
+// recordDeath records a request under which a target died, unless the target was leaving.
+func (s *Service) recordDeath(past *requests.Try, t *routing.Target, sentAt time.Time) {
 	if now := s.opts.Targets.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
 		past.Accuse(t.ID, sentAt)
 	}
