--- a/services/forward/second.go
+++ b/services/forward/second.go
@@ -41,11 +41,11 @@
 
 // Outcomes in the log line; refusals and failures have the name of their result code.
 const (
-	outcomeInTime  = "in_time"
-	outcomeLate    = "late"
-	outcomeGone    = "gone"
-	outcomeAborted = "aborted"
-	outcomeRefused = "refused_at_entry"
+	outcomeInTime   = "in_time"
+	outcomeLate     = "late"
+	outcomeCanceled = "gone"
+	outcomeAborted  = "aborted"
+	outcomeRefused  = "refused_at_entry"
 	// Requests that another gateway served.
 	outcomeHandedOver = "handed_over"
 )
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -49,7 +49,7 @@
 	}
 	switch {
 	case errors.Is(err, context.Canceled):
-		return outcomeGone
+		return outcomeCanceled
 	case err != nil:
 		return outcomeAborted
 	case j.r.Route.Stream && j.timing.late(j.r.Route):
