--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -74,7 +74,7 @@
 	counters     *counters
 	exitDetector *netopt.ExitDetector
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below
 	budgets        *budget.Set
 	estimates      estimates
 	prefixes       map[string]*place.PrefixMap // prefixes sent by this router, by target
@@ -93,20 +93,19 @@
 
 // job is the state of a request.
 type job struct {
-	requestID string
-	account   *conf.ClientAccount
-	pool      *conf.Pool
-	snapshot  *config.Snapshot
-	program   *policy.Program
-	request   policy.Request
-	order     policy.Order
-	prefix    string
-	cost      float64 // estimate in service units
-	deadline  time.Time
-	deny      []string
-	prefer    map[string]float64
-	// the policy permitted a retry, but the budget did not
-	budgetSpent bool
+	requestID   string
+	account     *conf.ClientAccount
+	pool        *conf.Pool
+	snapshot    *config.Snapshot
+	program     *policy.Program
+	request     policy.Request
+	order       policy.Order
+	prefix      string
+	cost        float64 // estimate in service units
+	deadline    time.Time
+	deny        []string
+	prefer      map[string]float64
+	budgetSpent bool // the policy permitted a retry, but the budget did not
 	uri         string
 	try         quarantine.Try // current try of the request in the quarantine
 	permit      notice.Permit  // to send to the target of the attempt
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -35,10 +35,10 @@
 	if t.Leaving {
 		return
 	}
-	past, sentAt := j.try, j.sentAt
-	ask := func(ctx context.Context) (ended, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
-	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
-	if ended {
+	try, sentAt := j.try, j.sentAt
+	ask := func(ctx context.Context) (exited, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
+	died, _ := quarantine.HasEnded(ctx, ask, func() { try.Accuse(t.Name, sentAt) })
+	if died {
 		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
 		j.try.Accuse(t.Name, sentAt)
 	}
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -32,7 +32,7 @@
 )
 
 // ErrAborted reports that part of a response was forwarded and the connection must be closed.
-var ErrAborted = errors.New("the answer broke off")
+var ErrAborted = errors.New("the response was aborted")
 
 // RetryBudget limits the retries of the whole fleet.
 type RetryBudget struct {
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -13,7 +13,7 @@
 	"madderway/services/notice"
 )
 
-// noTargetRetryAfter is the retry time if no target takes work; a new target is listed within
+// noTargetRetryAfter is the retry time if no target accepts work; a new target is listed within
 // seconds of its start.
 const noTargetRetryAfter = time.Second
 
@@ -22,8 +22,8 @@
 var errWithheld = errors.New("the target accepts no requests now")
 
 // startSending takes the permit to send to the target of the attempt. It is called right before
-// the first byte is written, since the target may have announced a pause or its end after the
-// placement, or without the knowledge of the scheduler.
+// the first byte is written, since the target may have announced meanwhile that it leaves or
+// needs a pause, and its scheduler may not know that.
 func (j *job) startSending() error {
 	if now := j.s.opts.Targets.Targets().Find(j.target.ID); now == nil || !now.AcceptsWork() {
 		return errWithheld
@@ -73,7 +73,7 @@
 	return t
 }
 
-// denyUnusable denies a target and all others that take no work, as the scheduler may not know
+// denyUnusable denies a target and all others that accept no work, as the scheduler may not know
 // about them yet and would choose them one after the other.
 func (j *job) denyUnusable(id string) {
 	j.deny = append(j.deny, id)
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -78,10 +78,10 @@
 	if !j.brokeOff || o != attempt.Unknown && o != attempt.Cut {
 		return targetDeath{}
 	}
-	past, sentAt := j.try, j.sentAt
-	ask := func(ctx context.Context) (ended, known bool) { return j.s.opts.Client.HasEnded(ctx, t) }
-	ended, known := requests.HasEnded(j.ctx, ask, func() { j.s.recordDeath(&past, t, sentAt) })
-	if !ended {
+	try, sentAt := j.try, j.sentAt
+	ask := func(ctx context.Context) (died, known bool) { return j.s.opts.Client.HasEnded(ctx, t) }
+	died, known := requests.HasEnded(j.ctx, ask, func() { j.s.recordDeath(&try, t, sentAt) })
+	if !died {
 		return targetDeath{checked: known}
 	}
 	j.s.recordDeath(&j.try, t, sentAt)
@@ -89,8 +89,8 @@
 }
 
 // recordDeath records a request under which a target died, unless the target was leaving.
-func (s *Service) recordDeath(past *requests.Try, t *routing.Target, sentAt time.Time) {
+func (s *Service) recordDeath(try *requests.Try, t *routing.Target, sentAt time.Time) {
 	if now := s.opts.Targets.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
-		past.Accuse(t.ID, sentAt)
+		try.Accuse(t.ID, sentAt)
 	}
 }
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// coalesce waits for further events if this gateway is overloaded, or the one that handed the
-// request over is.
+// coalesce waits for further events if this gateway, or the one that handed the request
+// over, is overloaded.
 func (j *job) coalesce() {
 	if !j.s.opts.Guard.Overloaded() && j.r.HandedOverBy == "" {
 		return
@@ -126,17 +126,17 @@
 }
 
 // recordPart records the arrival of a part and reports whether it is the first one.
-func (p *streamTiming) recordPart(now, received time.Time) bool {
-	if p.last.IsZero() {
-		p.first, p.last = now.Sub(received), now
+func (t *streamTiming) recordPart(now, received time.Time) bool {
+	if t.last.IsZero() {
+		t.first, t.last = now.Sub(received), now
 		return true
 	}
-	p.pause = max(p.pause, now.Sub(p.last))
-	p.last = now
+	t.pause = max(t.pause, now.Sub(t.last))
+	t.last = now
 	return false
 }
 
 // late reports whether the stream missed the objectives of its route.
-func (p *streamTiming) late(r *routing.Route) bool {
-	return p.first > r.Objective || r.Pause > 0 && p.pause > r.Pause
+func (t *streamTiming) late(r *routing.Route) bool {
+	return t.first > r.Objective || r.Pause > 0 && t.pause > r.Pause
 }
