--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -186,7 +186,7 @@
 	case verdict == overload.HandOver:
 		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
 		return HandOver, nil
-	case !s.admitThrottled(name):
+	case !s.throttleAdmits(name):
 		err = result.New(result.QueueFull, "the account is throttled: it sends far more requests than can be placed").WithRetryAfter(throttledRetryAfter)
 	default:
 		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
@@ -237,8 +237,8 @@
 // Overloaded reports whether requests are handed over or refused for lack of processor time.
 func (s *Service) Overloaded() bool { return s.opts.Guard.Overloaded() }
 
-// admitThrottled reports whether the throttle lets a request of an account through.
-func (s *Service) admitThrottled(account string) bool {
+// throttleAdmits reports whether the throttle lets a request of an account through.
+func (s *Service) throttleAdmits(account string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok := s.throttle.Admit(s.opts.Clock.Now(), account, rand.Float64())
