--- a/router/router.go
+++ b/router/router.go
@@ -71,7 +71,7 @@
 	answers  *answer.Store
 	dispatch *dispatch.Service
 	engine   *engine.Client
-	book     *trace.Book
+	book     *trace.Recorder
 	orders   *order.Service
 
 	caller     *caller.Handler
@@ -138,7 +138,7 @@
 	table := platform.NewHTTPTable(s.Platform.TableURL, s.Platform.Timeout.Duration)
 	objects := platform.NewHTTPObjects(s.Platform.ObjectURL, s.Platform.Timeout.Duration)
 	r.engine = engine.NewClient(s.Platform.Timeout.Duration)
-	r.book = trace.NewBook(id, r.clock, s.Control.TraceSize)
+	r.book = trace.NewRecorder(id, r.clock, s.Control.TraceSize)
 	r.peers = peer.New()
 	// A duty that never ends keeps the tomb alive while parts are added.
 	r.t.Go(r.closeAtEnd)
@@ -149,8 +149,8 @@
 	r.requests = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
 		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.TellRecord(record) },
 	})
-	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, Figures: "madderway"})
-	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.WantsRest(target, "", rest) }
+	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, MetricsPrefix: "madderway"})
+	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.PauseTarget(target, "", rest) }
 	r.loop = control.NewLoop(&r.t, log.New("control").With(id), r.controlOptions(auth))
 	close(r.assembled)
 	r.peers.Attach(r.loop, r.config, r.book)
@@ -165,7 +165,7 @@
 	r.dispatch = dispatch.New(&r.t, log.New("dispatch").With(id), dispatch.Options{
 		RouterID: id, Incarnation: r.self.Incarnation, DataHall: s.Router.DataHall, Clock: r.clock, Loop: r.loop,
 		Config: r.config, Engine: r.engine, Claims: r.claims, Answers: r.answers, Signer: answer.NewSigner(s.Answer.ResumeKey),
-		Book: r.book, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimKept: s.Platform.ClaimKept.Duration, Requests: r.requests,
+		Trace: r.book, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimRetention: s.Platform.ClaimKept.Duration, Quarantine: r.requests,
 		Notices: r.notices,
 	})
 	r.orders = order.New(log.New("order").With(id), order.Options{
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package dispatch carries a caller's request out: it runs the policy, waits
-// for a grant, talks to the target, retries what may be retried and accounts
-// for the cost.
+// Package dispatch serves the requests of callers: it runs the policy, waits for a grant of a
+// target, sends the request, retries where the policy and the retry budget permit it, and
+// accounts for the cost. Completions are streamed and can be resumed; calls of plain services
+// can be protected against repetition by an idempotency key.
 package dispatch
 
 import (
@@ -35,92 +36,91 @@
 const (
 	maxAttempts   = 4
 	bytesPerToken = 4
-	// linger is how long an answer that is not kept goes on after its caller
-	// was cut off, so that the caller may come back.
-	linger         = 5 * time.Second
-	prefixAge      = 5 * time.Minute
-	prefixesKept   = 256
-	policyWarnEach = time.Second
+	// callerGracePeriod is the time that an attempt continues without its caller if the response
+	// is not kept, so that the caller can resume.
+	callerGracePeriod  = 5 * time.Second
+	prefixTTL          = 5 * time.Minute
+	maxPrefixes        = 256
+	policyWarnInterval = time.Second
 )
 
-// Options are the parts of a Service.
+// Options are the settings and dependencies of a Service.
 type Options struct {
-	RouterID    string
-	Incarnation uint64
-	DataHall    string
-	Clock       clock.Clock
-	Loop        *control.Loop
-	Config      *config.Service
-	Engine      *engine.Client
-	Claims      *claim.Service
-	Answers     *answer.Store
-	Signer      *answer.Signer
-	Book        *trace.Book
-	RetryRatio  float64
-	RetryBurst  float64
-	ClaimKept   time.Duration
-	// Requests are those under which targets ended.
-	Requests *quarantine.Service
-	// Notices are what targets have said of themselves.
+	RouterID       string
+	Incarnation    uint64
+	DataHall       string
+	Clock          clock.Clock
+	Loop           *control.Loop
+	Config         *config.Service
+	Engine         *engine.Client
+	Claims         *claim.Service
+	Answers        *answer.Store
+	Signer         *answer.Signer
+	Trace          *trace.Recorder
+	RetryRatio     float64
+	RetryBurst     float64
+	ClaimRetention time.Duration
+	// Quarantine keeps requests under which targets died from being sent again.
+	Quarantine *quarantine.Service
+	// Notices holds what targets announced in their responses: that they leave, or a pause.
 	Notices *notice.Service
 }
 
-// Service carries requests out.
+// Service serves requests.
 type Service struct {
-	t        *tomb.Tomb
-	log      log.Logger
-	opts     Options
-	counters *counters
-	endings  *netopt.ExitDetector
+	t            *tomb.Tomb
+	log          log.Logger
+	opts         Options
+	counters     *counters
+	exitDetector *netopt.ExitDetector
 
-	mu         sync.Mutex
-	budgets    *budget.Set
-	estimates  estimates
-	prefixes   map[string]*place.PrefixMap // by target, from what this router sent itself
-	policyWarn time.Time
+	mu             sync.Mutex // guards the fields below
+	budgets        *budget.Set
+	estimates      estimates
+	prefixes       map[string]*place.PrefixMap // prefixes sent by this router, by target
+	lastPolicyWarn time.Time
 }
 
-// New returns a service whose detached work ends with the tomb.
+// New returns a service whose background work ends with the tomb.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	return &Service{
-		t: t, log: logger, opts: o, counters: newCounters(), endings: netopt.NewExitDetector(),
+		t: t, log: logger, opts: o, counters: newCounters(), exitDetector: netopt.NewExitDetector(),
 		budgets:   budget.NewSet(o.RetryRatio, o.RetryBurst),
 		estimates: estimates{},
 		prefixes:  map[string]*place.PrefixMap{},
 	}
 }
 
-// job is a request on its way through the router.
+// job is the state of a request.
 type job struct {
-	requestID string
-	account   *conf.ClientAccount
-	pool      *conf.Pool
-	snapshot  *config.Snapshot
-	program   *policy.Program
-	request   policy.Request
-	order     policy.Order
-	prefix    string
-	cost      float64 // cost is the estimate, in service units.
-	deadline  time.Time
-	deny      []string
-	prefer    map[string]float64
-	// budgetSpent tells that a retry was allowed but for the budget.
-	budgetSpent bool
+	requestID   string
+	account     *conf.ClientAccount
+	pool        *conf.Pool
+	snapshot    *config.Snapshot
+	program     *policy.Program
+	request     policy.Request
+	order       policy.Order
+	prefix      string
+	cost        float64 // estimate in service units
+	deadline    time.Time
+	deny        []string
+	prefer      map[string]float64
+	budgetSpent bool // the policy permitted a retry, but the budget did not
 	uri         string
-	past        quarantine.Try // past is what earlier tries of the request have done.
-	permit      notice.Permit  // permit is that to send to the target of the attempt.
-	sentAt      time.Time      // sentAt is when the last attempt began.
+	try         quarantine.Try // current try of the request in the quarantine
+	permit      notice.Permit  // to send to the target of the attempt
+	sentAt      time.Time      // start of the last attempt
 }
 
-// Admit tells whether requests may be admitted now.
+// Admit returns an error if requests cannot be admitted now.
 func (s *Service) Admit() error {
 	if s.opts.Config.Snapshot() == nil || !s.opts.Config.Admits() {
-		return result.New(result.NotReady, "no configuration is known to be in force").WithRetryAfter(time.Second)
+		return result.New(result.NotReady, "the configuration is missing or may be outdated").WithRetryAfter(time.Second)
 	}
 	return nil
 }
 
-// prepare runs the policy's order and place for a request.
+// prepare runs the order and place functions of the policy for a request.
 func (s *Service) prepare(j *job) {
 	now := s.opts.Clock.Now()
 	j.deadline = now.Add(time.Duration(j.pool.TimeoutMS) * time.Millisecond)
@@ -130,12 +130,12 @@
 	s.policyFailed(j, "order", err)
 	j.order = order
 	s.place(j)
-	s.opts.Book.Note(j.requestID, j.account.Name, "order", "class %s, rank %d, interactive %t, pool %s, estimate %.0f units, configuration %d",
+	s.opts.Trace.Add(j.requestID, j.account.Name, "order", "class %s, rank %d, interactive %t, pool %s, estimate %.0f units, configuration %d",
 		order.Class, order.Rank, order.Interactive, j.pool.Name, j.cost, j.snapshot.Index.Version)
 }
 
-// place asks the policy where the request may go, and adds a hint for targets
-// that were sent the same prompt prefix lately.
+// place asks the policy which targets may get the request, and prefers targets that recently got
+// the same prompt prefix.
 func (s *Service) place(j *job) {
 	j.prefer = map[string]float64{}
 	now := s.opts.Clock.Now()
@@ -173,78 +173,77 @@
 	defer s.mu.Unlock()
 	m := s.prefixes[target]
 	if m == nil {
-		m = place.NewPrefixMap(prefixAge, prefixesKept)
+		m = place.NewPrefixMap(prefixTTL, maxPrefixes)
 		s.prefixes[target] = m
 	}
 	m.Note(s.opts.Clock.Now(), prefix)
 }
 
-// policyFailed counts and logs a policy that failed; the safe default is in
-// its place already.
+// policyFailed counts and logs a failure of a policy, whose safe default is used.
 func (s *Service) policyFailed(j *job, function string, err error) {
 	if err == nil {
 		return
 	}
 	s.counters.policyErrors.Inc()
-	s.opts.Book.Note(j.requestID, j.account.Name, "policy", "%s failed, safe default used: %v", function, err)
+	s.opts.Trace.Add(j.requestID, j.account.Name, "policy", "%s failed, safe default used: %v", function, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := s.opts.Clock.Now(); now.Sub(s.policyWarn) > policyWarnEach {
-		s.policyWarn = now
+	if now := s.opts.Clock.Now(); now.Sub(s.lastPolicyWarn) > policyWarnInterval {
+		s.lastPolicyWarn = now
 		s.log.Warn("Policy failed, safe default used.", "function", function, "reason", err)
 	}
 }
 
-// submit queues the request and waits for a target that may get it.
+// submit queues the request and waits for a target that is not paused.
 func (s *Service) submit(ctx context.Context, j *job) (admit.RequestID, *conf.Target, error) {
-	for range maxWithheld {
+	for range maxPausedGrants {
 		id, target, err := s.submitOnce(ctx, j)
 		if err != nil || s.startSending(j, target) {
 			return id, target, err
 		}
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 	}
-	return 0, nil, result.New(result.NoTarget, "%d targets in a row want rest", maxWithheld).WithRetryAfter(time.Second)
+	return 0, nil, result.New(result.NoTarget, "%d granted targets in a row were paused", maxPausedGrants).WithRetryAfter(time.Second)
 }
 
 // submitOnce queues the request and waits for a target.
 func (s *Service) submitOnce(ctx context.Context, j *job) (admit.RequestID, *conf.Target, error) {
 	id := s.opts.Loop.NextID()
-	if err := s.mayBeSent(j); err != nil {
+	if err := s.checkQuarantine(j); err != nil {
 		return id, nil, err
 	}
-	rests := s.restsOf(j)
-	if rests.All {
-		return id, nil, s.allRest(j, rests)
+	paused := s.pausedTargets(j)
+	if paused.All {
+		return id, nil, s.allPausedError(j, paused)
 	}
 	d, err := s.opts.Loop.Submit(ctx, admit.Request{
 		ID: id, Account: j.account.Name, Pool: j.pool.Name, Rank: j.order.Rank, Interactive: j.order.Interactive,
-		Cost: j.cost, Bytes: int64(j.request.Bytes), Deadline: j.deadline, Deny: j.denied(rests), Prefer: j.prefer, Prefix: j.prefix,
+		Cost: j.cost, Bytes: int64(j.request.Bytes), Deadline: j.deadline, Deny: j.denyList(paused), Prefer: j.prefer, Prefix: j.prefix,
 		Weight: j.account.Weight, MaxQueued: j.account.MaxQueued, MaxBytes: j.account.MaxQueuedBytes,
 	})
 	if err != nil {
 		return id, nil, err
 	}
 	if d.Refused != 0 {
-		s.opts.Book.Note(j.requestID, j.account.Name, "refused", "%s, retry after %s", d.Refused, d.RetryAfter)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "%s, retry after %s", d.Refused, d.RetryAfter)
 		s.counters.refused(d.Refused)
 		return id, nil, result.New(d.Refused, "account %s, pool %s", j.account.Name, j.pool.Name).WithRetryAfter(d.RetryAfter)
 	}
 	s.counters.waited(j.order.Class, d.Waited)
-	s.opts.Book.Note(j.requestID, j.account.Name, "grant", "target %s, granted by %s (grant %d) after %s",
+	s.opts.Trace.Add(j.requestID, j.account.Name, "grant", "target %s, granted by %s (grant %d) after %s",
 		d.Target, d.Scheduler, d.Grant, d.Waited.Round(time.Microsecond))
 	target, ok := j.snapshot.Index.Target(d.Target)
 	if !ok {
-		// The grant came under a later configuration than the request.
+		// The grant may be of a later configuration than the request.
 		if now := s.opts.Config.Snapshot(); now != nil {
 			target, ok = now.Index.Target(d.Target)
 		}
 	}
 	if !ok {
 		s.opts.Loop.Finish(admit.Finished{ID: id})
-		return id, nil, result.New(result.NoTarget, "target %s has left", d.Target).WithRetryAfter(time.Second)
+		return id, nil, result.New(result.NoTarget, "target %s is no longer listed", d.Target).WithRetryAfter(time.Second)
 	}
-	if err := s.mayBeSent(j); err != nil { // another router may have seen a target end meanwhile
+	if err := s.checkQuarantine(j); err != nil { // another router may have seen a target die meanwhile
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 		return id, nil, err
 	}
@@ -252,8 +251,7 @@
 	return id, target, nil
 }
 
-// mayRetry decides whether another attempt may follow. Number counts the
-// attempts made.
+// mayRetry reports whether another attempt may follow; number is the number of attempts made.
 func (s *Service) mayRetry(j *job, number int, outcome string, status int) bool {
 	if number >= maxAttempts || !s.opts.Clock.Now().Before(j.deadline) {
 		return false
@@ -268,15 +266,15 @@
 			j.budgetSpent = true
 		}
 	}
-	s.opts.Book.Note(j.requestID, j.account.Name, "retry", "after %s of attempt %d: %t", outcome, number, allowed)
+	s.opts.Trace.Add(j.requestID, j.account.Name, "retry", "after %s of attempt %d: %t", outcome, number, allowed)
 	if allowed {
 		s.counters.retries.Inc()
 	}
 	return allowed
 }
 
-// final returns the error of a request that gets no further attempt.
-func (j *job) final(err error) error {
+// finalError returns the error for a request without a further attempt.
+func (j *job) finalError(err error) error {
 	if !j.budgetSpent || result.Convert(err).Execution() != result.RanNo {
 		return err
 	}
@@ -290,20 +288,20 @@
 	return ok
 }
 
-func (s *Service) firstAttempt(j *job) {
+func (s *Service) countFirstAttempt(j *job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budgets.Attempt(j.account.Name, j.pool.Name)
 }
 
-// The outcomes that policies are asked about.
+// Outcomes passed to policies.
 const (
 	outcomeNotRun  = "not_run"
 	outcomeFailed  = "failed"
 	outcomeUnknown = "unknown"
 )
 
-// detached returns a context that ends with the router, not with the caller.
+// detached returns a context that outlives the caller and ends with the deadline or the router.
 func (s *Service) detached(j *job) (context.Context, context.CancelFunc) {
 	return clock.WithDeadline(s.t.Context(context.Background()), s.opts.Clock, j.deadline)
 }
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -20,13 +20,13 @@
 
 const maxPlainResponse = 16 << 20
 
-// Plain is a caller's call of a plain service.
+// Plain is a call of a plain service.
 type Plain struct {
 	RequestID      string
 	Account        *conf.ClientAccount
 	Pool           string
 	Method         string
-	Path           string // Path begins with a slash and is sent to the target.
+	Path           string // sent to the target, with a leading slash
 	Query          string
 	Header         http.Header
 	Body           []byte
@@ -34,12 +34,12 @@
 	IdempotencyKey string
 }
 
-// PlainAnswer is the answer of a plain service.
+// PlainAnswer is the response of a plain service.
 type PlainAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	Replayed    bool // Replayed tells that the answer was recorded by an earlier call.
+	Replayed    bool // recorded by an earlier call
 }
 
 // Plain serves a call of a plain service. The returned error is an ErrResult.
@@ -49,9 +49,9 @@
 		return PlainAnswer{}, err
 	}
 	s.prepare(j)
-	s.firstAttempt(j)
+	s.countFirstAttempt(j)
 	s.beginTry(j, c.Body)
-	defer j.past.End()
+	defer j.try.End()
 	var a PlainAnswer
 	if c.IdempotencyKey != "" && !s.repeatable(j, 1, outcomeUnknown, 0) {
 		a, err = s.once(ctx, j, c)
@@ -59,7 +59,7 @@
 		a, err = s.plainAttempts(ctx, j, c, false)
 	}
 	s.counters.done(outcomeLabel(err))
-	s.opts.Book.Note(c.RequestID, c.Account.Name, "outcome", "%s", outcomeText(err))
+	s.opts.Trace.Add(c.RequestID, c.Account.Name, "outcome", "%s", outcomeText(err))
 	return a, err
 }
 
@@ -80,12 +80,12 @@
 		},
 	}
 	j.order = policy.DefaultOrder(j.request)
-	j.cost = s.guess(j, 10*pool.MilliWeight)
+	j.cost = s.estimate(j, 10*pool.MilliWeight)
 	return j, nil
 }
 
-// plainAttempts makes attempts until one has an answer. once forbids another
-// attempt after any that may have run.
+// plainAttempts makes attempts until one gets a response. If once is true, it makes no further
+// attempt after one that may have run.
 func (s *Service) plainAttempts(ctx context.Context, j *job, c Plain, once bool) (PlainAnswer, error) {
 	ran := result.RanNo
 	for number := 1; ; number++ {
@@ -97,7 +97,7 @@
 			ran = result.RanYes
 		}
 		if err == nil && status < http.StatusInternalServerError {
-			j.past.Passed()
+			j.try.Passed()
 			return a, nil
 		}
 		if err == nil {
@@ -108,14 +108,14 @@
 		}
 		if !s.mayRetry(j, number, outcome, status) {
 			if err != nil {
-				err = j.final(err)
+				err = j.finalError(err)
 			}
 			return a, err
 		}
 	}
 }
 
-// tryPlain makes one attempt. An empty outcome tells that no retry can help.
+// tryPlain makes one attempt. An empty outcome means that a retry is useless.
 func (s *Service) tryPlain(ctx context.Context, j *job, c Plain, once bool) (a PlainAnswer, outcome string, status int, err error) {
 	id, target, err := s.submit(ctx, j)
 	if err != nil {
@@ -137,10 +137,10 @@
 	}()
 	a, err = s.sendPlain(ctx, j, c, target, once)
 	if err == nil {
-		s.opts.Book.Note(j.requestID, j.account.Name, "attempt", "%s answered %d", target.Name, a.Status)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "attempt", "%s responded with status %d", target.Name, a.Status)
 		return a, "", a.Status, nil
 	}
-	s.opts.Book.Note(j.requestID, j.account.Name, "attempt", "%s: %v", target.Name, err)
+	s.opts.Trace.Add(j.requestID, j.account.Name, "attempt", "%s: %v", target.Name, err)
 	at, _ := engine.AsAttempt(err)
 	j.deny = append(j.deny, target.Name)
 	if !at.Ran {
@@ -148,13 +148,13 @@
 		return a, outcomeNotRun, at.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
 	fin.Failed = ctx.Err() == nil
-	s.lookAtEnd(ctx, j, target)
+	s.checkTargetDeath(ctx, j, target)
 	return a, outcomeUnknown, 0, result.Wrap(result.OutcomeUnknown, err)
 }
 
 func (s *Service) sendPlain(ctx context.Context, j *job, c Plain, target *conf.Target, once bool) (PlainAnswer, error) {
-	// A call that must not be repeated goes on when its caller leaves, so that
-	// its outcome can be recorded.
+	// A call that must not be repeated continues without its caller, so that its outcome can be
+	// recorded.
 	base := ctx
 	if once {
 		base = s.t.Context(context.Background())
@@ -174,14 +174,14 @@
 	req.Header.Set(engine.HeaderRequest, j.requestID)
 	req.Header.Set(engine.HeaderAccount, j.account.Name)
 	resp, err := s.opts.Engine.Do(req, target.Name, once)
-	j.permit.End(taken(err))
+	j.permit.End(accepted(err))
 	if err != nil {
 		return PlainAnswer{}, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainResponse+1))
 	if err == nil && len(body) > maxPlainResponse {
-		err = errors.New("the answer is too large")
+		err = errors.New("the response is too large")
 	}
 	if err != nil {
 		return PlainAnswer{}, engine.ErrAttempt{Target: target.Name, Ran: true, Cause: err}
--- a/services/dispatch/pump.go
+++ b/services/dispatch/pump.go
@@ -21,14 +21,14 @@
 	resumeDelay = 50 * time.Millisecond
 )
 
-// usage is what an engine says at the end of a stream.
+// usage is the token usage in the last events of an engine's stream.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// pump moves the events of one attempt from the target to the caller.
+// pump forwards the events of one attempt from the target to the caller.
 type pump struct {
 	st       *stream
 	id       admit.RequestID
@@ -44,24 +44,24 @@
 	lastAt     time.Time
 }
 
-// run reads until the last event. A broken connection is resumed from the
-// last offset, at the same target.
+// run reads until the last event. A broken connection is resumed at the same target after the
+// last event.
 func (p *pump) run(resp *http.Response) error {
 	st := p.st
 	if !st.callerGone && st.sink.Begin(st.token(p.target, p.streamID), st.attempt) != nil {
-		p.lostCaller()
+		p.setCallerGone()
 	}
-	stop := context.AfterFunc(st.caller, func() { p.stopLater() })
+	stop := context.AfterFunc(st.caller, func() { p.stopAfterGrace() })
 	defer stop()
 	err := p.read(resp)
 	for try := 0; err != nil && p.ctx.Err() == nil && try < resumeTries; try++ {
-		p.pause(try)
+		p.backOff(try)
 		again, resumeErr := st.s.opts.Engine.ResumeStream(p.ctx, p.target.Address, p.target.Name, p.streamID, p.last)
 		if resumeErr != nil {
 			continue
 		}
 		st.s.counters.resumed.Inc()
-		st.s.opts.Book.Note(st.j.requestID, st.j.account.Name, "resume", "stream of %s from offset %d", p.target.Name, p.last)
+		st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "resume", "stream of %s from offset %d", p.target.Name, p.last)
 		before := p.last
 		err = p.read(again)
 		_ = again.Body.Close()
@@ -78,7 +78,7 @@
 	return result.Wrap(result.StreamBroken, err)
 }
 
-func (p *pump) pause(try int) {
+func (p *pump) backOff(try int) {
 	if try == 0 {
 		return
 	}
@@ -88,14 +88,15 @@
 	}
 }
 
-// stopLater ends an answer that is not kept some time after its caller went.
-func (p *pump) stopLater() {
+// stopAfterGrace cancels the attempt a while after the caller has gone, unless the response is
+// kept.
+func (p *pump) stopAfterGrace() {
 	if p.st.j.order.Keep {
 		return
 	}
 	select {
 	case <-p.ctx.Done():
-	case <-p.st.s.opts.Clock.After(linger):
+	case <-p.st.s.opts.Clock.After(callerGracePeriod):
 		p.cancel()
 	}
 }
@@ -106,13 +107,13 @@
 	_ = p.st.s.opts.Engine.CancelStream(ctx, p.target.Address, p.streamID)
 }
 
-func (p *pump) lostCaller() {
+func (p *pump) setCallerGone() {
 	st := p.st
 	if st.callerGone {
 		return
 	}
 	st.callerGone = true
-	st.s.opts.Book.Note(st.j.requestID, st.j.account.Name, "caller gone", "at offset %d", p.last)
+	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "caller gone", "at offset %d", p.last)
 }
 
 func (p *pump) read(resp *http.Response) error {
@@ -123,16 +124,16 @@
 			return err
 		}
 		p.last = ev.ID
-		p.take(ev)
+		p.handle(ev)
 		if ev.Done() {
 			return nil
 		}
 	}
 }
 
-// take accounts for an event and passes it on. Events are remembered as long
-// as the answer may have to be kept.
-func (p *pump) take(ev engine.Event) {
+// handle accounts for an event and forwards it. It stores the data up to the limit of kept
+// responses.
+func (p *pump) handle(ev engine.Event) {
 	st := p.st
 	st.s.counters.tokens.Inc()
 	p.measure(ev)
@@ -141,7 +142,7 @@
 		st.bytes += int64(len(ev.Data))
 	}
 	if !st.callerGone && st.sink.Event(ev) != nil {
-		p.lostCaller()
+		p.setCallerGone()
 	}
 }
 
@@ -160,7 +161,7 @@
 		return
 	}
 	st.outputs++
-	// The core charges ahead in growing steps, so it need not hear of each.
+	// The core charges ahead in growing steps, so not every token needs a report.
 	if st.outputs%8 == 0 {
 		st.s.opts.Loop.Progress(p.id, st.cost())
 	}
@@ -175,7 +176,7 @@
 	}
 }
 
-// tokenGap is the average time between two tokens.
+// tokenGap returns the average time between two tokens.
 func (p *pump) tokenGap() time.Duration {
 	if p.st.outputs < 2 {
 		return 0
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -12,34 +12,34 @@
 	"madderway/services/quarantine"
 )
 
-// beginTry begins a try of a request; the job's try must be ended.
+// beginTry starts a try of the request in the quarantine; the try must be ended.
 func (s *Service) beginTry(j *job, body []byte) {
-	j.past = s.opts.Requests.Try(core.Identity{
+	j.try = s.opts.Quarantine.Try(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
 	})
 }
 
-// mayBeSent returns why the request must not be sent to a target, or nil.
-func (s *Service) mayBeSent(j *job) error {
-	err := j.past.MayBeSent()
+// checkQuarantine returns an error if the request is quarantined.
+func (s *Service) checkQuarantine(j *job) error {
+	err := j.try.MayBeSent()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
-		s.opts.Book.Note(j.requestID, j.account.Name, "refused", "%v", err)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "%v", err)
 	}
 	return err
 }
 
-// lookAtEnd finds out whether the target of an attempt that broke off has ended under it, and
-// remembers the request if so. One that was to leave accuses nobody.
-func (s *Service) lookAtEnd(ctx context.Context, j *job, t *conf.Target) {
+// checkTargetDeath checks whether the target of a broken attempt died, and records the request if
+// so. A leaving target may exit on purpose.
+func (s *Service) checkTargetDeath(ctx context.Context, j *job, t *conf.Target) {
 	if t.Leaving {
 		return
 	}
-	past, sentAt := j.past, j.sentAt
-	ask := func(ctx context.Context) (ended, known bool) { return s.endings.Exited(ctx, t.Name, t.Address) }
-	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
-	if ended {
-		s.opts.Book.Note(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
-		j.past.Accuse(t.Name, sentAt)
+	try, sentAt := j.try, j.sentAt
+	ask := func(ctx context.Context) (exited, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
+	died, _ := quarantine.HasEnded(ctx, ask, func() { try.Accuse(t.Name, sentAt) })
+	if died {
+		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
+		j.try.Accuse(t.Name, sentAt)
 	}
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -13,13 +13,13 @@
 	"madderway/services/notice"
 )
 
-// maxWithheld bounds how often a granted target is given back since it wants rest. Each grant
-// names those that were known; another one has asked for it meanwhile.
-const maxWithheld = 4
+// maxPausedGrants is the number of grants of a request that may be given back since the target
+// asked for a pause after the request was queued.
+const maxPausedGrants = 4
 
-// restsOf returns which targets of the job's pool want nothing from this router now.
-func (s *Service) restsOf(j *job) notice.Rests {
-	return s.opts.Notices.RestsAmong(func(yield func(string) bool) {
+// pausedTargets returns the targets of the job's pool that asked this router for a pause.
+func (s *Service) pausedTargets(j *job) notice.PausedTargets {
+	return s.opts.Notices.PausedAmong(func(yield func(string) bool) {
 		for _, t := range j.snapshot.Index.TargetsOf(j.pool.Name) {
 			if !t.Leaving && !yield(t.Name) {
 				return
@@ -28,20 +28,19 @@
 	})
 }
 
-// allRest returns the error of a call that only targets at rest could serve, with the time at
-// which the first of them may be tried.
-func (s *Service) allRest(j *job, r notice.Rests) error {
+// allPausedError returns the error for a call whose targets are all paused.
+func (s *Service) allPausedError(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
-	s.opts.Book.Note(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.First.Round(time.Millisecond))
-	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.First, time.Second))
+	s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "all %d targets are paused, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
+	return result.New(result.NoTarget, "all %d targets of pool %s are paused", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
 }
 
-// startSending takes the permit to send to a target that was granted, and reports false where
-// that wants rest.
+// startSending takes the permit to send to a granted target. It returns false if the target is
+// paused or leaving.
 func (s *Service) startSending(j *job, t *conf.Target) bool {
 	permit, err := s.opts.Notices.Start(t.Name)
 	if err != nil {
-		s.opts.Book.Note(j.requestID, j.account.Name, "withheld", "%s: %v", t.Name, err)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "withheld", "%s: %v", t.Name, err)
 		j.deny = append(j.deny, t.Name)
 		return false
 	}
@@ -49,16 +48,16 @@
 	return true
 }
 
-// denied returns the targets that may not be granted.
-func (j *job) denied(r notice.Rests) []string {
+// denyList returns the targets that must not be granted.
+func (j *job) denyList(r notice.PausedTargets) []string {
 	if len(r.Targets) == 0 {
 		return j.deny
 	}
 	return slices.Concat(j.deny, r.Targets)
 }
 
-// taken tells whether a target took a call, as far as its answer tells.
-func taken(err error) bool {
+// accepted reports whether a target accepted a call, as far as the error tells.
+func accepted(err error) bool {
 	a, failed := engine.AsAttempt(err)
 	return !failed || a.Ran
 }
--- a/services/forward/counters.go
+++ b/services/forward/counters.go
@@ -17,26 +17,25 @@
 	"madderway/models/routing"
 )
 
-// counters are the figures that a gateway tells of its requests.
+// counters are the metrics of a gateway's requests.
 type counters struct {
 	set         *metrics.Set
-	repeats     *metrics.Counter
+	retries     *metrics.Counter
 	budgetSpent *metrics.Counter
 	throttled   *metrics.Counter
-	// placesReturned counts places given back unsent, as this gateway knew more of the target
-	// than its scheduler.
+	// placements given back unsent, since this gateway cannot use the target
 	placesReturned *metrics.Counter
-	// Requests that another gateway has served, those of which no answer came, and those
-	// that no gateway took.
+	// requests served by another gateway, those lost on the way, and those that no gateway
+	// took
 	handedOver, handOverLost, notHandedOver *metrics.Counter
 
-	beforeAsk *metrics.Histogram
-	waited    *metrics.Histogram
-	byOutcome *sync.Map // byOutcome holds figures by service and outcome: to name them anew took 4 % of a refusal.
+	beforeAsk     *metrics.Histogram
+	placementTime *metrics.Histogram
+	byOutcome     *sync.Map // outcomeMetrics by service and outcome, a cache to avoid formatting names
 }
 
-// figures are those of the requests of one service that ended alike.
-type figures struct {
+// outcomeMetrics are the metrics of a service's requests with the same outcome.
+type outcomeMetrics struct {
 	requests *metrics.Counter
 	seconds  *metrics.Histogram
 }
@@ -44,7 +43,7 @@
 func newCounters() counters {
 	set := metrics.NewSet()
 	return counters{
-		set: set, repeats: set.NewCounter("madderway_gateway_repeats_total"),
+		set: set, retries: set.NewCounter("madderway_gateway_repeats_total"),
 		budgetSpent:    set.NewCounter("madderway_gateway_repeat_budget_spent_total"),
 		placesReturned: set.NewCounter("madderway_gateway_places_returned_total"),
 		throttled:      set.NewCounter("madderway_gateway_throttled_total"),
@@ -52,12 +51,12 @@
 		handOverLost:   set.NewCounter("madderway_gateway_handed_over_lost_total"),
 		notHandedOver:  set.NewCounter("madderway_gateway_not_handed_over_total"),
 		beforeAsk:      set.NewHistogram("madderway_gateway_before_ask_seconds"),
-		waited:         set.NewHistogram("madderway_gateway_placement_seconds"), byOutcome: &sync.Map{},
+		placementTime:  set.NewHistogram("madderway_gateway_placement_seconds"), byOutcome: &sync.Map{},
 	}
 }
 
-// note counts a request of a service that ended so, so long after it was read.
-func (c *counters) note(service *routing.Service, err error, after time.Duration) {
+// record counts a finished request; elapsed is the time since it was read.
+func (c *counters) record(service *routing.Service, err error, elapsed time.Duration) {
 	outcome := "done"
 	switch e, numbered := result.FromError(err); {
 	case numbered:
@@ -67,18 +66,17 @@
 	case err != nil:
 		outcome = "aborted"
 	}
-	f := c.figuresOf(service.Name, outcome)
+	f := c.metricsOf(service.Name, outcome)
 	f.requests.Inc()
-	f.seconds.Update(after.Seconds())
+	f.seconds.Update(elapsed.Seconds())
 }
 
-// figuresOf returns the figures of a service's requests that ended so.
-func (c *counters) figuresOf(service, outcome string) figures {
+func (c *counters) metricsOf(service, outcome string) outcomeMetrics {
 	key := [2]string{service, outcome}
 	if f, ok := c.byOutcome.Load(key); ok {
-		return f.(figures)
+		return f.(outcomeMetrics)
 	}
-	f := figures{
+	f := outcomeMetrics{
 		requests: c.set.GetOrCreateCounter(fmt.Sprintf("madderway_gateway_requests_total{service=%q,outcome=%q}", service, outcome)),
 		seconds:  c.set.GetOrCreateHistogram(fmt.Sprintf("madderway_gateway_request_seconds{service=%q}", service)),
 	}
@@ -86,7 +84,7 @@
 	return f
 }
 
-// WriteMetrics writes the figures in text form.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (s *Service) WriteMetrics(w io.Writer) {
 	s.counters.set.WritePrometheus(w)
 	s.opts.Guard.writeMetrics(w)
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -16,27 +16,27 @@
 	"madderway/services/upstream"
 )
 
-// maxWhole is the size up to which a plain answer is read whole before any of
-// it is passed on, so that a broken one can still be repeated.
-const maxWhole = 256 << 10
+// maxBufferedResponse is the size in bytes up to which a response is buffered before any of it
+// is forwarded, so that a broken one can still be retried.
+const maxBufferedResponse = 256 << 10
 
-// failure is a target's own failure, read whole.
+// failure is an error response of a target.
 type failure struct {
 	answer *upstream.Answer
 	body   []byte
 }
 
-// exchange sends the request to the placed target and passes a success on. It
-// returns 0 where the caller has the whole answer.
-func (j *job) exchange(p place) (attempt.Outcome, *failure) {
+// exchange sends the request to the target and forwards a successful response. It returns 0
+// if the caller has the whole response.
+func (j *job) exchange(p placement) (attempt.Outcome, *failure) {
 	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
-	impatient := j.watch(p, cancel)
-	defer impatient.Stop()
-	j.broken, j.refusal, j.permit = false, nil, notice.Permit{}
+	slowTimer := j.cutIfSlow(p, cancel)
+	defer slowTimer.Stop()
+	j.brokeOff, j.refusal, j.permit = false, nil, notice.Permit{}
 	a, err := j.s.opts.Client.Send(ctx, p.target(), j.sendRequest(p.target()))
 	j.permit.End(err == nil && !a.Verdict.NotRun)
-	if errors.Is(err, errStalePlace) {
+	if errors.Is(err, errStalePlacement) {
 		j.reason = err.Error()
 		j.history.Unsent++
 		return j.ended(p, attempt.NotSent), nil
@@ -57,42 +57,42 @@
 	defer a.Close()
 	j.history.Sent++
 	if a.Verdict.NotRun {
-		j.reason = "target did not run it"
+		j.reason = "target rejected the request without running it"
 		p.ended(attempt.NotRun, a.Verdict.Moved)
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxWhole))
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedResponse))
 		return attempt.NotRun, nil
 	}
 	j.history.MayHaveRun = true
 	if a.Status >= http.StatusMultipleChoices {
-		return j.failed(p, a)
+		return j.readFailure(p, a)
 	}
 	if j.r.Route.Stream {
-		return j.pump(p, a, impatient), nil
+		return j.forwardStream(p, a, slowTimer), nil
 	}
-	return j.whole(p, a), nil
+	return j.forwardWhole(p, a), nil
 }
 
-// watch cancels the attempt where its first part takes too long, another target
-// may try and the retry budget has a repeat for it. The repeat is taken before
-// the attempt is cut: one that is cut for nothing would be lost.
-func (j *job) watch(p place, cancel func()) clock.Timer {
-	patience := p.patience()
-	if patience == 0 || !j.r.Route.MayRepeat() || j.history.Sent+1 >= j.r.Route.MaxAttempts {
+// cutIfSlow cancels the attempt if its first part takes too long, the route permits another
+// attempt and the retry budget has a retry left. The retry is reserved before the attempt is
+// cut, so that no attempt is cut without a replacement.
+func (j *job) cutIfSlow(p placement, cancel func()) clock.Timer {
+	timeout := p.firstPartTimeout()
+	if timeout == 0 || !j.r.Route.MayRepeat() || j.history.Sent+1 >= j.r.Route.MaxAttempts {
 		return j.s.opts.Clock.AfterFunc(j.r.Deadline.Sub(j.s.opts.Clock.Now())+time.Second, cancel)
 	}
-	return j.s.opts.Clock.AfterFunc(patience, func() {
-		if j.repeat() {
-			j.reserved.Store(true)
+	return j.s.opts.Clock.AfterFunc(timeout, func() {
+		if j.takeFromRetryBudget() {
+			j.retryReserved.Store(true)
 			cancel()
 		}
 	})
 }
 
-// budget tells whether a further attempt is within the retry budget; one that
-// was taken ahead is used up first.
-func (j *job) budget() bool { return j.reserved.Swap(false) || j.repeat() }
+// takeRetry reports whether the retry budget permits another attempt. A reserved retry is used
+// first.
+func (j *job) takeRetry() bool { return j.retryReserved.Swap(false) || j.takeFromRetryBudget() }
 
-func (j *job) noAnswer(p place, err error) attempt.Outcome {
+func (j *job) noAnswer(p placement, err error) attempt.Outcome {
 	j.reason = err.Error()
 	outcome := attempt.Unknown
 	e, ok := upstream.IsErrExchange(err)
@@ -101,16 +101,15 @@
 		j.history.Unsent++
 		outcome = attempt.NotSent
 	default:
-		j.broken = true
+		j.brokeOff = true
 		j.history.Sent++
 		j.history.MayHaveRun = true
 	}
 	return j.ended(p, outcome)
 }
 
-// ended tells the place how the attempt came out, unless the caller has gone
-// or the time is over.
-func (j *job) ended(p place, o attempt.Outcome) attempt.Outcome {
+// ended reports the outcome to the placement; a gone caller or a passed deadline overrides it.
+func (j *job) ended(p placement, o attempt.Outcome) attempt.Outcome {
 	if j.ctx.Err() == context.Canceled {
 		p.canceled()
 		return o
@@ -122,32 +121,32 @@
 	return o
 }
 
-func (j *job) failed(p place, a *upstream.Answer) (attempt.Outcome, *failure) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWhole))
+func (j *job) readFailure(p placement, a *upstream.Answer) (attempt.Outcome, *failure) {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse))
 	if err != nil {
-		j.broken, j.reason = true, "failure broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "error response broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown), nil
 	}
 	j.reason = http.StatusText(a.Status)
 	p.ended(attempt.Failed, false)
 	if a.Status < http.StatusInternalServerError {
-		// The target refuses the request itself; another one would too.
+		// The target rejects the request itself, and so would any other.
 		j.history.Sent = max(j.history.Sent, j.r.Route.MaxAttempts)
 	}
 	return attempt.Failed, &failure{a, body}
 }
 
-// deliver passes a target's failure on as it came.
+// deliver forwards a target's error response.
 func (j *job) deliver(f *failure) error {
 	j.writeHead(f.answer)
 	_, _ = j.w.Write(f.body)
 	return nil
 }
 
-func (j *job) whole(p place, a *upstream.Answer) attempt.Outcome {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWhole+1))
+func (j *job) forwardWhole(p placement, a *upstream.Answer) attempt.Outcome {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse+1))
 	if err != nil {
-		j.broken, j.reason = true, "answer broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "response broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown)
 	}
 	p.began()
@@ -156,23 +155,23 @@
 		p.canceled()
 		return attempt.Cut
 	}
-	if len(body) <= maxWhole {
+	if len(body) <= maxBufferedResponse {
 		p.done()
 		return 0
 	}
 	return j.copyRest(p, a)
 }
 
-func (j *job) copyRest(p place, a *upstream.Answer) attempt.Outcome {
+func (j *job) copyRest(p placement, a *upstream.Answer) attempt.Outcome {
 	if _, err := io.Copy(j.w, a.Body); err != nil {
-		j.broken, j.reason = true, "answer broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "response broke off: "+err.Error()
 		return j.ended(p, attempt.Cut)
 	}
 	p.done()
 	return 0
 }
 
-// writeHead passes the head of an answer on.
+// writeHead forwards the status and the header of a response.
 func (j *job) writeHead(a *upstream.Answer) {
 	upstream.RemoveHopByHop(a.Header)
 	h := j.w.Header()
--- a/services/forward/guard_test.go
+++ b/services/forward/guard_test.go
@@ -17,22 +17,22 @@
 	"madderway/services/upstream"
 )
 
-func testGuard(c clock.Clock) *Guard {
-	return guardWith(c, func(time.Time) time.Duration { return 0 })
+func newTestGuard(c clock.Clock) *Guard {
+	return newGuardWithOverdue(c, func(time.Time) time.Duration { return 0 })
 }
 
-func guardWith(c clock.Clock, overdue func(time.Time) time.Duration) *Guard {
-	return NewGuard(log.New("guard"), c, GuardOptions{Bytes: func() (uint64, uint64) { return 0, 0 }, OnDuties: func(bool, bool) {}, Overdue: overdue})
+func newGuardWithOverdue(c clock.Clock, overdue func(time.Time) time.Duration) *Guard {
+	return NewGuard(log.New("guard"), c, GuardOptions{Bytes: func() (uint64, uint64) { return 0, 0 }, OnDutiesChanged: func(bool, bool) {}, Overdue: overdue})
 }
 
-// A gateway that is short of processor time passes events on in groups, the first one
-// at once; any other passes each on as it comes.
-func TestStrainedGatewayGathersEvents(t *testing.T) {
-	for _, strained := range []bool{false, true} {
+// Guards against an overloaded gateway that forwards each event by itself, and against delayed
+// first events.
+func TestOverloadedGatewayCoalescesEvents(t *testing.T) {
+	for _, overloaded := range []bool{false, true} {
 		c := clock.NewFake()
-		j := impatientJob(func() bool { return true })
-		j.s = &Service{opts: Options{Clock: c, Guard: testGuard(c)}}
-		j.s.opts.Guard.strained.Store(strained)
+		j := slowJob(func() bool { return true })
+		j.s = &Service{opts: Options{Clock: c, Guard: newTestGuard(c)}}
+		j.s.opts.Guard.overloaded.Store(overloaded)
 		j.ctx = t.Context()
 		j.r.Route.Stream = true
 		passed := &countingWriter{ResponseRecorder: httptest.NewRecorder(), wrote: make(chan int, 8)}
@@ -40,36 +40,36 @@
 		body, events := io.Pipe()
 		done := make(chan attempt.Outcome)
 		go func() {
-			done <- j.pump(impatient{}, &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: body}, time.AfterFunc(time.Hour, func() {}))
+			done <- j.forwardStream(slowPlacement{}, &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: body}, time.AfterFunc(time.Hour, func() {}))
 		}()
 		const event = "id: 1\ndata: a\n\n"
 		send := func() { _, _ = io.WriteString(events, event) }
 		send()
 		if n := <-passed.wrote; n != len(event) {
-			t.Errorf("strained %v: the first event came as %d bytes", strained, n)
+			t.Errorf("overloaded %v: first event forwarded in a write of %d bytes", overloaded, n)
 		}
-		// A pipe takes a write once it is read: while events gather nobody reads.
+		// A write to the pipe returns once it is read; nobody reads while events are collected.
 		next := make(chan struct{})
 		go func() {
 			send()
 			close(next)
 		}()
-		if strained {
+		if overloaded {
 			for waiting := true; waiting; {
 				select {
 				case <-next:
 					waiting = false
 				default:
-					c.Advance(gatherTime / 4)
+					c.Advance(coalesceInterval / 4)
 				}
 			}
 		}
 		<-next
 		if n := <-passed.wrote; n != len(event) {
-			t.Errorf("strained %v: %d bytes followed", strained, n)
+			t.Errorf("overloaded %v: second event forwarded in a write of %d bytes", overloaded, n)
 		}
-		if since := c.Now().Sub(clock.NewFake().Now()); strained != (since >= gatherTime) {
-			t.Errorf("strained %v: the second event was read after %v", strained, since)
+		if since := c.Now().Sub(clock.NewFake().Now()); overloaded != (since >= coalesceInterval) {
+			t.Errorf("overloaded %v: second event read after %v", overloaded, since)
 		}
 		_ = events.Close()
 		ended := false
@@ -78,13 +78,13 @@
 			case <-done:
 				ended = true
 			default:
-				c.Advance(gatherTime)
+				c.Advance(coalesceInterval)
 			}
 		}
 	}
 }
 
-// countingWriter tells how many bytes each write has.
+// countingWriter sends the length of each write to a channel.
 type countingWriter struct {
 	*httptest.ResponseRecorder
 	wrote chan int
@@ -95,11 +95,11 @@
 	return w.ResponseRecorder.Write(p)
 }
 
-// A process so late that no sample of its lateness comes refuses requests all the same.
-func TestNoReportOfLatenessIsOverload(t *testing.T) {
+// Guards against admitting requests while the process is too late to report its lateness.
+func TestMissingLatenessReportCountsAsOverload(t *testing.T) {
 	c := clock.NewFake()
-	began := c.Now()
-	g := guardWith(c, func(now time.Time) time.Duration { return now.Sub(began) })
+	start := c.Now()
+	g := newGuardWithOverdue(c, func(now time.Time) time.Duration { return now.Sub(start) })
 	refused := 0
 	for range 1000 {
 		c.Advance(time.Millisecond)
@@ -108,32 +108,32 @@
 		}
 	}
 	if refused < 300 {
-		t.Errorf("%d of 1,000 requests were refused by a process that had stood still for a second", refused)
+		t.Errorf("refused %d of 1,000 requests after the process stood still for a second, want at least 300", refused)
 	}
 }
 
-// The less is admitted, the later a refused request may come back.
-func TestRefusedComeBackLaterWhereLessIsAdmitted(t *testing.T) {
+// Guards against retries that use up the time of an overloaded gateway.
+func TestRetryAfterGrowsAsLessIsAdmitted(t *testing.T) {
 	c := clock.NewFake()
-	g := testGuard(c)
+	g := newTestGuard(c)
 	mean := func() time.Duration {
 		sum := time.Duration(0)
 		for range 1000 {
-			after := g.returnAfter()
-			if after > returnMost*3/2 {
-				t.Fatalf("may come back after %v", after)
+			after := g.retryAfter()
+			if after > maxRetryAfter*3/2 {
+				t.Fatalf("retry after %v, want at most 3/2 of maxRetryAfter", after)
 			}
 			sum += after
 		}
 		return sum / 1000
 	}
-	calm := mean()
+	idle := mean()
 	for range 500 {
 		c.Advance(10 * time.Millisecond)
 		g.admit("flood", true)
-		g.Late(100 * time.Millisecond)
+		g.ObserveLateness(100 * time.Millisecond)
 	}
-	if flooded := mean(); flooded < 3*calm {
-		t.Errorf("%v in a flood, %v in a calm", flooded, calm)
+	if loaded := mean(); loaded < 3*idle {
+		t.Errorf("mean retry time %v when overloaded, %v when idle, want at least three times as much", loaded, idle)
 	}
 }
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -17,11 +17,10 @@
 
 const (
 	streamChunk = 4 << 10
-	// gatherTime is how long a gateway that is short of processor time lets the events of
-	// a stream gather before it passes them on. The first one is never held. Each passing
-	// on costs two system calls and a wake-up or two; events come every 25 to 50 ms, and
-	// callers notice pauses from 300 ms on.
-	gatherTime = 80 * time.Millisecond
+	// coalesceInterval is how long an overloaded gateway collects events before it forwards
+	// them, to save system calls. The first event is never delayed. The interval is well below
+	// the pauses that callers notice.
+	coalesceInterval = 80 * time.Millisecond
 )
 
 var (
@@ -29,18 +28,18 @@
 	idField  = []byte("id:")
 )
 
-// pump passes the events of a stream on as they come. On a route whose streams
-// may be resumed only whole events go out, so that another target can go on.
-func (j *job) pump(p place, a *upstream.Answer, impatient clock.Timer) attempt.Outcome {
+// forwardStream forwards the events of a stream as they come. On resumable routes it forwards
+// only complete events, so that another target can continue the stream.
+func (j *job) forwardStream(p placement, a *upstream.Answer, slowTimer clock.Timer) attempt.Outcome {
 	flusher := http.NewResponseController(j.w)
 	chunk := make([]byte, streamChunk)
-	var held []byte // held are the bytes of an event that is not whole yet.
+	var held []byte // an incomplete event
 	for {
 		n, err := a.Body.Read(chunk)
 		if n > 0 {
-			if j.pace.note(j.s.opts.Clock.Now(), j.r.Received) {
-				if !impatient.Stop() && j.reserved.Load() {
-					j.reason = "cut for its slowness"
+			if j.timing.recordPart(j.s.opts.Clock.Now(), j.r.Received) {
+				if !slowTimer.Stop() && j.retryReserved.Load() {
+					j.reason = "first part too slow, attempt cut"
 					return j.ended(p, attempt.Cut)
 				}
 				p.began()
@@ -49,37 +48,37 @@
 			if j.r.Route.Resumable {
 				out, held = j.wholeEvents(append(held, out...))
 			}
-			if len(out) > 0 && !j.pass(a, flusher, out) {
+			if len(out) > 0 && !j.forwardEvents(a, flusher, out) {
 				p.canceled()
 				return attempt.Cut
 			}
 			if err == nil {
-				j.gather()
+				j.coalesce()
 			}
 		}
 		if err == io.EOF {
 			return j.endStream(p, a, flusher, held)
 		}
 		if err != nil {
-			j.broken, j.reason = true, "stream broke off: "+err.Error()
+			j.brokeOff, j.reason = true, "stream broke off: "+err.Error()
 			return j.ended(p, attempt.Cut)
 		}
 	}
 }
 
-// gather lets further events come where this gateway is short of processor time, or the
-// one that passes them on is.
-func (j *job) gather() {
-	if !j.s.opts.Guard.Strained() && j.r.Carrier == "" {
+// coalesce waits for further events if this gateway, or the one that handed the request
+// over, is overloaded.
+func (j *job) coalesce() {
+	if !j.s.opts.Guard.Overloaded() && j.r.HandedOverBy == "" {
 		return
 	}
 	select {
 	case <-j.ctx.Done():
-	case <-j.s.opts.Clock.After(gatherTime):
+	case <-j.s.opts.Clock.After(coalesceInterval):
 	}
 }
 
-func (j *job) pass(a *upstream.Answer, flusher *http.ResponseController, out []byte) bool {
+func (j *job) forwardEvents(a *upstream.Answer, flusher *http.ResponseController, out []byte) bool {
 	if !j.headOut {
 		j.writeHead(a)
 	}
@@ -89,12 +88,12 @@
 	return flusher.Flush() == nil
 }
 
-func (j *job) endStream(p place, a *upstream.Answer, flusher *http.ResponseController, held []byte) attempt.Outcome {
+func (j *job) endStream(p placement, a *upstream.Answer, flusher *http.ResponseController, held []byte) attempt.Outcome {
 	if len(held) > 0 {
-		j.broken, j.reason = true, "stream ended inside an event"
+		j.brokeOff, j.reason = true, "stream ended within an event"
 		return j.ended(p, attempt.Cut)
 	}
-	if !j.headOut && !j.pass(a, flusher, nil) {
+	if !j.headOut && !j.forwardEvents(a, flusher, nil) {
 		p.canceled()
 		return attempt.Cut
 	}
@@ -102,8 +101,8 @@
 	return 0
 }
 
-// wholeEvents divides bytes into whole events and the rest, and notes the ID of
-// the last whole one.
+// wholeEvents splits bytes into complete events and the rest, and notes the ID of the last
+// complete event.
 func (j *job) wholeEvents(b []byte) (whole, rest []byte) {
 	at := bytes.LastIndex(b, eventEnd)
 	if at < 0 {
@@ -119,25 +118,25 @@
 	return whole, rest
 }
 
-// pace is how the parts of a stream came.
-type pace struct {
-	first time.Duration // first is the time from the request to the first part.
-	pause time.Duration // pause is the longest time between two parts.
+// streamTiming records when the parts of a stream arrived.
+type streamTiming struct {
+	first time.Duration // from the request to the first part
+	pause time.Duration // the longest time between two parts
 	last  time.Time
 }
 
-// note takes the time of a part and tells whether it is the first one.
-func (p *pace) note(now, received time.Time) bool {
-	if p.last.IsZero() {
-		p.first, p.last = now.Sub(received), now
+// recordPart records the arrival of a part and reports whether it is the first one.
+func (t *streamTiming) recordPart(now, received time.Time) bool {
+	if t.last.IsZero() {
+		t.first, t.last = now.Sub(received), now
 		return true
 	}
-	p.pause = max(p.pause, now.Sub(p.last))
-	p.last = now
+	t.pause = max(t.pause, now.Sub(t.last))
+	t.last = now
 	return false
 }
 
-// late tells whether the stream missed its route's objectives.
-func (p *pace) late(r *routing.Route) bool {
-	return p.first > r.Objective || r.Pause > 0 && p.pause > r.Pause
+// late reports whether the stream missed the objectives of its route.
+func (t *streamTiming) late(r *routing.Route) bool {
+	return t.first > r.Objective || r.Pause > 0 && t.pause > r.Pause
 }
--- a/services/forward/watch_test.go
+++ b/services/forward/watch_test.go
@@ -17,76 +17,75 @@
 	"madderway/services/upstream"
 )
 
-// impatient is a place whose first part is waited for but a moment.
-type impatient struct{}
+// slowPlacement is a placement whose first part is always late.
+type slowPlacement struct{}
 
-func (impatient) target() *routing.Target     { return &routing.Target{ID: "t"} }
-func (impatient) began()                      {}
-func (impatient) ended(attempt.Outcome, bool) {}
-func (impatient) done()                       {}
-func (impatient) canceled()                   {}
-func (impatient) patience() time.Duration     { return time.Nanosecond }
+func (slowPlacement) target() *routing.Target         { return &routing.Target{ID: "t"} }
+func (slowPlacement) began()                          {}
+func (slowPlacement) ended(attempt.Outcome, bool)     {}
+func (slowPlacement) done()                           {}
+func (slowPlacement) canceled()                       {}
+func (slowPlacement) firstPartTimeout() time.Duration { return time.Nanosecond }
 
-func impatientJob(repeat func() bool) *job {
+func slowJob(take func() bool) *job {
 	route := &routing.Route{Repeat: routing.RepeatSafe, MaxAttempts: 2}
-	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, repeat: repeat}
+	return &job{s: &Service{opts: Options{Clock: clock.System{}}}, r: &Request{Route: route, Deadline: time.Now().Add(time.Hour)}, history: attempt.History{Route: route}, takeFromRetryBudget: take}
 }
 
-// An attempt is not cut for its slowness where the retry budget is spent: there
-// would be nothing to put in its place.
-func TestSlowAttemptIsKeptWithoutBudget(t *testing.T) {
+// Guards against cutting an attempt that nothing can replace.
+func TestSlowAttemptContinuesWithoutRetryBudget(t *testing.T) {
 	asked := make(chan struct{})
-	j := impatientJob(func() bool {
+	j := slowJob(func() bool {
 		close(asked)
 		return false
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer j.watch(impatient{}, cancel).Stop()
+	defer j.cutIfSlow(slowPlacement{}, cancel).Stop()
 	<-asked
-	if ctx.Err() != nil || j.reserved.Load() {
-		t.Error("the attempt was cut though the budget is spent")
+	if ctx.Err() != nil || j.retryReserved.Load() {
+		t.Error("attempt cut without a retry left in the budget")
 	}
 }
 
-// The repeat that was taken to cut an attempt is the one that replaces it.
-func TestRepeatIsTakenOnce(t *testing.T) {
+// Guards against taking two retries from the budget for one attempt that was cut.
+func TestReservedRetryIsTakenOnce(t *testing.T) {
 	taken := 0
-	j := impatientJob(func() bool {
+	j := slowJob(func() bool {
 		taken++
 		return taken == 1
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer j.watch(impatient{}, cancel).Stop()
+	defer j.cutIfSlow(slowPlacement{}, cancel).Stop()
 	<-ctx.Done()
-	if !j.budget() {
-		t.Error("the repeat that was taken ahead is gone")
+	if !j.takeRetry() {
+		t.Error("reserved retry is lost")
 	}
-	if taken != 1 || j.budget() {
-		t.Errorf("%d repeats were taken", taken)
+	if taken != 1 || j.takeRetry() {
+		t.Errorf("%d retries taken from the budget, want 1", taken)
 	}
 }
 
-// What comes of an attempt that has just been cut for its slowness is not passed
-// on: the answer would break off, though its repeat can give the whole.
-func TestLateFirstEventOfACutAttemptStaysBehind(t *testing.T) {
+// Guards against forwarding the response of a cut attempt, which would break off although its
+// retry can succeed.
+func TestLateFirstEventOfCutAttemptIsNotForwarded(t *testing.T) {
 	for _, cut := range []bool{true, false} {
-		j := impatientJob(func() bool { return true })
-		j.s = &Service{opts: Options{Clock: clock.System{}, Guard: testGuard(clock.System{})}}
+		j := slowJob(func() bool { return true })
+		j.s = &Service{opts: Options{Clock: clock.System{}, Guard: newTestGuard(clock.System{})}}
 		j.ctx = context.Background()
 		j.r.Route.Stream, j.r.Route.Resumable = true, true
 		recorder := httptest.NewRecorder()
 		j.w = recorder
-		j.reserved.Store(cut)
+		j.retryReserved.Store(cut)
 		fired := time.AfterFunc(time.Hour, func() {})
 		if cut {
 			fired.Stop()
 		}
 		a := &upstream.Answer{Status: http.StatusOK, Header: http.Header{}, Body: strings.NewReader("id: 1\ndata: a\n\n")}
-		outcome := j.pump(impatient{}, a, fired)
+		outcome := j.forwardStream(slowPlacement{}, a, fired)
 		if written := recorder.Body.Len() > 0; written == cut {
-			t.Errorf("cut %v: %q was passed on", cut, recorder.Body.String())
+			t.Errorf("cut %v: forwarded %q", cut, recorder.Body.String())
 		}
 		if (outcome == attempt.Cut) != cut {
 			t.Errorf("cut %v: outcome %v", cut, outcome)
@@ -94,27 +93,27 @@
 	}
 }
 
-// A stream that has begun is worth waiting for a target that goes on with it; a
-// request that has not run is told at once.
-func TestBegunStreamWaitsForATarget(t *testing.T) {
+// Guards against giving up a stream that another target could resume, and against delaying the
+// error of a request that has not run.
+func TestBegunStreamRetriesPlacement(t *testing.T) {
 	route := &routing.Route{Stream: true, Resumable: true, MaxAttempts: 2}
 	for name, c := range map[string]struct {
-		history attempt.History
-		left    time.Duration
-		want    bool
+		history   attempt.History
+		remaining time.Duration
+		want      bool
 	}{
-		"begun":                 {attempt.History{Route: route, Sent: 1, MayHaveRun: true, HeadForwarded: true}, time.Second, true},
-		"sent":                  {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Second, true},
-		"not sent":              {attempt.History{Route: route}, time.Second, false},
-		"time is over":          {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Millisecond, false},
-		"may not be repeated":   {attempt.History{Route: &routing.Route{Stream: true}, Sent: 1, MayHaveRun: true}, time.Second, false},
-		"no further attempt is": {attempt.History{Route: route, Sent: 2, MayHaveRun: true}, time.Second, false},
+		"begun":           {attempt.History{Route: route, Sent: 1, MayHaveRun: true, HeadForwarded: true}, time.Second, true},
+		"sent":            {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Second, true},
+		"not sent":        {attempt.History{Route: route}, time.Second, false},
+		"deadline close":  {attempt.History{Route: route, Sent: 1, MayHaveRun: true}, time.Millisecond, false},
+		"not resumable":   {attempt.History{Route: &routing.Route{Stream: true}, Sent: 1, MayHaveRun: true}, time.Second, false},
+		"no attempt left": {attempt.History{Route: route, Sent: 2, MayHaveRun: true}, time.Second, false},
 	} {
-		if got := placeLater(c.history, c.left, 0); got != c.want {
+		if got := shouldRetryPlacement(c.history, c.remaining, 0); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if placeLater(c.history, c.left, placeAgainFor) {
-			t.Errorf("%s: waits without end", name)
+		if shouldRetryPlacement(c.history, c.remaining, placementRetryTimeout) {
+			t.Errorf("%s: retries after the timeout", name)
 		}
 	}
 }
--- a/services/trace/trace.go
+++ b/services/trace/trace.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package trace remembers, within bounds and in memory, what a router decided
-// for each request, so that an operator can have it explained.
+// Package trace keeps the decisions about the latest requests of a router in memory, for
+// operators. It also finds the lines about a request in logs.
 package trace
 
 import (
@@ -16,23 +16,23 @@
 
 const maxEvents = 64
 
-// Event is one decision.
+// Event is a decision about a request.
 type Event struct {
 	At     time.Time `json:"at"`
 	Router string    `json:"router"`
-	What   string    `json:"what"`
+	Kind   string    `json:"what"`
 	Detail string    `json:"detail"`
 }
 
-// Record is all that a router remembers of a request.
+// Record holds the decisions about a request.
 type Record struct {
 	RequestID string  `json:"request_id"`
 	Account   string  `json:"account"`
 	Events    []Event `json:"events"`
 }
 
-// Book holds the records of the latest requests.
-type Book struct {
+// Recorder holds the records of the latest requests. It is safe for concurrent use.
+type Recorder struct {
 	router string
 	clock  clock.Clock
 	size   int
@@ -42,14 +42,15 @@
 	order   *list.List // of *Record, oldest first
 }
 
-// NewBook returns a book of a router that holds at most size records.
-func NewBook(router string, c clock.Clock, size int) *Book {
-	return &Book{router: router, clock: c, size: size, records: map[string]*list.Element{}, order: list.New()}
+// NewRecorder returns a recorder of a router for at most size records.
+func NewRecorder(router string, c clock.Clock, size int) *Recorder {
+	return &Recorder{router: router, clock: c, size: size, records: map[string]*list.Element{}, order: list.New()}
 }
 
-// Note adds a decision to the record of a request.
-func (b *Book) Note(requestID, account, what, format string, args ...any) {
-	ev := Event{b.clock.Now(), b.router, what, fmt.Sprintf(format, args...)}
+// Add adds a decision to the record of a request. The oldest record is evicted if there are
+// too many.
+func (b *Recorder) Add(requestID, account, kind, format string, args ...any) {
+	ev := Event{b.clock.Now(), b.router, kind, fmt.Sprintf(format, args...)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.records[requestID]
@@ -64,7 +65,7 @@
 	}
 }
 
-func (b *Book) evict() {
+func (b *Recorder) evict() {
 	for b.order.Len() >= b.size {
 		oldest := b.order.Front()
 		delete(b.records, oldest.Value.(*Record).RequestID)
@@ -73,7 +74,7 @@
 }
 
 // Find returns a copy of the record of a request.
-func (b *Book) Find(requestID string) (Record, bool) {
+func (b *Recorder) Find(requestID string) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.records[requestID]
@@ -86,7 +87,7 @@
 }
 
 // Len returns the number of records.
-func (b *Book) Len() int {
+func (b *Recorder) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.order.Len()
