--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -109,16 +109,16 @@
 		head, plain := httphead.Parse(p[:n])
 		rest := head.ContentLength - int64(n-head.Length)
 		if !plain || rest < 0 {
-			return n, c.toServer(NotJudged, endless)
+			return n, c.toServer(Undecided, endless)
 		}
 		if head.ContentLength > earlyBody || !c.server.judges() {
-			return n, c.toServer(NotJudged, rest)
+			return n, c.toServer(Undecided, rest)
 		}
 		if c.hasLeft() {
 			return 0, io.EOF
 		}
 		closes := c.server.crowded()
-		j := c.server.early.Look(&head, LookOptions{Closes: closes, Movable: c.server.relay != nil})
+		j := c.server.early.AdmitEarly(&head, EarlyOptions{ClosesConn: closes, CanHandOver: c.server.relay != nil})
 		switch j.Verdict {
 		case HandedOver:
 			switch c.handOver(p[:n], rest, j) {
--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -35,14 +35,14 @@
 
 // The verdicts.
 const (
-	NotJudged  Verdict = iota // the HTTP server takes the request as any other
+	Undecided  Verdict = iota // the HTTP server takes the request as any other
 	Admitted                  // the HTTP server takes it; it was counted and admitted
 	HandedOver                // another gateway serves it
 	Refused
 )
 
-// Judgement is what an early look at a request has found.
-type Judgement struct {
+// EarlyDecision is what an early look at a request has found.
+type EarlyDecision struct {
 	Verdict Verdict
 	Answer  []byte        // Answer is that to a refused request.
 	ID      string        // ID is that of a request that is handed over.
@@ -50,77 +50,77 @@
 	Within  time.Duration // Within is how long a request that is handed over may take.
 }
 
-// LookOptions say what may become of a request.
-type LookOptions struct {
-	Closes  bool // Closes tells that the answer ends the connection.
-	Movable bool // Movable tells that another gateway may serve the request.
+// EarlyOptions say what may become of a request.
+type EarlyOptions struct {
+	ClosesConn  bool // Closes tells that the answer ends the connection.
+	CanHandOver bool // Movable tells that another gateway may serve the request.
 }
 
-// EarlyJudge judges requests by their heads, before an HTTP server parses them.
-type EarlyJudge interface {
-	// Judges tells whether requests are to be looked at now.
-	Judges() bool
-	Look(h *httphead.Head, o LookOptions) Judgement
-	// Lost returns the answer to a request of which nobody knows what has become.
-	Lost(id string) []byte
-	// Busy returns the answer to a request that could not be handed over in time.
-	Busy(id string) []byte
-	// Told notes how handing a request over came out.
-	Told(j Judgement, h HandedTo)
+// EarlyAdmission judges requests by their heads, before an HTTP server parses them.
+type EarlyAdmission interface {
+	// AdmitsEarly tells whether requests are to be looked at now.
+	AdmitsEarly() bool
+	AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision
+	// LostAnswer returns the answer to a request of which nobody knows what has become.
+	LostAnswer(id string) []byte
+	// BusyAnswer returns the answer to a request that could not be handed over in time.
+	BusyAnswer(id string) []byte
+	// NoteHandedOver notes how handing a request over came out.
+	NoteHandedOver(j EarlyDecision, h HandedTo)
 }
 
-// Judges implements EarlyJudge.
-func (h *Handler) Judges() bool {
+// AdmitsEarly implements EarlyJudge.
+func (h *Handler) AdmitsEarly() bool {
 	return h.opts.Forward.Strained() && Mode(h.mode.Load()) == ServeAll
 }
 
-// Look implements EarlyJudge: while the gateway is short of processor time it judges the
+// AdmitEarly implements EarlyJudge: while the gateway is short of processor time it judges the
 // requests of known accounts for targets that a scheduler chooses.
 //
 // A refusal through the HTTP server takes 80 microseconds of a process that shares its core,
 // measured on a gateway that refuses all of a flood of 1,000 requests a second; where each is
 // refused twice nothing is left for serving.
-func (h *Handler) Look(head *httphead.Head, o LookOptions) Judgement {
+func (h *Handler) AdmitEarly(head *httphead.Head, o EarlyOptions) EarlyDecision {
 	x := h.opts.Follow.Index()
-	if x == nil || !h.Judges() {
-		return Judgement{}
+	if x == nil || !h.AdmitsEarly() {
+		return EarlyDecision{}
 	}
 	limits := x.Configuration.Limits
 	if limits.MaxHeaderBytes > 0 && head.Length > limits.MaxHeaderBytes || limits.MaxBodyBytes > 0 && head.ContentLength > limits.MaxBodyBytes {
-		return Judgement{}
+		return EarlyDecision{}
 	}
 	call, ok := h.opts.Dialect.PeekCall(head.Get)
 	route := x.Route(hostOf(string(head.Host)), string(head.Path))
 	if !ok || !plainID(call.ID) || route == nil || route.Public || len(route.Split) != 1 {
-		return Judgement{}
+		return EarlyDecision{}
 	}
 	account, service := x.Account(call.Key), x.Service(route.Split[0].Service)
 	if account == nil || service == nil || service.Engine == nil || call.Prompt == nil {
-		return Judgement{}
+		return EarlyDecision{}
 	}
-	admission, err := h.opts.Forward.Admit(&call, service, account, o.Movable)
+	admission, err := h.opts.Forward.Admit(&call, service, account, o.CanHandOver)
 	switch {
 	case err != nil:
-		return Judgement{Verdict: Refused, Answer: h.earlyAnswer(err, call.ID, o.Closes)}
+		return EarlyDecision{Verdict: Refused, Answer: h.earlyAnswer(err, call.ID, o.ClosesConn)}
 	case admission == forward.HandOver:
-		return Judgement{Verdict: HandedOver, ID: call.ID, Account: account.GetName(), Within: route.Timeout}
+		return EarlyDecision{Verdict: HandedOver, ID: call.ID, Account: account.GetName(), Within: route.Timeout}
 	default:
-		return Judgement{Verdict: Admitted}
+		return EarlyDecision{Verdict: Admitted}
 	}
 }
 
-// Lost implements EarlyJudge.
-func (h *Handler) Lost(id string) []byte {
+// LostAnswer implements EarlyJudge.
+func (h *Handler) LostAnswer(id string) []byte {
 	return h.earlyAnswer(result.New(result.OutcomeUnknown, "the gateway that took the request over is gone"), id, true)
 }
 
-// Busy implements EarlyJudge.
-func (h *Handler) Busy(id string) []byte {
+// BusyAnswer implements EarlyJudge.
+func (h *Handler) BusyAnswer(id string) []byte {
 	return h.earlyAnswer(h.opts.Forward.RefuseBusy(), id, false)
 }
 
-// Told implements EarlyJudge.
-func (h *Handler) Told(j Judgement, to HandedTo) {
+// NoteHandedOver implements EarlyJudge.
+func (h *Handler) NoteHandedOver(j EarlyDecision, to HandedTo) {
 	h.opts.Forward.NoteHandedOver(forward.HandedOver{ID: j.ID, Account: j.Account, Peer: to.Peer, After: to.After, Bytes: to.Bytes, Lost: to.Lost, Gone: to.Gone})
 }
 
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -31,34 +31,34 @@
 	told    chan HandedTo
 }
 
-func (r *refuseKey) Judges() bool { return true }
+func (r *refuseKey) AdmitsEarly() bool { return true }
 
-func (r *refuseKey) Lost(id string) []byte {
+func (r *refuseKey) LostAnswer(id string) []byte {
 	return r.handler.earlyAnswer(result.New(result.OutcomeUnknown, "lost"), id, true)
 }
 
-func (r *refuseKey) Busy(id string) []byte {
+func (r *refuseKey) BusyAnswer(id string) []byte {
 	return []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + strconv.Itoa(len(id)) + "\r\n\r\n" + id)
 }
 
-func (r *refuseKey) Told(_ Judgement, h HandedTo) { r.told <- h }
+func (r *refuseKey) NoteHandedOver(_ EarlyDecision, h HandedTo) { r.told <- h }
 
-func (r *refuseKey) Look(h *httphead.Head, o LookOptions) Judgement {
+func (r *refuseKey) AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision {
 	r.looked.Add(1)
 	key := make([]string, 1)
 	h.Get(key, "Authorization")
 	switch key[0] {
 	case "Bearer flood":
-		return Judgement{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").WithRetryAfter(notReadyAfter), "id-1", o.Closes)}
+		return EarlyDecision{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").WithRetryAfter(notReadyAfter), "id-1", o.ClosesConn)}
 	case "Bearer known":
-		return Judgement{Verdict: Admitted}
+		return EarlyDecision{Verdict: Admitted}
 	case "Bearer moved":
-		if o.Movable {
-			return Judgement{Verdict: HandedOver, ID: "id-2"}
+		if o.CanHandOver {
+			return EarlyDecision{Verdict: HandedOver, ID: "id-2"}
 		}
-		return Judgement{Verdict: Admitted}
+		return EarlyDecision{Verdict: Admitted}
 	default:
-		return Judgement{}
+		return EarlyDecision{}
 	}
 }
 
@@ -85,7 +85,7 @@
 	})
 	s := NewServer(log.New("callers"), l, echo, most, &netopt.Traffic{})
 	early := &refuseKey{told: make(chan HandedTo, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
-	s.JudgeEarly(early)
+	s.SetEarlyAdmission(early)
 	t.Cleanup(s.Close)
 	return s, early, l.Addr().String()
 }
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -67,13 +67,13 @@
 // many are to come. Its answer ends the connection nowhere, also where little room is left
 // for others: a flood of which each request takes a connection of its own had 12,224 and 12,902
 // of 28,104 requests in time, one whose connections stay 16,734.
-func (c *callerConn) handOver(begun []byte, rest int64, j Judgement) handedOver {
+func (c *callerConn) handOver(begun []byte, rest int64, j EarlyDecision) handedOver {
 	c.server.relaying.Add(1)
 	defer c.server.relaying.Add(-1)
 	start, to := now(), HandedTo{}
 	defer func() {
 		to.After = now().Sub(start)
-		c.server.early.Told(j, to)
+		c.server.early.NoteHandedOver(j, to)
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
@@ -81,7 +81,7 @@
 		to.Lost = !c.gone && relay.IsErrSent(err)
 		switch {
 		case to.Lost:
-			_, _ = c.counted.Write(c.server.early.Lost(j.ID)) // the caller may be gone, too
+			_, _ = c.counted.Write(c.server.early.LostAnswer(j.ID)) // the caller may be gone, too
 			return ended
 		case to.Gone:
 			return ended
@@ -100,7 +100,7 @@
 	to.Bytes, whole = handed.Result()
 	to.Gone, to.Lost = c.gone, to.Bytes == 0
 	if to.Lost && !c.gone {
-		_, _ = c.counted.Write(c.server.early.Lost(j.ID))
+		_, _ = c.counted.Write(c.server.early.LostAnswer(j.ID))
 	}
 	if !whole || c.gone || c.SetReadDeadline(netopt.DeadlineIn(idleTime(c.limits))) != nil {
 		return ended
@@ -111,7 +111,7 @@
 // refuseBusy answers a request that was read whole and waited for too long to be handed over.
 func (c *callerConn) refuseBusy(id string) handedOver {
 	c.ahead = nil
-	if c.refuse(c.server.early.Busy(id), 0) != nil {
+	if c.refuse(c.server.early.BusyAnswer(id), 0) != nil {
 		return ended
 	}
 	return answered
--- a/handlers/gateway/server.go
+++ b/handlers/gateway/server.go
@@ -50,10 +50,10 @@
 	traffic  *netopt.Traffic
 	most     int64 // most is how many connections are open at once.
 	open     atomic.Int64
-	turned   atomic.Uint64 // turned counts the connections that were turned away.
-	relaying atomic.Int64  // relaying counts the requests that other gateways serve.
-	early    EarlyJudge    // early judges requests before they are parsed; nil for none.
-	relay    Relay         // relay is nil where nothing is handed over.
+	turned   atomic.Uint64  // turned counts the connections that were turned away.
+	relaying atomic.Int64   // relaying counts the requests that other gateways serve.
+	early    EarlyAdmission // early judges requests before they are parsed; nil for none.
+	relay    Relay          // relay is nil where nothing is handed over.
 
 	mu      sync.Mutex
 	limits  routing.Limits
@@ -71,11 +71,11 @@
 	return s
 }
 
-// JudgeEarly lets requests be judged before they are parsed. It is called before Serve.
-func (s *Server) JudgeEarly(e EarlyJudge) { s.early = e }
+// SetEarlyAdmission lets requests be judged before they are parsed. It is called before Serve.
+func (s *Server) SetEarlyAdmission(e EarlyAdmission) { s.early = e }
 
 // judges tells whether requests are to be judged early now.
-func (s *Server) judges() bool { return s.early != nil && s.early.Judges() }
+func (s *Server) judges() bool { return s.early != nil && s.early.AdmitsEarly() }
 
 // SetLimits puts the limits of a configuration in force.
 func (s *Server) SetLimits(l routing.Limits) {
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -296,7 +296,7 @@
 
 func (g *Gateway) serve(listeners []net.Listener) {
 	g.callers = gateway.NewServer(log.New("callers").With(g.settings.Load().ID), listeners[0], g.handler, int(callerShare*float64(g.settings.Load().Descriptors)), g.traffic)
-	g.callers.JudgeEarly(g.handler)
+	g.callers.SetEarlyAdmission(g.handler)
 	g.callers.SetRelay(g.relay)
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.ReadinessPath, g.answerReadiness)
