--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -47,7 +47,7 @@
 	Answer  []byte        // Answer is that to a refused request.
 	ID      string        // ID is that of a request that is handed over.
 	Account string        // Account is that of a request that is handed over.
-	Within  time.Duration // Within is how long a request that is handed over may take.
+	Timeout time.Duration // Within is how long a request that is handed over may take.
 }
 
 // EarlyOptions say what may become of a request.
@@ -66,7 +66,7 @@
 	// BusyAnswer returns the answer to a request that could not be handed over in time.
 	BusyAnswer(id string) []byte
 	// NoteHandedOver notes how handing a request over came out.
-	NoteHandedOver(j EarlyDecision, h HandedTo)
+	NoteHandedOver(j EarlyDecision, h HandOverResult)
 }
 
 // AdmitsEarly implements EarlyJudge.
@@ -103,7 +103,7 @@
 	case err != nil:
 		return EarlyDecision{Verdict: Refused, Answer: h.earlyAnswer(err, call.ID, o.ClosesConn)}
 	case admission == forward.HandOver:
-		return EarlyDecision{Verdict: HandedOver, ID: call.ID, Account: account.GetName(), Within: route.Timeout}
+		return EarlyDecision{Verdict: HandedOver, ID: call.ID, Account: account.GetName(), Timeout: route.Timeout}
 	default:
 		return EarlyDecision{Verdict: Admitted}
 	}
@@ -120,8 +120,8 @@
 }
 
 // NoteHandedOver implements EarlyJudge.
-func (h *Handler) NoteHandedOver(j EarlyDecision, to HandedTo) {
-	h.opts.Forward.NoteHandedOver(forward.HandedOver{ID: j.ID, Account: j.Account, Peer: to.Peer, After: to.After, Bytes: to.Bytes, Lost: to.Lost, Gone: to.Gone})
+func (h *Handler) NoteHandedOver(j EarlyDecision, to HandOverResult) {
+	h.opts.Forward.NoteHandedOver(forward.HandedOver{ID: j.ID, Account: j.Account, Peer: to.Peer, After: to.Elapsed, Bytes: to.Bytes, Lost: to.Lost, Gone: to.CallerLeft})
 }
 
 // plainID tells whether an ID can stand in an answer as it is.
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -28,7 +28,7 @@
 type refuseKey struct {
 	handler *Handler
 	looked  atomic.Int64
-	told    chan HandedTo
+	told    chan HandOverResult
 }
 
 func (r *refuseKey) AdmitsEarly() bool { return true }
@@ -41,7 +41,7 @@
 	return []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + strconv.Itoa(len(id)) + "\r\n\r\n" + id)
 }
 
-func (r *refuseKey) NoteHandedOver(_ EarlyDecision, h HandedTo) { r.told <- h }
+func (r *refuseKey) NoteHandedOver(_ EarlyDecision, h HandOverResult) { r.told <- h }
 
 func (r *refuseKey) AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision {
 	r.looked.Add(1)
@@ -84,7 +84,7 @@
 		_, _ = w.Write(body)
 	})
 	s := NewServer(log.New("callers"), l, echo, most, &netopt.Traffic{})
-	early := &refuseKey{told: make(chan HandedTo, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
+	early := &refuseKey{told: make(chan HandOverResult, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
 	s.SetEarlyAdmission(early)
 	t.Cleanup(s.Close)
 	return s, early, l.Addr().String()
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -36,20 +36,20 @@
 	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handed, error)
 }
 
-// HandedTo tells how handing a request over came out.
-type HandedTo struct {
-	Peer  string // Peer is empty where no other gateway took the request.
-	After time.Duration
-	Bytes int64 // Bytes are those of the answer.
-	Lost  bool  // Lost tells that the answer ended before it began.
-	Gone  bool  // Gone tells that the caller has left.
+// HandOverResult tells how handing a request over came out.
+type HandOverResult struct {
+	Peer       string // Peer is empty where no other gateway took the request.
+	Elapsed    time.Duration
+	Bytes      int64 // Bytes are those of the answer.
+	Lost       bool  // Lost tells that the answer ended before it began.
+	CallerLeft bool  // Gone tells that the caller has left.
 }
 
 // SetRelay lets requests be handed over to other gateways. It is called before Serve.
 func (s *Server) SetRelay(r Relay) { s.relay = r }
 
-// Relaying returns how many requests other gateways serve for this one.
-func (s *Server) Relaying() int { return int(s.relaying.Load()) }
+// HandedOver returns how many requests other gateways serve for this one.
+func (s *Server) HandedOver() int { return int(s.relaying.Load()) }
 
 // handedOver is what has become of a request that was to be handed over.
 type handedOver int
@@ -70,20 +70,20 @@
 func (c *callerConn) handOver(begun []byte, rest int64, j EarlyDecision) handedOver {
 	c.server.relaying.Add(1)
 	defer c.server.relaying.Add(-1)
-	start, to := now(), HandedTo{}
+	start, to := now(), HandOverResult{}
 	defer func() {
-		to.After = now().Sub(start)
+		to.Elapsed = now().Sub(start)
 		c.server.early.NoteHandedOver(j, to)
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
-		to.Gone = c.gone
+		to.CallerLeft = c.gone
 		to.Lost = !c.gone && relay.IsErrSent(err)
 		switch {
 		case to.Lost:
 			_, _ = c.counted.Write(c.server.early.LostAnswer(j.ID)) // the caller may be gone, too
 			return ended
-		case to.Gone:
+		case to.CallerLeft:
 			return ended
 		case errors.Is(err, relay.ErrFull):
 			return c.refuseBusy(j.ID)
@@ -92,13 +92,13 @@
 	}
 	to.Peer = handed.Peer
 	end := start.Add(relayMost)
-	if j.Within > 0 {
-		end = start.Add(j.Within + relaySlack)
+	if j.Timeout > 0 {
+		end = start.Add(j.Timeout + relaySlack)
 	}
 	c.await(handed, end)
 	var whole bool
 	to.Bytes, whole = handed.Result()
-	to.Gone, to.Lost = c.gone, to.Bytes == 0
+	to.CallerLeft, to.Lost = c.gone, to.Bytes == 0
 	if to.Lost && !c.gone {
 		_, _ = c.counted.Write(c.server.early.LostAnswer(j.ID))
 	}
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -89,7 +89,7 @@
 		if status != http.StatusOK || body != want || header.Get("Carrier") != "near" || header.Get("Connection") == "close" {
 			t.Fatalf("body of %d: status %d, %d bytes, %v", size, status, len(body), header)
 		}
-		if told := <-early.told; told.Peer != "far" || told.Bytes < int64(size) || told.Lost || told.Gone {
+		if told := <-early.told; told.Peer != "far" || told.Bytes < int64(size) || told.Lost || told.CallerLeft {
 			t.Errorf("told %+v", told)
 		}
 		if status, body, header := c.answer(); status != http.StatusOK || body != "next" || header.Get("Carrier") != "" {
@@ -115,7 +115,7 @@
 	if status != http.StatusBadGateway || !strings.Contains(body, `"code":3002`) || !strings.Contains(body, `"ran":"unknown"`) {
 		t.Errorf("status %d, %q", status, body)
 	}
-	if told := <-early.told; !told.Lost || told.Gone {
+	if told := <-early.told; !told.Lost || told.CallerLeft {
 		t.Errorf("told %+v", told)
 	}
 	c = newCaller(t, address)
@@ -147,20 +147,20 @@
 		runtime.Gosched()
 	}
 	_ = c.Close()
-	if told := <-early.told; !told.Gone || told.Peer != "" {
+	if told := <-early.told; !told.CallerLeft || told.Peer != "" {
 		t.Errorf("told %+v", told)
 	}
 	c = newCaller(t, address)
 	c.send(post("moved", "x"))
 	<-began
-	if near.Relaying() != 1 {
-		t.Errorf("%d requests are with others", near.Relaying())
+	if near.HandedOver() != 1 {
+		t.Errorf("%d requests are with others", near.HandedOver())
 	}
 	_ = c.Close()
 	if err := <-ended; err == nil {
 		t.Error("the request goes on")
 	}
-	if told := <-early.told; !told.Gone {
+	if told := <-early.told; !told.CallerLeft {
 		t.Errorf("told %+v", told)
 	}
 }
@@ -232,7 +232,7 @@
 		if status, body, header := c.answer(); status != http.StatusOK || body != want || header.Get("Admitted") != "true" {
 			t.Errorf("status %d, %d bytes, %v", status, len(body), header)
 		}
-		if told := <-early.told; told.Peer != "" || told.Lost || told.Gone {
+		if told := <-early.told; told.Peer != "" || told.Lost || told.CallerLeft {
 			t.Errorf("told %+v", told)
 		}
 	}
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -370,7 +370,7 @@
 }
 
 // open returns how many requests are under way here, or elsewhere for this gateway.
-func (g *Gateway) open() int { return g.handler.Open() + g.callers.Relaying() }
+func (g *Gateway) open() int { return g.handler.Open() + g.callers.HandedOver() }
 
 // Stop ends the gateway at once.
 func (g *Gateway) Stop() {
--- a/router/gatewaystate.go
+++ b/router/gatewaystate.go
@@ -50,7 +50,7 @@
 	calls, fetches := g.follow.Calls()
 	return GatewayDump{
 		ID: g.self.ID, Incarnation: g.self.Incarnation, DataHall: g.self.DataHall, Ready: g.Ready(), Draining: g.isDraining(),
-		Open: g.open(), Relaying: g.callers.Relaying(), Callers: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, Dials: g.pool.Dials(),
+		Open: g.open(), Relaying: g.callers.HandedOver(), Callers: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, Dials: g.pool.Dials(),
 		Mesh: g.loop.State(), Quarantined: g.requests.Standings()[quarantine.Quarantined], Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
 	}
 }
