--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -38,14 +38,14 @@
 
 // Options are the parts of a Handler.
 type Options struct {
-	Clock     clock.Clock
-	Dialect   upstream.Dialect
-	Follow    *follow.Service
-	Forward   *forward.Service
-	MaxBodies int64 // MaxBodies bounds the bytes of all bodies that are held at once.
-	// Unsettled tells that the process has stood still and has not heard anew what holds;
+	Clock        clock.Clock
+	Dialect      upstream.Dialect
+	Follow       *follow.Service
+	Forward      *forward.Service
+	MaxBodyBytes int64 // MaxBodies bounds the bytes of all bodies that are held at once.
+	// Resyncing tells that the process has stood still and has not heard anew what holds;
 	// nil where that is not watched.
-	Unsettled func() bool
+	Resyncing func() bool
 }
 
 // Handler serves callers.
@@ -69,11 +69,11 @@
 	RefuseAll         // all are refused as not run
 )
 
-// Drain changes what is done with new requests.
-func (h *Handler) Drain(m Mode) { h.mode.Store(int32(m)) }
+// SetMode changes what is done with new requests.
+func (h *Handler) SetMode(m Mode) { h.mode.Store(int32(m)) }
 
-// Open returns how many requests are under way.
-func (h *Handler) Open() int { return int(h.open.Load()) }
+// InFlight returns how many requests are under way.
+func (h *Handler) InFlight() int { return int(h.open.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -123,7 +123,7 @@
 	if x == nil {
 		return nil, result.New(result.NotReady, "no configuration is known").WithRetryAfter(notReadyAfter)
 	}
-	if h.opts.Unsettled != nil && h.opts.Unsettled() {
+	if h.opts.Resyncing != nil && h.opts.Resyncing() {
 		return nil, result.New(result.NotReady, "the process stood still and has not heard anew what holds").WithRetryAfter(notReadyAfter)
 	}
 	if over(r.Header, x.Configuration.Limits.MaxHeaderBytes) {
@@ -175,7 +175,7 @@
 	if limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes {
 		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	}
-	if h.bodies.Load()+max(r.ContentLength, smallBody) > h.opts.MaxBodies {
+	if h.bodies.Load()+max(r.ContentLength, smallBody) > h.opts.MaxBodyBytes {
 		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyAfter)
 	}
 	control := http.NewResponseController(w)
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -192,7 +192,7 @@
 	})
 	g.handler = gateway.New(gateway.Options{
 		Clock: g.clock, Dialect: platform.Dialect{}, Follow: g.follow, Forward: g.forward,
-		MaxBodies: int64(bodyShare * float64(s.MemoryMB<<20)), Unsettled: g.unsettled,
+		MaxBodyBytes: int64(bodyShare * float64(s.MemoryMB<<20)), Resyncing: g.unsettled,
 	})
 }
 
@@ -352,7 +352,7 @@
 		plan := drain.Plan{Started: g.clock.Now(), Linger: s.Linger.Duration, Grace: s.Grace.Duration}
 		g.log.Info("Drain started.", "open", g.open())
 		close(g.draining)
-		g.handler.Drain(gateway.ServeClosing)
+		g.handler.SetMode(gateway.ServeClosing)
 		g.loop.Leave()
 		for {
 			phase := plan.Phase(g.clock.Now(), g.open())
@@ -360,7 +360,7 @@
 				break
 			}
 			if phase == drain.Refuse {
-				g.handler.Drain(gateway.RefuseAll)
+				g.handler.SetMode(gateway.RefuseAll)
 			}
 			<-g.clock.After(drainPoll)
 		}
@@ -370,7 +370,7 @@
 }
 
 // open returns how many requests are under way here, or elsewhere for this gateway.
-func (g *Gateway) open() int { return g.handler.Open() + g.callers.HandedOver() }
+func (g *Gateway) open() int { return g.handler.InFlight() + g.callers.HandedOver() }
 
 // Stop ends the gateway at once.
 func (g *Gateway) Stop() {
