--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -22,7 +22,7 @@
 // the end is not plain, all that follows is the server's, too: what this connection reads next
 // may be the middle of a request.
 type callerConn struct {
-	*counted
+	*countedConn
 	server   *Server
 	limits   routing.Limits
 	ahead    []byte        // ahead has been read of the next request.
@@ -45,13 +45,13 @@
 	if !t.IsZero() && !t.After(time.Now()) {
 		c.endLooking()
 	}
-	return c.counted.SetReadDeadline(t)
+	return c.countedConn.SetReadDeadline(t)
 }
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
 	c.endLooking()
-	return c.counted.Close()
+	return c.countedConn.Close()
 }
 
 func (c *callerConn) endLooking() {
@@ -69,7 +69,7 @@
 	case <-c.stop: // of an earlier look
 	default:
 	}
-	n, err := c.counted.Read(p)
+	n, err := c.countedConn.Read(p)
 	if n == 0 {
 		return n, err
 	}
@@ -81,14 +81,14 @@
 // readOn reads what has come, behind what was read ahead.
 func (c *callerConn) readOn(p []byte) (int, error) {
 	if len(c.ahead) == 0 {
-		return c.counted.Read(p)
+		return c.countedConn.Read(p)
 	}
 	taken := copy(p, c.ahead)
 	c.ahead = c.ahead[taken:]
 	if taken == len(p) || c.served {
 		return taken, nil
 	}
-	n, err := c.counted.Read(p[taken:])
+	n, err := c.countedConn.Read(p[taken:])
 	return taken + n, err
 }
 
@@ -111,13 +111,13 @@
 		if !plain || rest < 0 {
 			return n, c.toServer(Undecided, endless)
 		}
-		if head.ContentLength > earlyBody || !c.server.judges() {
+		if head.ContentLength > earlyBody || !c.server.admitsEarly() {
 			return n, c.toServer(Undecided, rest)
 		}
 		if c.hasLeft() {
 			return 0, io.EOF
 		}
-		closes := c.server.crowded()
+		closes := c.server.isCrowded()
 		j := c.server.early.AdmitEarly(&head, EarlyOptions{ClosesConn: closes, CanHandOver: c.server.relay != nil})
 		switch j.Verdict {
 		case HandedOver:
@@ -144,7 +144,7 @@
 // hasLeft tells whether the caller has closed the connection. A process that is late reads
 // requests whose callers have given up; what is done for them is done for nobody.
 func (c *callerConn) hasLeft() bool {
-	return len(c.ahead) == 0 && netopt.Peek(c.counted.Conn) == netopt.PeekClosed
+	return len(c.ahead) == 0 && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
 // readBack leaves a request to the HTTP server that was read to be handed over.
@@ -165,7 +165,7 @@
 		return nil
 	}
 	c.early = false
-	return c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits)))
+	return c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits)))
 }
 
 // refuse reads the rest of a request and answers it.
@@ -174,10 +174,10 @@
 	if err := c.drop(rest); err != nil {
 		return err
 	}
-	if _, err := c.counted.Write(answer); err != nil {
+	if _, err := c.countedConn.Write(answer); err != nil {
 		return err
 	}
-	return c.SetReadDeadline(netopt.DeadlineIn(idleTime(c.limits)))
+	return c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits)))
 }
 
 // drop reads so many bytes that nobody looks at.
@@ -185,13 +185,13 @@
 	if rest == 0 {
 		return nil
 	}
-	if err := c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits))); err != nil {
+	if err := c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits))); err != nil {
 		return err
 	}
 	buffer := earlyBuffers.Get().(*[earlyBuffer]byte)
 	defer earlyBuffers.Put(buffer)
 	for rest > 0 {
-		n, err := c.counted.Read(buffer[:min(rest, earlyBuffer)])
+		n, err := c.countedConn.Read(buffer[:min(rest, earlyBuffer)])
 		rest -= int64(n)
 		if err != nil {
 			return err
@@ -217,7 +217,7 @@
 // the HTTP server reads from it.
 func connectionEnded(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
-	return ok && netopt.Peek(c.counted.Conn) == netopt.PeekClosed
+	return ok && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
 // takeAdmitted tells whether a request was counted and admitted before the HTTP server
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -49,7 +49,7 @@
 func (s *Server) SetRelay(r Relay) { s.relay = r }
 
 // HandedOver returns how many requests other gateways serve for this one.
-func (s *Server) HandedOver() int { return int(s.relaying.Load()) }
+func (s *Server) HandedOver() int { return int(s.handedOver.Load()) }
 
 // handedOver is what has become of a request that was to be handed over.
 type handedOver int
@@ -68,8 +68,8 @@
 // for others: a flood of which each request takes a connection of its own had 12,224 and 12,902
 // of 28,104 requests in time, one whose connections stay 16,734.
 func (c *callerConn) handOver(begun []byte, rest int64, j EarlyDecision) handedOver {
-	c.server.relaying.Add(1)
-	defer c.server.relaying.Add(-1)
+	c.server.handedOver.Add(1)
+	defer c.server.handedOver.Add(-1)
 	start, to := now(), HandOverResult{}
 	defer func() {
 		to.Elapsed = now().Sub(start)
@@ -81,7 +81,7 @@
 		to.Lost = !c.gone && relay.IsErrSent(err)
 		switch {
 		case to.Lost:
-			_, _ = c.counted.Write(c.server.early.LostAnswer(j.ID)) // the caller may be gone, too
+			_, _ = c.countedConn.Write(c.server.early.LostAnswer(j.ID)) // the caller may be gone, too
 			return ended
 		case to.CallerLeft:
 			return ended
@@ -100,9 +100,9 @@
 	to.Bytes, whole = handed.Result()
 	to.CallerLeft, to.Lost = c.gone, to.Bytes == 0
 	if to.Lost && !c.gone {
-		_, _ = c.counted.Write(c.server.early.LostAnswer(j.ID))
+		_, _ = c.countedConn.Write(c.server.early.LostAnswer(j.ID))
 	}
-	if !whole || c.gone || c.SetReadDeadline(netopt.DeadlineIn(idleTime(c.limits))) != nil {
+	if !whole || c.gone || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
 		return ended
 	}
 	return answered
@@ -126,9 +126,9 @@
 	buffer := *pooled
 	held := relay.HeadSize + copy(buffer[relay.HeadSize:], begun)
 	if rest > 0 {
-		err := c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits)))
+		err := c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits)))
 		if err == nil {
-			_, err = io.ReadFull(c.counted, buffer[held:size])
+			_, err = io.ReadFull(c.countedConn, buffer[held:size])
 		}
 		if err != nil {
 			c.gone = true
@@ -137,7 +137,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
 	defer cancel()
-	handed, err := c.server.relay.Send(ctx, buffer[:size], c.counted, c.hasLeft)
+	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.hasLeft)
 	if errors.Is(err, relay.ErrLeft) {
 		c.gone = true
 		return nil, err
@@ -159,7 +159,7 @@
 		return
 	}
 	var one [1]byte
-	n, err := c.counted.Read(one[:])
+	n, err := c.countedConn.Read(one[:])
 	if n > 0 { // the next request begins
 		c.ahead = append(c.ahead, one[0])
 		c.awaitOver(handed, end)
--- a/handlers/gateway/server_test.go
+++ b/handlers/gateway/server_test.go
@@ -109,7 +109,7 @@
 		if got := ask(t, dial(t, address)); got != http.StatusOK {
 			t.Fatalf("connection %d was answered by status %d, %d are open", i, got, before)
 		}
-		for s.Open() > most-most/roomPart { // until the server has closed it
+		for s.Open() > most-most/reservedFraction { // until the server has closed it
 		}
 	}
 	if s.TurnedAway() != 0 || s.Open() < most/2 {
