--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -23,69 +23,69 @@
 // may be the middle of a request.
 type callerConn struct {
 	*countedConn
-	server   *Server
-	limits   routing.Limits
-	ahead    []byte        // ahead has been read of the next request.
-	stop     chan struct{} // stop ends a read that looks only whether the caller has left.
-	gone     bool          // gone tells that the caller has left during a request that was handed over.
-	early    bool          // early tells that the last request was answered without the HTTP server, whose deadlines do not hold.
-	served   bool          // served tells that the HTTP server reads a request, or all that is to come.
-	left     int64         // left is how much of its request the server has not read; negative where it has read more.
-	admitted bool          // admitted tells that the request which the HTTP server reads was counted and admitted.
+	server        *Server
+	limits        routing.Limits
+	buffered      []byte        // ahead has been read of the next request.
+	stopWatch     chan struct{} // stop ends a read that looks only whether the caller has left.
+	callerLeft    bool          // gone tells that the caller has left during a request that was handed over.
+	answeredEarly bool          // early tells that the last request was answered without the HTTP server, whose deadlines do not hold.
+	inServer      bool          // served tells that the HTTP server reads a request, or all that is to come.
+	unread        int64         // left is how much of its request the server has not read; negative where it has read more.
+	admitted      bool          // admitted tells that the request which the HTTP server reads was counted and admitted.
 }
 
-// endless is what is left of a request whose end is not known.
-const endless = math.MaxInt64
+// unknownLength is what is left of a request whose end is not known.
+const unknownLength = math.MaxInt64
 
-// idle tells that the HTTP server has ended a request and waits for the next one.
-func (c *callerConn) idle() { c.served, c.admitted = c.left != 0, false }
+// onIdle tells that the HTTP server has ended a request and waits for the next one.
+func (c *callerConn) onIdle() { c.inServer, c.admitted = c.unread != 0, false }
 
 // SetReadDeadline implements net.Conn.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && !t.After(time.Now()) {
-		c.endLooking()
+		c.stopWatching()
 	}
 	return c.countedConn.SetReadDeadline(t)
 }
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.endLooking()
+	c.stopWatching()
 	return c.countedConn.Close()
 }
 
-func (c *callerConn) endLooking() {
+func (c *callerConn) stopWatching() {
 	select {
-	case c.stop <- struct{}{}:
+	case c.stopWatch <- struct{}{}:
 	default:
 	}
 }
 
-// look reads a byte for the HTTP server, which wants to know whether the caller leaves while
+// watchForClose reads a byte for the HTTP server, which wants to know whether the caller leaves while
 // a request is served. A byte that comes begins the next request: it is kept until that is
 // read, and the server learns that it must wait no longer.
-func (c *callerConn) look(p []byte) (int, error) {
+func (c *callerConn) watchForClose(p []byte) (int, error) {
 	select {
-	case <-c.stop: // of an earlier look
+	case <-c.stopWatch: // of an earlier look
 	default:
 	}
 	n, err := c.countedConn.Read(p)
 	if n == 0 {
 		return n, err
 	}
-	c.ahead = append(c.ahead, p[0])
-	<-c.stop
+	c.buffered = append(c.buffered, p[0])
+	<-c.stopWatch
 	return 0, os.ErrDeadlineExceeded
 }
 
-// readOn reads what has come, behind what was read ahead.
-func (c *callerConn) readOn(p []byte) (int, error) {
-	if len(c.ahead) == 0 {
+// readNext reads what has come, behind what was read ahead.
+func (c *callerConn) readNext(p []byte) (int, error) {
+	if len(c.buffered) == 0 {
 		return c.countedConn.Read(p)
 	}
-	taken := copy(p, c.ahead)
-	c.ahead = c.ahead[taken:]
-	if taken == len(p) || c.served {
+	taken := copy(p, c.buffered)
+	c.buffered = c.buffered[taken:]
+	if taken == len(p) || c.inServer {
 		return taken, nil
 	}
 	n, err := c.countedConn.Read(p[taken:])
@@ -95,12 +95,12 @@
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	for {
-		if c.served && c.left == 0 && len(p) == 1 && len(c.ahead) == 0 {
-			return c.look(p)
+		if c.inServer && c.unread == 0 && len(p) == 1 && len(c.buffered) == 0 {
+			return c.watchForClose(p)
 		}
-		n, err := c.readOn(p)
-		if c.served {
-			c.left -= int64(n)
+		n, err := c.readNext(p)
+		if c.inServer {
+			c.unread -= int64(n)
 			return n, err
 		}
 		if err != nil || n == 0 {
@@ -109,10 +109,10 @@
 		head, plain := httphead.Parse(p[:n])
 		rest := head.ContentLength - int64(n-head.Length)
 		if !plain || rest < 0 {
-			return n, c.toServer(Undecided, endless)
+			return n, c.passToServer(Undecided, unknownLength)
 		}
 		if head.ContentLength > earlyBody || !c.server.admitsEarly() {
-			return n, c.toServer(Undecided, rest)
+			return n, c.passToServer(Undecided, rest)
 		}
 		if c.hasLeft() {
 			return 0, io.EOF
@@ -125,9 +125,9 @@
 			case ended:
 				return 0, io.EOF
 			case servedHere:
-				return c.readBack(p)
+				return c.returnToServer(p)
 			}
-			c.early = true
+			c.answeredEarly = true
 		case Refused:
 			if err := c.refuse(j.Answer, rest); err != nil {
 				return 0, err
@@ -136,7 +136,7 @@
 				return 0, io.EOF
 			}
 		default:
-			return n, c.toServer(j.Verdict, rest)
+			return n, c.passToServer(j.Verdict, rest)
 		}
 	}
 }
@@ -144,34 +144,34 @@
 // hasLeft tells whether the caller has closed the connection. A process that is late reads
 // requests whose callers have given up; what is done for them is done for nobody.
 func (c *callerConn) hasLeft() bool {
-	return len(c.ahead) == 0 && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
+	return len(c.buffered) == 0 && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
-// readBack leaves a request to the HTTP server that was read to be handed over.
-func (c *callerConn) readBack(p []byte) (int, error) {
-	whole := int64(len(c.ahead))
-	c.served = true
-	n, err := c.readOn(p)
+// returnToServer leaves a request to the HTTP server that was read to be handed over.
+func (c *callerConn) returnToServer(p []byte) (int, error) {
+	whole := int64(len(c.buffered))
+	c.inServer = true
+	n, err := c.readNext(p)
 	if err != nil {
 		return n, err
 	}
-	return n, c.toServer(Admitted, whole-int64(n))
+	return n, c.passToServer(Admitted, whole-int64(n))
 }
 
-// toServer leaves this request, of which so much is left, to the HTTP server.
-func (c *callerConn) toServer(v Verdict, left int64) error {
-	c.served, c.left, c.admitted = true, left, v == Admitted
-	if !c.early {
+// passToServer leaves this request, of which so much is left, to the HTTP server.
+func (c *callerConn) passToServer(v Verdict, left int64) error {
+	c.inServer, c.unread, c.admitted = true, left, v == Admitted
+	if !c.answeredEarly {
 		return nil
 	}
-	c.early = false
+	c.answeredEarly = false
 	return c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits)))
 }
 
 // refuse reads the rest of a request and answers it.
 func (c *callerConn) refuse(answer []byte, rest int64) error {
-	c.early = true
-	if err := c.drop(rest); err != nil {
+	c.answeredEarly = true
+	if err := c.discard(rest); err != nil {
 		return err
 	}
 	if _, err := c.countedConn.Write(answer); err != nil {
@@ -180,8 +180,8 @@
 	return c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits)))
 }
 
-// drop reads so many bytes that nobody looks at.
-func (c *callerConn) drop(rest int64) error {
+// discard reads so many bytes that nobody looks at.
+func (c *callerConn) discard(rest int64) error {
 	if rest == 0 {
 		return nil
 	}
@@ -213,16 +213,16 @@
 	return ok && c.hasLeft()
 }
 
-// connectionEnded tells whether the caller of a request has closed its connection, also while
+// callerHasClosed tells whether the caller of a request has closed its connection, also while
 // the HTTP server reads from it.
-func connectionEnded(ctx context.Context) bool {
+func callerHasClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	return ok && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
-// takeAdmitted tells whether a request was counted and admitted before the HTTP server
+// consumeAdmitted tells whether a request was counted and admitted before the HTTP server
 // parsed it.
-func takeAdmitted(ctx context.Context) bool {
+func consumeAdmitted(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok || !c.admitted {
 		return false
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("Admitted", fmt.Sprint(takeAdmitted(r.Context())))
+		w.Header().Set("Admitted", fmt.Sprint(consumeAdmitted(r.Context())))
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
 	})
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -145,7 +145,7 @@
 	if service == nil {
 		return nil, result.New(result.NoTarget, "the route has no service").WithRetryAfter(notReadyAfter)
 	}
-	if !takeAdmitted(r.Context()) {
+	if !consumeAdmitted(r.Context()) {
 		if _, err := h.opts.Forward.Admit(&call, service, account, false); err != nil {
 			return nil, err
 		}
@@ -164,7 +164,7 @@
 	return &forward.Request{
 		Call: call, Method: r.Method, URI: uri, Host: r.Host, Header: r.Header, Body: body, Route: route, Service: service,
 		Account: account, Received: received, Deadline: received.Add(patience), Carrier: relay.CarrierOf(r.Context()),
-		Left: func() bool { return connectionEnded(r.Context()) },
+		Left: func() bool { return callerHasClosed(r.Context()) },
 	}, nil
 }
 
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -77,8 +77,8 @@
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
-		to.CallerLeft = c.gone
-		to.Lost = !c.gone && relay.IsErrSent(err)
+		to.CallerLeft = c.callerLeft
+		to.Lost = !c.callerLeft && relay.IsErrSent(err)
 		switch {
 		case to.Lost:
 			_, _ = c.countedConn.Write(c.server.early.LostAnswer(j.ID)) // the caller may be gone, too
@@ -98,11 +98,11 @@
 	c.await(handed, end)
 	var whole bool
 	to.Bytes, whole = handed.Result()
-	to.CallerLeft, to.Lost = c.gone, to.Bytes == 0
-	if to.Lost && !c.gone {
+	to.CallerLeft, to.Lost = c.callerLeft, to.Bytes == 0
+	if to.Lost && !c.callerLeft {
 		_, _ = c.countedConn.Write(c.server.early.LostAnswer(j.ID))
 	}
-	if !whole || c.gone || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
+	if !whole || c.callerLeft || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
 		return ended
 	}
 	return answered
@@ -110,7 +110,7 @@
 
 // refuseBusy answers a request that was read whole and waited for too long to be handed over.
 func (c *callerConn) refuseBusy(id string) handedOver {
-	c.ahead = nil
+	c.buffered = nil
 	if c.refuse(c.server.early.BusyAnswer(id), 0) != nil {
 		return ended
 	}
@@ -131,7 +131,7 @@
 			_, err = io.ReadFull(c.countedConn, buffer[held:size])
 		}
 		if err != nil {
-			c.gone = true
+			c.callerLeft = true
 			return nil, err
 		}
 	}
@@ -139,11 +139,11 @@
 	defer cancel()
 	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.hasLeft)
 	if errors.Is(err, relay.ErrLeft) {
-		c.gone = true
+		c.callerLeft = true
 		return nil, err
 	}
 	if err != nil && !relay.IsErrSent(err) {
-		c.ahead = append([]byte(nil), buffer[relay.HeadSize:size]...)
+		c.buffered = append([]byte(nil), buffer[relay.HeadSize:size]...)
 	}
 	return handed, err
 }
@@ -151,7 +151,7 @@
 // await waits until an answer is over, the caller has left, or it is time to give up.
 func (c *callerConn) await(handed *relay.Handed, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
-		c.gone = true
+		c.callerLeft = true
 		handed.Cancel()
 		return
 	}
@@ -161,7 +161,7 @@
 	var one [1]byte
 	n, err := c.countedConn.Read(one[:])
 	if n > 0 { // the next request begins
-		c.ahead = append(c.ahead, one[0])
+		c.buffered = append(c.buffered, one[0])
 		c.awaitOver(handed, end)
 		return
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	timeout, ok := err.(net.Error)
-	c.gone = !ok || !timeout.Timeout()
+	c.callerLeft = !ok || !timeout.Timeout()
 	handed.Cancel()
 }
 
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -213,7 +213,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &callerConn{countedConn: &countedConn{Conn: s.traffic.Wrap(conn), open: &s.open}, server: s, stop: make(chan struct{}, 1)}
+		c := &callerConn{countedConn: &countedConn{Conn: s.traffic.Wrap(conn), open: &s.open}, server: s, stopWatch: make(chan struct{}, 1)}
 		awaitEnd(t, conn)
 		out = append(out, c)
 	}
--- a/handlers/gateway/server.go
+++ b/handlers/gateway/server.go
@@ -126,7 +126,7 @@
 // onConnState tells a connection that the next request may come.
 func onConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*callerConn); ok && state == http.StateIdle {
-		c.idle()
+		c.onIdle()
 	}
 }
 
@@ -162,7 +162,7 @@
 			s.turnAway(c)
 			continue
 		}
-		s.passToServer(&callerConn{countedConn: &countedConn{Conn: s.traffic.Wrap(c), open: &s.open}, server: s, stop: make(chan struct{}, 1)})
+		s.passToServer(&callerConn{countedConn: &countedConn{Conn: s.traffic.Wrap(c), open: &s.open}, server: s, stopWatch: make(chan struct{}, 1)})
 	}
 }
 
