--- a/handlers/gateway/buffers.go
+++ b/handlers/gateway/buffers.go
@@ -14,14 +14,14 @@
 	bufferSizes = 16
 )
 
-// buffers keeps buffers of some sizes for those that need them next.
-type buffers [bufferSizes]sync.Pool
+// bufferPools keeps bufferPools of some sizes for those that need them next.
+type bufferPools [bufferSizes]sync.Pool
 
-// requests are buffers for requests that are handed over.
-var requests buffers
+// requestBuffers are buffers for requestBuffers that are handed over.
+var requestBuffers bufferPools
 
 // get returns a buffer of at least this size.
-func (b *buffers) get(size int) *[]byte {
+func (b *bufferPools) get(size int) *[]byte {
 	step := (size + bufferStep - 1) / bufferStep
 	if step > bufferSizes {
 		buffer := make([]byte, size)
@@ -35,7 +35,7 @@
 }
 
 // put gives a buffer back.
-func (b *buffers) put(buffer *[]byte) {
+func (b *bufferPools) put(buffer *[]byte) {
 	if step := len(*buffer) / bufferStep; len(*buffer)%bufferStep == 0 && step >= 1 && step <= bufferSizes {
 		b[step-1].Put(buffer)
 	}
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// relaySlack is what a request that was handed over may take beyond the time-out of its
+	// handOverSlack is what a request that was handed over may take beyond the time-out of its
 	// route, relayMost what it may take where the route has none.
-	relaySlack = time.Second
-	relayMost  = time.Minute
-	// handOverTime is how long it may take to hand a request over.
-	handOverTime = 1500 * time.Millisecond
+	handOverSlack = time.Second
+	maxHandOver   = time.Minute
+	// handOverTimeout is how long it may take to hand a request over.
+	handOverTimeout = 1500 * time.Millisecond
 )
 
 // now returns the time with that in suspension counted.
@@ -51,12 +51,12 @@
 // HandedOver returns how many requests other gateways serve for this one.
 func (s *Server) HandedOver() int { return int(s.handedOver.Load()) }
 
-// handedOver is what has become of a request that was to be handed over.
-type handedOver int
+// handOverOutcome is what has become of a request that was to be handed over.
+type handOverOutcome int
 
 const (
 	// servedHere tells that no gateway took it: the HTTP server reads it.
-	servedHere handedOver = iota + 1
+	servedHere handOverOutcome = iota + 1
 	// answered tells that the caller has its answer and may send another request.
 	answered
 	// ended tells that the caller's connection is to be closed.
@@ -67,7 +67,7 @@
 // many are to come. Its answer ends the connection nowhere, also where little room is left
 // for others: a flood of which each request takes a connection of its own had 12,224 and 12,902
 // of 28,104 requests in time, one whose connections stay 16,734.
-func (c *callerConn) handOver(begun []byte, rest int64, j EarlyDecision) handedOver {
+func (c *callerConn) handOver(begun []byte, rest int64, j EarlyDecision) handOverOutcome {
 	c.server.handedOver.Add(1)
 	defer c.server.handedOver.Add(-1)
 	start, to := now(), HandOverResult{}
@@ -91,11 +91,11 @@
 		return servedHere
 	}
 	to.Peer = handed.Peer
-	end := start.Add(relayMost)
+	end := start.Add(maxHandOver)
 	if j.Timeout > 0 {
-		end = start.Add(j.Timeout + relaySlack)
+		end = start.Add(j.Timeout + handOverSlack)
 	}
-	c.await(handed, end)
+	c.awaitAnswer(handed, end)
 	var whole bool
 	to.Bytes, whole = handed.Result()
 	to.CallerLeft, to.Lost = c.callerLeft, to.Bytes == 0
@@ -109,7 +109,7 @@
 }
 
 // refuseBusy answers a request that was read whole and waited for too long to be handed over.
-func (c *callerConn) refuseBusy(id string) handedOver {
+func (c *callerConn) refuseBusy(id string) handOverOutcome {
 	c.buffered = nil
 	if c.refuse(c.server.early.BusyAnswer(id), 0) != nil {
 		return ended
@@ -121,8 +121,8 @@
 // are those that are read next.
 func (c *callerConn) send(begun []byte, rest int64) (*relay.Handed, error) {
 	size := relay.HeadSize + len(begun) + int(rest)
-	pooled := requests.get(size)
-	defer requests.put(pooled)
+	pooled := requestBuffers.get(size)
+	defer requestBuffers.put(pooled)
 	buffer := *pooled
 	held := relay.HeadSize + copy(buffer[relay.HeadSize:], begun)
 	if rest > 0 {
@@ -135,7 +135,7 @@
 			return nil, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.hasLeft)
 	if errors.Is(err, relay.ErrLeft) {
@@ -148,24 +148,24 @@
 	return handed, err
 }
 
-// await waits until an answer is over, the caller has left, or it is time to give up.
-func (c *callerConn) await(handed *relay.Handed, end time.Time) {
+// awaitAnswer waits until an answer is over, the caller has left, or it is time to give up.
+func (c *callerConn) awaitAnswer(handed *relay.Handed, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
 		c.callerLeft = true
 		handed.Cancel()
 		return
 	}
-	if isOver(handed) { // before that deadline was set
+	if isDone(handed) { // before that deadline was set
 		return
 	}
 	var one [1]byte
 	n, err := c.countedConn.Read(one[:])
 	if n > 0 { // the next request begins
 		c.buffered = append(c.buffered, one[0])
-		c.awaitOver(handed, end)
+		c.awaitDone(handed, end)
 		return
 	}
-	if isOver(handed) {
+	if isDone(handed) {
 		return
 	}
 	timeout, ok := err.(net.Error)
@@ -173,7 +173,7 @@
 	handed.Cancel()
 }
 
-func isOver(handed *relay.Handed) bool {
+func isDone(handed *relay.Handed) bool {
 	select {
 	case <-handed.Done():
 		return true
@@ -182,7 +182,7 @@
 	}
 }
 
-func (c *callerConn) awaitOver(handed *relay.Handed, end time.Time) {
+func (c *callerConn) awaitDone(handed *relay.Handed, end time.Time) {
 	late := make(chan struct{})
 	timer := clock.System{}.AfterFunc(end.Sub(now()), func() { close(late) })
 	defer timer.Stop()
