--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -111,7 +111,7 @@
 		if !plain || rest < 0 {
 			return n, c.passToServer(Undecided, unknownLength)
 		}
-		if head.ContentLength > earlyBody || !c.server.admitsEarly() {
+		if head.ContentLength > maxEarlyBody || !c.server.admitsEarly() {
 			return n, c.passToServer(Undecided, rest)
 		}
 		if c.hasLeft() {
@@ -188,10 +188,10 @@
 	if err := c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits))); err != nil {
 		return err
 	}
-	buffer := earlyBuffers.Get().(*[earlyBuffer]byte)
-	defer earlyBuffers.Put(buffer)
+	buffer := discardBuffers.Get().(*[discardBufferSize]byte)
+	defer discardBuffers.Put(buffer)
 	for rest > 0 {
-		n, err := c.countedConn.Read(buffer[:min(rest, earlyBuffer)])
+		n, err := c.countedConn.Read(buffer[:min(rest, discardBufferSize)])
 		rest -= int64(n)
 		if err != nil {
 			return err
--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// earlyBody is the longest body of a request that is refused or handed over early: it
+	// maxEarlyBody is the longest body of a request that is refused or handed over early: it
 	// must be read to its end before the next request.
-	earlyBody = 256 << 10
-	// earlyBuffer is the size in which the body of a refused request is read; most come in
+	maxEarlyBody = 256 << 10
+	// discardBufferSize is the size in which the body of a refused request is read; most come in
 	// one or two.
-	earlyBuffer = 32 << 10
-	maxPlainID  = 64
+	discardBufferSize = 32 << 10
+	maxPlainID        = 64
 )
 
-// earlyBuffers hold what is read of bodies that nobody looks at.
-var earlyBuffers = sync.Pool{New: func() any { return new([earlyBuffer]byte) }}
+// discardBuffers hold what is read of bodies that nobody looks at.
+var discardBuffers = sync.Pool{New: func() any { return new([discardBufferSize]byte) }}
 
 // Verdict is what an early look at a request decided.
 type Verdict int
@@ -90,8 +90,8 @@
 		return EarlyDecision{}
 	}
 	call, ok := h.opts.Dialect.PeekCall(head.Get)
-	route := x.Route(hostOf(string(head.Host)), string(head.Path))
-	if !ok || !plainID(call.ID) || route == nil || route.Public || len(route.Split) != 1 {
+	route := x.Route(hostWithoutPort(string(head.Host)), string(head.Path))
+	if !ok || !isPlainID(call.ID) || route == nil || route.Public || len(route.Split) != 1 {
 		return EarlyDecision{}
 	}
 	account, service := x.Account(call.Key), x.Service(route.Split[0].Service)
@@ -124,8 +124,8 @@
 	h.opts.Forward.NoteHandedOver(forward.HandedOver{ID: j.ID, Account: j.Account, Peer: to.Peer, After: to.Elapsed, Bytes: to.Bytes, Lost: to.Lost, Gone: to.CallerLeft})
 }
 
-// plainID tells whether an ID can stand in an answer as it is.
-func plainID(id string) bool {
+// isPlainID tells whether an ID can stand in an answer as it is.
+func isPlainID(id string) bool {
 	for _, c := range []byte(id) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
 			return false
@@ -137,7 +137,7 @@
 // earlyAnswer writes the same answer as refuse does.
 func (h *Handler) earlyAnswer(err error, id string, closes bool) []byte {
 	e := result.Convert(err)
-	body := append([]byte(nil), earlyBodyOf(e)...)
+	body := append([]byte(nil), earlyErrorPrefix(e)...)
 	body = strconv.AppendInt(body, e.RetryAfter.Milliseconds(), 10)
 	body = append(append(append(body, `,"request_id":"`...), id...), "\"}}\n"...)
 	status := result.Lookup(e.Code).Status
@@ -160,26 +160,26 @@
 	return append(b, body...)
 }
 
-// earlyBodies holds the beginnings of the bodies of early answers by code and detail, of which
+// earlyErrorPrefixes holds the beginnings of the bodies of early answers by code and detail, of which
 // there are a few.
-var earlyBodies sync.Map
+var earlyErrorPrefixes sync.Map
 
-// earlyKey tells the errors apart whose bodies differ in more than time and ID.
-type earlyKey struct {
+// earlyErrorKey tells the errors apart whose bodies differ in more than time and ID.
+type earlyErrorKey struct {
 	code   result.Code
 	detail string
 }
 
-// earlyBodyOf returns the body of an error up to the time after which the caller may return.
-func earlyBodyOf(e *result.ErrResult) []byte {
-	key := earlyKey{e.Code, e.Detail}
-	if body, ok := earlyBodies.Load(key); ok {
+// earlyErrorPrefix returns the body of an error up to the time after which the caller may return.
+func earlyErrorPrefix(e *result.ErrResult) []byte {
+	key := earlyErrorKey{e.Code, e.Detail}
+	if body, ok := earlyErrorPrefixes.Load(key); ok {
 		return body.([]byte)
 	}
 	info, _ := api.NewError(result.New(e.Code, "%s", e.Detail), "")
 	whole, _ := json.Marshal(info) // numbers and strings only: no error
 	const last = `"retry_after_ms":`
 	body := whole[:bytes.LastIndex(whole, []byte(last))+len(last)]
-	earlyBodies.Store(key, body)
+	earlyErrorPrefixes.Store(key, body)
 	return body
 }
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -49,7 +49,7 @@
 	h.Get(key, "Authorization")
 	switch key[0] {
 	case "Bearer flood":
-		return EarlyDecision{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").WithRetryAfter(notReadyAfter), "id-1", o.ClosesConn)}
+		return EarlyDecision{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").WithRetryAfter(notReadyRetryAfter), "id-1", o.ClosesConn)}
 	case "Bearer known":
 		return EarlyDecision{Verdict: Admitted}
 	case "Bearer moved":
@@ -187,7 +187,7 @@
 // An early answer says the same as that of the HTTP server.
 func TestEarlyAnswerIsTheOrdinaryOne(t *testing.T) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
-	err := result.New(result.Overloaded, "asked for more than it can serve").WithRetryAfter(notReadyAfter)
+	err := result.New(result.Overloaded, "asked for more than it can serve").WithRetryAfter(notReadyRetryAfter)
 	want := httptest.NewRecorder()
 	h.refuse(want, "id-1", err)
 	resp, readErr := http.ReadResponse(bufio.NewReader(bytes.NewReader(h.earlyAnswer(err, "id-1", false))), nil)
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -28,12 +28,12 @@
 )
 
 const (
-	// notReadyAfter is when a caller may come back to a gateway that does not
+	// notReadyRetryAfter is when a caller may come back to a gateway that does not
 	// know the configuration yet.
-	notReadyAfter = 300 * time.Millisecond
-	// drainingAfter lets the caller find another gateway.
-	drainingAfter = 50 * time.Millisecond
-	smallBody     = 4 << 10
+	notReadyRetryAfter = 300 * time.Millisecond
+	// drainingRetryAfter lets the caller find another gateway.
+	drainingRetryAfter = 50 * time.Millisecond
+	minBodyReserve     = 4 << 10
 )
 
 // Options are the parts of a Handler.
@@ -50,10 +50,10 @@
 
 // Handler serves callers.
 type Handler struct {
-	opts   Options
-	mode   atomic.Int32
-	open   atomic.Int64
-	bodies atomic.Int64
+	opts      Options
+	mode      atomic.Int32
+	inFlight  atomic.Int64
+	bodyBytes atomic.Int64
 }
 
 // New returns a handler.
@@ -73,25 +73,25 @@
 func (h *Handler) SetMode(m Mode) { h.mode.Store(int32(m)) }
 
 // InFlight returns how many requests are under way.
-func (h *Handler) InFlight() int { return int(h.open.Load()) }
+func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.open.Add(1)
-	defer h.open.Add(-1)
+	h.inFlight.Add(1)
+	defer h.inFlight.Add(-1)
 	mode := Mode(h.mode.Load())
 	if mode != ServeAll {
 		w.Header().Set("Connection", "close")
 	}
 	call := h.opts.Dialect.ReadCall(r.Header)
 	if mode == RefuseAll {
-		h.refuse(w, call.ID, result.New(result.Draining, "the gateway is stopping").WithRetryAfter(drainingAfter))
+		h.refuse(w, call.ID, result.New(result.Draining, "the gateway is stopping").WithRetryAfter(drainingRetryAfter))
 		return
 	}
-	request, err := h.read(w, r, call)
+	request, err := h.readRequest(w, r, call)
 	if err == nil {
-		h.bodies.Add(int64(len(request.Body)))
-		defer h.bodies.Add(-int64(len(request.Body)))
+		h.bodyBytes.Add(int64(len(request.Body)))
+		defer h.bodyBytes.Add(-int64(len(request.Body)))
 		err = h.opts.Forward.Serve(r.Context(), w, request)
 	}
 	switch {
@@ -116,22 +116,22 @@
 	api.WriteJSON(w, result.Lookup(e.Code).Status, body)
 }
 
-// read checks a request against the configuration and reads its body.
-func (h *Handler) read(w http.ResponseWriter, r *http.Request, call upstream.Call) (*forward.Request, error) {
+// readRequest checks a request against the configuration and reads its body.
+func (h *Handler) readRequest(w http.ResponseWriter, r *http.Request, call upstream.Call) (*forward.Request, error) {
 	received := h.opts.Clock.Now()
 	x := h.opts.Follow.Index()
 	if x == nil {
-		return nil, result.New(result.NotReady, "no configuration is known").WithRetryAfter(notReadyAfter)
+		return nil, result.New(result.NotReady, "no configuration is known").WithRetryAfter(notReadyRetryAfter)
 	}
 	if h.opts.Resyncing != nil && h.opts.Resyncing() {
-		return nil, result.New(result.NotReady, "the process stood still and has not heard anew what holds").WithRetryAfter(notReadyAfter)
+		return nil, result.New(result.NotReady, "the process stood still and has not heard anew what holds").WithRetryAfter(notReadyRetryAfter)
 	}
-	if over(r.Header, x.Configuration.Limits.MaxHeaderBytes) {
+	if headerExceeds(r.Header, x.Configuration.Limits.MaxHeaderBytes) {
 		return nil, result.New(result.HeaderTooLarge, "over %d bytes", x.Configuration.Limits.MaxHeaderBytes)
 	}
 	uri := requestURI(r)
 	path, _, _ := strings.Cut(uri, "?")
-	route := x.Route(hostOf(r.Host), path)
+	route := x.Route(hostWithoutPort(r.Host), path)
 	if route == nil {
 		return nil, result.New(result.NotFound, "no route")
 	}
@@ -143,7 +143,7 @@
 	}
 	service := x.Service(route.PickService(rand.Float64()))
 	if service == nil {
-		return nil, result.New(result.NoTarget, "the route has no service").WithRetryAfter(notReadyAfter)
+		return nil, result.New(result.NoTarget, "the route has no service").WithRetryAfter(notReadyRetryAfter)
 	}
 	if !consumeAdmitted(r.Context()) {
 		if _, err := h.opts.Forward.Admit(&call, service, account, false); err != nil {
@@ -154,7 +154,7 @@
 	if call.Patience > 0 && (call.Patience < patience || patience == 0) {
 		patience = call.Patience
 	}
-	body, err := h.body(w, r, x.Configuration.Limits, received.Add(patience))
+	body, err := h.readBody(w, r, x.Configuration.Limits, received.Add(patience))
 	if err != nil {
 		return nil, err
 	}
@@ -168,15 +168,15 @@
 	}, nil
 }
 
-func (h *Handler) body(w http.ResponseWriter, r *http.Request, limits routing.Limits, deadline time.Time) ([]byte, error) {
+func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, limits routing.Limits, deadline time.Time) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
 	if limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes {
 		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	}
-	if h.bodies.Load()+max(r.ContentLength, smallBody) > h.opts.MaxBodyBytes {
-		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyAfter)
+	if h.bodyBytes.Load()+max(r.ContentLength, minBodyReserve) > h.opts.MaxBodyBytes {
+		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyRetryAfter)
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(netopt.DeadlineIn(deadline.Sub(h.opts.Clock.Now())))
@@ -218,15 +218,15 @@
 	return r.URL.RequestURI()
 }
 
-func hostOf(host string) string {
+func hostWithoutPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
 	}
 	return host
 }
 
-// over tells whether a header is longer than the limit.
-func over(h http.Header, limit int) bool {
+// headerExceeds tells whether a header is longer than the limit.
+func headerExceeds(h http.Header, limit int) bool {
 	const separators = 4 // colon, blank and line end
 	if limit <= 0 {
 		return false
--- a/handlers/gateway/refuse_bench_test.go
+++ b/handlers/gateway/refuse_bench_test.go
@@ -21,7 +21,7 @@
 var refuser = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
 	call := h.opts.Dialect.ReadCall(r.Header)
-	h.refuse(w, call.ID, result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(notReadyAfter))
+	h.refuse(w, call.ID, result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(notReadyRetryAfter))
 })
 
 func benchmarkRefusal(b *testing.B, body int, kept, early bool) {
