--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -132,7 +132,7 @@
 
 // A refused request is read to its end and the next one on the same connection is judged
 // anew, also where the HTTP server has served one in between.
-func TestEarlyRefusalKeepsTheConnection(t *testing.T) {
+func TestEarlyRefusalKeepsConnection(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	c := newCaller(t, address)
 	for _, size := range []int{0, 10, 5000, 100_000} {
@@ -162,7 +162,7 @@
 
 // Of a request whose beginning the HTTP server has read ahead, with the bytes of the one
 // before or while that was served, the rest is never taken for a request of its own.
-func TestRequestReadAheadIsTheServers(t *testing.T) {
+func TestReadAheadBytesAreNotParsedEarly(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	inner := post("flood", "inner")
 	outer := post("other", inner)
@@ -185,7 +185,7 @@
 }
 
 // An early answer says the same as that of the HTTP server.
-func TestEarlyAnswerIsTheOrdinaryOne(t *testing.T) {
+func TestEarlyAnswerMatchesRefuse(t *testing.T) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
 	err := result.New(result.Overloaded, "asked for more than it can serve").WithRetryAfter(notReadyRetryAfter)
 	want := httptest.NewRecorder()
@@ -208,7 +208,7 @@
 
 // A request inside the body of another, or behind another in the same bytes, is never taken
 // for a request of its own before the HTTP server has parsed what comes first.
-func TestEarlyRefusalSeesNoSmuggledRequest(t *testing.T) {
+func TestEarlyRefusalIgnoresRequestsInBodies(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	inner := post("flood", "inner")
 	c := newCaller(t, address)
@@ -244,7 +244,7 @@
 }
 
 // Where little room is left an early refusal ends its connection.
-func TestEarlyRefusalLeavesRoom(t *testing.T) {
+func TestEarlyRefusalClosesConnectionNearLimit(t *testing.T) {
 	_, address := serveEarly(t, 4)
 	var kept []*caller
 	for range 20 {
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -59,7 +59,7 @@
 
 // Requests that are handed over are answered by the other gateway, whole and with the bodies
 // that the caller sent, who may send others on the same connection, also while it waits.
-func TestHandedOverRequestIsServedElsewhere(t *testing.T) {
+func TestHandOverReturnsPeerAnswer(t *testing.T) {
 	began, sent := make(chan struct{}), make(chan struct{})
 	far := newRelay(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -100,7 +100,7 @@
 
 // Where the other gateway gives up before it has answered, the caller is told that nobody knows
 // what has become of the request; where it does so later the answer does not look whole.
-func TestLostHandOver(t *testing.T) {
+func TestLostHandOverIsReported(t *testing.T) {
 	far := newRelay(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > 1 {
 			_, _ = io.WriteString(w, "abc")
@@ -132,7 +132,7 @@
 
 // A caller that leaves ends the request at the other gateway. One that leaves before its
 // request was whole has sent none.
-func TestCallerLeavesAHandOver(t *testing.T) {
+func TestCallerLeavingCancelsHandOver(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan error)
 	far := newRelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(began)
@@ -167,7 +167,7 @@
 
 // A gateway that comes late to a request whose caller has left by then does nothing for it: it
 // sent 85 requests on in a second that way.
-func TestCallerHasLeftBeforeItsRequestIsRead(t *testing.T) {
+func TestRequestOfClosedConnectionIsDropped(t *testing.T) {
 	far := newRelay(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a request was handed over for nobody") }))
 	near, early, address := newEarlyServer(t, 10)
 	near.SetRelay(far)
@@ -221,7 +221,7 @@
 }
 
 // Where no gateway takes a request it is served here, whatever its size.
-func TestNobodyToHandOverTo(t *testing.T) {
+func TestHandOverWithoutPeersIsServedLocally(t *testing.T) {
 	far := newRelay(t, nil)
 	far.SetPeers(nil)
 	_, early, address := serveRelay(t, far)
@@ -244,7 +244,7 @@
 
 // The forms of answers are those of an HTTP server: with a length where that is known, in
 // chunks where it is not, and without a body where none is asked for.
-func TestHandedOverAnswersAreFramed(t *testing.T) {
+func TestHandOverAnswerFraming(t *testing.T) {
 	far := newRelay(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/none":
--- a/handlers/gateway/server_test.go
+++ b/handlers/gateway/server_test.go
@@ -75,14 +75,14 @@
 var ok = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 
 // A process that runs out of descriptors goes on when there are some again.
-func TestWantOfDescriptorsPasses(t *testing.T) {
+func TestServerRetriesFailedAccept(t *testing.T) {
 	_, address := serve(t, 3, 10, ok)
 	if got := ask(t, dial(t, address)); got != http.StatusOK {
 		t.Errorf("status %d", got)
 	}
 }
 
-func TestConnectionsBeyondTheLimitAreRefused(t *testing.T) {
+func TestServerRefusesConnectionsBeyondLimit(t *testing.T) {
 	s, address := serve(t, 0, 2, ok)
 	one, two := dial(t, address), dial(t, address)
 	if ask(t, one) != http.StatusOK || ask(t, two) != http.StatusOK {
@@ -101,7 +101,7 @@
 
 // Callers that keep idle connections do not use up the limit: from a part of it on each
 // answer ends its connection, so that there is room for new ones.
-func TestKeptConnectionsLeaveRoom(t *testing.T) {
+func TestServerClosesConnectionsNearLimit(t *testing.T) {
 	const most = 8
 	s, address := serve(t, 0, most, ok)
 	for i := range 5 * most {
@@ -118,7 +118,7 @@
 }
 
 // New limits hold for new connections; old ones go on.
-func TestLimitsChangeWhileServing(t *testing.T) {
+func TestSetLimitsAppliesToNewConnections(t *testing.T) {
 	s, address := serve(t, 0, 10, ok)
 	old := dial(t, address)
 	if ask(t, old) != http.StatusOK {
