--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -23,28 +23,28 @@
 	"madderway/platform"
 )
 
-// refuseKey refuses the requests whose key is the flood's, and admits those whose key is
+// keyAdmission refuses the requests whose key is the flood's, and admits those whose key is
 // known.
-type refuseKey struct {
-	handler *Handler
-	looked  atomic.Int64
-	told    chan HandOverResult
+type keyAdmission struct {
+	handler   *Handler
+	decisions atomic.Int64
+	results   chan HandOverResult
 }
 
-func (r *refuseKey) AdmitsEarly() bool { return true }
+func (r *keyAdmission) AdmitsEarly() bool { return true }
 
-func (r *refuseKey) LostAnswer(id string) []byte {
+func (r *keyAdmission) LostAnswer(id string) []byte {
 	return r.handler.earlyAnswer(result.New(result.OutcomeUnknown, "lost"), id, true)
 }
 
-func (r *refuseKey) BusyAnswer(id string) []byte {
+func (r *keyAdmission) BusyAnswer(id string) []byte {
 	return []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + strconv.Itoa(len(id)) + "\r\n\r\n" + id)
 }
 
-func (r *refuseKey) NoteHandedOver(_ EarlyDecision, h HandOverResult) { r.told <- h }
+func (r *keyAdmission) NoteHandedOver(_ EarlyDecision, h HandOverResult) { r.results <- h }
 
-func (r *refuseKey) AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision {
-	r.looked.Add(1)
+func (r *keyAdmission) AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision {
+	r.decisions.Add(1)
 	key := make([]string, 1)
 	h.Get(key, "Authorization")
 	switch key[0] {
@@ -64,7 +64,7 @@
 
 // serveEarly runs a server that refuses early. Its handler echoes the body, and tells in a
 // header whether the request was admitted before.
-func serveEarly(t *testing.T, most int) (*refuseKey, string) {
+func serveEarly(t *testing.T, most int) (*keyAdmission, string) {
 	t.Helper()
 	s, early, address := newEarlyServer(t, most)
 	go func() { _ = s.Serve() }()
@@ -72,7 +72,7 @@
 }
 
 // newEarlyServer is serveEarly but for the serving.
-func newEarlyServer(t *testing.T, most int) (*Server, *refuseKey, string) {
+func newEarlyServer(t *testing.T, most int) (*Server, *keyAdmission, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +84,7 @@
 		_, _ = w.Write(body)
 	})
 	s := NewServer(log.New("callers"), l, echo, most, &netopt.Traffic{})
-	early := &refuseKey{told: make(chan HandOverResult, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
+	early := &keyAdmission{results: make(chan HandOverResult, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
 	s.SetEarlyAdmission(early)
 	t.Cleanup(s.Close)
 	return s, early, l.Addr().String()
@@ -146,7 +146,7 @@
 	if status, body, header := c.answer(); status != http.StatusOK || body != "first" || header.Get("Admitted") != "true" {
 		t.Fatalf("status %d, %q, %v", status, body, header)
 	}
-	looked := early.looked.Load()
+	looked := early.decisions.Load()
 	c.send(post("flood", "second"))
 	if status, body, header := c.answer(); status != http.StatusServiceUnavailable || !strings.Contains(body, `"code":2010`) {
 		t.Errorf("status %d, %q, %v", status, body, header)
@@ -155,7 +155,7 @@
 	if status, body, header := c.answer(); status != http.StatusOK || body != "third" || header.Get("Admitted") != "false" {
 		t.Errorf("status %d, %q, %v", status, body, header)
 	}
-	if n := early.looked.Load() - looked; n != 2 {
+	if n := early.decisions.Load() - looked; n != 2 {
 		t.Errorf("%d of two requests were looked at", n)
 	}
 }
@@ -168,7 +168,7 @@
 	outer := post("other", inner)
 	for at := 1; at < len(outer); at += 7 {
 		c := newCaller(t, address)
-		looked := early.looked.Load()
+		looked := early.decisions.Load()
 		c.send(post("other", "first") + outer[:at])
 		if status, body, _ := c.answer(); status != http.StatusOK || body != "first" {
 			t.Fatalf("split at %d: status %d, %q", at, status, body)
@@ -177,7 +177,7 @@
 		if status, body, _ := c.answer(); status != http.StatusOK || body != inner {
 			t.Fatalf("split at %d: status %d, %q", at, status, body)
 		}
-		if n := early.looked.Load() - looked; n != 0 {
+		if n := early.decisions.Load() - looked; n != 0 {
 			t.Fatalf("split at %d: looked at %d requests that are not whole", at, n)
 		}
 		_ = c.Close()
@@ -225,7 +225,7 @@
 	if status, body, _ := c.answer(); status != http.StatusOK || body != "next" {
 		t.Fatalf("status %d, %q: the body of a refused request was taken for a request", status, body)
 	}
-	looked := early.looked.Load()
+	looked := early.decisions.Load()
 	c = newCaller(t, address)
 	c.send(post("flood", "a") + post("flood", "b"))
 	for _, want := range []string{"a", "b"} {
@@ -233,7 +233,7 @@
 			t.Errorf("pipelined: status %d, %q", status, body)
 		}
 	}
-	if early.looked.Load() != looked {
+	if early.decisions.Load() != looked {
 		t.Error("the first of two requests in the same bytes was looked at")
 	}
 	c = newCaller(t, address)
--- a/handlers/gateway/refuse_bench_test.go
+++ b/handlers/gateway/refuse_bench_test.go
@@ -31,7 +31,7 @@
 	}
 	s := NewServer(log.New("callers"), l, refuser, 100, &netopt.Traffic{})
 	if early {
-		s.SetEarlyAdmission(&refuseKey{handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}})
+		s.SetEarlyAdmission(&keyAdmission{handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}})
 	}
 	go func() { _ = s.Serve() }()
 	defer s.Close()
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -23,11 +23,11 @@
 	"madderway/services/relay"
 )
 
-// noFrames takes nothing from peers.
-type noFrames struct{}
+// nopHandler takes nothing from peers.
+type nopHandler struct{}
 
-func (noFrames) HandleFrame(string, *wire.Frame)           {}
-func (noFrames) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{} }
+func (nopHandler) HandleFrame(string, *wire.Frame)           {}
+func (nopHandler) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{} }
 
 // newRelay returns what hands requests over to another gateway with this handler.
 func newRelay(t *testing.T, h http.Handler) *relay.Service {
@@ -42,14 +42,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peernet.NewRelayServer(&owner, log.New("far"), peernet.NewSharedKey("far", key), &peernet.Meter{}, l, noFrames{}, relay.NewServer(log.New("far"), h))
+	peernet.NewRelayServer(&owner, log.New("far"), peernet.NewSharedKey("far", key), &peernet.Meter{}, l, nopHandler{}, relay.NewServer(log.New("far"), h))
 	s := relay.New(&owner, log.New("relay"), relay.Options{Auth: peernet.NewSharedKey("near", key), Meter: &peernet.Meter{}, Clock: clock.System{}})
 	s.SetPeers([]relay.Peer{{ID: "far", Address: l.Addr().String(), Strength: 1}})
 	return s
 }
 
 // serveRelay runs a server that hands requests with the key "moved" over.
-func serveRelay(t *testing.T, r Relay) (near *Server, early *refuseKey, address string) {
+func serveRelay(t *testing.T, r Relay) (near *Server, early *keyAdmission, address string) {
 	t.Helper()
 	near, early, address = newEarlyServer(t, 10)
 	near.SetRelay(r)
@@ -89,7 +89,7 @@
 		if status != http.StatusOK || body != want || header.Get("Carrier") != "near" || header.Get("Connection") == "close" {
 			t.Fatalf("body of %d: status %d, %d bytes, %v", size, status, len(body), header)
 		}
-		if told := <-early.told; told.Peer != "far" || told.Bytes < int64(size) || told.Lost || told.CallerLeft {
+		if told := <-early.results; told.Peer != "far" || told.Bytes < int64(size) || told.Lost || told.CallerLeft {
 			t.Errorf("told %+v", told)
 		}
 		if status, body, header := c.answer(); status != http.StatusOK || body != "next" || header.Get("Carrier") != "" {
@@ -115,7 +115,7 @@
 	if status != http.StatusBadGateway || !strings.Contains(body, `"code":3002`) || !strings.Contains(body, `"ran":"unknown"`) {
 		t.Errorf("status %d, %q", status, body)
 	}
-	if told := <-early.told; !told.Lost || told.CallerLeft {
+	if told := <-early.results; !told.Lost || told.CallerLeft {
 		t.Errorf("told %+v", told)
 	}
 	c = newCaller(t, address)
@@ -143,11 +143,11 @@
 	near, early, address := serveRelay(t, far)
 	c := newCaller(t, address)
 	c.send("POST /x HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer moved\r\nContent-Length: 9\r\n\r\nabc")
-	for early.looked.Load() == 0 { // one that has left before is not judged
+	for early.decisions.Load() == 0 { // one that has left before is not judged
 		runtime.Gosched()
 	}
 	_ = c.Close()
-	if told := <-early.told; !told.CallerLeft || told.Peer != "" {
+	if told := <-early.results; !told.CallerLeft || told.Peer != "" {
 		t.Errorf("told %+v", told)
 	}
 	c = newCaller(t, address)
@@ -160,7 +160,7 @@
 	if err := <-ended; err == nil {
 		t.Error("the request goes on")
 	}
-	if told := <-early.told; !told.CallerLeft {
+	if told := <-early.results; !told.CallerLeft {
 		t.Errorf("told %+v", told)
 	}
 }
@@ -176,18 +176,18 @@
 		c.send(post(key, "x"))
 		_ = c.Close()
 	}
-	for _, c := range accepted(t, near) {
+	for _, c := range acceptClosed(t, near) {
 		if _, err := c.Read(make([]byte, 4096)); err != io.EOF {
 			t.Errorf("the request is read: %v", err)
 		}
 	}
-	if n := early.looked.Load(); n != 0 {
+	if n := early.decisions.Load(); n != 0 {
 		t.Errorf("%d requests of nobody were judged", n)
 	}
 }
 
-// awaitEnd waits until the end of what the other side sends has arrived.
-func awaitEnd(t *testing.T, conn net.Conn) {
+// awaitFIN waits until the end of what the other side sends has arrived.
+func awaitFIN(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -204,8 +204,8 @@
 	}
 }
 
-// accepted accepts three connections whose callers have closed them.
-func accepted(t *testing.T, s *Server) []*callerConn {
+// acceptClosed accepts three connections whose callers have closed them.
+func acceptClosed(t *testing.T, s *Server) []*callerConn {
 	t.Helper()
 	var out []*callerConn
 	for range 3 {
@@ -214,7 +214,7 @@
 			t.Fatal(err)
 		}
 		c := &callerConn{countedConn: &countedConn{Conn: s.traffic.Wrap(conn), open: &s.open}, server: s, stopWatch: make(chan struct{}, 1)}
-		awaitEnd(t, conn)
+		awaitFIN(t, conn)
 		out = append(out, c)
 	}
 	return out
@@ -232,7 +232,7 @@
 		if status, body, header := c.answer(); status != http.StatusOK || body != want || header.Get("Admitted") != "true" {
 			t.Errorf("status %d, %d bytes, %v", status, len(body), header)
 		}
-		if told := <-early.told; told.Peer != "" || told.Lost || told.CallerLeft {
+		if told := <-early.results; told.Peer != "" || told.Lost || told.CallerLeft {
 			t.Errorf("told %+v", told)
 		}
 	}
--- a/handlers/gateway/server_test.go
+++ b/handlers/gateway/server_test.go
@@ -18,13 +18,13 @@
 	"madderway/modules/netopt"
 )
 
-// flaky is a listener whose first accepts fail, as where descriptors are gone.
-type flaky struct {
+// flakyListener is a listener whose first accepts fail, as where descriptors are gone.
+type flakyListener struct {
 	net.Listener
 	failures int
 }
 
-func (f *flaky) Accept() (net.Conn, error) {
+func (f *flakyListener) Accept() (net.Conn, error) {
 	if f.failures > 0 {
 		f.failures--
 		return nil, errors.New("too many open files")
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(log.New("callers"), &flaky{l, failures}, h, most, &netopt.Traffic{})
+	s := NewServer(log.New("callers"), &flakyListener{l, failures}, h, most, &netopt.Traffic{})
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve() }()
 	t.Cleanup(func() {
@@ -72,18 +72,18 @@
 	return c
 }
 
-var ok = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+var okHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 
 // A process that runs out of descriptors goes on when there are some again.
 func TestServerRetriesFailedAccept(t *testing.T) {
-	_, address := serve(t, 3, 10, ok)
+	_, address := serve(t, 3, 10, okHandler)
 	if got := ask(t, dial(t, address)); got != http.StatusOK {
 		t.Errorf("status %d", got)
 	}
 }
 
 func TestServerRefusesConnectionsBeyondLimit(t *testing.T) {
-	s, address := serve(t, 0, 2, ok)
+	s, address := serve(t, 0, 2, okHandler)
 	one, two := dial(t, address), dial(t, address)
 	if ask(t, one) != http.StatusOK || ask(t, two) != http.StatusOK {
 		t.Fatal("a connection within the limit was refused")
@@ -103,7 +103,7 @@
 // answer ends its connection, so that there is room for new ones.
 func TestServerClosesConnectionsNearLimit(t *testing.T) {
 	const most = 8
-	s, address := serve(t, 0, most, ok)
+	s, address := serve(t, 0, most, okHandler)
 	for i := range 5 * most {
 		before := s.Open()
 		if got := ask(t, dial(t, address)); got != http.StatusOK {
@@ -119,7 +119,7 @@
 
 // New limits hold for new connections; old ones go on.
 func TestSetLimitsAppliesToNewConnections(t *testing.T) {
-	s, address := serve(t, 0, 10, ok)
+	s, address := serve(t, 0, 10, okHandler)
 	old := dial(t, address)
 	if ask(t, old) != http.StatusOK {
 		t.Fatal("no answer")
