--- a/handlers/caller/caller.go
+++ b/handlers/caller/caller.go
@@ -61,13 +61,13 @@
 		bunrouter.WithNotFoundHandler(notFound),
 		bunrouter.WithMethodNotAllowedHandler(notFound),
 	)
-	r.POST("/v1/chat/completions", h.guard(h.chat))
-	r.GET("/v1/models", h.guard(h.models))
-	r.GET("/v1/responses/:id", h.guard(h.resume))
+	r.POST("/v1/chat/completions", h.wrap(h.chat))
+	r.GET("/v1/models", h.wrap(h.models))
+	r.GET("/v1/responses/:id", h.wrap(h.resume))
 	for _, method := range []string{
 		http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
 	} {
-		r.Handle(method, "/services/:pool/*path", h.guard(h.plain))
+		r.Handle(method, "/services/:pool/*path", h.wrap(h.plain))
 	}
 	return r
 }
@@ -85,13 +85,13 @@
 	account *conf.ClientAccount
 }
 
-// guard authenticates, counts what is in flight and sends errors.
-func (h *Handler) guard(serve func(c *call) error) bunrouter.HandlerFunc {
+// wrap authenticates, counts what is in flight and sends errors.
+func (h *Handler) wrap(serve func(c *call) error) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, req bunrouter.Request) error {
 		c := &call{ResponseWriter: w, req: req, id: ident.New(requestIDPrefix)}
 		w.Header().Set(api.HeaderRequestID, c.id)
 		w.Header().Set(HeaderRouter, h.routerID)
-		if !h.enter() {
+		if !h.beginRequest() {
 			api.WriteError(w, result.New(result.Draining, "router %s is stopping", h.routerID), c.id)
 			return nil
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (h *Handler) enter() bool {
+func (h *Handler) beginRequest() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.draining {
--- a/handlers/caller/chat.go
+++ b/handlers/caller/chat.go
@@ -19,8 +19,8 @@
 
 const (
 	defaultMaxTokens = 1024
-	// prefixBytes is how much of the first message names the prompt's prefix.
-	prefixBytes = 1024
+	// maxPrefixBytes is how much of the first message names the prompt's prefix.
+	maxPrefixBytes = 1024
 )
 
 // chatBody is what the router reads of a completion's body; the rest goes to
@@ -55,7 +55,7 @@
 	}
 	chat := dispatch.Chat{
 		RequestID: c.id, Account: c.account, Model: body.Model, Class: c.req.Header.Get(HeaderClass),
-		MaxTokens: body.MaxTokens, Stream: body.Stream, Prefix: prefixOf(body), Body: sent,
+		MaxTokens: body.MaxTokens, Stream: body.Stream, Prefix: promptPrefix(body), Body: sent,
 	}
 	if body.Stream {
 		return h.stream(c, func(sink dispatch.Sink) error {
@@ -77,10 +77,10 @@
 	return json.Marshal(fields)
 }
 
-func prefixOf(body chatBody) string {
+func promptPrefix(body chatBody) string {
 	first := body.Messages[0]
-	if len(first) > prefixBytes {
-		first = first[:prefixBytes]
+	if len(first) > maxPrefixBytes {
+		first = first[:maxPrefixBytes]
 	}
 	return strconv.FormatUint(xxhash.Sum64(append([]byte(body.Model+"\x00"), first...)), 36)
 }
@@ -89,7 +89,7 @@
 func (h *Handler) stream(c *call, run func(dispatch.Sink) error) error {
 	s := &sseSink{w: c.ResponseWriter, flush: http.NewResponseController(c.ResponseWriter)}
 	err := run(s)
-	if err == nil || !s.begun {
+	if err == nil || !s.started {
 		return err
 	}
 	select {
@@ -98,30 +98,30 @@
 	default:
 	}
 	body, _ := api.NewError(err, c.id)
-	s.comment("error", body)
+	s.sendEvent("error", body)
 	return nil
 }
 
 // sseSink writes server-sent events to a caller.
 type sseSink struct {
-	w     http.ResponseWriter
-	flush *http.ResponseController
-	begun bool
+	w       http.ResponseWriter
+	flush   *http.ResponseController
+	started bool
 }
 
-// restart tells a caller that what came before is void: the answer begins
+// restartEvent tells a caller that what came before is void: the answer begins
 // again, from its first event.
-type restart struct {
+type restartEvent struct {
 	Attempt int    `json:"attempt"`
 	Resume  string `json:"resume"`
 }
 
 // Begin implements dispatch.Sink.
 func (s *sseSink) Begin(token string, attempt int) error {
-	if s.begun {
-		return s.comment("restart", restart{attempt, token})
+	if s.started {
+		return s.sendEvent("restart", restartEvent{attempt, token})
 	}
-	s.begun = true
+	s.started = true
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.Header().Set("Cache-Control", "no-cache")
 	s.w.Header().Set(HeaderResume, token)
@@ -137,8 +137,8 @@
 	return s.flush.Flush()
 }
 
-// comment sends a typed event that is not a part of the answer.
-func (s *sseSink) comment(kind string, v any) error {
+// sendEvent sends a typed event that is not a part of the answer.
+func (s *sseSink) sendEvent(kind string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/handlers/caller/collect.go
+++ b/handlers/caller/collect.go
@@ -34,8 +34,8 @@
 	Content string `json:"content"`
 }
 
-// delta is what an engine sends as the data of an event.
-type delta struct {
+// streamChunk is what an engine sends as the data of an event.
+type streamChunk struct {
 	Choices []struct {
 		Delta        message `json:"delta"`
 		FinishReason string  `json:"finish_reason"`
@@ -45,29 +45,29 @@
 
 // collectSink gathers an answer.
 type collectSink struct {
-	w      http.ResponseWriter
-	text   strings.Builder
-	finish string
-	usage  json.RawMessage
-	bad    error
+	w            http.ResponseWriter
+	text         strings.Builder
+	finishReason string
+	usage        json.RawMessage
+	decodeErr    error
 }
 
 // Begin implements dispatch.Sink; a later attempt starts from nothing.
 func (s *collectSink) Begin(token string, _ int) error {
 	s.text.Reset()
-	s.finish, s.usage, s.bad = "", nil, nil
+	s.finishReason, s.usage, s.decodeErr = "", nil, nil
 	s.w.Header().Set(HeaderResume, token)
 	return nil
 }
 
 // Event implements dispatch.Sink.
 func (s *collectSink) Event(ev engine.Event) error {
-	if ev.Done() || s.bad != nil {
+	if ev.Done() || s.decodeErr != nil {
 		return nil
 	}
-	var d delta
+	var d streamChunk
 	if err := json.Unmarshal([]byte(ev.Data), &d); err != nil {
-		s.bad = err
+		s.decodeErr = err
 		return nil
 	}
 	if len(d.Usage) > 0 && string(d.Usage) != "null" {
@@ -76,7 +76,7 @@
 	for _, c := range d.Choices {
 		s.text.WriteString(c.Delta.Content)
 		if c.FinishReason != "" {
-			s.finish = c.FinishReason
+			s.finishReason = c.FinishReason
 		}
 	}
 	return nil
@@ -87,12 +87,12 @@
 	if err := run(s); err != nil {
 		return err
 	}
-	if s.bad != nil {
-		return result.New(result.TargetFailed, "the target sent an event that is not JSON: %v", s.bad)
+	if s.decodeErr != nil {
+		return result.New(result.TargetFailed, "the target sent an event that is not JSON: %v", s.decodeErr)
 	}
 	api.WriteJSON(c, http.StatusOK, completion{
 		ID: c.id, Object: "chat.completion", Model: model, Usage: s.usage,
-		Choices: []choice{{Message: message{"assistant", s.text.String()}, FinishReason: s.finish}},
+		Choices: []choice{{Message: message{"assistant", s.text.String()}, FinishReason: s.finishReason}},
 	})
 	return nil
 }
--- a/handlers/caller/plain.go
+++ b/handlers/caller/plain.go
@@ -11,8 +11,8 @@
 	"madderway/services/dispatch"
 )
 
-// forwarded are the headers of a caller that reach a plain service.
-var forwarded = []string{"Content-Type", "Accept", "Accept-Language", HeaderIdempotencyKey}
+// forwardedHeaders are the headers of a caller that reach a plain service.
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", HeaderIdempotencyKey}
 
 func (h *Handler) plain(c *call) error {
 	key := c.req.Header.Get(HeaderIdempotencyKey)
@@ -25,7 +25,7 @@
 	}
 	pool := c.req.Param("pool")
 	header := http.Header{}
-	for _, name := range forwarded {
+	for _, name := range forwardedHeaders {
 		if v := c.req.Header.Get(name); v != "" {
 			header.Set(name, v)
 		}
