--- a/handlers/operator/operator.go
+++ b/handlers/operator/operator.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	maxChange   = 32 << 20
-	operationID = "op"
+	maxRequestBytes   = 32 << 20
+	operationIDPrefix = "op"
 )
 
 // Options are the parts of a Handler.
@@ -69,20 +69,20 @@
 		api.WriteError(w, result.New(result.NotFound, "%s %s", req.Method, req.URL.Path), "")
 		return nil
 	}))
-	r.GET("/healthz", plain(func() error { return nil }))
-	r.GET("/readyz", plain(h.opts.Ready))
+	r.GET("/healthz", healthCheck(func() error { return nil }))
+	r.GET("/readyz", healthCheck(h.opts.Ready))
 	r.GET("/metrics", h.metrics)
-	r.GET("/operator/config", h.guard(h.get))
-	r.PUT("/operator/config", h.guard(h.apply))
-	r.GET("/operator/status", h.guard(h.status))
-	r.GET("/operator/dump", h.guard(h.dump))
-	r.GET("/operator/explain/:id", h.guard(h.explain))
-	r.POST("/operator/orders", h.guard(h.order))
-	r.POST("/operator/drain", h.guard(h.drain))
+	r.GET("/operator/config", h.requireToken(h.get))
+	r.PUT("/operator/config", h.requireToken(h.apply))
+	r.GET("/operator/status", h.requireToken(h.status))
+	r.GET("/operator/dump", h.requireToken(h.dump))
+	r.GET("/operator/explain/:id", h.requireToken(h.explain))
+	r.POST("/operator/orders", h.requireToken(h.order))
+	r.POST("/operator/drain", h.requireToken(h.drain))
 	return r
 }
 
-func plain(check func() error) bunrouter.HandlerFunc {
+func healthCheck(check func() error) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, _ bunrouter.Request) error {
 		if err := check(); err != nil {
 			api.WriteError(w, err, "")
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (h *Handler) guard(serve func(w http.ResponseWriter, req bunrouter.Request) error) bunrouter.HandlerFunc {
+func (h *Handler) requireToken(serve func(w http.ResponseWriter, req bunrouter.Request) error) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, req bunrouter.Request) error {
 		err := h.authenticate(req)
 		if err == nil {
@@ -155,14 +155,14 @@
 
 func (h *Handler) apply(w http.ResponseWriter, req bunrouter.Request) error {
 	var a ApplyRequest
-	if err := decode(w, req, &a); err != nil {
+	if err := decodeJSON(w, req, &a); err != nil {
 		return err
 	}
 	if a.Document == nil {
 		return result.New(result.BadConfig, "no document")
 	}
 	if a.Operation == "" {
-		a.Operation = ident.New(operationID)
+		a.Operation = ident.New(operationIDPrefix)
 	}
 	base := head.AnyBase
 	if a.Base != nil {
@@ -178,8 +178,8 @@
 	return nil
 }
 
-func decode(w http.ResponseWriter, req bunrouter.Request, into any) error {
-	dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxChange))
+func decodeJSON(w http.ResponseWriter, req bunrouter.Request, into any) error {
+	dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
 		return result.Wrap(result.BadRequest, err)
@@ -254,7 +254,7 @@
 
 func (h *Handler) order(w http.ResponseWriter, req bunrouter.Request) error {
 	var o OrderRequest
-	if err := decode(w, req, &o); err != nil {
+	if err := decodeJSON(w, req, &o); err != nil {
 		return err
 	}
 	s := h.opts.Config.Snapshot()
