--- a/router/gatewaystate.go
+++ b/router/gatewaystate.go
@@ -21,22 +21,22 @@
 
 // GatewayDump is the state of a gateway process.
 type GatewayDump struct {
-	ID          string     `json:"id"`
-	Incarnation uint64     `json:"incarnation"`
-	DataHall    string     `json:"data_hall"`
-	Ready       bool       `json:"ready"`
-	Draining    bool       `json:"draining"`
-	Open        int        `json:"open_requests"`
-	Relaying    int        `json:"handed_over_requests"`
-	Callers     int        `json:"caller_connections"`
-	TurnedAway  uint64     `json:"caller_connections_turned_away_total"`
-	Targets     int        `json:"targets"`
-	Leaving     []string   `json:"leaving_targets,omitempty"` // Leaving are those of the targets that leave.
-	Evacuated   []string   `json:"evacuated_data_halls,omitempty"`
-	StoreCalls  uint64     `json:"store_calls_total"`
-	PeerFetches uint64     `json:"peer_fetches_total"`
-	Dials       uint64     `json:"target_connections_total"`
-	Mesh        mesh.State `json:"mesh"`
+	ID                string     `json:"id"`
+	Incarnation       uint64     `json:"incarnation"`
+	DataHall          string     `json:"data_hall"`
+	Ready             bool       `json:"ready"`
+	Draining          bool       `json:"draining"`
+	InFlight          int        `json:"open_requests"`
+	HandedOver        int        `json:"handed_over_requests"`
+	CallerConnections int        `json:"caller_connections"`
+	TurnedAway        uint64     `json:"caller_connections_turned_away_total"`
+	Targets           int        `json:"targets"`
+	Leaving           []string   `json:"leaving_targets,omitempty"` // Leaving are those of the targets that leave.
+	Evacuated         []string   `json:"evacuated_data_halls,omitempty"`
+	StoreCalls        uint64     `json:"store_calls_total"`
+	PeerFetches       uint64     `json:"peer_fetches_total"`
+	TargetConnections uint64     `json:"target_connections_total"`
+	Mesh              mesh.State `json:"mesh"`
 	// Quarantined are the requests that are refused since targets ended under them.
 	Quarantined int    `json:"quarantined_requests"`
 	Goroutines  int    `json:"goroutines"`
@@ -50,7 +50,7 @@
 	calls, fetches := g.follow.Calls()
 	return GatewayDump{
 		ID: g.self.ID, Incarnation: g.self.Incarnation, DataHall: g.self.DataHall, Ready: g.Ready(), Draining: g.isDraining(),
-		Open: g.open(), Relaying: g.callers.HandedOver(), Callers: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, Dials: g.pool.Dials(),
+		InFlight: g.open(), HandedOver: g.callers.HandedOver(), CallerConnections: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, TargetConnections: g.pool.Dials(),
 		Mesh: g.loop.State(), Quarantined: g.requests.Standings()[quarantine.Quarantined], Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
 	}
 }
@@ -77,10 +77,10 @@
 	gauge := func(name string, v any) { fmt.Fprintf(w, "madderway_gateway_%s %v\n", name, v) }
 	gauge("ready", boolNumber(d.Ready))
 	gauge("draining", boolNumber(d.Draining))
-	gauge("open_requests", d.Open)
-	gauge("handed_over_requests", d.Relaying)
+	gauge("open_requests", d.InFlight)
+	gauge("handed_over_requests", d.HandedOver)
 	gauge("carried_bytes_total", g.carried.Sent.Load()+g.carried.Received.Load())
-	gauge("caller_connections", d.Callers)
+	gauge("caller_connections", d.CallerConnections)
 	gauge("caller_connections_turned_away_total", d.TurnedAway)
 	gauge("targets", d.Targets)
 	gauge("leaving_targets", len(d.Leaving))
@@ -96,7 +96,7 @@
 	gauge("standstills_total", g.standstill.count.Load())
 	gauge("suspended_seconds_total", clock.Suspended().Seconds())
 	gauge("peer_fetches_total", d.PeerFetches)
-	gauge("target_connections_total", d.Dials)
+	gauge("target_connections_total", d.TargetConnections)
 	gauge("placements_pending", d.Mesh.Pending)
 	gauge("requests_at_engines", d.Mesh.Running)
 	gauge("control_seconds_total", d.Mesh.Busy.Seconds())
--- a/router/standstill_test.go
+++ b/router/standstill_test.go
@@ -26,7 +26,7 @@
 		site.StoreAway(away)
 		g := site.Gateway(0)
 		g.ReportStandstill(4 * time.Second)
-		if away && (!g.Unsettled() || g.Ready()) {
+		if away && (!g.Resyncing() || g.Ready()) {
 			t.Error("it is ready without having heard anything")
 		}
 		if away && site.AskAt(t.Context(), 0, "account-0", 7) {
