--- a/router/gateway.go
+++ b/router/gateway.go
@@ -44,22 +44,22 @@
 	idleTimeout   = 30 * time.Second
 	dialTimeout   = 400 * time.Millisecond
 	idlePerTarget = 8
-	// callerShare is the part of the descriptors that callers' connections may take. Each may
+	// callerConnShare is the part of the descriptors that callers' connections may take. Each may
 	// need another one to a target, and each takes some 25 KB: with 0.6, that is 2,460 of them
 	// on a machine of 184 MB, the collector took the processor's time.
-	callerShare = 0.45
-	drainPoll   = 20 * time.Millisecond
-	probeEvery  = 25 * time.Millisecond
+	callerConnShare   = 0.45
+	drainPollInterval = 20 * time.Millisecond
+	probeInterval     = 25 * time.Millisecond
 	// maxRumors bounds the records of a heartbeat, some 80 bytes each: the loss of half
 	// of 300 machines is told on within a second or two.
 	maxRumors = 128
 	// memoryShare is the part of the memory that the runtime aims to stay under,
 	// bodyShare the part that bodies may take.
 	memoryShare = 0.6
-	// garbagePercent is how much garbage, in percent of what is in use, the collector waits
+	// gcPercent is how much garbage, in percent of what is in use, the collector waits
 	// for: its runs under a flood make a process of a fifth of a core late by 100 to 300 ms.
-	garbagePercent = 300
-	bodyShare      = 0.25
+	gcPercent = 300
+	bodyShare = 0.25
 )
 
 // Gateway is one running gateway: a router in front of targets that the
@@ -71,14 +71,14 @@
 	clock    clock.Clock
 	self     member.Record
 
-	meter   *peernet.Meter
-	carried *peernet.Meter  // carried counts what is carried for other gateways, or by them.
-	traffic *netopt.Traffic // traffic is that with callers and targets.
-	loop    *mesh.Loop
-	follow  *follow.Service
-	relay   *relay.Service
-	// requests are those under which targets ended.
-	requests *quarantine.Service
+	meter      *peernet.Meter
+	relayMeter *peernet.Meter  // carried counts what is carried for other gateways, or by them.
+	traffic    *netopt.Traffic // traffic is that with callers and targets.
+	loop       *mesh.Loop
+	follow     *follow.Service
+	relay      *relay.Service
+	// quarantine are those under which targets ended.
+	quarantine *quarantine.Service
 	// notices are what targets have said of themselves.
 	notices *notice.Service
 	pool    *upstream.Pool
@@ -98,10 +98,10 @@
 
 // StartGateway builds a gateway and starts it.
 func StartGateway(s *setting.Gateway) (*Gateway, error) {
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB<<20)))
 	g := &Gateway{
-		clock: clock.System{}, log: log.New("gateway").With(s.ID), meter: &peernet.Meter{}, carried: &peernet.Meter{}, traffic: &netopt.Traffic{},
+		clock: clock.System{}, log: log.New("gateway").With(s.ID), meter: &peernet.Meter{}, relayMeter: &peernet.Meter{}, traffic: &netopt.Traffic{},
 		draining: make(chan struct{}),
 	}
 	g.settings.Store(s)
@@ -120,7 +120,7 @@
 	g.assemble()
 	g.serve(listeners[1:])
 	peernet.NewRelayServer(&g.t, log.New("peer").With(s.ID), peernet.NewSharedKey(s.ID, s.PeerKey), g.meter, listeners[0], g.loop, relay.NewServer(log.New("relay").With(s.ID), g.handler))
-	probe, err := lateness.Start(&g.t, probeEvery, g.late)
+	probe, err := lateness.Start(&g.t, probeInterval, g.noteLateness)
 	if err != nil {
 		g.log.Error(err, "No probe of lateness; overload is not noticed.")
 	}
@@ -156,7 +156,7 @@
 	store := platform.NewStore(s.Store, s.StoreCall.Duration)
 	g.notices = notice.New(log.New("notice").With(s.ID), notice.Options{Clock: g.clock, Figures: "madderway_gateway", OnLeaving: func() { g.follow.LeavingChanged() }})
 	g.follow = follow.New(&g.t, log.New("follow").With(s.ID), follow.Options{
-		Source: store, Peers: fetcher{g}, Clock: g.clock, Leavers: g.notices, OnChange: g.changed, OnEra: g.storeCameBack,
+		Source: store, Peers: fetcher{g}, Clock: g.clock, Leavers: g.notices, OnChange: g.applyUpdate, OnEra: g.storeRestored,
 		Fleet: func() (bool, int) { return g.loop.Watches(), g.loop.Members() },
 		Start: watch.Start{Seed: len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers), FleetStart: s.FirstStart},
 	})
@@ -166,70 +166,70 @@
 	members := member.DefaultConfig()
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
 	members.EnableFullSync, members.MaxRumors = true, maxRumors
-	g.requests = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
+	g.quarantine = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
 		Clock: g.clock, Figures: "madderway_gateway", Tell: func(r core.Record) { g.loop.TellRecord(r) },
 	})
 	client := upstream.NewClient(g.pool, platform.Dialect{}, g.notices.Answered)
-	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.carried, Clock: g.clock})
+	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.relayMeter, Clock: g.clock})
 	g.loop = mesh.NewLoop(&g.t, log.New("mesh").With(s.ID), mesh.Options{
-		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.requests, Notices: g.notices,
-		Kept: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnGone: g.relay.Gone,
+		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.quarantine, Notices: g.notices,
+		Kept: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelayPeers, OnGone: g.relay.Gone,
 	})
-	g.requests.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
+	g.quarantine.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
 		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Register: platform.NewGateways(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
 		Empty: s.FirstStart,
 	})
 	guard := forward.NewGuard(log.New("guard").With(s.ID), g.clock, forward.GuardOptions{
-		Bytes: g.crossed, LinkMbps: s.LinkMbps, Relief: g.relay.Available, Queued: g.relay.Waiting, Overdue: g.overdue,
+		Bytes: g.linkBytes, LinkMbps: s.LinkMbps, Relief: g.relay.Available, Queued: g.relay.Waiting, Overdue: g.overdue,
 		OnDuties: func(keepsUp, linkFull bool) { g.loop.SetStrength(strengthOf(s, keepsUp), !keepsUp && linkFull) },
 	})
 	g.guard = guard
 	g.forward = forward.New(log.New("forward").With(s.ID), forward.Options{
 		DataHall: s.DataHall, Clock: g.clock, Follow: g.follow, Mesh: g.loop, Client: client,
-		Guard: guard, Retry: retryBudget(s), Requests: g.requests, Notices: g.notices,
+		Guard: guard, Retry: retryBudget(s), Requests: g.quarantine, Notices: g.notices,
 		Connections: func() (int, uint64) { return g.callers.Open(), g.callers.TurnedAway() },
 	})
 	g.handler = gateway.New(gateway.Options{
 		Clock: g.clock, Dialect: platform.Dialect{}, Follow: g.follow, Forward: g.forward,
-		MaxBodyBytes: int64(bodyShare * float64(s.MemoryMB<<20)), Resyncing: g.unsettled,
+		MaxBodyBytes: int64(bodyShare * float64(s.MemoryMB<<20)), Resyncing: g.resyncing,
 	})
 }
 
-// crossed returns the bytes that have crossed the machine's link.
-func (g *Gateway) crossed() (sent, received uint64) {
+// linkBytes returns the bytes that have linkBytes the machine's link.
+func (g *Gateway) linkBytes() (sent, received uint64) {
 	sent, received = g.traffic.Bytes()
-	return sent + g.meter.Bytes() + g.carried.Bytes(), received + g.meter.Received.Load() + g.carried.Received.Load()
+	return sent + g.meter.Bytes() + g.relayMeter.Bytes(), received + g.meter.Received.Load() + g.relayMeter.Received.Load()
 }
 
-// reliefs is how many gateways take requests of one over: the fewer they are, the more
+// maxRelayPeers is how many gateways take requests of one over: the fewer they are, the more
 // answers come in one read. Where a hall's gateways differ the strong ones come first, and
 // one of them could take all.
-const reliefs = 6
+const maxRelayPeers = 6
 
-// setRelief tells who may take requests over: gateways of this data hall that keep up with
+// setRelayPeers tells who may take requests over: gateways of this data hall that keep up with
 // their own callers.
-func (g *Gateway) setRelief(others []member.Record) {
+func (g *Gateway) setRelayPeers(others []member.Record) {
 	const percent = 100
 	var nodes []place.Node
 	able := map[string]member.Record{}
 	for _, r := range others {
-		if r.DataHall == g.self.DataHall && r.State == member.StateAlive && r.Strength > spent {
+		if r.DataHall == g.self.DataHall && r.State == member.StateAlive && r.Strength > overloadedStrength {
 			nodes = append(nodes, place.Node{ID: r.ID, Strength: r.Strength})
 			able[r.ID] = r
 		}
 	}
 	var peers []relay.Peer
-	for _, id := range place.TopByStrength(nodes, g.self.ID, reliefs) {
+	for _, id := range place.TopByStrength(nodes, g.self.ID, maxRelayPeers) {
 		r := able[id]
 		peers = append(peers, relay.Peer{ID: r.ID, Incarnation: r.Incarnation, Address: r.Address, Strength: float64(r.Strength) / percent})
 	}
 	g.relay.SetPeers(peers)
 }
 
-// spent is the strength, in percent of a core, of a gateway that cannot keep up with its
+// overloadedStrength is the strength, in percent of a core, of a gateway that cannot keep up with its
 // own callers.
-const spent = 1
+const overloadedStrength = 1
 
 // overdue returns how late the probe of lateness already is.
 func (g *Gateway) overdue(now time.Time) time.Duration {
@@ -245,9 +245,9 @@
 func strengthOf(s *setting.Gateway, keepsUp bool) uint32 {
 	const percent = 100
 	if !keepsUp {
-		return spent
+		return overloadedStrength
 	}
-	return uint32(max(s.Processor*percent, spent+1))
+	return uint32(max(s.Processor*percent, overloadedStrength+1))
 }
 
 func retryBudget(s *setting.Gateway) forward.RetryBudget {
@@ -267,11 +267,11 @@
 	g.log.Info("Settings reloaded.", "seeds", len(s.Seeds), "retry_ratio", s.RetryRatio, "grace", s.Grace.Duration, "needs_restart", fixed)
 }
 
-// storeCameBack writes again what may be lost with a store that has come back from an older
+// storeRestored writes again what may be lost with a store that has come back from an older
 // copy. Few gateways do, as few do at the start.
-func (g *Gateway) storeCameBack() {
+func (g *Gateway) storeRestored() {
 	if g.loop.Watches() {
-		g.requests.KeepAgain()
+		g.quarantine.KeepAgain()
 	}
 }
 
@@ -283,8 +283,8 @@
 	return f.g.loop.FetchState(ctx, peer, want)
 }
 
-// changed passes a new configuration or list of targets on.
-func (g *Gateway) changed() {
+// applyUpdate passes a new configuration or list of targets on.
+func (g *Gateway) applyUpdate() {
 	targets := g.follow.Targets()
 	g.pool.Keep(targets)
 	g.forward.SetTargets(targets)
@@ -295,7 +295,7 @@
 }
 
 func (g *Gateway) serve(listeners []net.Listener) {
-	g.callers = gateway.NewServer(log.New("callers").With(g.settings.Load().ID), listeners[0], g.handler, int(callerShare*float64(g.settings.Load().Descriptors)), g.traffic)
+	g.callers = gateway.NewServer(log.New("callers").With(g.settings.Load().ID), listeners[0], g.handler, int(callerConnShare*float64(g.settings.Load().Descriptors)), g.traffic)
 	g.callers.SetEarlyAdmission(g.handler)
 	g.callers.SetRelay(g.relay)
 	mux := http.NewServeMux()
@@ -304,7 +304,7 @@
 	g.t.Go(g.callers.Serve)
 	g.t.Go(func() error { return serveHTTP(g.readiness, listeners[1]) })
 	if len(listeners) > 2 {
-		g.operators = &http.Server{Handler: g.figures(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+		g.operators = &http.Server{Handler: g.operatorHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 		g.t.Go(func() error { return serveHTTP(g.operators, listeners[2]) })
 	}
 }
@@ -319,7 +319,7 @@
 
 // Ready tells whether the gateway takes requests.
 func (g *Gateway) Ready() bool {
-	return !g.isDraining() && !g.unsettled() && g.follow.Index() != nil && len(g.follow.Targets().Targets) > 0
+	return !g.isDraining() && !g.resyncing() && g.follow.Index() != nil && len(g.follow.Targets().Targets) > 0
 }
 
 func (g *Gateway) isDraining() bool {
@@ -350,27 +350,27 @@
 	g.drainOnce.Do(func() {
 		s := g.settings.Load()
 		plan := drain.Plan{Started: g.clock.Now(), Linger: s.Linger.Duration, Grace: s.Grace.Duration}
-		g.log.Info("Drain started.", "open", g.open())
+		g.log.Info("Drain started.", "open", g.inFlight())
 		close(g.draining)
 		g.handler.SetMode(gateway.ServeClosing)
 		g.loop.Leave()
 		for {
-			phase := plan.Phase(g.clock.Now(), g.open())
+			phase := plan.Phase(g.clock.Now(), g.inFlight())
 			if phase == drain.Exit {
 				break
 			}
 			if phase == drain.Refuse {
 				g.handler.SetMode(gateway.RefuseAll)
 			}
-			<-g.clock.After(drainPoll)
+			<-g.clock.After(drainPollInterval)
 		}
-		g.log.Info("Drain ended.", "cut", g.open(), "after", g.clock.Now().Sub(plan.Started))
+		g.log.Info("Drain ended.", "cut", g.inFlight(), "after", g.clock.Now().Sub(plan.Started))
 		g.Stop()
 	})
 }
 
-// open returns how many requests are under way here, or elsewhere for this gateway.
-func (g *Gateway) open() int { return g.handler.InFlight() + g.callers.HandedOver() }
+// inFlight returns how many requests are under way here, or elsewhere for this gateway.
+func (g *Gateway) inFlight() int { return g.handler.InFlight() + g.callers.HandedOver() }
 
 // Stop ends the gateway at once.
 func (g *Gateway) Stop() {
--- a/router/gatewaystate.go
+++ b/router/gatewaystate.go
@@ -50,13 +50,13 @@
 	calls, fetches := g.follow.Calls()
 	return GatewayDump{
 		ID: g.self.ID, Incarnation: g.self.Incarnation, DataHall: g.self.DataHall, Ready: g.Ready(), Draining: g.isDraining(),
-		InFlight: g.open(), HandedOver: g.callers.HandedOver(), CallerConnections: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, TargetConnections: g.pool.Dials(),
-		Mesh: g.loop.State(), Quarantined: g.requests.Standings()[quarantine.Quarantined], Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
+		InFlight: g.inFlight(), HandedOver: g.callers.HandedOver(), CallerConnections: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, TargetConnections: g.pool.Dials(),
+		Mesh: g.loop.State(), Quarantined: g.quarantine.Standings()[quarantine.Quarantined], Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
 	}
 }
 
-// figures returns the handler of metrics and dumps.
-func (g *Gateway) figures() http.Handler {
+// operatorHandler returns the handler of metrics and dumps.
+func (g *Gateway) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { g.WriteMetrics(w) })
 	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, _ *http.Request) {
@@ -71,7 +71,7 @@
 	g.forward.WriteMetrics(w)
 	g.follow.WriteMetrics(w)
 	g.loop.WriteMetrics(w)
-	g.requests.WriteMetrics(w)
+	g.quarantine.WriteMetrics(w)
 	g.notices.WriteMetrics(w)
 	d := g.Dump()
 	gauge := func(name string, v any) { fmt.Fprintf(w, "madderway_gateway_%s %v\n", name, v) }
@@ -79,7 +79,7 @@
 	gauge("draining", boolNumber(d.Draining))
 	gauge("open_requests", d.InFlight)
 	gauge("handed_over_requests", d.HandedOver)
-	gauge("carried_bytes_total", g.carried.Sent.Load()+g.carried.Received.Load())
+	gauge("carried_bytes_total", g.relayMeter.Sent.Load()+g.relayMeter.Received.Load())
 	gauge("caller_connections", d.CallerConnections)
 	gauge("caller_connections_turned_away_total", d.TurnedAway)
 	gauge("targets", d.Targets)
--- a/router/standstill.go
+++ b/router/standstill.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// standstillLeast is how late the process must be to have stood still: stopped, starved,
+	// minStandstill is how late the process must be to have stood still: stopped, starved,
 	// or on a machine that was suspended. Peers suspect a member after 1.2 s of silence; an
 	// overloaded process is late by some hundred milliseconds.
-	standstillLeast = 1500 * time.Millisecond
-	// settleMost is how long after a standstill the gateway waits at most to hear anew what
+	minStandstill = 1500 * time.Millisecond
+	// maxResync is how long after a standstill the gateway waits at most to hear anew what
 	// holds, where neither the store nor a peer answers. They answer within half a second.
-	settleMost = 2 * time.Second
+	maxResync = 2 * time.Second
 )
 
 // standstill remembers when the process last stood still.
@@ -26,22 +26,22 @@
 	endAt atomic.Pointer[time.Time]
 }
 
-// late takes how late the process has come to its work. All that keeps a process from running
+// noteLateness takes how noteLateness the process has come to its work. All that keeps a process from running
 // ends here: a signal, want of processor time, a suspended machine.
-func (g *Gateway) late(lateness time.Duration) {
+func (g *Gateway) noteLateness(lateness time.Duration) {
 	clock.System{}.CheckSuspension() // a step of the time of day may have hidden a suspension
-	if lateness >= standstillLeast {
-		g.stoodStill(lateness)
+	if lateness >= minStandstill {
+		g.noteStandstill(lateness)
 	}
 	g.guard.Late(lateness)
 }
 
-// stoodStill makes the gateway take nothing for true that it has not heard since: it is not
+// noteStandstill makes the gateway take nothing for true that it has not heard since: it is not
 // ready and refuses what comes until the configuration and the targets are known to be those
 // of now, and idle connections to targets, which these may have forgotten, are closed. What was
 // placed before is not sent any more (services/forward), and timers and deadlines have counted
 // it (modules/clock).
-func (g *Gateway) stoodStill(d time.Duration) {
+func (g *Gateway) noteStandstill(d time.Duration) {
 	now := g.clock.Now()
 	g.standstill.endAt.Store(&now)
 	g.standstill.count.Add(1)
@@ -49,13 +49,13 @@
 	g.pool.CloseIdle()
 }
 
-// unsettled tells that the process has stood still and has not heard anew what holds.
-func (g *Gateway) unsettled() bool {
+// resyncing tells that the process has stood still and has not heard anew what holds.
+func (g *Gateway) resyncing() bool {
 	end := g.standstill.endAt.Load()
 	if end == nil {
 		return false
 	}
-	if g.clock.Now().Sub(*end) < settleMost && !g.follow.FreshSince(*end) {
+	if g.clock.Now().Sub(*end) < maxResync && !g.follow.FreshSince(*end) {
 		return true
 	}
 	g.standstill.endAt.CompareAndSwap(end, nil)
