--- a/router/router.go
+++ b/router/router.go
@@ -60,23 +60,23 @@
 	clock    clock.Clock
 	self     member.Record
 
-	meter    *peernet.Meter
-	server   *peernet.Server
-	loop     *control.Loop
-	requests *quarantine.Service // requests are those under which targets ended.
-	notices  *notice.Service     // notices are what targets have said of themselves.
-	config   *config.Service
-	peers    *peer.Service
-	claims   *claim.Service
-	answers  *answer.Store
-	dispatch *dispatch.Service
-	engine   *engine.Client
-	book     *trace.Book
-	orders   *order.Service
+	meter      *peernet.Meter
+	server     *peernet.Server
+	loop       *control.Loop
+	quarantine *quarantine.Service // requests are those under which targets ended.
+	notices    *notice.Service     // notices are what targets have said of themselves.
+	config     *config.Service
+	peers      *peer.Service
+	claims     *claim.Service
+	answers    *answer.Store
+	dispatch   *dispatch.Service
+	engine     *engine.Client
+	traces     *trace.Book
+	orders     *order.Service
 
-	caller     *caller.Handler
-	callerHTTP *http.Server
-	operHTTP   *http.Server
+	caller       *caller.Handler
+	callerHTTP   *http.Server
+	operatorHTTP *http.Server
 
 	drainOnce sync.Once
 	draining  chan struct{}
@@ -138,7 +138,7 @@
 	table := platform.NewHTTPTable(s.Platform.TableURL, s.Platform.Timeout.Duration)
 	objects := platform.NewHTTPObjects(s.Platform.ObjectURL, s.Platform.Timeout.Duration)
 	r.engine = engine.NewClient(s.Platform.Timeout.Duration)
-	r.book = trace.NewBook(id, r.clock, s.Control.TraceSize)
+	r.traces = trace.NewBook(id, r.clock, s.Control.TraceSize)
 	r.peers = peer.New()
 	// A duty that never ends keeps the tomb alive while parts are added.
 	r.t.Go(r.closeAtEnd)
@@ -146,26 +146,26 @@
 		Clock: r.clock, Table: table, Objects: objects, Peers: r.peers, Isolation: s.Platform.Isolation.Duration,
 		PollHead: s.Platform.PollHead.Duration, Timeout: s.Platform.Timeout.Duration, OnAdopt: r.adopt,
 	})
-	r.requests = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
+	r.quarantine = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
 		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.TellRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, Figures: "madderway"})
 	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.WantsRest(target, "", rest) }
 	r.loop = control.NewLoop(&r.t, log.New("control").With(id), r.controlOptions(auth))
 	close(r.assembled)
-	r.peers.Attach(r.loop, r.config, r.book)
+	r.peers.Attach(r.loop, r.config, r.traces)
 	r.server = peernet.NewServer(&r.t, log.New("peer").With(id), auth, r.meter, peerListener, r.peers)
 	r.claims = claim.New(&r.t, log.New("claim").With(id), claim.Options{
-		Clock: r.clock, Table: table, Timeout: s.Platform.Timeout.Duration, Gone: r.memberGone,
+		Clock: r.clock, Table: table, Timeout: s.Platform.Timeout.Duration, Gone: r.memberIsDead,
 	})
-	r.claims.Sweep(r.sweeps)
+	r.claims.Sweep(r.isSweeper)
 	r.answers = answer.NewStore(&r.t, log.New("answer").With(id), answer.Options{
 		Clock: r.clock, Objects: objects, Kept: s.Answer.Kept.Duration, MaxBytes: s.Answer.MaxBytes, Timeout: s.Platform.Timeout.Duration,
 	})
 	r.dispatch = dispatch.New(&r.t, log.New("dispatch").With(id), dispatch.Options{
 		RouterID: id, Incarnation: r.self.Incarnation, DataHall: s.Router.DataHall, Clock: r.clock, Loop: r.loop,
 		Config: r.config, Engine: r.engine, Claims: r.claims, Answers: r.answers, Signer: answer.NewSigner(s.Answer.ResumeKey),
-		Book: r.book, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimKept: s.Platform.ClaimKept.Duration, Requests: r.requests,
+		Book: r.traces, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimKept: s.Platform.ClaimKept.Duration, Requests: r.quarantine,
 		Notices: r.notices,
 	})
 	r.orders = order.New(log.New("order").With(id), order.Options{
@@ -175,7 +175,7 @@
 	membership.New(&r.t, log.New("member").With(id), membership.Options{
 		Clock: r.clock, VMs: platform.NewHTTPVMs(s.Platform.VMListURL, s.Platform.Timeout.Duration), Engine: r.engine, Loop: r.loop,
 		PollList: s.Platform.PollVMs.Duration, PollLoad: s.Platform.PollLoad.Duration, Timeout: s.Platform.Timeout.Duration,
-		Targets: r.polledTargets, Kind: r.kindOf,
+		Targets: r.polledTargets, Kind: r.poolKind,
 	})
 }
 
@@ -194,7 +194,7 @@
 			Self: reporter, TallyInterval: c.TallyInterval.Duration, TallyBudget: c.TallyBudget,
 		},
 		ReserveShare: c.ReserveShare, Versions: r.config, DialTimeout: r.settings.Peer.DialTimeout.Duration, Ring: r.settings.Peer.Ring,
-		Requests: r.requests,
+		Requests: r.quarantine,
 	}
 }
 
@@ -220,7 +220,7 @@
 	return all
 }
 
-func (r *Router) kindOf(pool string) conf.PoolKind {
+func (r *Router) poolKind(pool string) conf.PoolKind {
 	s := r.config.Snapshot()
 	if s == nil {
 		return ""
@@ -232,8 +232,8 @@
 	return p.Kind
 }
 
-// memberGone tells whether an incarnation of a router is known to be dead.
-func (r *Router) memberGone(id string, incarnation uint64) bool {
+// memberIsDead tells whether an incarnation of a router is known to be dead.
+func (r *Router) memberIsDead(id string, incarnation uint64) bool {
 	if id == r.self.ID {
 		return incarnation != r.self.Incarnation
 	}
@@ -245,9 +245,9 @@
 	return false
 }
 
-// sweeps tells whether this router deletes expired rows: the live one with the
+// isSweeper tells whether this router deletes expired rows: the live one with the
 // lowest ID does.
-func (r *Router) sweeps() bool {
+func (r *Router) isSweeper() bool {
 	for _, m := range r.loop.Members() {
 		if m.State == member.StateAlive && m.ID < r.self.ID {
 			return false
@@ -267,9 +267,9 @@
 		RouterID: s.Router.ID, TokenSHA256: s.Operator.TokenSHA256, Config: r.config, Peers: r.peers, Orders: r.orders,
 		Ready: r.Ready, Dump: func() any { return r.Dump() }, Metrics: r.writeMetrics, Drain: func() { go r.Drain() }, Status: r.fillStatus,
 	})
-	r.operHTTP = &http.Server{Handler: oper.Routes(), MaxHeaderBytes: s.Caller.MaxHeaderBytes, ReadTimeout: time.Minute}
+	r.operatorHTTP = &http.Server{Handler: oper.Routes(), MaxHeaderBytes: s.Caller.MaxHeaderBytes, ReadTimeout: time.Minute}
 	r.t.Go(func() error { return serveHTTP(r.callerHTTP, callers) })
-	r.t.Go(func() error { return serveHTTP(r.operHTTP, operators) })
+	r.t.Go(func() error { return serveHTTP(r.operatorHTTP, operators) })
 }
 
 func serveHTTP(s *http.Server, l net.Listener) error {
@@ -282,7 +282,7 @@
 func (r *Router) closeAtEnd() error {
 	<-r.t.Dying()
 	_ = r.callerHTTP.Close()
-	_ = r.operHTTP.Close()
+	_ = r.operatorHTTP.Close()
 	r.engine.Close()
 	return nil
 }
--- a/router/state.go
+++ b/router/state.go
@@ -64,7 +64,7 @@
 		Router: r.self.ID, Incarnation: r.self.Incarnation, DataHall: r.self.DataHall, Region: r.self.Region,
 		ConfigVersion: v.Number, ConfigHash: v.Hash, Admits: r.config.Admits(), Draining: r.isDraining(), Duties: duties,
 		Control: r.loop.State(), Claims: r.claims.State(), Rings: []ring.State{r.config.Ring(), r.answers.Ring()},
-		Traces: r.book.Len(), PeersRefused: r.server.RefusedCount(), Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
+		Traces: r.traces.Len(), PeersRefused: r.server.RefusedCount(), Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
 	}
 }
 
@@ -93,7 +93,7 @@
 
 func (r *Router) writeMetrics(w io.Writer) {
 	r.dispatch.WriteMetrics(w)
-	r.requests.WriteMetrics(w)
+	r.quarantine.WriteMetrics(w)
 	r.notices.WriteMetrics(w)
 	st := r.loop.State()
 	queued := 0
@@ -102,8 +102,8 @@
 	}
 	gauge := func(name string, v any) { fmt.Fprintf(w, "%s %v\n", name, v) }
 	gauge("madderway_config_version", r.config.InForce().Number)
-	gauge("madderway_admits", boolNumber(r.config.Admits()))
-	gauge("madderway_draining", boolNumber(r.isDraining()))
+	gauge("madderway_admits", boolToInt(r.config.Admits()))
+	gauge("madderway_draining", boolToInt(r.isDraining()))
 	gauge("madderway_queued", queued)
 	gauge("madderway_running", st.Admission.Running)
 	gauge("madderway_targets_scheduled", len(st.Scheduler.Targets))
@@ -130,7 +130,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-func boolNumber(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
