--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -30,7 +30,7 @@
 //
 // and the 60 others together had in_time=115, none of them more than 6. What a gateway has
 // no time for is served by the others of its hall.
-func TestCallersOfOneGatewayAreServedByItsHall(t *testing.T) {
+func TestOverloadedGatewayHandsOverInItsHall(t *testing.T) {
 	site, err := platform.Start(platform.Options{Gateways: 6, Models: 4, Plains: 1, Accounts: 1, Length: time.Minute, Seed: 5})
 	if err != nil {
 		t.Fatal(err)
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -28,7 +28,7 @@
 //
 // What a target says of itself binds the gateway that hears it at once, and all others soon
 // where it is true for all.
-func TestTargetsAreTakenAtTheirWord(t *testing.T) {
+func TestTargetNoticesAreObeyed(t *testing.T) {
 	for _, kind := range platform.Kinds() {
 		t.Run("leaving/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
--- a/router/older_test.go
+++ b/router/older_test.go
@@ -13,7 +13,7 @@
 // compared its numbers with those of the history that it had lost: a worker that left then was
 // taken for ready until the count had passed the old one, for minutes. What is said after the
 // return holds, and what was known of a worker before it is not undone by the older list.
-func TestStoreThatCameBackOlderIsFollowed(t *testing.T) {
+func TestStoreRestoredFromOlderCopyIsFollowed(t *testing.T) {
 	t.Parallel()
 	s := newNoticeSite(t, platform.Kinds()[2], 3)
 	workers := s.Workers(s.kind)
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -25,7 +25,7 @@
 // A request under which three workers have ended is not sent to another one, at any
 // gateway, and other requests go on. Three more may have left gateways that had not heard
 // of it yet.
-func TestRequestThatEndsTargetsIsNotSentOn(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, kind := range platform.Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
@@ -35,7 +35,7 @@
 }
 
 // The same while the store is away: what gateways tell each other does not need it.
-func TestRequestThatEndsTargetsIsNotSentOnWithoutStore(t *testing.T) {
+func TestCrashingRequestIsQuarantinedWithoutStore(t *testing.T) {
 	t.Parallel()
 	site := endingSite(t, 4)
 	site.StoreAway(true)
@@ -43,7 +43,7 @@
 }
 
 // A request that a short gateway hands over is judged by the one that serves it.
-func TestHandedOverRequestThatEndsTargetsIsNotSentOn(t *testing.T) {
+func TestHandedOverCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	site := endingSite(t, 6)
 	stop := make(chan struct{})
@@ -60,7 +60,7 @@
 }
 
 // Gateways that have all ended at once know from the store what they refused.
-func TestQuarantineOutlivesTheFleet(t *testing.T) {
+func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	t.Parallel()
 	site := endingSite(t, 4)
 	kind := platform.Kinds()[0]
--- a/router/standstill_test.go
+++ b/router/standstill_test.go
@@ -13,7 +13,7 @@
 // A gateway whose process stood still takes nothing for true that it knew before: it is not
 // ready and refuses requests as not run until it has heard anew what holds, and serves then.
 // Where nobody answers it goes on with what it knows after a while.
-func TestStandstillIsSettledBeforeServing(t *testing.T) {
+func TestGatewayRefusesUntilResyncedAfterStandstill(t *testing.T) {
 	site, err := platform.Start(platform.Options{Gateways: 3, Models: 2, Plains: 1, Accounts: 1, Length: time.Minute, Seed: 3})
 	if err != nil {
 		t.Fatal(err)
