--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -42,7 +42,7 @@
 	stop := make(chan struct{})
 	var reporter, callers sync.WaitGroup
 	short := func(g *router.Gateway) time.Duration { return time.Duration(g.Streams()) * 15 * time.Millisecond }
-	reporter.Go(func() { beLate(site.Gateway(0), short, stop) }) // gateway 3 stands in the same hall
+	reporter.Go(func() { reportLateness(site.Gateway(0), short, stop) }) // gateway 3 stands in the same hall
 	const each, atOnce = 10, 16
 	var served atomic.Int64
 	for c := range atOnce {
@@ -65,9 +65,9 @@
 	}
 }
 
-// beLate has a gateway be late by so much. One that is late by 15 ms for each stream that it
+// reportLateness has a gateway be late by so much. One that is late by 15 ms for each stream that it
 // serves itself has time for one.
-func beLate(g *router.Gateway, by func(g *router.Gateway) time.Duration, stop <-chan struct{}) {
+func reportLateness(g *router.Gateway, by func(g *router.Gateway) time.Duration, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
 	for {
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -32,32 +32,32 @@
 	for _, kind := range platform.Kinds() {
 		t.Run("leaving/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
-			leaveUnlisted(t, kind)
+			testLeavingUnlisted(t, kind)
 		})
 		t.Run("all leaving/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
-			leaveAll(t, kind)
+			testAllLeaving(t, kind)
 		})
 		t.Run("rest/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
-			restOne(t, kind)
+			testOneResting(t, kind)
 		})
 		t.Run("all at rest/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
-			restAll(t, kind)
+			testAllResting(t, kind)
 		})
 	}
 	t.Run("leaving/refusal", func(t *testing.T) {
 		t.Parallel()
-		leaveRefusing(t)
+		testLeavingInRefusal(t)
 	})
 	t.Run("leaving/resumed", func(t *testing.T) {
 		t.Parallel()
-		leaveBesideCuts(t)
+		testLeavingDuringResume(t)
 	})
 	t.Run("leaving/handed over", func(t *testing.T) {
 		t.Parallel()
-		leaveBehindCarrier(t)
+		testLeavingBehindHandOver(t)
 	})
 }
 
@@ -70,8 +70,8 @@
 }
 
 const (
-	asks     = 8                // asks of a burst are enough that a target which is not passed over gets some.
-	patience = 20 * time.Second // patience is for what gateways tell each other within a second.
+	burstSize   = 8                // asks of a burst are enough that a target which is not passed over gets some.
+	waitTimeout = 20 * time.Second // patience is for what gateways tell each other within a second.
 )
 
 func newNoticeSite(t *testing.T, kind platform.Kind, gateways int) *noticeSite {
@@ -87,7 +87,7 @@
 			t.Error(b)
 		}
 	})
-	if err := site.AwaitReady(patience); err != nil {
+	if err := site.AwaitReady(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	return &noticeSite{Site: site, t: t, kind: kind}
@@ -102,7 +102,7 @@
 func (s *noticeSite) burst(gateway int) int {
 	var callers sync.WaitGroup
 	var served atomic.Int64
-	for range asks {
+	for range burstSize {
 		callers.Go(func() {
 			if s.ask(gateway).Served {
 				served.Add(1)
@@ -117,27 +117,27 @@
 func (s *noticeSite) reach(gateway int, w *platform.Worker) {
 	s.t.Helper()
 	before, _ := w.Arrived()
-	s.until("a request comes to "+w.ID, func() bool {
+	s.await("a request comes to "+w.ID, func() bool {
 		s.burst(gateway)
 		n, _ := w.Arrived()
 		return n > before
 	})
 }
 
-// hear sends requests to a gateway until it has heard from the worker that it leaves: by an
+// awaitNotice sends requests to a gateway until it has heard from the worker that it leaves: by an
 // answer to one of them, or to the question what the worker keeps, which schedulers ask once.
-func (s *noticeSite) hear(gateway int, w *platform.Worker) {
+func (s *noticeSite) awaitNotice(gateway int, w *platform.Worker) {
 	s.t.Helper()
 	before, listed := w.Arrived()
-	s.until("an answer of "+w.ID, func() bool {
+	s.await("an answer of "+w.ID, func() bool {
 		s.burst(gateway)
 		n, m := w.Arrived()
 		return n > before || m > listed && len(s.Gateway(gateway).Dump().Leaving) > 0
 	})
 }
 
-// none sends requests to gateways, none of which may come to the worker.
-func (s *noticeSite) none(what string, w *platform.Worker, gateways ...int) {
+// expectNone sends requests to gateways, expectNone of which may come to the worker.
+func (s *noticeSite) expectNone(what string, w *platform.Worker, gateways ...int) {
 	s.t.Helper()
 	before, _ := w.Arrived()
 	served := 0
@@ -145,88 +145,88 @@
 		served += s.burst(g)
 	}
 	if n, _ := w.Arrived(); n != before {
-		s.t.Errorf("%s: %d of %d requests came to %s", what, n-before, asks*len(gateways), w.ID)
+		s.t.Errorf("%s: %d of %d requests came to %s", what, n-before, burstSize*len(gateways), w.ID)
 	}
 	// How many are served in time depends on the machine that runs the test.
 	if served == 0 {
-		s.t.Errorf("%s: none of %d was served by the others", what, asks*len(gateways))
+		s.t.Errorf("%s: none of %d was served by the others", what, burstSize*len(gateways))
 	}
 }
 
-// until waits until something holds.
-func (s *noticeSite) until(what string, holds func() bool) {
+// await waits await something holds.
+func (s *noticeSite) await(what string, holds func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Errorf("not after %v: %s", patience, what)
+			s.t.Errorf("not after %v: %s", waitTimeout, what)
 			return
 		}
 	}
 }
 
-// knows waits until a gateway takes so many targets for leaving.
-func (s *noticeSite) knows(gateway, leaving int) {
+// awaitLeaving waits until a gateway takes so many targets for leaving.
+func (s *noticeSite) awaitLeaving(gateway, leaving int) {
 	s.t.Helper()
-	s.until("a gateway hears that a target leaves", func() bool { return len(s.Gateway(gateway).Dump().Leaving) >= leaving })
+	s.await("a gateway hears that a target leaves", func() bool { return len(s.Gateway(gateway).Dump().Leaving) >= leaving })
 }
 
-// leaveUnlisted has a worker say that it leaves while the store is away, and later lists it as
+// testLeavingUnlisted has a worker say that it leaves while the store is away, and later lists it as
 // ready.
-func leaveUnlisted(t *testing.T, kind platform.Kind) {
+func testLeavingUnlisted(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
 	s.StoreAway(true)
 	w.SayLeaving()
-	s.hear(0, w)
-	s.none("at the gateway that heard it", w, 0)
-	s.knows(1, 1)
-	s.knows(2, 1)
-	s.none("at the others", w, 1, 2)
+	s.awaitNotice(0, w)
+	s.expectNone("at the gateway that heard it", w, 0)
+	s.awaitLeaving(1, 1)
+	s.awaitLeaving(2, 1)
+	s.expectNone("at the others", w, 1, 2)
 	s.Restart(1)
-	if err := s.AwaitReady(patience); err != nil {
+	if err := s.AwaitReady(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
-	s.knows(1, 1)
-	s.none("at one that has started since", w, 1)
+	s.awaitLeaving(1, 1)
+	s.expectNone("at one that has started since", w, 1)
 	s.StoreAway(false)
 	targets := s.Gateway(0).Dump().Targets
 	if err := s.AddWorker(kind.Stream); err != nil {
 		t.Fatal(err)
 	}
 	for g := range 3 {
-		s.until("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
+		s.await("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
 	}
-	s.none("with the store back, which lists it as ready", w, 0, 1, 2)
+	s.expectNone("with the store back, which lists it as ready", w, 0, 1, 2)
 	reborn, err := s.RebornWorker(w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.until("a new life of the worker is taken for ready", func() bool { return len(s.Gateway(0).Dump().Leaving) == 0 })
+	s.await("a new life of the worker is taken for ready", func() bool { return len(s.Gateway(0).Dump().Leaving) == 0 })
 	s.reach(0, reborn)
 }
 
-// leaveAll has all workers of a service say that they leave.
-func leaveAll(t *testing.T, kind platform.Kind) {
+// testAllLeaving has all workers of a service say that they leave.
+func testAllLeaving(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 2)
 	s.StoreAway(true)
 	workers := s.Workers(kind)
 	for _, w := range workers {
 		w.SayLeaving()
 	}
-	s.until("the gateway has heard of all", func() bool {
+	s.await("the gateway has heard of all", func() bool {
 		s.burst(0)
 		return len(s.Gateway(0).Dump().Leaving) == len(workers)
 	})
-	s.knows(1, len(workers))
-	s.refusedAll("all leave", workers)
+	s.awaitLeaving(1, len(workers))
+	s.expectRefused("all leave", workers)
 }
 
-// refusedAll sends requests that no worker may get; each is refused at once, and told when to
+// expectRefused sends requests that no worker may get; each is refused at once, and told when to
 // come back.
-func (s *noticeSite) refusedAll(what string, workers []*platform.Worker) {
+func (s *noticeSite) expectRefused(what string, workers []*platform.Worker) {
 	s.t.Helper()
 	before := arrivals(workers)
-	for range asks {
+	for range burstSize {
 		if a := s.ask(0); !a.Refused || a.After <= 0 {
 			s.t.Errorf("%s: %+v, want a refusal with a time to come back", what, a)
 		}
@@ -245,24 +245,24 @@
 	return n
 }
 
-// leaveRefusing has a worker say that it leaves in an answer that turns a request away.
-func leaveRefusing(t *testing.T) {
+// testLeavingInRefusal has a worker say that it leaves in an answer that turns a request away.
+func testLeavingInRefusal(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[0], 2)
 	w := s.Workers(s.kind)[0]
 	s.StoreAway(true)
 	w.SayLeaving()
 	w.SetFault(platform.FaultShed)
-	s.hear(0, w)
-	s.none("after a refusal", w, 0)
+	s.awaitNotice(0, w)
+	s.expectNone("after a refusal", w, 0)
 }
 
-// leaveBesideCuts has streams resumed while one worker has said that it leaves.
-func leaveBesideCuts(t *testing.T) {
+// testLeavingDuringResume has streams resumed while one worker has said that it leaves.
+func testLeavingDuringResume(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[1], 2)
 	workers := s.Workers(s.kind)
 	s.StoreAway(true)
 	workers[0].SayLeaving()
-	s.hear(0, workers[0])
+	s.awaitNotice(0, workers[0])
 	before, _ := workers[0].Arrived()
 	workers[1].SetFault(platform.FaultCut) // what is cut there goes on at another worker
 	for range 3 {
@@ -273,20 +273,20 @@
 	}
 }
 
-// leaveBehindCarrier has requests handed over to another gateway, which hears of the leaving.
-func leaveBehindCarrier(t *testing.T) {
+// testLeavingBehindHandOver has requests handed over to another gateway, which hears of the leaving.
+func testLeavingBehindHandOver(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[0], 6)
 	stop := make(chan struct{})
 	var reporter sync.WaitGroup
-	reporter.Go(func() { beLate(s.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3 stands in the same hall
+	reporter.Go(func() { reportLateness(s.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3 stands in the same hall
 	defer reporter.Wait()
 	defer close(stop)
 	w := s.Workers(s.kind)[0]
 	s.StoreAway(true)
 	w.SayLeaving()
-	s.hear(0, w)
-	s.knows(0, 1)
-	s.knows(3, 1)
+	s.awaitNotice(0, w)
+	s.awaitLeaving(0, 1)
+	s.awaitLeaving(3, 1)
 	before, _ := w.Arrived()
 	s.burst(0)
 	s.burst(3)
@@ -295,8 +295,8 @@
 	}
 }
 
-// restOne has a worker turn requests away and ask for rest.
-func restOne(t *testing.T, kind platform.Kind) {
+// testOneResting has a worker turn requests away and ask for rest.
+func testOneResting(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
 	scheduler := s.schedulerOf()
@@ -305,15 +305,15 @@
 	s.reach(asker, w)
 	w.WantRest("60")
 	s.reach(asker, w) // once the first rest is over
-	s.none("at the gateway that was asked", w, asker)
+	s.expectNone("at the gateway that was asked", w, asker)
 	w.WantRest("0.1")
 	s.reach(neighbor, w) // which was not asked
-	s.none("after a neighbor was asked for less", w, asker)
+	s.expectNone("after a neighbor was asked for less", w, asker)
 	s.Restart(scheduler)
-	if err := s.AwaitReady(patience); err != nil {
+	if err := s.AwaitReady(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
-	s.none("with another scheduler", w, asker)
+	s.expectNone("with another scheduler", w, asker)
 	w.WantRest("")
 	s.reach(neighbor, w)
 }
@@ -331,18 +331,18 @@
 	return 0
 }
 
-// restAll has all workers of a service ask for rest.
-func restAll(t *testing.T, kind platform.Kind) {
+// testAllResting has all workers of a service ask for rest.
+func testAllResting(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 2)
 	workers := s.Workers(kind)
 	for _, w := range workers {
 		w.WantRest("60")
 	}
-	s.until("all workers have asked", func() bool {
+	s.await("all workers have asked", func() bool {
 		s.burst(0)
 		return arrivals(workers) >= len(workers)
 	})
-	s.refusedAll("all rest", workers)
+	s.expectRefused("all rest", workers)
 	if a := s.ask(0); a.After < 10*time.Second {
 		t.Errorf("come back after %v, want when the first of the rests of 60 s ends", a.After)
 	}
--- a/router/older_test.go
+++ b/router/older_test.go
@@ -20,35 +20,35 @@
 	s.CopyStore()
 	workers[0].Drain()
 	for g := range 3 {
-		s.knows(g, 1)
+		s.awaitLeaving(g, 1)
 	}
 	for range 30 { // the count goes on
 		s.PutConfig()
 	}
 	s.WriteAgain()
-	s.followed()
+	s.awaitStoreFollowed()
 	s.StoreAway(true)
 	s.StoreBack()
 	s.StoreAway(false)
-	s.none("after the return", workers[0], 0, 1, 2)
+	s.expectNone("after the return", workers[0], 0, 1, 2)
 	s.WriteAgain()
-	s.followed()
+	s.awaitStoreFollowed()
 	workers[1].Drain()
 	for g := range 3 {
-		s.knows(g, 2)
+		s.awaitLeaving(g, 2)
 	}
-	s.none("what left before the return", workers[0], 0, 1, 2)
-	s.none("what left after it", workers[1], 0, 1, 2)
+	s.expectNone("what left before the return", workers[0], 0, 1, 2)
+	s.expectNone("what left after it", workers[1], 0, 1, 2)
 }
 
-// followed waits until all gateways know what the store was told until now.
-func (s *noticeSite) followed() {
+// awaitStoreFollowed waits until all gateways know what the store was told until now.
+func (s *noticeSite) awaitStoreFollowed() {
 	s.t.Helper()
 	targets := s.Gateway(0).Dump().Targets
 	if err := s.AddWorker(s.kind.Stream); err != nil {
 		s.t.Fatal(err)
 	}
 	for g := range 3 {
-		s.until("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
+		s.await("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
 	}
 }
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -29,7 +29,7 @@
 	for _, kind := range platform.Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
-			endTargets(t, kind)
+			crashTargets(t, kind)
 		})
 	}
 }
@@ -37,19 +37,21 @@
 // The same while the store is away: what gateways tell each other does not need it.
 func TestCrashingRequestIsQuarantinedWithoutStore(t *testing.T) {
 	t.Parallel()
-	site := endingSite(t, 4)
+	site := newCrashSite(t, 4)
 	site.StoreAway(true)
-	sendEnding(t, site, 4, platform.Kinds()[0])
+	sendCrashing(t, site, 4, platform.Kinds()[0])
 }
 
 // A request that a short gateway hands over is judged by the one that serves it.
 func TestHandedOverCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	site := endingSite(t, 6)
+	site := newCrashSite(t, 6)
 	stop := make(chan struct{})
 	var reporter sync.WaitGroup
-	reporter.Go(func() { beLate(site.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3 stands in the same hall
-	sendEnding(t, site, 1, platform.Kinds()[0])
+	reporter.Go(func() {
+		reportLateness(site.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop)
+	}) // gateway 3 stands in the same hall
+	sendCrashing(t, site, 1, platform.Kinds()[0])
 	close(stop)
 	reporter.Wait()
 	var figures strings.Builder
@@ -62,9 +64,9 @@
 // Gateways that have all ended at once know from the store what they refused.
 func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	t.Parallel()
-	site := endingSite(t, 4)
+	site := newCrashSite(t, 4)
 	kind := platform.Kinds()[0]
-	sendEnding(t, site, 4, kind)
+	sendCrashing(t, site, 4, kind)
 	site.KillGateways()
 	if err := site.AwaitReady(10 * time.Second); err != nil {
 		t.Fatal(err)
@@ -86,14 +88,14 @@
 }
 
 const (
-	enough   = 3 // enough targets have ended under a request to refuse it
-	underWay = 3 // underWay is how many more sends may have left before all know.
-	rounds   = 8 // rounds is how often each gateway is asked.
+	quarantineAfter = 3 // enough targets have ended under a request to refuse it
+	maxInFlight     = 3 // underWay is how many more sends may have left before all know.
+	rounds          = 8 // rounds is how often each gateway is asked.
 )
 
-func endTargets(t *testing.T, kind platform.Kind) { sendEnding(t, endingSite(t, 4), 4, kind) }
+func crashTargets(t *testing.T, kind platform.Kind) { sendCrashing(t, newCrashSite(t, 4), 4, kind) }
 
-func endingSite(t *testing.T, gateways int) *platform.Site {
+func newCrashSite(t *testing.T, gateways int) *platform.Site {
 	site, err := platform.Start(platform.Options{Gateways: gateways, Models: 4, Plains: 4, Accounts: 2, Length: time.Minute, Seed: 7})
 	if err != nil {
 		t.Fatal(err)
@@ -105,8 +107,8 @@
 	return site
 }
 
-// sendEnding sends a request that ends targets to each of some gateways in turn.
-func sendEnding(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
+// sendCrashing sends a request that ends targets to each of some gateways in turn.
+func sendCrashing(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
 	seed := uint64(0)
 	refusals, after := 0, time.Duration(0)
 	for range rounds {
@@ -125,8 +127,8 @@
 			site.AskAt(t.Context(), gateway, "account-1", seed)
 		}
 	}
-	if n := site.Endings(); n < enough || n > enough+underWay {
-		t.Errorf("%d targets ended under one request, want %d and at most %d more", n, enough, underWay)
+	if n := site.Endings(); n < quarantineAfter || n > quarantineAfter+maxInFlight {
+		t.Errorf("%d targets ended under one request, want %d and at most %d more", n, quarantineAfter, maxInFlight)
 	}
 	if refusals < gateways || after < time.Minute {
 		t.Errorf("the last %d tries were refused, the last one for %v", refusals, after)
