--- a/client/client.go
+++ b/client/client.go
@@ -25,9 +25,9 @@
 
 // Client calls one router.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	base       string
+	token      string
+	httpClient *http.Client
 }
 
 // New returns a client of the router whose operators' listener is at address,
@@ -36,8 +36,8 @@
 	return &Client{"http://" + strings.TrimPrefix(address, "http://"), token, &http.Client{Timeout: timeout}}
 }
 
-// call sends a request; a numbered error comes back as an ErrResult.
-func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
+// do sends a request; a numbered error comes back as an ErrResult.
+func (c *Client) do(ctx context.Context, method, path string, body, into any) error {
 	var reader io.Reader
 	if body != nil {
 		content, err := json.Marshal(body)
@@ -51,7 +51,7 @@
 		return err
 	}
 	req.Header.Set("Authorization", "Bearer "+c.token)
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -61,12 +61,12 @@
 		return err
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return errorOf(resp.StatusCode, content)
+		return decodeError(resp.StatusCode, content)
 	}
 	return json.Unmarshal(content, into)
 }
 
-func errorOf(status int, content []byte) error {
+func decodeError(status int, content []byte) error {
 	var body api.ErrorBody
 	if err := json.Unmarshal(content, &body); err != nil || body.Error.Code == 0 {
 		return fmt.Errorf("status %d: %s", status, content)
@@ -80,41 +80,41 @@
 // Apply submits a change.
 func (c *Client) Apply(ctx context.Context, a operator.ApplyRequest) (config.Receipt, error) {
 	var r config.Receipt
-	return r, c.call(ctx, http.MethodPut, "/operator/config", a, &r)
+	return r, c.do(ctx, http.MethodPut, "/operator/config", a, &r)
 }
 
 // Get returns the configuration in force at the router.
 func (c *Client) Get(ctx context.Context) (operator.ConfigReply, error) {
 	var r operator.ConfigReply
-	return r, c.call(ctx, http.MethodGet, "/operator/config", nil, &r)
+	return r, c.do(ctx, http.MethodGet, "/operator/config", nil, &r)
 }
 
 // Status returns how the fleet stands.
 func (c *Client) Status(ctx context.Context) (operator.StatusReply, error) {
 	var r operator.StatusReply
-	return r, c.call(ctx, http.MethodGet, "/operator/status", nil, &r)
+	return r, c.do(ctx, http.MethodGet, "/operator/status", nil, &r)
 }
 
 // Dump returns the state of the router's process as JSON.
 func (c *Client) Dump(ctx context.Context) (json.RawMessage, error) {
 	var r json.RawMessage
-	return r, c.call(ctx, http.MethodGet, "/operator/dump", nil, &r)
+	return r, c.do(ctx, http.MethodGet, "/operator/dump", nil, &r)
 }
 
 // Explain returns what the fleet remembers of a request.
 func (c *Client) Explain(ctx context.Context, id string) ([]trace.Record, error) {
 	var r []trace.Record
-	return r, c.call(ctx, http.MethodGet, "/operator/explain/"+id, nil, &r)
+	return r, c.do(ctx, http.MethodGet, "/operator/explain/"+id, nil, &r)
 }
 
 // Order gives an order to an engine.
 func (c *Client) Order(ctx context.Context, o operator.OrderRequest) (operator.OrderReply, error) {
 	var r operator.OrderReply
-	return r, c.call(ctx, http.MethodPost, "/operator/orders", o, &r)
+	return r, c.do(ctx, http.MethodPost, "/operator/orders", o, &r)
 }
 
 // Drain starts a planned stop of the router.
 func (c *Client) Drain(ctx context.Context) error {
 	var r map[string]bool
-	return c.call(ctx, http.MethodPost, "/operator/drain", nil, &r)
+	return c.do(ctx, http.MethodPost, "/operator/drain", nil, &r)
 }
