--- a/cmd/madderway-lab/demo.go
+++ b/cmd/madderway-lab/demo.go
@@ -18,13 +18,13 @@
 const demoRouters = 4
 
 type demoCommand struct {
-	common
+	commonOptions
 	Seconds int `long:"seconds" default:"30" description:"seconds of load, shared by the two firms"`
 }
 
 // Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
-	if err := c.setUp(); err != nil {
+	if err := c.setUpLog(); err != nil {
 		return err
 	}
 	var broken []string
--- a/cmd/madderway-lab/main.go
+++ b/cmd/madderway-lab/main.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	exitBroken = 1
+	exitFailed = 1
 	exitUsage  = 2
 )
 
-// common are the flags of all commands.
-type common struct {
+// commonOptions are the flags of all commands.
+type commonOptions struct {
 	Verbosity int    `long:"verbosity" default:"0" description:"0 to 4"`
 	LogFile   string `long:"log" description:"file for the routers' logs; dropped by default"`
 }
 
-func (c common) setUp() error {
+func (c commonOptions) setUpLog() error {
 	if c.LogFile == "" {
 		null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 		if err != nil {
@@ -67,6 +67,6 @@
 			return
 		}
 		fmt.Fprintln(os.Stderr, "madderway-lab:", err)
-		os.Exit(exitBroken)
+		os.Exit(exitFailed)
 	}
 }
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -15,7 +15,7 @@
 )
 
 type measureCommand struct {
-	common
+	commonOptions
 	Scenario   string        `long:"scenario" required:"true" description:"name of a scenario; 'list' prints them"`
 	Dispatch   string        `long:"dispatch" default:"fleet" choice:"fleet" choice:"naive" description:"how requests are dispatched"`
 	Seed       int64         `long:"seed" default:"1" description:"seed of the load"`
@@ -39,7 +39,7 @@
 	if !ok {
 		return fmt.Errorf("no scenario %q; there are %s", c.Scenario, strings.Join(measure.Names(), ", "))
 	}
-	if err := c.setUp(); err != nil {
+	if err := c.setUpLog(); err != nil {
 		return err
 	}
 	r, err := measure.Run(measure.Options{
--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -14,7 +14,7 @@
 )
 
 type platformCommand struct {
-	common
+	commonOptions
 	Site    string  `long:"site" default:"small" choice:"small" choice:"medium" description:"how many gateways and workers"`
 	Seconds int     `long:"seconds" default:"20" description:"length of the play"`
 	Seed    uint64  `long:"seed" default:"1" description:"seed of all that is drawn"`
@@ -31,7 +31,7 @@
 	if c.Trouble != "" && platform.Troubles()[c.Trouble] == nil {
 		return fmt.Errorf("no trouble %q; there are: %s", c.Trouble, strings.Join(troubleNames(), ", "))
 	}
-	if err := c.setUp(); err != nil {
+	if err := c.setUpLog(); err != nil {
 		return err
 	}
 	o := platform.SmallSite(c.Seed, time.Duration(c.Seconds)*time.Second)
--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -13,8 +13,8 @@
 )
 
 type secondsCommand struct {
-	Picture string `long:"svg" description:"write a picture to this file as well"`
-	Args    struct {
+	SVG  string `long:"svg" description:"write a picture to this file as well"`
+	Args struct {
 		Logs []string `positional-arg-name:"LOG" required:"1"`
 	} `positional-args:"yes" required:"true"`
 }
@@ -45,10 +45,10 @@
 	if err := seconds.WriteTable(os.Stdout, all); err != nil {
 		return err
 	}
-	if c.Picture == "" {
+	if c.SVG == "" {
 		return nil
 	}
-	f, err := os.Create(c.Picture)
+	f, err := os.Create(c.SVG)
 	if err != nil {
 		return err
 	}
--- a/cmd/madderway-lab/standins.go
+++ b/cmd/madderway-lab/standins.go
@@ -16,7 +16,7 @@
 )
 
 type standinsCommand struct {
-	common
+	commonOptions
 	File    string        `short:"f" long:"file" required:"true" description:"configuration whose targets are served at their addresses"`
 	Table   string        `long:"table" default:"127.0.0.1:9001" description:"address of the table"`
 	Objects string        `long:"objects" default:"127.0.0.1:9002" description:"address of the object store"`
--- a/cmd/madderway-lab/vm.go
+++ b/cmd/madderway-lab/vm.go
@@ -10,12 +10,12 @@
 	"madderway/models/vm"
 )
 
-const vmParts = 4
+const vmFields = 4
 
 // parseVM reads ID=PEER-ADDRESS=HALL=REGION.
 func parseVM(text string) (vm.VM, error) {
 	parts := strings.Split(text, "=")
-	if len(parts) != vmParts {
+	if len(parts) != vmFields {
 		return vm.VM{}, fmt.Errorf("--vm %q is not ID=PEER-ADDRESS=HALL=REGION", text)
 	}
 	return vm.VM{ID: parts[0], Role: vm.RoleRouter, Address: parts[1], DataHall: parts[2], Region: parts[3], State: vm.StateLive}, nil
