--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -38,11 +38,11 @@
 
 // Options are the parts of a Handler.
 type Options struct {
-	Clock        clock.Clock
-	Dialect      upstream.Dialect
-	Follow       *follow.Service
-	Forward      *forward.Service
-	MaxBodyBytes int64 // MaxBodies bounds the bytes of all bodies that are held at once.
+	Clock             clock.Clock
+	Dialect           upstream.Dialect
+	Follow            *follow.Service
+	Forward           *forward.Service
+	MaxTotalBodyBytes int64 // MaxBodies bounds the bytes of all bodies that are held at once.
 	// Resyncing tells that the process has stood still and has not heard anew what holds;
 	// nil where that is not watched.
 	Resyncing func() bool
@@ -175,7 +175,7 @@
 	if limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes {
 		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	}
-	if h.bodyBytes.Load()+max(r.ContentLength, minBodyReserve) > h.opts.MaxBodyBytes {
+	if h.bodyBytes.Load()+max(r.ContentLength, minBodyReserve) > h.opts.MaxTotalBodyBytes {
 		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyRetryAfter)
 	}
 	control := http.NewResponseController(w)
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -192,7 +192,7 @@
 	})
 	g.handler = gateway.New(gateway.Options{
 		Clock: g.clock, Dialect: platform.Dialect{}, Follow: g.follow, Forward: g.forward,
-		MaxBodyBytes: int64(bodyShare * float64(s.MemoryMB<<20)), Resyncing: g.resyncing,
+		MaxTotalBodyBytes: int64(bodyShare * float64(s.MemoryMB<<20)), Resyncing: g.resyncing,
 	})
 }
 
