--- a/handlers/gateway/buffers.go
+++ b/handlers/gateway/buffers.go
@@ -6,21 +6,20 @@
 import "sync"
 
 const (
-	// bufferStep is by how much the sizes of buffers differ. While callers send their requests
-	// slowly a thousand buffers are in use: with one size for all, of 64 KB, the collector
-	// took two fifths of a process that has 184 MB.
+	// Difference between two sizes. Slow requests hold their buffers for long: with a single
+	// large size they would take most of the memory.
 	bufferStep = 4 << 10
-	// bufferSizes is how many sizes are kept; longer buffers are made anew.
+	// Number of pooled sizes. Longer buffers are not pooled.
 	bufferSizes = 16
 )
 
-// bufferPools keeps bufferPools of some sizes for those that need them next.
+// bufferPools pools buffers by size.
 type bufferPools [bufferSizes]sync.Pool
 
-// requestBuffers are buffers for requestBuffers that are handed over.
+// requestBuffers holds requests that are handed over.
 var requestBuffers bufferPools
 
-// get returns a buffer of at least this size.
+// get returns a buffer of at least size bytes.
 func (b *bufferPools) get(size int) *[]byte {
 	step := (size + bufferStep - 1) / bufferStep
 	if step > bufferSizes {
@@ -34,7 +33,7 @@
 	return &buffer
 }
 
-// put gives a buffer back.
+// put returns a buffer to its pool.
 func (b *bufferPools) put(buffer *[]byte) {
 	if step := len(*buffer) / bufferStep; len(*buffer)%bufferStep == 0 && step >= 1 && step <= bufferSizes {
 		b[step-1].Put(buffer)
--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -16,28 +16,27 @@
 	"madderway/modules/netopt"
 )
 
-// callerConn is a connection of a caller. At the beginning of each request it looks at the
-// head itself while requests are judged early; the bytes of all that it does not refuse or
-// hand over are the HTTP server's. Where the server has read beyond the end of a request, or
-// the end is not plain, all that follows is the server's, too: what this connection reads next
-// may be the middle of a request.
+// callerConn is a connection of a caller. While requests are decided early, it parses the
+// header of each request itself and passes those that it neither refuses nor hands over to
+// the HTTP server. If the server has read beyond the end of a request, or the end is unknown,
+// the server gets all that follows: the next read might start in the middle of a request.
 type callerConn struct {
 	*countedConn
 	server        *Server
 	limits        routing.Limits
-	buffered      []byte        // ahead has been read of the next request.
-	stopWatch     chan struct{} // stop ends a read that looks only whether the caller has left.
-	callerLeft    bool          // gone tells that the caller has left during a request that was handed over.
-	answeredEarly bool          // early tells that the last request was answered without the HTTP server, whose deadlines do not hold.
-	inServer      bool          // served tells that the HTTP server reads a request, or all that is to come.
-	unread        int64         // left is how much of its request the server has not read; negative where it has read more.
-	admitted      bool          // admitted tells that the request which the HTTP server reads was counted and admitted.
+	buffered      []byte        // bytes of the next request
+	stopWatch     chan struct{} // ends watchForClose
+	callerLeft    bool          // during a hand-over
+	answeredEarly bool          // the last request bypassed the HTTP server, whose deadlines are not set
+	inServer      bool          // the HTTP server reads a request, or all that follows
+	unread        int64         // bytes of its request that the HTTP server has not read; negative if it has read more
+	admitted      bool          // the request in the HTTP server was counted and admitted
 }
 
-// unknownLength is what is left of a request whose end is not known.
+// unknownLength is the unread part of a request whose end is not known.
 const unknownLength = math.MaxInt64
 
-// onIdle tells that the HTTP server has ended a request and waits for the next one.
+// onIdle is called when the HTTP server has ended a request and waits for the next one.
 func (c *callerConn) onIdle() { c.inServer, c.admitted = c.unread != 0, false }
 
 // SetReadDeadline implements net.Conn.
@@ -61,12 +60,12 @@
 	}
 }
 
-// watchForClose reads a byte for the HTTP server, which wants to know whether the caller leaves while
-// a request is served. A byte that comes begins the next request: it is kept until that is
-// read, and the server learns that it must wait no longer.
+// watchForClose reads a byte for the HTTP server, which wants to know whether the caller leaves
+// while a request is served. A byte that arrives belongs to the next request: it is buffered,
+// and the server gets a timeout once it stops waiting.
 func (c *callerConn) watchForClose(p []byte) (int, error) {
 	select {
-	case <-c.stopWatch: // of an earlier look
+	case <-c.stopWatch: // left from an earlier watch
 	default:
 	}
 	n, err := c.countedConn.Read(p)
@@ -78,7 +77,7 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// readNext reads what has come, behind what was read ahead.
+// readNext reads the buffered bytes, then the connection.
 func (c *callerConn) readNext(p []byte) (int, error) {
 	if len(c.buffered) == 0 {
 		return c.countedConn.Read(p)
@@ -118,10 +117,10 @@
 			return 0, io.EOF
 		}
 		closes := c.server.isCrowded()
-		j := c.server.early.AdmitEarly(&head, EarlyOptions{ClosesConn: closes, CanHandOver: c.server.relay != nil})
-		switch j.Verdict {
+		decision := c.server.early.AdmitEarly(&head, EarlyOptions{ClosesConn: closes, CanHandOver: c.server.relay != nil})
+		switch decision.Verdict {
 		case HandedOver:
-			switch c.handOver(p[:n], rest, j) {
+			switch c.handOver(p[:n], rest, decision) {
 			case ended:
 				return 0, io.EOF
 			case servedHere:
@@ -129,25 +128,25 @@
 			}
 			c.answeredEarly = true
 		case Refused:
-			if err := c.refuse(j.Answer, rest); err != nil {
+			if err := c.refuse(decision.Answer, rest); err != nil {
 				return 0, err
 			}
 			if closes {
 				return 0, io.EOF
 			}
 		default:
-			return n, c.passToServer(j.Verdict, rest)
+			return n, c.passToServer(decision.Verdict, rest)
 		}
 	}
 }
 
-// hasLeft tells whether the caller has closed the connection. A process that is late reads
-// requests whose callers have given up; what is done for them is done for nobody.
+// hasLeft reports whether the caller has closed the connection. A process that is late would
+// otherwise serve requests whose callers have given up.
 func (c *callerConn) hasLeft() bool {
 	return len(c.buffered) == 0 && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
-// returnToServer leaves a request to the HTTP server that was read to be handed over.
+// returnToServer passes a request that was read for a hand-over to the HTTP server.
 func (c *callerConn) returnToServer(p []byte) (int, error) {
 	whole := int64(len(c.buffered))
 	c.inServer = true
@@ -158,7 +157,7 @@
 	return n, c.passToServer(Admitted, whole-int64(n))
 }
 
-// passToServer leaves this request, of which so much is left, to the HTTP server.
+// passToServer leaves a request with so many unread bytes to the HTTP server.
 func (c *callerConn) passToServer(v Verdict, left int64) error {
 	c.inServer, c.unread, c.admitted = true, left, v == Admitted
 	if !c.answeredEarly {
@@ -168,7 +167,7 @@
 	return c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits)))
 }
 
-// refuse reads the rest of a request and answers it.
+// refuse discards the rest of a request and writes the answer.
 func (c *callerConn) refuse(answer []byte, rest int64) error {
 	c.answeredEarly = true
 	if err := c.discard(rest); err != nil {
@@ -180,7 +179,7 @@
 	return c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits)))
 }
 
-// discard reads so many bytes that nobody looks at.
+// discard reads and drops the rest of a request.
 func (c *callerConn) discard(rest int64) error {
 	if rest == 0 {
 		return nil
@@ -200,28 +199,28 @@
 	return nil
 }
 
-// connKey is the key of a request's context under which its connection stands.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerHasLeft tells whether the caller of a request has closed its connection.
+// callerHasLeft reports whether the caller has closed its connection and sent nothing more.
 func callerHasLeft(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	return ok && c.hasLeft()
 }
 
-// callerHasClosed tells whether the caller of a request has closed its connection, also while
-// the HTTP server reads from it.
+// callerHasClosed reports whether the caller has closed its connection, even while the HTTP
+// server reads from it.
 func callerHasClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	return ok && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
-// consumeAdmitted tells whether a request was counted and admitted before the HTTP server
-// parsed it.
+// consumeAdmitted reports, once for each request, whether it was admitted before the HTTP
+// server parsed it.
 func consumeAdmitted(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok || !c.admitted {
--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -18,83 +18,78 @@
 )
 
 const (
-	// maxEarlyBody is the longest body of a request that is refused or handed over early: it
-	// must be read to its end before the next request.
+	// Longest body of a request that is refused or handed over early: it must be read to its
+	// end before the next request.
 	maxEarlyBody = 256 << 10
-	// discardBufferSize is the size in which the body of a refused request is read; most come in
-	// one or two.
+	// Most bodies of refused requests fit into one or two buffers.
 	discardBufferSize = 32 << 10
 	maxPlainID        = 64
 )
 
-// discardBuffers hold what is read of bodies that nobody looks at.
 var discardBuffers = sync.Pool{New: func() any { return new([discardBufferSize]byte) }}
 
-// Verdict is what an early look at a request decided.
+// Verdict is the outcome of an early decision.
 type Verdict int
 
-// The verdicts.
+// Outcomes of an early decision.
 const (
-	Undecided  Verdict = iota // the HTTP server takes the request as any other
-	Admitted                  // the HTTP server takes it; it was counted and admitted
+	Undecided  Verdict = iota // the HTTP server handles the request as usual
+	Admitted                  // already counted and admitted; the HTTP server serves it
 	HandedOver                // another gateway serves it
 	Refused
 )
 
-// EarlyDecision is what an early look at a request has found.
+// EarlyDecision is a decision on a request whose header only was read.
 type EarlyDecision struct {
 	Verdict Verdict
-	Answer  []byte        // Answer is that to a refused request.
-	ID      string        // ID is that of a request that is handed over.
-	Account string        // Account is that of a request that is handed over.
-	Timeout time.Duration // Within is how long a request that is handed over may take.
+	Answer  []byte        // response to a refused request
+	ID      string        // set if the request is handed over
+	Account string        // set if the request is handed over
+	Timeout time.Duration // set if the request is handed over; 0 for none
 }
 
-// EarlyOptions say what may become of a request.
+// EarlyOptions restrict an early decision.
 type EarlyOptions struct {
-	ClosesConn  bool // Closes tells that the answer ends the connection.
-	CanHandOver bool // Movable tells that another gateway may serve the request.
+	ClosesConn  bool // the answer closes the connection
+	CanHandOver bool // another gateway may serve the request
 }
 
-// EarlyAdmission judges requests by their heads, before an HTTP server parses them.
+// EarlyAdmission admits, refuses or hands over requests by their headers, before an HTTP
+// server parses them.
 type EarlyAdmission interface {
-	// AdmitsEarly tells whether requests are to be looked at now.
+	// AdmitsEarly reports whether requests are to be decided early now.
 	AdmitsEarly() bool
 	AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision
-	// LostAnswer returns the answer to a request of which nobody knows what has become.
+	// LostAnswer returns the response to a request whose outcome is unknown.
 	LostAnswer(id string) []byte
-	// BusyAnswer returns the answer to a request that could not be handed over in time.
+	// BusyAnswer returns the response to a request that could not be handed over in time.
 	BusyAnswer(id string) []byte
-	// NoteHandedOver notes how handing a request over came out.
-	NoteHandedOver(j EarlyDecision, h HandOverResult)
+	// NoteHandedOver records the outcome of a hand-over.
+	NoteHandedOver(decision EarlyDecision, res HandOverResult)
 }
 
-// AdmitsEarly implements EarlyJudge.
+// AdmitsEarly implements EarlyAdmission.
 func (h *Handler) AdmitsEarly() bool {
 	return h.opts.Forward.Strained() && Mode(h.mode.Load()) == ServeAll
 }
 
-// AdmitEarly implements EarlyJudge: while the gateway is short of processor time it judges the
-// requests of known accounts for targets that a scheduler chooses.
-//
-// A refusal through the HTTP server takes 80 microseconds of a process that shares its core,
-// measured on a gateway that refuses all of a flood of 1,000 requests a second; where each is
-// refused twice nothing is left for serving.
+// AdmitEarly implements EarlyAdmission. It decides on requests of known accounts to engines.
+// A refusal by the HTTP server would take the processor time that serving needs.
 func (h *Handler) AdmitEarly(head *httphead.Head, o EarlyOptions) EarlyDecision {
-	x := h.opts.Follow.Index()
-	if x == nil || !h.AdmitsEarly() {
+	index := h.opts.Follow.Index()
+	if index == nil || !h.AdmitsEarly() {
 		return EarlyDecision{}
 	}
-	limits := x.Configuration.Limits
+	limits := index.Configuration.Limits
 	if limits.MaxHeaderBytes > 0 && head.Length > limits.MaxHeaderBytes || limits.MaxBodyBytes > 0 && head.ContentLength > limits.MaxBodyBytes {
 		return EarlyDecision{}
 	}
 	call, ok := h.opts.Dialect.PeekCall(head.Get)
-	route := x.Route(hostWithoutPort(string(head.Host)), string(head.Path))
+	route := index.Route(hostWithoutPort(string(head.Host)), string(head.Path))
 	if !ok || !isPlainID(call.ID) || route == nil || route.Public || len(route.Split) != 1 {
 		return EarlyDecision{}
 	}
-	account, service := x.Account(call.Key), x.Service(route.Split[0].Service)
+	account, service := index.Account(call.Key), index.Service(route.Split[0].Service)
 	if account == nil || service == nil || service.Engine == nil || call.Prompt == nil {
 		return EarlyDecision{}
 	}
@@ -109,22 +104,22 @@
 	}
 }
 
-// LostAnswer implements EarlyJudge.
+// LostAnswer implements EarlyAdmission.
 func (h *Handler) LostAnswer(id string) []byte {
-	return h.earlyAnswer(result.New(result.OutcomeUnknown, "the gateway that took the request over is gone"), id, true)
+	return h.earlyAnswer(result.New(result.OutcomeUnknown, "the gateway that took over the request has failed"), id, true)
 }
 
-// BusyAnswer implements EarlyJudge.
+// BusyAnswer implements EarlyAdmission.
 func (h *Handler) BusyAnswer(id string) []byte {
 	return h.earlyAnswer(h.opts.Forward.RefuseBusy(), id, false)
 }
 
-// NoteHandedOver implements EarlyJudge.
-func (h *Handler) NoteHandedOver(j EarlyDecision, to HandOverResult) {
-	h.opts.Forward.NoteHandedOver(forward.HandedOver{ID: j.ID, Account: j.Account, Peer: to.Peer, After: to.Elapsed, Bytes: to.Bytes, Lost: to.Lost, Gone: to.CallerLeft})
+// NoteHandedOver implements EarlyAdmission.
+func (h *Handler) NoteHandedOver(decision EarlyDecision, res HandOverResult) {
+	h.opts.Forward.NoteHandedOver(forward.HandedOver{ID: decision.ID, Account: decision.Account, Peer: res.Peer, After: res.Elapsed, Bytes: res.Bytes, Lost: res.Lost, Gone: res.CallerLeft})
 }
 
-// isPlainID tells whether an ID can stand in an answer as it is.
+// isPlainID reports whether an ID needs no escaping in JSON.
 func isPlainID(id string) bool {
 	for _, c := range []byte(id) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
@@ -134,7 +129,7 @@
 	return len(id) <= maxPlainID
 }
 
-// earlyAnswer writes the same answer as refuse does.
+// earlyAnswer formats the same response as refuse writes.
 func (h *Handler) earlyAnswer(err error, id string, closes bool) []byte {
 	e := result.Convert(err)
 	body := append([]byte(nil), earlyErrorPrefix(e)...)
@@ -160,17 +155,15 @@
 	return append(b, body...)
 }
 
-// earlyErrorPrefixes holds the beginnings of the bodies of early answers by code and detail, of which
-// there are a few.
+// earlyErrorPrefixes caches the results of earlyErrorPrefix by earlyErrorKey.
 var earlyErrorPrefixes sync.Map
 
-// earlyErrorKey tells the errors apart whose bodies differ in more than time and ID.
 type earlyErrorKey struct {
 	code   result.Code
 	detail string
 }
 
-// earlyErrorPrefix returns the body of an error up to the time after which the caller may return.
+// earlyErrorPrefix returns the JSON body of an error up to the value of retry_after_ms.
 func earlyErrorPrefix(e *result.ErrResult) []byte {
 	key := earlyErrorKey{e.Code, e.Detail}
 	if body, ok := earlyErrorPrefixes.Load(key); ok {
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -23,8 +23,8 @@
 	"madderway/platform"
 )
 
-// keyAdmission refuses the requests whose key is the flood's, and admits those whose key is
-// known.
+// keyAdmission decides by the request's key: "flood" is refused, "known" is admitted and "moved"
+// is handed over where possible.
 type keyAdmission struct {
 	handler   *Handler
 	decisions atomic.Int64
@@ -62,8 +62,8 @@
 	}
 }
 
-// serveEarly runs a server that refuses early. Its handler echoes the body, and tells in a
-// header whether the request was admitted before.
+// serveEarly runs a server with early admission. Its handler echoes the body and returns in a
+// header whether the request was admitted early.
 func serveEarly(t *testing.T, most int) (*keyAdmission, string) {
 	t.Helper()
 	s, early, address := newEarlyServer(t, most)
@@ -71,7 +71,7 @@
 	return early, address
 }
 
-// newEarlyServer is serveEarly but for the serving.
+// newEarlyServer returns the server of serveEarly without running it.
 func newEarlyServer(t *testing.T, most int) (*Server, *keyAdmission, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -112,7 +112,7 @@
 	}
 }
 
-// answer reads the next answer.
+// answer reads the next response.
 func (c *caller) answer() (status int, body string, header http.Header) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -124,14 +124,14 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if resp.Close { // the library takes the field out
+	if resp.Close { // http.ReadResponse removes the header
 		resp.Header.Set("Connection", "close")
 	}
 	return resp.StatusCode, string(b), resp.Header
 }
 
-// A refused request is read to its end and the next one on the same connection is judged
-// anew, also where the HTTP server has served one in between.
+// A refused request must be read to its end; the next one on the connection is decided on its
+// own, also after the HTTP server has served one.
 func TestEarlyRefusalKeepsConnection(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	c := newCaller(t, address)
@@ -156,12 +156,12 @@
 		t.Errorf("status %d, %q, %v", status, body, header)
 	}
 	if n := early.decisions.Load() - looked; n != 2 {
-		t.Errorf("%d of two requests were looked at", n)
+		t.Errorf("got %d early decisions, want 2", n)
 	}
 }
 
-// Of a request whose beginning the HTTP server has read ahead, with the bytes of the one
-// before or while that was served, the rest is never taken for a request of its own.
+// If the HTTP server has read the beginning of a request, the rest of it must not be taken for
+// another request.
 func TestReadAheadBytesAreNotParsedEarly(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	inner := post("flood", "inner")
@@ -178,13 +178,13 @@
 			t.Fatalf("split at %d: status %d, %q", at, status, body)
 		}
 		if n := early.decisions.Load() - looked; n != 0 {
-			t.Fatalf("split at %d: looked at %d requests that are not whole", at, n)
+			t.Fatalf("split at %d: got %d early decisions on partial requests, want 0", at, n)
 		}
 		_ = c.Close()
 	}
 }
 
-// An early answer says the same as that of the HTTP server.
+// An early response must equal that of the HTTP server.
 func TestEarlyAnswerMatchesRefuse(t *testing.T) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
 	err := result.New(result.Overloaded, "asked for more than it can serve").WithRetryAfter(notReadyRetryAfter)
@@ -197,17 +197,17 @@
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
 	if resp.StatusCode != want.Code || string(body) != want.Body.String() {
-		t.Errorf("status %d, %s; the HTTP server's is %d, %s", resp.StatusCode, body, want.Code, want.Body)
+		t.Errorf("got status %d, %s; want that of the HTTP server, %d, %s", resp.StatusCode, body, want.Code, want.Body)
 	}
 	for _, name := range []string{"Content-Type", "Retry-After"} {
 		if got := resp.Header.Get(name); got == "" || got != want.Header().Get(name) {
-			t.Errorf("%s is %q, the HTTP server's %q", name, got, want.Header().Get(name))
+			t.Errorf("got %s %q, want that of the HTTP server, %q", name, got, want.Header().Get(name))
 		}
 	}
 }
 
-// A request inside the body of another, or behind another in the same bytes, is never taken
-// for a request of its own before the HTTP server has parsed what comes first.
+// A request within or behind another one must not be decided before the HTTP server has parsed
+// the first: request smuggling.
 func TestEarlyRefusalIgnoresRequestsInBodies(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	inner := post("flood", "inner")
@@ -217,7 +217,7 @@
 		t.Fatalf("status %d, %q", status, body)
 	}
 	c = newCaller(t, address)
-	c.send(post("flood", inner)) // dropped with the request that it is the body of
+	c.send(post("flood", inner)) // the body is discarded
 	if status, _, _ := c.answer(); status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", status)
 	}
@@ -234,7 +234,7 @@
 		}
 	}
 	if early.decisions.Load() != looked {
-		t.Error("the first of two requests in the same bytes was looked at")
+		t.Error("the first of two pipelined requests was decided early")
 	}
 	c = newCaller(t, address)
 	c.send("POST /x HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer flood\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
@@ -243,7 +243,7 @@
 	}
 }
 
-// Where little room is left an early refusal ends its connection.
+// Early refusals must not let idle connections use up the limit.
 func TestEarlyRefusalClosesConnectionNearLimit(t *testing.T) {
 	_, address := serveEarly(t, 4)
 	var kept []*caller
@@ -256,13 +256,13 @@
 		}
 		if header.Get("Connection") == "close" {
 			if _, err := c.reader.ReadByte(); err != io.EOF {
-				t.Fatalf("the connection goes on: %v", err)
+				t.Fatalf("the connection is still open after Connection: close: %v", err)
 			}
 			continue
 		}
 		kept = append(kept, c)
 	}
 	if len(kept) > 3 {
-		t.Errorf("%d of 4 connections are kept", len(kept))
+		t.Errorf("got %d of 4 connections kept open, want at most 3", len(kept))
 	}
 }
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -1,8 +1,12 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package gateway serves callers whose requests are routed by host and path to
-// the targets of services, unchanged.
+// Package gateway serves callers' requests by forwarding them unchanged to the targets of the
+// service that their host and path select.
+//
+// A Server accepts connections and bounds their number; a Handler authenticates, admits and
+// forwards requests. Under overload a Server asks an EarlyAdmission to refuse requests, or to
+// hand them over to other gateways, before the HTTP server parses them.
 package gateway
 
 import (
@@ -28,27 +32,26 @@
 )
 
 const (
-	// notReadyRetryAfter is when a caller may come back to a gateway that does not
-	// know the configuration yet.
+	// The retry delay while the configuration is not known yet.
 	notReadyRetryAfter = 300 * time.Millisecond
-	// drainingRetryAfter lets the caller find another gateway.
+	// Long enough for the caller to be sent to another gateway.
 	drainingRetryAfter = 50 * time.Millisecond
-	minBodyReserve     = 4 << 10
+	minBodyReserve     = 4 << 10 // counted for bodies of unknown or smaller length
 )
 
-// Options are the parts of a Handler.
+// Options configure a Handler.
 type Options struct {
 	Clock             clock.Clock
 	Dialect           upstream.Dialect
 	Follow            *follow.Service
 	Forward           *forward.Service
-	MaxTotalBodyBytes int64 // MaxBodies bounds the bytes of all bodies that are held at once.
-	// Resyncing tells that the process has stood still and has not heard anew what holds;
-	// nil where that is not watched.
+	MaxTotalBodyBytes int64 // limit on the bodies of all requests in flight
+	// Resyncing reports whether the process was suspended or stalled and has not refreshed its
+	// configuration and targets since. May be nil.
 	Resyncing func() bool
 }
 
-// Handler serves callers.
+// Handler serves callers' requests.
 type Handler struct {
 	opts      Options
 	mode      atomic.Int32
@@ -59,20 +62,20 @@
 // New returns a handler.
 func New(o Options) *Handler { return &Handler{opts: o} }
 
-// Mode is what a handler does with new requests.
+// Mode is the handling of new requests, which changes during a drain.
 type Mode int32
 
-// The modes.
+// Modes of a Handler.
 const (
 	ServeAll     Mode = iota
-	ServeClosing      // each answer ends its connection
-	RefuseAll         // all are refused as not run
+	ServeClosing      // serve, and close the connection after the answer
+	RefuseAll         // refuse as not run
 )
 
-// SetMode changes what is done with new requests.
+// SetMode sets how new requests are handled.
 func (h *Handler) SetMode(m Mode) { h.mode.Store(int32(m)) }
 
-// InFlight returns how many requests are under way.
+// InFlight returns the number of requests in flight.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -110,38 +113,38 @@
 		w.Header().Set(name, value)
 	}
 	if e.Code == result.Overloaded {
-		w.Header().Set("Connection", "close") // on the next connection a refusal is cheaper
+		w.Header().Set("Connection", "close") // a refusal on a new connection is cheaper
 	}
 	body, _ := api.NewError(err, id)
 	api.WriteJSON(w, result.Lookup(e.Code).Status, body)
 }
 
-// readRequest checks a request against the configuration and reads its body.
+// readRequest authenticates and admits a request, and reads its body.
 func (h *Handler) readRequest(w http.ResponseWriter, r *http.Request, call upstream.Call) (*forward.Request, error) {
 	received := h.opts.Clock.Now()
-	x := h.opts.Follow.Index()
-	if x == nil {
+	index := h.opts.Follow.Index()
+	if index == nil {
 		return nil, result.New(result.NotReady, "no configuration is known").WithRetryAfter(notReadyRetryAfter)
 	}
 	if h.opts.Resyncing != nil && h.opts.Resyncing() {
-		return nil, result.New(result.NotReady, "the process stood still and has not heard anew what holds").WithRetryAfter(notReadyRetryAfter)
+		return nil, result.New(result.NotReady, "the process was stalled and has not refreshed its state yet").WithRetryAfter(notReadyRetryAfter)
 	}
-	if headerExceeds(r.Header, x.Configuration.Limits.MaxHeaderBytes) {
-		return nil, result.New(result.HeaderTooLarge, "over %d bytes", x.Configuration.Limits.MaxHeaderBytes)
+	if headerExceeds(r.Header, index.Configuration.Limits.MaxHeaderBytes) {
+		return nil, result.New(result.HeaderTooLarge, "the header is over %d bytes", index.Configuration.Limits.MaxHeaderBytes)
 	}
 	uri := requestURI(r)
 	path, _, _ := strings.Cut(uri, "?")
-	route := x.Route(hostWithoutPort(r.Host), path)
+	route := index.Route(hostWithoutPort(r.Host), path)
 	if route == nil {
 		return nil, result.New(result.NotFound, "no route")
 	}
 	var account *routing.ClientAccount
-	if x.Configuration.RequireAccount && !route.Public {
-		if account = x.Account(call.Key); account == nil {
+	if index.Configuration.RequireAccount && !route.Public {
+		if account = index.Account(call.Key); account == nil {
 			return nil, result.New(result.Unauthorized, "unknown key")
 		}
 	}
-	service := x.Service(route.PickService(rand.Float64()))
+	service := index.Service(route.PickService(rand.Float64()))
 	if service == nil {
 		return nil, result.New(result.NoTarget, "the route has no service").WithRetryAfter(notReadyRetryAfter)
 	}
@@ -150,11 +153,11 @@
 			return nil, err
 		}
 	}
-	patience := route.Timeout
-	if call.Patience > 0 && (call.Patience < patience || patience == 0) {
-		patience = call.Patience
+	timeout := route.Timeout
+	if call.Patience > 0 && (call.Patience < timeout || timeout == 0) {
+		timeout = call.Patience
 	}
-	body, err := h.readBody(w, r, x.Configuration.Limits, received.Add(patience))
+	body, err := h.readBody(w, r, index.Configuration.Limits, received.Add(timeout))
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +166,7 @@
 	}
 	return &forward.Request{
 		Call: call, Method: r.Method, URI: uri, Host: r.Host, Header: r.Header, Body: body, Route: route, Service: service,
-		Account: account, Received: received, Deadline: received.Add(patience), Carrier: relay.CarrierOf(r.Context()),
+		Account: account, Received: received, Deadline: received.Add(timeout), Carrier: relay.CarrierOf(r.Context()),
 		Left: func() bool { return callerHasClosed(r.Context()) },
 	}, nil
 }
@@ -173,10 +176,10 @@
 		return nil, nil
 	}
 	if limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes {
-		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
+		return nil, result.New(result.BodyTooLarge, "the body is over %d bytes", limits.MaxBodyBytes)
 	}
 	if h.bodyBytes.Load()+max(r.ContentLength, minBodyReserve) > h.opts.MaxTotalBodyBytes {
-		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyRetryAfter)
+		return nil, result.New(result.QueueFull, "the bodies of requests in flight use all of their memory").WithRetryAfter(notReadyRetryAfter)
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(netopt.DeadlineIn(deadline.Sub(h.opts.Clock.Now())))
@@ -192,7 +195,7 @@
 	case err == nil:
 		return body, nil
 	case errors.As(err, &tooLarge):
-		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
+		return nil, result.New(result.BodyTooLarge, "the body is over %d bytes", limits.MaxBodyBytes)
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return nil, result.New(result.BodyTooSlow, "the body did not arrive in time")
 	default:
@@ -200,7 +203,7 @@
 	}
 }
 
-// readAll reads a body whose length is known in one piece.
+// readAll reads a body, in one piece if its length is known.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length <= 0 {
 		return io.ReadAll(r)
@@ -210,7 +213,7 @@
 	return body, err
 }
 
-// requestURI returns path and query as they came.
+// requestURI returns the path and query as received.
 func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -225,9 +228,8 @@
 	return host
 }
 
-// headerExceeds tells whether a header is longer than the limit.
 func headerExceeds(h http.Header, limit int) bool {
-	const separators = 4 // colon, blank and line end
+	const separators = 4 // colon, space, CR and LF
 	if limit <= 0 {
 		return false
 	}
--- a/handlers/gateway/refuse_bench_test.go
+++ b/handlers/gateway/refuse_bench_test.go
@@ -17,7 +17,7 @@
 	"madderway/platform"
 )
 
-// refuser refuses each request before its body is read, and keeps its connection.
+// refuser refuses each request before its body is read, and keeps its connection open.
 var refuser = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
 	call := h.opts.Dialect.ReadCall(r.Header)
@@ -58,8 +58,8 @@
 	}
 }
 
-// BenchmarkRefusal times a refusal, the client's side and the kernel included, through the
-// HTTP server and before it.
+// BenchmarkRefusal compares refusals by the HTTP server with early ones, including the
+// client's side and the kernel.
 func BenchmarkRefusal(b *testing.B) {
 	for _, early := range []bool{false, true} {
 		for _, kept := range []bool{true, false} {
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -17,90 +17,89 @@
 )
 
 const (
-	// handOverSlack is what a request that was handed over may take beyond the time-out of its
-	// route, relayMost what it may take where the route has none.
+	// Added to the route's timeout for requests that are handed over.
 	handOverSlack = time.Second
-	maxHandOver   = time.Minute
-	// handOverTimeout is how long it may take to hand a request over.
+	// Timeout of requests that are handed over from a route without one.
+	maxHandOver = time.Minute
+	// Limit on the time until another gateway has taken a request.
 	handOverTimeout = 1500 * time.Millisecond
 )
 
-// now returns the time with that in suspension counted.
+// now returns the time, including time in suspension.
 func now() time.Time { return clock.System{}.Now() }
 
 // Relay hands requests over to other gateways.
 type Relay interface {
-	// Send hands a request over. The first relay.HeadSize bytes of the buffer are free, the
-	// request follows. The answer goes to the caller; when it is over, waiting reads of the
-	// caller are ended by a deadline. Left tells whether the caller has left.
+	// Send hands a request over. The first relay.HeadSize bytes of the buffer are free; the request
+	// follows. The answer is written to caller; when it ends, a pending read of caller is
+	// ended by a deadline. left reports whether the caller has closed its connection.
 	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handed, error)
 }
 
-// HandOverResult tells how handing a request over came out.
+// HandOverResult is the outcome of a hand-over.
 type HandOverResult struct {
-	Peer       string // Peer is empty where no other gateway took the request.
+	Peer       string // empty if no other gateway took the request
 	Elapsed    time.Duration
-	Bytes      int64 // Bytes are those of the answer.
-	Lost       bool  // Lost tells that the answer ended before it began.
-	CallerLeft bool  // Gone tells that the caller has left.
+	Bytes      int64 // length of the answer
+	Lost       bool  // no answer came from the gateway that took the request
+	CallerLeft bool  // the caller closed its connection
 }
 
-// SetRelay lets requests be handed over to other gateways. It is called before Serve.
+// SetRelay lets requests be handed over to other gateways. Call it before Serve.
 func (s *Server) SetRelay(r Relay) { s.relay = r }
 
-// HandedOver returns how many requests other gateways serve for this one.
+// HandedOver returns the number of requests in flight at other gateways.
 func (s *Server) HandedOver() int { return int(s.handedOver.Load()) }
 
-// handOverOutcome is what has become of a request that was to be handed over.
+// handOverOutcome is the state of the caller's connection after a hand-over.
 type handOverOutcome int
 
 const (
-	// servedHere tells that no gateway took it: the HTTP server reads it.
+	// No gateway took the request: the HTTP server reads it.
 	servedHere handOverOutcome = iota + 1
-	// answered tells that the caller has its answer and may send another request.
+	// The caller has its answer and may send another request.
 	answered
-	// ended tells that the caller's connection is to be closed.
+	// The connection must be closed.
 	ended
 )
 
-// handOver has another gateway serve a request, of which some bytes have been read and so
-// many are to come. Its answer ends the connection nowhere, also where little room is left
-// for others: a flood of which each request takes a connection of its own had 12,224 and 12,902
-// of 28,104 requests in time, one whose connections stay 16,734.
-func (c *callerConn) handOver(begun []byte, rest int64, j EarlyDecision) handOverOutcome {
+// handOver has another gateway serve a request of which the bytes in begun were read and rest
+// bytes are to come. It keeps the connection open even while few connections are free: a new one
+// for each request would cost more.
+func (c *callerConn) handOver(begun []byte, rest int64, decision EarlyDecision) handOverOutcome {
 	c.server.handedOver.Add(1)
 	defer c.server.handedOver.Add(-1)
-	start, to := now(), HandOverResult{}
+	start, res := now(), HandOverResult{}
 	defer func() {
-		to.Elapsed = now().Sub(start)
-		c.server.early.NoteHandedOver(j, to)
+		res.Elapsed = now().Sub(start)
+		c.server.early.NoteHandedOver(decision, res)
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
-		to.CallerLeft = c.callerLeft
-		to.Lost = !c.callerLeft && relay.IsErrSent(err)
+		res.CallerLeft = c.callerLeft
+		res.Lost = !c.callerLeft && relay.IsErrSent(err)
 		switch {
-		case to.Lost:
-			_, _ = c.countedConn.Write(c.server.early.LostAnswer(j.ID)) // the caller may be gone, too
+		case res.Lost:
+			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have left too
 			return ended
-		case to.CallerLeft:
+		case res.CallerLeft:
 			return ended
 		case errors.Is(err, relay.ErrFull):
-			return c.refuseBusy(j.ID)
+			return c.refuseBusy(decision.ID)
 		}
 		return servedHere
 	}
-	to.Peer = handed.Peer
+	res.Peer = handed.Peer
 	end := start.Add(maxHandOver)
-	if j.Timeout > 0 {
-		end = start.Add(j.Timeout + handOverSlack)
+	if decision.Timeout > 0 {
+		end = start.Add(decision.Timeout + handOverSlack)
 	}
 	c.awaitAnswer(handed, end)
 	var whole bool
-	to.Bytes, whole = handed.Result()
-	to.CallerLeft, to.Lost = c.callerLeft, to.Bytes == 0
-	if to.Lost && !c.callerLeft {
-		_, _ = c.countedConn.Write(c.server.early.LostAnswer(j.ID))
+	res.Bytes, whole = handed.Result()
+	res.CallerLeft, res.Lost = c.callerLeft, res.Bytes == 0
+	if res.Lost && !c.callerLeft {
+		_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID))
 	}
 	if !whole || c.callerLeft || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
 		return ended
@@ -108,7 +107,7 @@
 	return answered
 }
 
-// refuseBusy answers a request that was read whole and waited for too long to be handed over.
+// refuseBusy answers a request that was read whole but not handed over in time.
 func (c *callerConn) refuseBusy(id string) handOverOutcome {
 	c.buffered = nil
 	if c.refuse(c.server.early.BusyAnswer(id), 0) != nil {
@@ -117,8 +116,8 @@
 	return answered
 }
 
-// send reads the rest of a request and hands it over. Where no gateway takes it, its bytes
-// are those that are read next.
+// send reads the rest of a request and hands it over. If no gateway takes the request, its
+// bytes are buffered for the next reads.
 func (c *callerConn) send(begun []byte, rest int64) (*relay.Handed, error) {
 	size := relay.HeadSize + len(begun) + int(rest)
 	pooled := requestBuffers.get(size)
@@ -148,14 +147,14 @@
 	return handed, err
 }
 
-// awaitAnswer waits until an answer is over, the caller has left, or it is time to give up.
+// awaitAnswer waits until the answer has ended, the caller has left or the time is up.
 func (c *callerConn) awaitAnswer(handed *relay.Handed, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
 		c.callerLeft = true
 		handed.Cancel()
 		return
 	}
-	if isDone(handed) { // before that deadline was set
+	if isDone(handed) { // it may have ended before the deadline was set
 		return
 	}
 	var one [1]byte
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -23,13 +23,13 @@
 	"madderway/services/relay"
 )
 
-// nopHandler takes nothing from peers.
+// nopHandler ignores frames and calls of peers.
 type nopHandler struct{}
 
 func (nopHandler) HandleFrame(string, *wire.Frame)           {}
 func (nopHandler) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{} }
 
-// newRelay returns what hands requests over to another gateway with this handler.
+// newRelay returns a relay to another gateway that serves requests by h.
 func newRelay(t *testing.T, h http.Handler) *relay.Service {
 	t.Helper()
 	const key = "a key of the test"
@@ -48,7 +48,7 @@
 	return s
 }
 
-// serveRelay runs a server that hands requests with the key "moved" over.
+// serveRelay runs a server that hands over requests with the key "moved".
 func serveRelay(t *testing.T, r Relay) (near *Server, early *keyAdmission, address string) {
 	t.Helper()
 	near, early, address = newEarlyServer(t, 10)
@@ -57,8 +57,8 @@
 	return near, early, address
 }
 
-// Requests that are handed over are answered by the other gateway, whole and with the bodies
-// that the caller sent, who may send others on the same connection, also while it waits.
+// Requests and answers of all sizes must pass whole, and the caller's connection must stay
+// usable, also for a request that is sent during the hand-over.
 func TestHandOverReturnsPeerAnswer(t *testing.T) {
 	began, sent := make(chan struct{}), make(chan struct{})
 	far := newRelay(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -89,8 +89,8 @@
 		if status != http.StatusOK || body != want || header.Get("Carrier") != "near" || header.Get("Connection") == "close" {
 			t.Fatalf("body of %d: status %d, %d bytes, %v", size, status, len(body), header)
 		}
-		if told := <-early.results; told.Peer != "far" || told.Bytes < int64(size) || told.Lost || told.CallerLeft {
-			t.Errorf("told %+v", told)
+		if outcome := <-early.results; outcome.Peer != "far" || outcome.Bytes < int64(size) || outcome.Lost || outcome.CallerLeft {
+			t.Errorf("got outcome %+v", outcome)
 		}
 		if status, body, header := c.answer(); status != http.StatusOK || body != "next" || header.Get("Carrier") != "" {
 			t.Fatalf("status %d, %q, %v", status, body, header)
@@ -98,8 +98,8 @@
 	}
 }
 
-// Where the other gateway gives up before it has answered, the caller is told that nobody knows
-// what has become of the request; where it does so later the answer does not look whole.
+// If the other gateway fails before it answers, the outcome is unknown; if it fails later, the
+// answer must not look complete.
 func TestLostHandOverIsReported(t *testing.T) {
 	far := newRelay(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > 1 {
@@ -115,8 +115,8 @@
 	if status != http.StatusBadGateway || !strings.Contains(body, `"code":3002`) || !strings.Contains(body, `"ran":"unknown"`) {
 		t.Errorf("status %d, %q", status, body)
 	}
-	if told := <-early.results; !told.Lost || told.CallerLeft {
-		t.Errorf("told %+v", told)
+	if outcome := <-early.results; !outcome.Lost || outcome.CallerLeft {
+		t.Errorf("got outcome %+v", outcome)
 	}
 	c = newCaller(t, address)
 	c.send(post("moved", "xyz"))
@@ -126,12 +126,11 @@
 	}
 	defer resp.Body.Close()
 	if body, err := io.ReadAll(resp.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("%q looks whole: %v", body, err)
+		t.Errorf("got %q, %v, want an unexpected EOF", body, err)
 	}
 }
 
-// A caller that leaves ends the request at the other gateway. One that leaves before its
-// request was whole has sent none.
+// A caller that leaves must end its request at the other gateway. A partial request is not sent.
 func TestCallerLeavingCancelsHandOver(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan error)
 	far := newRelay(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -143,32 +142,31 @@
 	near, early, address := serveRelay(t, far)
 	c := newCaller(t, address)
 	c.send("POST /x HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer moved\r\nContent-Length: 9\r\n\r\nabc")
-	for early.decisions.Load() == 0 { // one that has left before is not judged
+	for early.decisions.Load() == 0 { // a request of a closed connection is not decided
 		runtime.Gosched()
 	}
 	_ = c.Close()
-	if told := <-early.results; !told.CallerLeft || told.Peer != "" {
-		t.Errorf("told %+v", told)
+	if outcome := <-early.results; !outcome.CallerLeft || outcome.Peer != "" {
+		t.Errorf("got outcome %+v", outcome)
 	}
 	c = newCaller(t, address)
 	c.send(post("moved", "x"))
 	<-began
 	if near.HandedOver() != 1 {
-		t.Errorf("%d requests are with others", near.HandedOver())
+		t.Errorf("got %d requests at other gateways, want 1", near.HandedOver())
 	}
 	_ = c.Close()
 	if err := <-ended; err == nil {
-		t.Error("the request goes on")
+		t.Error("the request was not canceled at the other gateway")
 	}
-	if told := <-early.results; !told.CallerLeft {
-		t.Errorf("told %+v", told)
+	if outcome := <-early.results; !outcome.CallerLeft {
+		t.Errorf("got outcome %+v", outcome)
 	}
 }
 
-// A gateway that comes late to a request whose caller has left by then does nothing for it: it
-// sent 85 requests on in a second that way.
+// A gateway that is late must not serve requests of callers that have left.
 func TestRequestOfClosedConnectionIsDropped(t *testing.T) {
-	far := newRelay(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a request was handed over for nobody") }))
+	far := newRelay(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a request of a closed connection was handed over") }))
 	near, early, address := newEarlyServer(t, 10)
 	near.SetRelay(far)
 	for _, key := range []string{"moved", "flood", "known"} {
@@ -178,15 +176,15 @@
 	}
 	for _, c := range acceptClosed(t, near) {
 		if _, err := c.Read(make([]byte, 4096)); err != io.EOF {
-			t.Errorf("the request is read: %v", err)
+			t.Errorf("got %v, want EOF", err)
 		}
 	}
 	if n := early.decisions.Load(); n != 0 {
-		t.Errorf("%d requests of nobody were judged", n)
+		t.Errorf("got %d early decisions on closed connections, want 0", n)
 	}
 }
 
-// awaitFIN waits until the end of what the other side sends has arrived.
+// awaitFIN waits until the other side has closed the connection.
 func awaitFIN(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -196,7 +194,7 @@
 	err = raw.Control(func(fd uintptr) {
 		const seconds = 5
 		if n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}, seconds*1000); n != 1 || err != nil {
-			t.Errorf("no end: %v", err)
+			t.Errorf("the other side did not close: %v", err)
 		}
 	})
 	if err != nil {
@@ -204,7 +202,7 @@
 	}
 }
 
-// acceptClosed accepts three connections whose callers have closed them.
+// acceptClosed accepts three connections that their callers have closed.
 func acceptClosed(t *testing.T, s *Server) []*callerConn {
 	t.Helper()
 	var out []*callerConn
@@ -220,7 +218,7 @@
 	return out
 }
 
-// Where no gateway takes a request it is served here, whatever its size.
+// If no gateway takes a request, it must be served here, whatever its size.
 func TestHandOverWithoutPeersIsServedLocally(t *testing.T) {
 	far := newRelay(t, nil)
 	far.SetPeers(nil)
@@ -232,18 +230,18 @@
 		if status, body, header := c.answer(); status != http.StatusOK || body != want || header.Get("Admitted") != "true" {
 			t.Errorf("status %d, %d bytes, %v", status, len(body), header)
 		}
-		if told := <-early.results; told.Peer != "" || told.Lost || told.CallerLeft {
-			t.Errorf("told %+v", told)
+		if outcome := <-early.results; outcome.Peer != "" || outcome.Lost || outcome.CallerLeft {
+			t.Errorf("got outcome %+v", outcome)
 		}
 	}
 	c.send(post("flood", "x"))
 	if status, _, _ := c.answer(); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d: what follows is not looked at", status)
+		t.Errorf("got status %d for the next request, want an early refusal", status)
 	}
 }
 
-// The forms of answers are those of an HTTP server: with a length where that is known, in
-// chunks where it is not, and without a body where none is asked for.
+// Answers must be framed as by an HTTP server: with a length if known, in chunks if not, and
+// without a body where none is allowed.
 func TestHandOverAnswerFraming(t *testing.T) {
 	far := newRelay(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -281,6 +279,6 @@
 	c := newCaller(t, address)
 	c.send(head("GET", "/short"))
 	if status, _, _ := c.answer(); status != http.StatusBadGateway {
-		t.Errorf("an answer that is too short has status %d", status)
+		t.Errorf("got status %d for an answer that is too short, want 502", status)
 	}
 }
--- a/handlers/gateway/server.go
+++ b/handlers/gateway/server.go
@@ -19,21 +19,18 @@
 )
 
 const (
-	// headerSlack is what the server takes beyond the limit, so that the handler
-	// can answer a header that is too long.
+	// Accepted beyond the limit, so that the handler can answer a header that is too long.
 	headerSlack = 16 << 10
-	// idleFactor lets a caller use a connection to the end of its idle time.
+	// Factor on the configured idle time, so that callers may use a connection until it ends.
 	idleFactor = 1.25
 
 	acceptBackoff    = 5 * time.Millisecond
 	maxAcceptBackoff = 200 * time.Millisecond
 	turnAwayTimeout  = 50 * time.Millisecond
-	// Each answer ends its connection while less than one in reservedFraction of the connections is
-	// left. Callers keep idle connections and open new ones to come back after a refusal:
-	// under a flood 1,600 idle ones beside 240 requests had new ones turned away by the
-	// hundred a second.
+	// Answers close their connections once less than 1/reservedFraction of the connections is
+	// free. Otherwise the idle connections of callers that back off keep new ones out.
 	reservedFraction = 4
-	// turnAwayResponse is the answer to a connection beyond the limit.
+	// The answer to a connection beyond the limit.
 	turnAwayResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.500\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 	defaultHeaderTimeout = 3 * time.Second
@@ -41,19 +38,18 @@
 	defaultHeaderBytes   = 64 << 10
 )
 
-// Server serves callers on one listener with the limits of the configuration in
-// force. A change of limits holds for connections that come after it.
+// Server serves callers on one listener. A change of limits applies to new connections.
 type Server struct {
 	log        log.Logger
 	handler    http.Handler
 	listener   net.Listener
 	traffic    *netopt.Traffic
-	maxOpen    int64 // most is how many connections are open at once.
+	maxOpen    int64 // limit on open connections
 	open       atomic.Int64
-	turnedAway atomic.Uint64  // turned counts the connections that were turned away.
-	handedOver atomic.Int64   // relaying counts the requests that other gateways serve.
-	early      EarlyAdmission // early judges requests before they are parsed; nil for none.
-	relay      Relay          // relay is nil where nothing is handed over.
+	turnedAway atomic.Uint64  // connections refused beyond the limit
+	handedOver atomic.Int64   // requests in flight at other gateways
+	early      EarlyAdmission // nil if no request is decided early
+	relay      Relay          // nil if no request is handed over
 
 	mu      sync.Mutex
 	limits  routing.Limits
@@ -62,8 +58,8 @@
 	closed  bool
 }
 
-// NewServer returns a server with default limits and at most so many open
-// connections, whose bytes are counted; Serve runs it.
+// NewServer returns a server with default limits that holds at most maxOpen connections and
+// counts their bytes in traffic. Serve runs it.
 func NewServer(logger log.Logger, l net.Listener, h http.Handler, most int, traffic *netopt.Traffic) *Server {
 	s := &Server{log: logger, listener: l, maxOpen: int64(most), traffic: traffic}
 	s.handler = s.closeWhenCrowded(h)
@@ -71,13 +67,12 @@
 	return s
 }
 
-// SetEarlyAdmission lets requests be judged before they are parsed. It is called before Serve.
+// SetEarlyAdmission lets e decide on requests before they are parsed. Call it before Serve.
 func (s *Server) SetEarlyAdmission(e EarlyAdmission) { s.early = e }
 
-// admitsEarly tells whether requests are to be judged early now.
 func (s *Server) admitsEarly() bool { return s.early != nil && s.early.AdmitsEarly() }
 
-// SetLimits puts the limits of a configuration in force.
+// SetLimits applies the limits of a configuration to new connections.
 func (s *Server) SetLimits(l routing.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +84,7 @@
 	s.startServer(l)
 }
 
-// headerTimeout returns how long the head of a request may take to arrive.
+// headerTimeout returns the limit on the time to read a request's header.
 func headerTimeout(l routing.Limits) time.Duration {
 	if l.HeaderTimeout > 0 {
 		return l.HeaderTimeout
@@ -97,7 +92,7 @@
 	return defaultHeaderTimeout
 }
 
-// idleTimeout returns how long a connection may be idle between requests.
+// idleTimeout returns the limit on the time between two requests of a connection.
 func idleTimeout(l routing.Limits) time.Duration {
 	if l.IdleTimeout > 0 {
 		return time.Duration(idleFactor * float64(l.IdleTimeout))
@@ -105,7 +100,7 @@
 	return defaultIdleTimeout
 }
 
-// startServer makes a new server take the connections from now on.
+// startServer starts an HTTP server that takes all new connections from the previous one.
 func (s *Server) startServer(l routing.Limits) {
 	server := &http.Server{
 		Handler: s.handler, MaxHeaderBytes: defaultHeaderBytes, ReadHeaderTimeout: headerTimeout(l), IdleTimeout: idleTimeout(l),
@@ -123,14 +118,14 @@
 	go func() { _ = server.Serve(next) }()
 }
 
-// onConnState tells a connection that the next request may come.
+// onConnState tells a connection when the HTTP server waits for its next request.
 func onConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*callerConn); ok && state == http.StateIdle {
 		c.onIdle()
 	}
 }
 
-// closeWhenCrowded lets answers end their connections while many are open.
+// closeWhenCrowded closes connections after their answers while few are free.
 func (s *Server) closeWhenCrowded(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.isCrowded() {
@@ -140,11 +135,11 @@
 	})
 }
 
-// isCrowded tells whether little room is left for new connections.
+// isCrowded reports whether few connections are free.
 func (s *Server) isCrowded() bool { return s.open.Load() > s.maxOpen-s.maxOpen/reservedFraction }
 
-// Serve accepts connections until the server is closed. An error of accepting,
-// such as the want of descriptors, passes; it is no reason to end.
+// Serve accepts connections until the server is closed. It retries failed accepts, such as
+// those for lack of file descriptors, with a backoff.
 func (s *Server) Serve() error {
 	pause := acceptBackoff
 	for {
@@ -166,19 +161,19 @@
 	}
 }
 
-// turnAway refuses a connection that is one too many, as not run.
+// turnAway refuses a connection beyond the limit. The request has not run.
 func (s *Server) turnAway(c net.Conn) {
 	open := s.open.Add(-1)
-	// The first one is told, and each doubling: they come by the thousand.
+	// Log powers of two only: thousands may come in a second.
 	if n := s.turnedAway.Add(1); n&(n-1) == 0 {
-		s.log.Warn("Connections turned away.", "count", n, "open", open, "most", s.maxOpen)
+		s.log.Warn("Connections turned away.", "count", n, "open", open, "max_open", s.maxOpen)
 	}
 	_ = c.SetWriteDeadline(netopt.DeadlineIn(turnAwayTimeout))
 	_, _ = io.WriteString(c, turnAwayResponse)
 	_ = c.Close()
 }
 
-// countedConn is a connection that counts as open until it is closed.
+// countedConn counts as open until it is closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int64
@@ -191,8 +186,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite lets the HTTP server end an answer before all of a request was
-// read, without a reset that could overtake it.
+// CloseWrite lets the HTTP server finish an answer before the whole request was read, without
+// a reset that could overtake the answer.
 func (c *countedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -203,10 +198,10 @@
 // Open returns the number of open connections.
 func (s *Server) Open() int { return int(s.open.Load()) }
 
-// TurnedAway returns how many connections were refused since there were too many.
+// TurnedAway returns how many connections were refused beyond the limit.
 func (s *Server) TurnedAway() uint64 { return s.turnedAway.Load() }
 
-// passToServer gives a connection to the server of the limits in force.
+// passToServer passes a connection to the current HTTP server.
 func (s *Server) passToServer(c *callerConn) {
 	for {
 		s.mu.Lock()
@@ -225,7 +220,7 @@
 	}
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +232,7 @@
 	}
 }
 
-// chanListener is a listener whose connections are handed to it.
+// chanListener is a listener that returns the connections sent to a channel.
 type chanListener struct {
 	address net.Addr
 	conns   chan net.Conn
--- a/handlers/gateway/server_test.go
+++ b/handlers/gateway/server_test.go
@@ -18,7 +18,7 @@
 	"madderway/modules/netopt"
 )
 
-// flakyListener is a listener whose first accepts fail, as where descriptors are gone.
+// flakyListener fails the first accepts, as when file descriptors run out.
 type flakyListener struct {
 	net.Listener
 	failures int
@@ -44,7 +44,7 @@
 	t.Cleanup(func() {
 		s.Close()
 		if err := <-ended; err != nil {
-			t.Errorf("the server ended by itself: %v", err)
+			t.Errorf("Serve returned %v before Close", err)
 		}
 	})
 	return s, l.Addr().String()
@@ -74,11 +74,11 @@
 
 var okHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 
-// A process that runs out of descriptors goes on when there are some again.
+// A lack of file descriptors must not end the server.
 func TestServerRetriesFailedAccept(t *testing.T) {
 	_, address := serve(t, 3, 10, okHandler)
 	if got := ask(t, dial(t, address)); got != http.StatusOK {
-		t.Errorf("status %d", got)
+		t.Errorf("got status %d after failed accepts, want 200", got)
 	}
 }
 
@@ -89,44 +89,43 @@
 		t.Fatal("a connection within the limit was refused")
 	}
 	if got := ask(t, dial(t, address)); got != http.StatusServiceUnavailable && got != 0 {
-		t.Errorf("status %d of a connection beyond the limit", got)
+		t.Errorf("got status %d on a connection beyond the limit, want 503", got)
 	}
 	_ = one.Close()
 	for s.Open() > 1 { // until the server has seen the end
 	}
 	if got := ask(t, dial(t, address)); got != http.StatusOK {
-		t.Errorf("status %d after a connection ended", got)
+		t.Errorf("got status %d after a connection ended, want 200", got)
 	}
 }
 
-// Callers that keep idle connections do not use up the limit: from a part of it on each
-// answer ends its connection, so that there is room for new ones.
+// Idle connections of callers must not use up the limit.
 func TestServerClosesConnectionsNearLimit(t *testing.T) {
 	const most = 8
 	s, address := serve(t, 0, most, okHandler)
 	for i := range 5 * most {
 		before := s.Open()
 		if got := ask(t, dial(t, address)); got != http.StatusOK {
-			t.Fatalf("connection %d was answered by status %d, %d are open", i, got, before)
+			t.Fatalf("connection %d got status %d with %d open, want 200", i, got, before)
 		}
 		for s.Open() > most-most/reservedFraction { // until the server has closed it
 		}
 	}
 	if s.TurnedAway() != 0 || s.Open() < most/2 {
-		t.Errorf("%d turned away, %d open", s.TurnedAway(), s.Open())
+		t.Errorf("got %d connections turned away and %d open, want none turned away and at least half of the limit open", s.TurnedAway(), s.Open())
 	}
 }
 
-// New limits hold for new connections; old ones go on.
+// New limits must not cut open connections.
 func TestSetLimitsAppliesToNewConnections(t *testing.T) {
 	s, address := serve(t, 0, 10, okHandler)
 	old := dial(t, address)
 	if ask(t, old) != http.StatusOK {
-		t.Fatal("no answer")
+		t.Fatal("no answer before the change")
 	}
 	s.SetLimits(routing.Limits{MaxHeaderBytes: 100, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 	if ask(t, old) != http.StatusOK {
-		t.Error("a connection from before the change was cut")
+		t.Error("a connection opened before the change was cut")
 	}
 	c := dial(t, address)
 	go func() {
@@ -138,6 +137,6 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("status %d of a header beyond the new limit", resp.StatusCode)
+		t.Errorf("got status %d for a header beyond the new limit, want 431", resp.StatusCode)
 	}
 }
