--- a/client/client.go
+++ b/client/client.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package client calls the operators' interface of a router.
+// Package client calls a router's HTTP interface for operators.
 package client
 
 import (
@@ -30,13 +30,14 @@
 	httpClient *http.Client
 }
 
-// New returns a client of the router whose operators' listener is at address,
-// an IP number and port.
+// New returns a client of the router whose operators' listener is at address, an IP address and
+// port.
 func New(address, token string) *Client {
 	return &Client{"http://" + strings.TrimPrefix(address, "http://"), token, &http.Client{Timeout: timeout}}
 }
 
-// do sends a request; a numbered error comes back as an ErrResult.
+// do sends a request and decodes the response. Error responses of the router are returned as
+// *result.ErrResult.
 func (c *Client) do(ctx context.Context, method, path string, body, into any) error {
 	var reader io.Reader
 	if body != nil {
@@ -77,19 +78,19 @@
 	}
 }
 
-// Apply submits a change.
+// Apply submits a configuration change.
 func (c *Client) Apply(ctx context.Context, a operator.ApplyRequest) (config.Receipt, error) {
 	var r config.Receipt
 	return r, c.do(ctx, http.MethodPut, "/operator/config", a, &r)
 }
 
-// Get returns the configuration in force at the router.
+// Get returns the router's active configuration.
 func (c *Client) Get(ctx context.Context) (operator.ConfigReply, error) {
 	var r operator.ConfigReply
 	return r, c.do(ctx, http.MethodGet, "/operator/config", nil, &r)
 }
 
-// Status returns how the fleet stands.
+// Status returns the state of the fleet as seen by the router.
 func (c *Client) Status(ctx context.Context) (operator.StatusReply, error) {
 	var r operator.StatusReply
 	return r, c.do(ctx, http.MethodGet, "/operator/status", nil, &r)
@@ -101,19 +102,19 @@
 	return r, c.do(ctx, http.MethodGet, "/operator/dump", nil, &r)
 }
 
-// Explain returns what the fleet remembers of a request.
+// Explain returns the recorded events of a request from all routers.
 func (c *Client) Explain(ctx context.Context, id string) ([]trace.Record, error) {
 	var r []trace.Record
 	return r, c.do(ctx, http.MethodGet, "/operator/explain/"+id, nil, &r)
 }
 
-// Order gives an order to an engine.
+// Order sends an order to an engine.
 func (c *Client) Order(ctx context.Context, o operator.OrderRequest) (operator.OrderReply, error) {
 	var r operator.OrderReply
 	return r, c.do(ctx, http.MethodPost, "/operator/orders", o, &r)
 }
 
-// Drain starts a planned stop of the router.
+// Drain starts a graceful stop of the router.
 func (c *Client) Drain(ctx context.Context) error {
 	var r map[string]bool
 	return c.do(ctx, http.MethodPost, "/operator/drain", nil, &r)
--- a/handlers/api/api.go
+++ b/handlers/api/api.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package api holds what the handlers for callers and operators share: the
-// form of errors and JSON answers.
+// Package api formats the errors and JSON responses that the handlers for callers and operators
+// share.
 package api
 
 import (
@@ -15,16 +15,15 @@
 	"madderway/models/result"
 )
 
-// HeaderRequestID returns the ID of the request.
+// HeaderRequestID is the response header with the ID of the request.
 const HeaderRequestID = "X-Request-Id"
 
-// ErrorBody is the body of each error.
+// ErrorBody is the JSON body of an error response.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
 
-// Error describes a failure: its number, whether the work ran and when to come
-// back.
+// Error describes a failure, whether the request ran and when to retry.
 type Error struct {
 	Code         result.Code `json:"code"`
 	Name         string      `json:"name"`
@@ -35,7 +34,7 @@
 	RequestID    string      `json:"request_id,omitempty"`
 }
 
-// NewError returns the body for err.
+// NewError returns the response body for err, and err converted to a result.
 func NewError(err error, requestID string) (ErrorBody, *result.ErrResult) {
 	e := result.Convert(err)
 	info := result.Lookup(e.Code)
@@ -45,7 +44,7 @@
 	}}, e
 }
 
-// WriteError sends err as JSON.
+// WriteError writes an error response with a Retry-After header if err has a delay.
 func WriteError(w http.ResponseWriter, err error, requestID string) {
 	body, e := NewError(err, requestID)
 	if e.RetryAfter > 0 {
@@ -55,7 +54,7 @@
 	WriteJSON(w, result.Lookup(e.Code).Status, body)
 }
 
-// WriteJSON sends a value as JSON.
+// WriteJSON writes v as a JSON response.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/handlers/caller/caller.go
+++ b/handlers/caller/caller.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package caller serves the interface for callers: chat completions, models,
-// plain services and the rest of answers.
+// Package caller serves the router's HTTP interface for callers: chat completions, the list of
+// models, requests to plain services, and the resumption of answers.
 package caller
 
 import (
@@ -23,7 +23,7 @@
 	"madderway/services/dispatch"
 )
 
-// Headers of the callers' interface.
+// Headers of the callers' interface and their limits.
 const (
 	HeaderClass          = "X-Madderway-Class"
 	HeaderResume         = "X-Madderway-Resume"
@@ -35,27 +35,26 @@
 	maxKeyLength         = 256
 )
 
-// Handler serves callers.
+// Handler serves callers' requests.
 type Handler struct {
 	routerID string
 	maxBody  int64
 	config   *config.Service
 	dispatch *dispatch.Service
-	dying    <-chan struct{} // dying is closed where the router ends at once.
+	dying    <-chan struct{} // closed when the router stops at once
 
 	mu       sync.Mutex
 	draining bool
 	inflight sync.WaitGroup
 }
 
-// New returns a handler whose requests have bodies of at most maxBody bytes.
-// Once dying is closed, a begun answer is cut off rather than ended: a router
-// that ends at once has nothing true to say of it, and the caller resumes it.
+// New returns a handler whose request bodies have at most maxBody bytes. Once dying is closed, a
+// partial answer is cut off without an error event, so that the caller resumes it.
 func New(routerID string, maxBody int64, c *config.Service, d *dispatch.Service, dying <-chan struct{}) *Handler {
 	return &Handler{routerID: routerID, maxBody: maxBody, config: c, dispatch: d, dying: dying}
 }
 
-// Routes returns the HTTP handler.
+// Routes returns the HTTP handler of the interface.
 func (h *Handler) Routes() http.Handler {
 	r := bunrouter.New(
 		bunrouter.WithNotFoundHandler(notFound),
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// call is an authenticated request.
+// call is a request with its ID and, once authenticated, its account.
 type call struct {
 	http.ResponseWriter
 	req     bunrouter.Request
@@ -85,7 +84,7 @@
 	account *conf.ClientAccount
 }
 
-// wrap authenticates, counts what is in flight and sends errors.
+// wrap adds the request ID, authentication, the count of requests in flight and error responses.
 func (h *Handler) wrap(serve func(c *call) error) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, req bunrouter.Request) error {
 		c := &call{ResponseWriter: w, req: req, id: ident.New(requestIDPrefix)}
@@ -117,8 +116,8 @@
 	return true
 }
 
-// Drain refuses new requests and waits until those in flight have ended or the
-// context ends; it reports whether all have ended.
+// Drain refuses new requests and waits until those in flight have ended or ctx is done. It
+// reports whether all have ended.
 func (h *Handler) Drain(ctx context.Context) bool {
 	h.mu.Lock()
 	h.draining = true
--- a/handlers/caller/chat.go
+++ b/handlers/caller/chat.go
@@ -19,12 +19,12 @@
 
 const (
 	defaultMaxTokens = 1024
-	// maxPrefixBytes is how much of the first message names the prompt's prefix.
+	// Bytes of the first message that identify the prompt's prefix.
 	maxPrefixBytes = 1024
 )
 
-// chatBody is what the router reads of a completion's body; the rest goes to
-// the engine as it is.
+// chatBody holds the fields of a chat completion that the router reads. The engine gets the whole
+// body.
 type chatBody struct {
 	Model     string            `json:"model"`
 	Stream    bool              `json:"stream"`
@@ -67,7 +67,7 @@
 	})
 }
 
-// withStreaming switches streaming on, which lets an answer be resumed.
+// withStreaming turns streaming on, as only streamed answers can be resumed.
 func withStreaming(raw []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -85,7 +85,7 @@
 	return strconv.FormatUint(xxhash.Sum64(append([]byte(body.Model+"\x00"), first...)), 36)
 }
 
-// stream sends events as they come.
+// stream runs a request and sends its events as they arrive.
 func (h *Handler) stream(c *call, run func(dispatch.Sink) error) error {
 	s := &sseSink{w: c.ResponseWriter, flush: http.NewResponseController(c.ResponseWriter)}
 	err := run(s)
@@ -109,8 +109,7 @@
 	started bool
 }
 
-// restartEvent tells a caller that what came before is void: the answer begins
-// again, from its first event.
+// restartEvent tells a caller to discard the events so far: the answer starts over.
 type restartEvent struct {
 	Attempt int    `json:"attempt"`
 	Resume  string `json:"resume"`
@@ -137,7 +136,7 @@
 	return s.flush.Flush()
 }
 
-// sendEvent sends a typed event that is not a part of the answer.
+// sendEvent sends a typed event that is not part of the answer.
 func (s *sseSink) sendEvent(kind string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/handlers/caller/collect.go
+++ b/handlers/caller/collect.go
@@ -14,7 +14,7 @@
 	"madderway/services/engine"
 )
 
-// completion is an answer without streaming.
+// completion is an answer that is not streamed.
 type completion struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -34,7 +34,7 @@
 	Content string `json:"content"`
 }
 
-// streamChunk is what an engine sends as the data of an event.
+// streamChunk is the data of an engine's event.
 type streamChunk struct {
 	Choices []struct {
 		Delta        message `json:"delta"`
@@ -43,7 +43,7 @@
 	Usage json.RawMessage `json:"usage"`
 }
 
-// collectSink gathers an answer.
+// collectSink collects the events of a streamed answer into one completion.
 type collectSink struct {
 	w            http.ResponseWriter
 	text         strings.Builder
@@ -52,7 +52,7 @@
 	decodeErr    error
 }
 
-// Begin implements dispatch.Sink; a later attempt starts from nothing.
+// Begin implements dispatch.Sink. It discards the events of an earlier attempt.
 func (s *collectSink) Begin(token string, _ int) error {
 	s.text.Reset()
 	s.finishReason, s.usage, s.decodeErr = "", nil, nil
--- a/handlers/caller/plain.go
+++ b/handlers/caller/plain.go
@@ -11,7 +11,7 @@
 	"madderway/services/dispatch"
 )
 
-// forwardedHeaders are the headers of a caller that reach a plain service.
+// forwardedHeaders are sent on to plain services.
 var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", HeaderIdempotencyKey}
 
 func (h *Handler) plain(c *call) error {
--- a/handlers/operator/operator.go
+++ b/handlers/operator/operator.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package operator serves the interface for operators: configuration, status,
-// dumps, explanations, orders, metrics and health.
+// Package operator serves the router's HTTP interface for operators: configuration, status,
+// dumps, explanations of requests, orders to engines, metrics and health. All but metrics and
+// health needs a token.
 package operator
 
 import (
@@ -32,21 +33,21 @@
 	operationIDPrefix = "op"
 )
 
-// Options are the parts of a Handler.
+// Options configure a Handler.
 type Options struct {
 	RouterID    string
 	TokenSHA256 []string
 	Config      *config.Service
 	Peers       *peer.Service
 	Orders      *order.Service
-	Ready       func() error       // Ready returns why the router takes no requests.
-	Dump        func() any         // Dump returns the state of the process.
-	Metrics     func(w io.Writer)  // Metrics writes the metrics in the text format.
-	Drain       func()             // Drain starts a planned stop.
-	Status      func(*StatusReply) // Status fills in what the assembly knows.
+	Ready       func() error       // returns why the router accepts no requests, or nil
+	Dump        func() any         // returns the state of the process
+	Metrics     func(w io.Writer)  // writes the metrics in the text format
+	Drain       func()             // starts a graceful stop without waiting for it
+	Status      func(*StatusReply) // adds the state of the fleet to a reply
 }
 
-// Handler serves operators.
+// Handler serves operators' requests.
 type Handler struct {
 	opts   Options
 	tokens [][]byte
@@ -63,7 +64,7 @@
 	return h
 }
 
-// Routes returns the HTTP handler.
+// Routes returns the HTTP handler of the interface.
 func (h *Handler) Routes() http.Handler {
 	r := bunrouter.New(bunrouter.WithNotFoundHandler(func(w http.ResponseWriter, req bunrouter.Request) error {
 		api.WriteError(w, result.New(result.NotFound, "%s %s", req.Method, req.URL.Path), "")
@@ -124,12 +125,12 @@
 		match |= subtle.ConstantTimeCompare(t, sum[:])
 	}
 	if match == 0 {
-		return result.New(result.BadOperatorToken, "the token is not known")
+		return result.New(result.BadOperatorToken, "unknown token")
 	}
 	return nil
 }
 
-// ConfigReply is the configuration in force at the router.
+// ConfigReply is the router's active configuration.
 type ConfigReply struct {
 	Version  uint64         `json:"version"`
 	Hash     string         `json:"hash"`
@@ -139,18 +140,18 @@
 func (h *Handler) get(w http.ResponseWriter, _ bunrouter.Request) error {
 	s := h.opts.Config.Snapshot()
 	if s == nil {
-		return result.New(result.NotReady, "no configuration is in force here")
+		return result.New(result.NotReady, "this router has no active configuration yet")
 	}
 	api.WriteJSON(w, http.StatusOK, ConfigReply{s.Index.Version, s.Index.Hash, s.Index.Document})
 	return nil
 }
 
-// ApplyRequest is a change.
+// ApplyRequest is a configuration change.
 type ApplyRequest struct {
 	Document  *conf.Document `json:"document"`
 	Author    string         `json:"author"`
 	Operation string         `json:"operation"`
-	Base      *uint64        `json:"base"` // Base is the version the change was made for; any where absent.
+	Base      *uint64        `json:"base"` // version that the change is based on; nil skips the check
 }
 
 func (h *Handler) apply(w http.ResponseWriter, req bunrouter.Request) error {
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// StatusReply says how the fleet stands, as the router sees it.
+// StatusReply is the state of the fleet as seen by one router.
 type StatusReply struct {
 	Router   string           `json:"router"`
 	Version  uint64           `json:"version"`
@@ -246,7 +247,7 @@
 	Role   string `json:"role,omitempty"`
 }
 
-// OrderReply tells under which epoch an order was given.
+// OrderReply returns the epoch under which an order was sent.
 type OrderReply struct {
 	Target string `json:"target"`
 	Epoch  uint64 `json:"epoch"`
@@ -259,7 +260,7 @@
 	}
 	s := h.opts.Config.Snapshot()
 	if s == nil {
-		return result.New(result.NotReady, "no configuration is in force here")
+		return result.New(result.NotReady, "this router has no active configuration yet")
 	}
 	target, ok := s.Index.Target(o.Target)
 	if !ok {
