--- a/router/export_test.go
+++ b/router/export_test.go
@@ -5,14 +5,14 @@
 
 import "time"
 
-// ReportLateness has the gateway believe that its process comes to its work so late.
+// ReportLateness reports a lateness to the overload guard only.
 func (g *Gateway) ReportLateness(d time.Duration) { g.guard.Late(d) }
 
-// ReportStandstill has the gateway believe that its process has not run for so long.
+// ReportStandstill reports that the process has not run for d.
 func (g *Gateway) ReportStandstill(d time.Duration) { g.noteLateness(d) }
 
-// Resyncing tells whether the gateway has yet to hear anew what holds.
+// Resyncing reports whether state has not been refreshed since the last standstill.
 func (g *Gateway) Resyncing() bool { return g.resyncing() }
 
-// Streams returns how many requests of engines the gateway serves itself.
+// Streams returns the number of engine requests that the gateway serves itself.
 func (g *Gateway) Streams() int { return g.forward.Streams() }
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -44,26 +44,23 @@
 	idleTimeout   = 30 * time.Second
 	dialTimeout   = 400 * time.Millisecond
 	idlePerTarget = 8
-	// callerConnShare is the part of the descriptors that callers' connections may take. Each may
-	// need another one to a target, and each takes some 25 KB: with 0.6, that is 2,460 of them
-	// on a machine of 184 MB, the collector took the processor's time.
+	// Share of the file descriptors for callers' connections. Each may need another one to a
+	// target, and takes about 25 KB of memory.
 	callerConnShare   = 0.45
 	drainPollInterval = 20 * time.Millisecond
 	probeInterval     = 25 * time.Millisecond
-	// maxRumors bounds the records of a heartbeat, some 80 bytes each: the loss of half
-	// of 300 machines is told on within a second or two.
+	// Limit on the records of a heartbeat, about 80 bytes each: enough to spread the loss of 150
+	// machines within two seconds.
 	maxRumors = 128
-	// memoryShare is the part of the memory that the runtime aims to stay under,
-	// bodyShare the part that bodies may take.
+	// Share of the memory that the runtime aims to stay under.
 	memoryShare = 0.6
-	// gcPercent is how much garbage, in percent of what is in use, the collector waits
-	// for: its runs under a flood make a process of a fifth of a core late by 100 to 300 ms.
+	// Rarer collections than by default: on a fraction of a core, each delays requests.
 	gcPercent = 300
+	// Share of the memory for the bodies of requests in flight.
 	bodyShare = 0.25
 )
 
-// Gateway is one running gateway: a router in front of targets that the
-// platform lists.
+// Gateway is a running gateway: a router in front of the targets that the platform lists.
 type Gateway struct {
 	t        tomb.Tomb
 	log      log.Logger
@@ -72,26 +69,23 @@
 	self     member.Record
 
 	meter      *peernet.Meter
-	relayMeter *peernet.Meter  // carried counts what is carried for other gateways, or by them.
-	traffic    *netopt.Traffic // traffic is that with callers and targets.
+	relayMeter *peernet.Meter  // traffic of requests handed over, both ways
+	traffic    *netopt.Traffic // with callers and targets
 	loop       *mesh.Loop
 	follow     *follow.Service
 	relay      *relay.Service
-	// quarantine are those under which targets ended.
 	quarantine *quarantine.Service
-	// notices are what targets have said of themselves.
-	notices *notice.Service
-	pool    *upstream.Pool
-	guard   *forward.Guard
-	probe   atomic.Pointer[lateness.Probe]
-	// standstill is the last time at which the process had not run for long.
+	notices    *notice.Service
+	pool       *upstream.Pool
+	guard      *forward.Guard
+	probe      atomic.Pointer[lateness.Probe]
 	standstill standstill
 	forward    *forward.Service
 	handler    *gateway.Handler
 
 	callers   *gateway.Server
 	readiness *http.Server
-	operators *http.Server // operators is nil where no address for metrics is set.
+	operators *http.Server // nil without an address for metrics
 	drainOnce sync.Once
 	draining  chan struct{}
 }
@@ -122,7 +116,7 @@
 	peernet.NewRelayServer(&g.t, log.New("peer").With(s.ID), peernet.NewSharedKey(s.ID, s.PeerKey), g.meter, listeners[0], g.loop, relay.NewServer(log.New("relay").With(s.ID), g.handler))
 	probe, err := lateness.Start(&g.t, probeInterval, g.noteLateness)
 	if err != nil {
-		g.log.Error(err, "No probe of lateness; overload is not noticed.")
+		g.log.Error(err, "No lateness probe; overload is not detected.")
 	}
 	g.probe.Store(probe)
 	g.t.Go(g.closeAtEnd)
@@ -196,42 +190,41 @@
 	})
 }
 
-// linkBytes returns the bytes that have linkBytes the machine's link.
+// linkBytes returns the bytes that have crossed the machine's network link.
 func (g *Gateway) linkBytes() (sent, received uint64) {
 	sent, received = g.traffic.Bytes()
 	return sent + g.meter.Bytes() + g.relayMeter.Bytes(), received + g.meter.Received.Load() + g.relayMeter.Received.Load()
 }
 
-// maxRelayPeers is how many gateways take requests of one over: the fewer they are, the more
-// answers come in one read. Where a hall's gateways differ the strong ones come first, and
-// one of them could take all.
+// maxRelayPeers is the number of gateways that requests are handed over to. Few peers batch more
+// answers into one read; more than one spreads the load where gateways differ in strength.
 const maxRelayPeers = 6
 
-// setRelayPeers tells who may take requests over: gateways of this data hall that keep up with
-// their own callers.
+// setRelayPeers selects the gateways that requests are handed over to: those of this data hall
+// that keep up with their own callers.
 func (g *Gateway) setRelayPeers(others []member.Record) {
 	const percent = 100
 	var nodes []place.Node
-	able := map[string]member.Record{}
+	eligible := map[string]member.Record{}
 	for _, r := range others {
 		if r.DataHall == g.self.DataHall && r.State == member.StateAlive && r.Strength > overloadedStrength {
 			nodes = append(nodes, place.Node{ID: r.ID, Strength: r.Strength})
-			able[r.ID] = r
+			eligible[r.ID] = r
 		}
 	}
 	var peers []relay.Peer
 	for _, id := range place.TopByStrength(nodes, g.self.ID, maxRelayPeers) {
-		r := able[id]
+		r := eligible[id]
 		peers = append(peers, relay.Peer{ID: r.ID, Incarnation: r.Incarnation, Address: r.Address, Strength: float64(r.Strength) / percent})
 	}
 	g.relay.SetPeers(peers)
 }
 
-// overloadedStrength is the strength, in percent of a core, of a gateway that cannot keep up with its
-// own callers.
+// overloadedStrength is the strength, in percent of a core, of a gateway that cannot keep up with
+// its own callers.
 const overloadedStrength = 1
 
-// overdue returns how late the probe of lateness already is.
+// overdue returns the current lateness of the process.
 func (g *Gateway) overdue(now time.Time) time.Duration {
 	probe := g.probe.Load()
 	if probe == nil {
@@ -240,8 +233,8 @@
 	return probe.Overdue(now)
 }
 
-// strengthOf returns what the machine has to give to scheduling, in percent of a core.
-// One that cannot keep up with its callers leaves it to others.
+// strengthOf returns the processor time available for scheduling, in percent of a core. A
+// gateway that cannot keep up with its callers leaves scheduling to others.
 func strengthOf(s *setting.Gateway, keepsUp bool) uint32 {
 	const percent = 100
 	if !keepsUp {
@@ -254,9 +247,8 @@
 	return forward.RetryBudget{Window: s.RetryWindow.Duration, Ratio: s.RetryRatio, Extra: s.RetryExtra}
 }
 
-// Reload puts changed settings in force: the retry budget, the seeds, the times
-// of a planned stop and the verbosity. Addresses and the ID hold for the life of
-// the process.
+// Reload applies changed settings: the retry budget, the seeds, the times of a drain and the
+// verbosity. Other settings need a restart.
 func (g *Gateway) Reload(s *setting.Gateway) {
 	old := g.settings.Swap(s)
 	g.forward.SetRetry(retryBudget(s))
@@ -267,15 +259,15 @@
 	g.log.Info("Settings reloaded.", "seeds", len(s.Seeds), "retry_ratio", s.RetryRatio, "grace", s.Grace.Duration, "needs_restart", fixed)
 }
 
-// storeRestored writes again what may be lost with a store that has come back from an older
-// copy. Few gateways do, as few do at the start.
+// storeRestored writes records again that a store restored from an older copy may have lost. Only
+// the few gateways that watch the store do so.
 func (g *Gateway) storeRestored() {
 	if g.loop.Watches() {
 		g.quarantine.KeepAgain()
 	}
 }
 
-// fetcher lets follow reach the loop, which is built after it.
+// fetcher gives follow access to the loop, which is built after it.
 type fetcher struct{ g *Gateway }
 
 // FetchState implements follow.Peers.
@@ -283,14 +275,14 @@
 	return f.g.loop.FetchState(ctx, peer, want)
 }
 
-// applyUpdate passes a new configuration or list of targets on.
+// applyUpdate applies a new configuration or list of targets.
 func (g *Gateway) applyUpdate() {
 	targets := g.follow.Targets()
 	g.pool.Keep(targets)
 	g.forward.SetTargets(targets)
 	g.loop.SetWorld(g.follow.Index(), targets)
-	if x := g.follow.Index(); x != nil {
-		g.callers.SetLimits(x.Configuration.Limits)
+	if index := g.follow.Index(); index != nil {
+		g.callers.SetLimits(index.Configuration.Limits)
 	}
 }
 
@@ -317,7 +309,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Ready tells whether the gateway takes requests.
+// Ready reports whether the gateway accepts requests.
 func (g *Gateway) Ready() bool {
 	return !g.isDraining() && !g.resyncing() && g.follow.Index() != nil && len(g.follow.Targets().Targets) > 0
 }
@@ -343,9 +335,9 @@
 	return nil
 }
 
-// Drain makes a planned stop: the balancer and the peers are told, requests
-// that still arrive are served while there is time, what is in flight ends. The
-// listener stays open to the end, since the balancer may still use it.
+// Drain stops the gateway gracefully: it tells the balancer and the peers, serves requests that
+// still arrive while time permits and waits for those in flight. The listener stays open to
+// the end, as the balancer may still use it.
 func (g *Gateway) Drain() {
 	g.drainOnce.Do(func() {
 		s := g.settings.Load()
@@ -364,25 +356,25 @@
 			}
 			<-g.clock.After(drainPollInterval)
 		}
-		g.log.Info("Drain ended.", "cut", g.inFlight(), "after", g.clock.Now().Sub(plan.Started))
+		g.log.Info("Drain ended.", "aborted", g.inFlight(), "after", g.clock.Now().Sub(plan.Started))
 		g.Stop()
 	})
 }
 
-// inFlight returns how many requests are under way here, or elsewhere for this gateway.
+// inFlight returns the number of requests in flight, including those handed over.
 func (g *Gateway) inFlight() int { return g.handler.InFlight() + g.callers.HandedOver() }
 
-// Stop ends the gateway at once.
+// Stop stops the gateway at once.
 func (g *Gateway) Stop() {
 	g.t.Kill(nil)
 	_ = g.t.Wait()
 }
 
-// Dead returns a channel that is closed when the gateway has ended.
+// Dead returns a channel that is closed when the gateway has stopped.
 func (g *Gateway) Dead() <-chan struct{} { return g.t.Dead() }
 
-// Err returns why the gateway ended.
+// Err returns the reason why the gateway stopped.
 func (g *Gateway) Err() error { return g.t.Err() }
 
-// Members returns how many gateways this one knows, itself included.
+// Members returns the number of known gateways, including this one.
 func (g *Gateway) Members() int { return g.loop.Members() }
--- a/router/gatewaystate.go
+++ b/router/gatewaystate.go
@@ -19,7 +19,7 @@
 	"madderway/services/mesh"
 )
 
-// GatewayDump is the state of a gateway process.
+// GatewayDump is the state of a gateway process, as operators see it.
 type GatewayDump struct {
 	ID                string     `json:"id"`
 	Incarnation       uint64     `json:"incarnation"`
@@ -31,13 +31,13 @@
 	CallerConnections int        `json:"caller_connections"`
 	TurnedAway        uint64     `json:"caller_connections_turned_away_total"`
 	Targets           int        `json:"targets"`
-	Leaving           []string   `json:"leaving_targets,omitempty"` // Leaving are those of the targets that leave.
+	Leaving           []string   `json:"leaving_targets,omitempty"` // IDs
 	Evacuated         []string   `json:"evacuated_data_halls,omitempty"`
 	StoreCalls        uint64     `json:"store_calls_total"`
 	PeerFetches       uint64     `json:"peer_fetches_total"`
 	TargetConnections uint64     `json:"target_connections_total"`
 	Mesh              mesh.State `json:"mesh"`
-	// Quarantined are the requests that are refused since targets ended under them.
+	// Requests that are refused because targets failed while running them.
 	Quarantined int    `json:"quarantined_requests"`
 	Goroutines  int    `json:"goroutines"`
 	HeapBytes   uint64 `json:"heap_bytes"`
@@ -55,7 +55,7 @@
 	}
 }
 
-// operatorHandler returns the handler of metrics and dumps.
+// operatorHandler serves metrics and dumps.
 func (g *Gateway) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { g.WriteMetrics(w) })
@@ -66,7 +66,7 @@
 	return mux
 }
 
-// WriteMetrics writes the gateway's figures in text form.
+// WriteMetrics writes the gateway's metrics in the text format.
 func (g *Gateway) WriteMetrics(w io.Writer) {
 	g.forward.WriteMetrics(w)
 	g.follow.WriteMetrics(w)
@@ -114,6 +114,6 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// Traffic returns the bytes sent to peers, with packet headers, and the time
-// spent on control.
+// Traffic returns the bytes sent to peers, including packet headers, and the time spent on
+// control.
 func (g *Gateway) Traffic() (bytes uint64, busy time.Duration) { return g.meter.Bytes(), g.loop.Busy() }
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -20,16 +20,8 @@
 	m.Run()
 }
 
-// A load balancer sends all callers of an account in a data hall to one gateway. One with a
-// fifth of a core got two thousand requests a second that way, and refused nine in ten of
-// them for want of processor time, while the sixty other gateways of its hall had next to
-// nothing to do and the engines read for half of their time: the account got 13.2 million
-// tokens in six seconds, another one 29.8. In the same second one wrote
-//
-//	front-18: Second of a gateway. share=0.08 late_mean="106ms" … in_time=173 late=44 refused_at_entry=1794
-//
-// and the 60 others together had in_time=115, none of them more than 6. What a gateway has
-// no time for is served by the others of its hall.
+// A gateway that gets more requests than it has processor time for must hand them over to
+// gateways of its data hall instead of refusing them.
 func TestOverloadedGatewayHandsOverInItsHall(t *testing.T) {
 	site, err := platform.Start(platform.Options{Gateways: 6, Models: 4, Plains: 1, Accounts: 1, Length: time.Minute, Seed: 5})
 	if err != nil {
@@ -42,7 +34,7 @@
 	stop := make(chan struct{})
 	var reporter, callers sync.WaitGroup
 	short := func(g *router.Gateway) time.Duration { return time.Duration(g.Streams()) * 15 * time.Millisecond }
-	reporter.Go(func() { reportLateness(site.Gateway(0), short, stop) }) // gateway 3 stands in the same hall
+	reporter.Go(func() { reportLateness(site.Gateway(0), short, stop) }) // gateway 3 is in the same data hall
 	const each, atOnce = 10, 16
 	var served atomic.Int64
 	for c := range atOnce {
@@ -58,15 +50,14 @@
 	close(stop)
 	reporter.Wait()
 	if n := served.Load(); n < each*atOnce*8/10 {
-		t.Errorf("%d of %d requests were served while another gateway of the hall was idle", n, each*atOnce)
+		t.Errorf("got %d of %d requests served while another gateway of the hall was idle, want at least 80%%", n, each*atOnce)
 	}
 	for _, b := range site.Broken() {
 		t.Error(b)
 	}
 }
 
-// reportLateness has a gateway be late by so much. One that is late by 15 ms for each stream that it
-// serves itself has time for one.
+// reportLateness reports by's lateness to a gateway every millisecond until stop is closed.
 func reportLateness(g *router.Gateway, by func(g *router.Gateway) time.Duration, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -14,20 +14,8 @@
 	"madderway/router"
 )
 
-// A worker that leaves says so in all its answers. The store was away, so that its entry went
-// on to say "ready", and gateways believed nothing else: for 12 seconds 31 more requests were
-// sent there, two of them 2,293 and 2,860 ms after an answer had told the gateway that sent
-// them, where 2,000 are allowed. No gateway wrote a line of it.
-//
-// Workers that are busy turn requests away and ask for three seconds of rest. Nobody read for
-// how long: an engine that turned away was passed over for 120 ms, and the eight gateways sent
-// three such engines 157 requests in five seconds, each engine one every 124 to 126 ms (median),
-// one gateway up to ten in a rest. 131 of them were refused then, since the repeats were spent:
-//
-//	front-7: Attempt failed. target="i-ebcfdd849f" outcome="not_run" next="refuse" sent=1 reason="target did not run it"
-//
-// What a target says of itself binds the gateway that hears it at once, and all others soon
-// where it is true for all.
+// A target that announces that it leaves, or asks for rest, must get no more requests from the
+// gateway that hears it, nor soon from the others if the notice is for all.
 func TestTargetNoticesAreObeyed(t *testing.T) {
 	for _, kind := range platform.Kinds() {
 		t.Run("leaving/"+kind.Name, func(t *testing.T) {
@@ -61,7 +49,7 @@
 	})
 }
 
-// noticeSite is a site whose gateways are asked one request after the other.
+// noticeSite is a site whose gateways are asked for answers of one kind.
 type noticeSite struct {
 	*platform.Site
 	t    *testing.T
@@ -70,13 +58,13 @@
 }
 
 const (
-	burstSize   = 8                // asks of a burst are enough that a target which is not passed over gets some.
-	waitTimeout = 20 * time.Second // patience is for what gateways tell each other within a second.
+	burstSize   = 8                // enough for each target that is not left out to get a request
+	waitTimeout = 20 * time.Second // gateways tell each other within a second
 )
 
 func newNoticeSite(t *testing.T, kind platform.Kind, gateways int) *noticeSite {
 	t.Helper()
-	kind.Subjects = max(kind.Subjects, 1) << 20 // a prompt that no worker keeps goes to any of them
+	kind.Subjects = max(kind.Subjects, 1) << 20 // a prompt that no worker has cached may go to any of them
 	site, err := platform.Start(platform.Options{Gateways: gateways, Models: 3, Plains: 3, Accounts: 1, Length: time.Minute, Seed: 9})
 	if err != nil {
 		t.Fatal(err)
@@ -97,8 +85,8 @@
 	return s.Ask(s.t.Context(), gateway, s.kind, "account-0", s.seed.Add(1))
 }
 
-// burst sends requests to a gateway at once, so that no target is left out for its errors
-// alone, and returns how many were served.
+// burst sends concurrent requests to a gateway, so that no target is left out for its errors alone,
+// and returns how many were served.
 func (s *noticeSite) burst(gateway int) int {
 	var callers sync.WaitGroup
 	var served atomic.Int64
@@ -113,7 +101,7 @@
 	return int(served.Load())
 }
 
-// reach sends requests to a gateway until one has come to the worker.
+// reach sends requests to a gateway until one arrives at the worker.
 func (s *noticeSite) reach(gateway int, w *platform.Worker) {
 	s.t.Helper()
 	before, _ := w.Arrived()
@@ -124,8 +112,8 @@
 	})
 }
 
-// awaitNotice sends requests to a gateway until it has heard from the worker that it leaves: by an
-// answer to one of them, or to the question what the worker keeps, which schedulers ask once.
+// awaitNotice sends requests to a gateway until it has heard that the worker leaves, by an answer
+// or by the scheduler's query for cached prompts.
 func (s *noticeSite) awaitNotice(gateway int, w *platform.Worker) {
 	s.t.Helper()
 	before, listed := w.Arrived()
@@ -136,7 +124,7 @@
 	})
 }
 
-// expectNone sends requests to gateways, expectNone of which may come to the worker.
+// expectNone sends requests to gateways and checks that none arrives at the worker.
 func (s *noticeSite) expectNone(what string, w *platform.Worker, gateways ...int) {
 	s.t.Helper()
 	before, _ := w.Arrived()
@@ -145,40 +133,40 @@
 		served += s.burst(g)
 	}
 	if n, _ := w.Arrived(); n != before {
-		s.t.Errorf("%s: %d of %d requests came to %s", what, n-before, burstSize*len(gateways), w.ID)
+		s.t.Errorf("%s: got %d of %d requests at %s, want 0", what, n-before, burstSize*len(gateways), w.ID)
 	}
 	// How many are served in time depends on the machine that runs the test.
 	if served == 0 {
-		s.t.Errorf("%s: none of %d was served by the others", what, burstSize*len(gateways))
+		s.t.Errorf("%s: got 0 of %d requests served by other workers", what, burstSize*len(gateways))
 	}
 }
 
-// await waits await something holds.
+// await waits until a condition holds.
 func (s *noticeSite) await(what string, holds func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Errorf("not after %v: %s", waitTimeout, what)
+			s.t.Errorf("timed out after %v: %s", waitTimeout, what)
 			return
 		}
 	}
 }
 
-// awaitLeaving waits until a gateway takes so many targets for leaving.
+// awaitLeaving waits until a gateway knows of so many leaving targets.
 func (s *noticeSite) awaitLeaving(gateway, leaving int) {
 	s.t.Helper()
 	s.await("a gateway hears that a target leaves", func() bool { return len(s.Gateway(gateway).Dump().Leaving) >= leaving })
 }
 
-// testLeavingUnlisted has a worker say that it leaves while the store is away, and later lists it as
-// ready.
+// testLeavingUnlisted has a worker announce that it leaves while the store is away, and later
+// lists it as ready.
 func testLeavingUnlisted(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
 	s.StoreAway(true)
 	w.SayLeaving()
 	s.awaitNotice(0, w)
-	s.expectNone("at the gateway that heard it", w, 0)
+	s.expectNone("at the gateway that got the notice", w, 0)
 	s.awaitLeaving(1, 1)
 	s.awaitLeaving(2, 1)
 	s.expectNone("at the others", w, 1, 2)
@@ -187,7 +175,7 @@
 		t.Fatal(err)
 	}
 	s.awaitLeaving(1, 1)
-	s.expectNone("at one that has started since", w, 1)
+	s.expectNone("at a gateway that restarted", w, 1)
 	s.StoreAway(false)
 	targets := s.Gateway(0).Dump().Targets
 	if err := s.AddWorker(kind.Stream); err != nil {
@@ -196,16 +184,16 @@
 	for g := range 3 {
 		s.await("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
 	}
-	s.expectNone("with the store back, which lists it as ready", w, 0, 1, 2)
+	s.expectNone("after the store is back and lists it as ready", w, 0, 1, 2)
 	reborn, err := s.RebornWorker(w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.await("a new life of the worker is taken for ready", func() bool { return len(s.Gateway(0).Dump().Leaving) == 0 })
+	s.await("a new incarnation of the worker is ready", func() bool { return len(s.Gateway(0).Dump().Leaving) == 0 })
 	s.reach(0, reborn)
 }
 
-// testAllLeaving has all workers of a service say that they leave.
+// testAllLeaving has all workers of a service announce that they leave.
 func testAllLeaving(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 2)
 	s.StoreAway(true)
@@ -213,7 +201,7 @@
 	for _, w := range workers {
 		w.SayLeaving()
 	}
-	s.await("the gateway has heard of all", func() bool {
+	s.await("the gateway knows that all leave", func() bool {
 		s.burst(0)
 		return len(s.Gateway(0).Dump().Leaving) == len(workers)
 	})
@@ -221,18 +209,18 @@
 	s.expectRefused("all leave", workers)
 }
 
-// expectRefused sends requests that no worker may get; each is refused at once, and told when to
-// come back.
+// expectRefused sends requests that no worker may get and checks that each is refused at once
+// with a retry delay.
 func (s *noticeSite) expectRefused(what string, workers []*platform.Worker) {
 	s.t.Helper()
 	before := arrivals(workers)
 	for range burstSize {
 		if a := s.ask(0); !a.Refused || a.After <= 0 {
-			s.t.Errorf("%s: %+v, want a refusal with a time to come back", what, a)
+			s.t.Errorf("%s: got %+v, want a refusal with a retry delay", what, a)
 		}
 	}
 	if n := arrivals(workers) - before; n > 0 {
-		s.t.Errorf("%s: %d requests were sent", what, n)
+		s.t.Errorf("%s: got %d requests at workers, want 0", what, n)
 	}
 }
 
@@ -245,7 +233,7 @@
 	return n
 }
 
-// testLeavingInRefusal has a worker say that it leaves in an answer that turns a request away.
+// testLeavingInRefusal has a worker announce that it leaves in an answer that refuses a request.
 func testLeavingInRefusal(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[0], 2)
 	w := s.Workers(s.kind)[0]
@@ -256,7 +244,7 @@
 	s.expectNone("after a refusal", w, 0)
 }
 
-// testLeavingDuringResume has streams resumed while one worker has said that it leaves.
+// testLeavingDuringResume has streams resumed while one worker has announced that it leaves.
 func testLeavingDuringResume(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[1], 2)
 	workers := s.Workers(s.kind)
@@ -264,21 +252,21 @@
 	workers[0].SayLeaving()
 	s.awaitNotice(0, workers[0])
 	before, _ := workers[0].Arrived()
-	workers[1].SetFault(platform.FaultCut) // what is cut there goes on at another worker
+	workers[1].SetFault(platform.FaultCut) // its streams are resumed at another worker
 	for range 3 {
 		s.burst(0)
 	}
 	if n, _ := workers[0].Arrived(); n != before {
-		t.Errorf("%d streams were resumed at, or sent to, a worker that leaves", n-before)
+		t.Errorf("got %d streams at a worker that leaves, want 0", n-before)
 	}
 }
 
-// testLeavingBehindHandOver has requests handed over to another gateway, which hears of the leaving.
+// testLeavingBehindHandOver has the gateway that requests are handed over to hear the notice.
 func testLeavingBehindHandOver(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[0], 6)
 	stop := make(chan struct{})
 	var reporter sync.WaitGroup
-	reporter.Go(func() { reportLateness(s.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3 stands in the same hall
+	reporter.Go(func() { reportLateness(s.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3 is in the same data hall
 	defer reporter.Wait()
 	defer close(stop)
 	w := s.Workers(s.kind)[0]
@@ -291,11 +279,11 @@
 	s.burst(0)
 	s.burst(3)
 	if n, _ := w.Arrived(); n != before {
-		t.Errorf("%d requests came to a worker that leaves", n-before)
+		t.Errorf("got %d requests at a worker that leaves, want 0", n-before)
 	}
 }
 
-// testOneResting has a worker turn requests away and ask for rest.
+// testOneResting has a worker refuse requests and ask for rest.
 func testOneResting(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
@@ -304,11 +292,11 @@
 	w.WantRest("0.2")
 	s.reach(asker, w)
 	w.WantRest("60")
-	s.reach(asker, w) // once the first rest is over
+	s.reach(asker, w) // after the first rest
 	s.expectNone("at the gateway that was asked", w, asker)
 	w.WantRest("0.1")
-	s.reach(neighbor, w) // which was not asked
-	s.expectNone("after a neighbor was asked for less", w, asker)
+	s.reach(neighbor, w) // a rest binds only the gateway that was asked
+	s.expectNone("after another gateway was asked for a shorter rest", w, asker)
 	s.Restart(scheduler)
 	if err := s.AwaitReady(waitTimeout); err != nil {
 		t.Fatal(err)
@@ -338,12 +326,12 @@
 	for _, w := range workers {
 		w.WantRest("60")
 	}
-	s.await("all workers have asked", func() bool {
+	s.await("all workers have asked for rest", func() bool {
 		s.burst(0)
 		return arrivals(workers) >= len(workers)
 	})
 	s.expectRefused("all rest", workers)
 	if a := s.ask(0); a.After < 10*time.Second {
-		t.Errorf("come back after %v, want when the first of the rests of 60 s ends", a.After)
+		t.Errorf("got a retry delay of %v, want the end of the first rest of 60 s", a.After)
 	}
 }
--- a/router/older_test.go
+++ b/router/older_test.go
@@ -9,10 +9,8 @@
 	"madderway/lab/platform"
 )
 
-// The store came back from a copy of some seconds before, and counted on from there. Gateways
-// compared its numbers with those of the history that it had lost: a worker that left then was
-// taken for ready until the count had passed the old one, for minutes. What is said after the
-// return holds, and what was known of a worker before it is not undone by the older list.
+// A store restored from an older copy counts revisions from there: changes after that must be
+// followed, and workers known to leave must stay excluded.
 func TestStoreRestoredFromOlderCopyIsFollowed(t *testing.T) {
 	t.Parallel()
 	s := newNoticeSite(t, platform.Kinds()[2], 3)
@@ -22,7 +20,7 @@
 	for g := range 3 {
 		s.awaitLeaving(g, 1)
 	}
-	for range 30 { // the count goes on
+	for range 30 { // advances the revision
 		s.PutConfig()
 	}
 	s.WriteAgain()
@@ -30,18 +28,18 @@
 	s.StoreAway(true)
 	s.StoreBack()
 	s.StoreAway(false)
-	s.expectNone("after the return", workers[0], 0, 1, 2)
+	s.expectNone("after the restore", workers[0], 0, 1, 2)
 	s.WriteAgain()
 	s.awaitStoreFollowed()
 	workers[1].Drain()
 	for g := range 3 {
 		s.awaitLeaving(g, 2)
 	}
-	s.expectNone("what left before the return", workers[0], 0, 1, 2)
-	s.expectNone("what left after it", workers[1], 0, 1, 2)
+	s.expectNone("a worker that left before the restore", workers[0], 0, 1, 2)
+	s.expectNone("a worker that left after the restore", workers[1], 0, 1, 2)
 }
 
-// awaitStoreFollowed waits until all gateways know what the store was told until now.
+// awaitStoreFollowed waits until all gateways have read the store's current state.
 func (s *noticeSite) awaitStoreFollowed() {
 	s.t.Helper()
 	targets := s.Gateway(0).Dump().Targets
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -13,18 +13,8 @@
 	"madderway/router"
 )
 
-// A request crashed each model worker that began to run it, and its caller sent it again
-// and again, to whichever gateway the load balancer chose. Each gateway took each try for
-// a new request: all it knew of a request was forgotten with the answer. Under three
-// requests of one account 18, 13 and 18 workers of nine ended in 80 seconds, and with each
-// of them the 3 to 17 other streams that ran there. What one gateway wrote, ten times in
-// eight seconds with other IDs and targets:
-//
-//	front-1: Request failed. account="davo520" route="r-tbstw73" target="i-9ef93dc8db" sent=1 first="0s" after="175ms" tokens=3111 code="outcome_unknown"
-//
-// A request under which three workers have ended is not sent to another one, at any
-// gateway, and other requests go on. Three more may have left gateways that had not heard
-// of it yet.
+// A request that crashes each target that runs it must be refused by all gateways after three
+// crashes, however often its caller repeats it; other requests go on.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, kind := range platform.Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
@@ -34,7 +24,7 @@
 	}
 }
 
-// The same while the store is away: what gateways tell each other does not need it.
+// Gateways must share quarantines without the store.
 func TestCrashingRequestIsQuarantinedWithoutStore(t *testing.T) {
 	t.Parallel()
 	site := newCrashSite(t, 4)
@@ -42,7 +32,7 @@
 	sendCrashing(t, site, 4, platform.Kinds()[0])
 }
 
-// A request that a short gateway hands over is judged by the one that serves it.
+// A request that an overloaded gateway hands over must be quarantined too.
 func TestHandedOverCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	site := newCrashSite(t, 6)
@@ -50,18 +40,18 @@
 	var reporter sync.WaitGroup
 	reporter.Go(func() {
 		reportLateness(site.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop)
-	}) // gateway 3 stands in the same hall
+	}) // gateway 3 is in the same data hall
 	sendCrashing(t, site, 1, platform.Kinds()[0])
 	close(stop)
 	reporter.Wait()
 	var figures strings.Builder
 	site.Gateway(0).WriteMetrics(&figures)
 	if strings.Contains(figures.String(), "\nmadderway_gateway_handed_over_total 0\n") {
-		t.Error("nothing was handed over")
+		t.Error("no request was handed over")
 	}
 }
 
-// Gateways that have all ended at once know from the store what they refused.
+// Quarantines must survive the end of all gateways, by the store.
 func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	t.Parallel()
 	site := newCrashSite(t, 4)
@@ -75,22 +65,22 @@
 	for gateway := range 4 {
 		for end := time.Now().Add(20 * time.Second); site.Gateway(gateway).Dump().Quarantined == 0; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("gateway %d does not hear what was refused", gateway)
+				t.Fatalf("gateway %d did not load the quarantine", gateway)
 			}
 		}
 		if refused, _ := site.AskEnding(t.Context(), gateway, kind, "account-0", uint64(1000+gateway)); !refused {
-			t.Errorf("gateway %d does not refuse the request", gateway)
+			t.Errorf("gateway %d did not refuse the request", gateway)
 		}
 	}
 	if n := site.Endings() - before; n > 0 {
-		t.Errorf("%d more targets ended", n)
+		t.Errorf("got %d more crashed targets, want 0", n)
 	}
 }
 
 const (
-	quarantineAfter = 3 // enough targets have ended under a request to refuse it
-	maxInFlight     = 3 // underWay is how many more sends may have left before all know.
-	rounds          = 8 // rounds is how often each gateway is asked.
+	quarantineAfter = 3 // crashed targets
+	maxInFlight     = 3 // sends that may start before all gateways know
+	rounds          = 8 // requests to each gateway
 )
 
 func crashTargets(t *testing.T, kind platform.Kind) { sendCrashing(t, newCrashSite(t, 4), 4, kind) }
@@ -107,7 +97,7 @@
 	return site
 }
 
-// sendCrashing sends a request that ends targets to each of some gateways in turn.
+// sendCrashing sends a request that crashes targets to gateways in turn.
 func sendCrashing(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
 	seed := uint64(0)
 	refusals, after := 0, time.Duration(0)
@@ -128,10 +118,10 @@
 		}
 	}
 	if n := site.Endings(); n < quarantineAfter || n > quarantineAfter+maxInFlight {
-		t.Errorf("%d targets ended under one request, want %d and at most %d more", n, quarantineAfter, maxInFlight)
+		t.Errorf("got %d targets crashed by one request, want %d and at most %d more", n, quarantineAfter, maxInFlight)
 	}
 	if refusals < gateways || after < time.Minute {
-		t.Errorf("the last %d tries were refused, the last one for %v", refusals, after)
+		t.Errorf("got the last %d tries refused, the last one with a retry delay of %v, want a refusal by each gateway and at least a minute", refusals, after)
 	}
 	for _, b := range site.Broken() {
 		t.Error(b)
--- a/router/router.go
+++ b/router/router.go
@@ -1,8 +1,11 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package router assembles one madderway router from its parts. It is the
-// library that the thin daemon runs; other programs can embed it.
+// Package router assembles routers and gateways from their services.
+//
+// Start runs a Router, which schedules requests to model engines and plain services by the
+// configuration in the platform's table. StartGateway runs a Gateway, which forwards requests
+// unchanged to the targets that the platform lists. Other programs can embed both.
 package router
 
 import (
@@ -47,12 +50,12 @@
 )
 
 const (
-	// leaveDelay lets the balancer and the peers see that this router leaves
-	// before it refuses anything.
+	// Time for the balancer and the peers to learn that this router leaves before it refuses
+	// requests.
 	leaveDelay = 200 * time.Millisecond
 )
 
-// Router is one running router.
+// Router is a running router.
 type Router struct {
 	t        tomb.Tomb
 	log      log.Logger
@@ -63,8 +66,8 @@
 	meter      *peernet.Meter
 	server     *peernet.Server
 	loop       *control.Loop
-	quarantine *quarantine.Service // requests are those under which targets ended.
-	notices    *notice.Service     // notices are what targets have said of themselves.
+	quarantine *quarantine.Service
+	notices    *notice.Service
 	config     *config.Service
 	peers      *peer.Service
 	claims     *claim.Service
@@ -81,11 +84,10 @@
 	drainOnce sync.Once
 	draining  chan struct{}
 	stopped   chan struct{}
-	assembled chan struct{} // assembled is closed once all parts are there.
+	assembled chan struct{} // closed once assemble has set the fields that callbacks use
 }
 
-// Start builds a router and starts it. It returns an error where a listener or
-// a key cannot be had.
+// Start builds and starts a router. It fails if it cannot listen or load a key.
 func Start(s *setting.Settings) (*Router, error) {
 	r := &Router{
 		settings: s, clock: clock.System{}, log: log.New("router").With(s.Router.ID),
@@ -132,7 +134,7 @@
 	return out, nil
 }
 
-// assemble builds the parts from the peers' side to the callers' side.
+// assemble builds the services, from those towards the peers to those towards the callers.
 func (r *Router) assemble(auth *peernet.Auth, peerListener net.Listener) {
 	s, id := r.settings, r.settings.Router.ID
 	table := platform.NewHTTPTable(s.Platform.TableURL, s.Platform.Timeout.Duration)
@@ -140,7 +142,7 @@
 	r.engine = engine.NewClient(s.Platform.Timeout.Duration)
 	r.traces = trace.NewBook(id, r.clock, s.Control.TraceSize)
 	r.peers = peer.New()
-	// A duty that never ends keeps the tomb alive while parts are added.
+	// The tomb would die if all its goroutines ended before the next one is added.
 	r.t.Go(r.closeAtEnd)
 	r.config = config.New(&r.t, log.New("config").With(id), config.Options{
 		Clock: r.clock, Table: table, Objects: objects, Peers: r.peers, Isolation: s.Platform.Isolation.Duration,
@@ -203,8 +205,8 @@
 	r.loop.SetIndex(s.Index)
 }
 
-// polledTargets are those that this router schedules; the naive dispatcher
-// looks at all by itself.
+// polledTargets returns the targets whose load is polled: those that this router schedules, or
+// all with the naive dispatcher.
 func (r *Router) polledTargets() []*conf.Target {
 	if r.settings.Control.Dispatch != setting.DispatchNaive {
 		return r.loop.Owned()
@@ -232,7 +234,7 @@
 	return p.Kind
 }
 
-// memberIsDead tells whether an incarnation of a router is known to be dead.
+// memberIsDead reports whether an incarnation of a router is known to be dead.
 func (r *Router) memberIsDead(id string, incarnation uint64) bool {
 	if id == r.self.ID {
 		return incarnation != r.self.Incarnation
@@ -245,8 +247,8 @@
 	return false
 }
 
-// isSweeper tells whether this router deletes expired rows: the live one with the
-// lowest ID does.
+// isSweeper reports whether this router deletes expired rows: the live router with the lowest ID
+// does.
 func (r *Router) isSweeper() bool {
 	for _, m := range r.loop.Members() {
 		if m.State == member.StateAlive && m.ID < r.self.ID {
@@ -287,7 +289,7 @@
 	return nil
 }
 
-// Ready returns why the router takes no requests, or nil.
+// Ready returns nil, or the reason why the router accepts no requests.
 func (r *Router) Ready() error {
 	select {
 	case <-r.draining:
@@ -297,8 +299,8 @@
 	}
 }
 
-// Drain makes a planned stop: the others are told, new requests are refused as
-// not run, what is in flight ends, then the router stops.
+// Drain stops the router gracefully: it tells the peers, refuses new requests as not run and
+// waits for those in flight.
 func (r *Router) Drain() {
 	r.drainOnce.Do(func() {
 		r.log.Info("Drain started.")
@@ -309,13 +311,13 @@
 		defer cancel()
 		ended := r.caller.Drain(ctx)
 		closed := r.claims.Wait(ctx)
-		r.log.Info("Drain ended.", "all requests ended", ended, "all claims closed", closed)
+		r.log.Info("Drain ended.", "requests_ended", ended, "claims_closed", closed)
 		r.Stop()
 	})
 	<-r.stopped
 }
 
-// Stop ends the router at once.
+// Stop stops the router at once.
 func (r *Router) Stop() {
 	r.t.Kill(nil)
 	_ = r.t.Wait()
@@ -326,8 +328,8 @@
 	}
 }
 
-// Dead returns a channel that is closed when the router has ended.
+// Dead returns a channel that is closed when the router has stopped.
 func (r *Router) Dead() <-chan struct{} { return r.t.Dead() }
 
-// Err returns why the router ended.
+// Err returns the reason why the router stopped.
 func (r *Router) Err() error { return r.t.Err() }
--- a/router/standstill.go
+++ b/router/standstill.go
@@ -11,45 +11,43 @@
 )
 
 const (
-	// minStandstill is how late the process must be to have stood still: stopped, starved,
-	// or on a machine that was suspended. Peers suspect a member after 1.2 s of silence; an
-	// overloaded process is late by some hundred milliseconds.
+	// A longer delay counts as a standstill: the process was stopped, starved or suspended. It
+	// exceeds the delays of an overloaded process and the 1.2 s after which peers suspect it.
 	minStandstill = 1500 * time.Millisecond
-	// maxResync is how long after a standstill the gateway waits at most to hear anew what
-	// holds, where neither the store nor a peer answers. They answer within half a second.
+	// Limit on the wait for fresh state after a standstill, for when neither the store nor a
+	// peer answers.
 	maxResync = 2 * time.Second
 )
 
-// standstill remembers when the process last stood still.
+// standstill counts the standstills of the process and holds the end of the last one until the
+// gateway has resynced.
 type standstill struct {
 	count atomic.Uint64
 	endAt atomic.Pointer[time.Time]
 }
 
-// noteLateness takes how noteLateness the process has come to its work. All that keeps a process from running
-// ends here: a signal, want of processor time, a suspended machine.
+// noteLateness records how late the process was scheduled, for whatever reason: a signal, lack
+// of processor time or a suspended machine.
 func (g *Gateway) noteLateness(lateness time.Duration) {
-	clock.System{}.CheckSuspension() // a step of the time of day may have hidden a suspension
+	clock.System{}.CheckSuspension() // a clock step may have hidden a suspension
 	if lateness >= minStandstill {
 		g.noteStandstill(lateness)
 	}
 	g.guard.Late(lateness)
 }
 
-// noteStandstill makes the gateway take nothing for true that it has not heard since: it is not
-// ready and refuses what comes until the configuration and the targets are known to be those
-// of now, and idle connections to targets, which these may have forgotten, are closed. What was
-// placed before is not sent any more (services/forward), and timers and deadlines have counted
-// it (modules/clock).
+// noteStandstill makes the gateway distrust its state: it refuses requests until configuration and
+// targets are fresh, and closes idle connections, which the targets may have dropped. Requests
+// placed before are not sent any more (services/forward); deadlines count the time (modules/clock).
 func (g *Gateway) noteStandstill(d time.Duration) {
 	now := g.clock.Now()
 	g.standstill.endAt.Store(&now)
 	g.standstill.count.Add(1)
-	g.log.Warn("Process stood still.", "for", d.Round(time.Millisecond), "suspended since the start", clock.Suspended().Round(time.Millisecond))
+	g.log.Warn("Process was stalled or suspended.", "for", d.Round(time.Millisecond), "suspended_total", clock.Suspended().Round(time.Millisecond))
 	g.pool.CloseIdle()
 }
 
-// resyncing tells that the process has stood still and has not heard anew what holds.
+// resyncing reports whether state has not been refreshed since the last standstill.
 func (g *Gateway) resyncing() bool {
 	end := g.standstill.endAt.Load()
 	if end == nil {
--- a/router/standstill_test.go
+++ b/router/standstill_test.go
@@ -10,9 +10,8 @@
 	"madderway/lab/platform"
 )
 
-// A gateway whose process stood still takes nothing for true that it knew before: it is not
-// ready and refuses requests as not run until it has heard anew what holds, and serves then.
-// Where nobody answers it goes on with what it knows after a while.
+// After a standstill a gateway must refuse requests as not run until its state is fresh, or
+// for a limited time if neither the store nor a peer answers.
 func TestGatewayRefusesUntilResyncedAfterStandstill(t *testing.T) {
 	site, err := platform.Start(platform.Options{Gateways: 3, Models: 2, Plains: 1, Accounts: 1, Length: time.Minute, Seed: 3})
 	if err != nil {
@@ -27,18 +26,18 @@
 		g := site.Gateway(0)
 		g.ReportStandstill(4 * time.Second)
 		if away && (!g.Resyncing() || g.Ready()) {
-			t.Error("it is ready without having heard anything")
+			t.Error("the gateway is ready before it has resynced")
 		}
 		if away && site.AskAt(t.Context(), 0, "account-0", 7) {
-			t.Error("it serves without having heard anything")
+			t.Error("the gateway serves before it has resynced")
 		}
 		for end := time.Now().Add(20 * time.Second); !g.Ready(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("it is never ready again")
+				t.Fatal("the gateway was not ready again within 20 s")
 			}
 		}
 		if !site.AskAt(t.Context(), 0, "account-0", uint64(100+n)) {
-			t.Error("it does not serve when it has settled")
+			t.Error("the gateway does not serve after it has resynced")
 		}
 	}
 	for _, b := range site.Broken() {
--- a/router/state.go
+++ b/router/state.go
@@ -18,7 +18,7 @@
 	"madderway/services/control"
 )
 
-// Dump is the state of a router process.
+// Dump is the state of a router process, as operators see it.
 type Dump struct {
 	Router        string        `json:"router"`
 	Incarnation   uint64        `json:"incarnation"`
@@ -38,8 +38,8 @@
 	HeapBytes     uint64        `json:"heap_bytes"`
 }
 
-// duties are the goroutines that run as long as the router; each request,
-// claim and connection has one of its own besides.
+// duties lists the goroutines that run as long as the router, for the dump. Requests, claims and
+// connections have their own.
 var duties = []string{
 	"control: steps membership, queues and scheduler",
 	"config: reads the head row",
@@ -137,8 +137,8 @@
 	return 0
 }
 
-// Block cuts this router off from a peer in both directions, or mends it; tests
-// use it to partition the fleet.
+// Block cuts this router off from a peer in both directions, or ends that. Tests use it to
+// partition the fleet.
 func (r *Router) Block(peer string, blocked bool) {
 	r.loop.Block(peer, blocked)
 	r.server.Block(peer, blocked)
@@ -147,8 +147,8 @@
 // ID returns the router's ID.
 func (r *Router) ID() string { return r.self.ID }
 
-// Traffic returns the bytes sent to peers, with packet headers, and the time
-// spent on control.
+// Traffic returns the bytes sent to peers, including packet headers, and the time spent on
+// control.
 func (r *Router) Traffic() (bytes uint64, busyNanos int64) {
 	return r.meter.Bytes(), int64(r.loop.Busy())
 }
