--- a/cmd/madderway-lab/demo.go
+++ b/cmd/madderway-lab/demo.go
@@ -36,9 +36,9 @@
 		broken = append(broken, b...)
 	}
 	if len(broken) > 0 {
-		return errors.New("broken promises: " + strings.Join(broken, "; "))
+		return errors.New("failed checks: " + strings.Join(broken, "; "))
 	}
-	fmt.Println("\nno promise was broken")
+	fmt.Println("\nall checks passed")
 	return nil
 }
 
--- a/cmd/madderway-lab/main.go
+++ b/cmd/madderway-lab/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Command madderway-lab demonstrates and measures the fleet against stand-ins
-// for the platform and the targets. Nothing of it is linked into madderway.
+// Command madderway-lab demonstrates and measures routers and gateways against stand-ins for the
+// platform and the targets. It is not linked into madderway.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	exitUsage  = 2
 )
 
-// commonOptions are the flags of all commands.
+// commonOptions are the flags of most commands.
 type commonOptions struct {
 	Verbosity int    `long:"verbosity" default:"0" description:"0 to 4"`
 	LogFile   string `long:"log" description:"file for the routers' logs; dropped by default"`
@@ -50,9 +50,9 @@
 		data        any
 	}{
 		{"demo", "Run stand-ins, four routers and 30 s of mixed load", &demoCommand{}},
-		{"measure", "Run a scenario and print what it measured", &measureCommand{}},
-		{"platform", "Run gateways against a stand-in of the users' platform", &platformCommand{}},
-		{"seconds", "Show from the logs of gateways what each second of a play was like", &secondsCommand{}},
+		{"measure", "Run a scenario and print its measurements", &measureCommand{}},
+		{"platform", "Run gateways against a simulated platform", &platformCommand{}},
+		{"seconds", "Show per-second figures of a run from gateway logs", &secondsCommand{}},
 		{"standins", "Serve the stand-ins of a configuration for routers in other processes", &standinsCommand{}},
 	}
 	for _, c := range commands {
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -37,7 +37,7 @@
 	}
 	s, ok := measure.Scenarios()[c.Scenario]
 	if !ok {
-		return fmt.Errorf("no scenario %q; there are %s", c.Scenario, strings.Join(measure.Names(), ", "))
+		return fmt.Errorf("unknown scenario %q, want one of %s", c.Scenario, strings.Join(measure.Names(), ", "))
 	}
 	if err := c.setUpLog(); err != nil {
 		return err
@@ -59,7 +59,7 @@
 		r.Text(os.Stdout)
 	}
 	if broken := r.Broken(); len(broken) > 0 {
-		return errors.New("broken promises: " + strings.Join(broken, "; "))
+		return errors.New("failed checks: " + strings.Join(broken, "; "))
 	}
 	return nil
 }
--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	if c.Trouble != "" && platform.Troubles()[c.Trouble] == nil {
-		return fmt.Errorf("no trouble %q; there are: %s", c.Trouble, strings.Join(troubleNames(), ", "))
+		return fmt.Errorf("unknown trouble %q, want one of %s", c.Trouble, strings.Join(troubleNames(), ", "))
 	}
 	if err := c.setUpLog(); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	}
 	printPlay(r)
 	if len(r.Broken) > 0 {
-		return errors.New("broken: " + strings.Join(r.Broken, "; "))
+		return errors.New("failed checks: " + strings.Join(r.Broken, "; "))
 	}
 	return nil
 }
@@ -66,9 +66,9 @@
 
 func printPlay(r platform.Result) {
 	fmt.Printf("asked %d, served %d (late %d), refused %d, failed %d, doubled %d\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed, r.Doubled)
-	fmt.Printf("prompt tokens read %d, of shared parts again %d\n", r.Read, r.Reread)
-	fmt.Printf("copied between workers %d times, %d tokens\n", r.Copies, r.Copied)
-	fmt.Printf("fairness %.2f (least share served of an account, of the greatest)\n", r.Fairness)
-	fmt.Printf("control: a gateway sent %.0f bytes and was busy %v in a second\n", r.ControlBytes, r.ControlTime.Round(time.Microsecond))
-	fmt.Printf("calls of the store %d\n", r.StoreCalls)
+	fmt.Printf("prompt tokens prefilled %d, of shared parts repeatedly %d\n", r.Read, r.Reread)
+	fmt.Printf("copies between workers %d, %d tokens\n", r.Copies, r.Copied)
+	fmt.Printf("fairness %.2f (smallest served share of an account over the largest)\n", r.Fairness)
+	fmt.Printf("control per gateway and second: %.0f bytes sent, %v busy\n", r.ControlBytes, r.ControlTime.Round(time.Microsecond))
+	fmt.Printf("store calls %d\n", r.StoreCalls)
 }
--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -40,7 +40,7 @@
 	}
 	all := seconds.Gather(lines)
 	if len(all) == 0 {
-		return errors.New("no scheduler wrote a line about a second in these logs")
+		return errors.New("no per-second line of a scheduler in these logs")
 	}
 	if err := seconds.WriteTable(os.Stdout, all); err != nil {
 		return err
--- a/cmd/madderway-lab/standins.go
+++ b/cmd/madderway-lab/standins.go
@@ -41,7 +41,7 @@
 	if err := c.serve(d, vms); err != nil {
 		return err
 	}
-	fmt.Printf("table %s, object store %s, VM list %s, %d targets; POST /fault to any of them switches faults\n",
+	fmt.Printf("table %s, object store %s, VM list %s, %d targets; POST /fault to any of them injects faults\n",
 		c.Table, c.Objects, c.VMs, len(d.Targets))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/madderway/drain.go
+++ b/cmd/madderway/drain.go
@@ -14,6 +14,6 @@
 	if err := c.client().Drain(ctx); err != nil {
 		return err
 	}
-	fmt.Printf("router %s drains: it takes nothing new and stops once all in flight has ended\n", c.Router)
+	fmt.Printf("router %s is draining: it refuses new requests and stops once those in flight have ended\n", c.Router)
 	return nil
 }
--- a/cmd/madderway/explain.go
+++ b/cmd/madderway/explain.go
@@ -28,7 +28,7 @@
 		return c.fromLogs()
 	}
 	if c.Token == "" {
-		return errors.New("--token is needed without --log")
+		return errors.New("--token is required without --log")
 	}
 	ctx, stop := signalContext()
 	defer stop()
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// fromLogs prints the lines about a request of all logs in their order.
+// fromLogs prints the lines about the request from all logs, in order.
 func (c *explainCommand) fromLogs() error {
 	var lines []log.Line
 	for _, name := range c.Logs {
@@ -60,7 +60,7 @@
 	}
 	story := trace.Story(lines, c.Args.RequestID)
 	if len(story) == 0 {
-		return errors.New("no line about " + c.Args.RequestID + "; ordinary requests are logged by sample only")
+		return errors.New("no log line about request " + c.Args.RequestID + "; only a sample of ordinary requests is logged")
 	}
 	for _, l := range story {
 		fmt.Println(l.Text)
--- a/cmd/madderway/gateway.go
+++ b/cmd/madderway/gateway.go
@@ -41,7 +41,7 @@
 				go g.Drain()
 				continue
 			}
-			// A file that is wrong changes nothing.
+			// An invalid file changes nothing.
 			if s, err = setting.LoadGateway(c.Config); err != nil {
 				log.New("gateway").Error(err, "Settings not reloaded.")
 				continue
--- a/cmd/madderway/get.go
+++ b/cmd/madderway/get.go
@@ -35,6 +35,6 @@
 		_, err := fmt.Println(reply.Version)
 		return err
 	default:
-		return fmt.Errorf("no part %q", c.Args.Part)
+		return fmt.Errorf("unknown part %q of the configuration", c.Args.Part)
 	}
 }
--- a/cmd/madderway/main.go
+++ b/cmd/madderway/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Command madderway runs a router and drives the fleet.
+// Command madderway runs a router or a gateway, and administers a fleet of routers.
 package main
 
 import (
@@ -17,11 +17,11 @@
 	"madderway/models/result"
 )
 
-// exit codes.
+// Exit codes.
 const (
 	exitFailed  = 1
 	exitUsage   = 2
-	exitPending = 3
+	exitPending = 3 // the change was accepted but is not active on all routers
 )
 
 func main() {
@@ -35,12 +35,12 @@
 		{"gateway", "Run a gateway in front of the targets of a platform", &gatewayCommand{}},
 		{"settings", "Check settings files", &settingsCommand{}},
 		{"apply", "Submit accounts, pools, targets and policies", &applyCommand{}},
-		{"get", "Show the configuration in force", &getCommand{}},
-		{"status", "Show how the fleet stands", &statusCommand{}},
+		{"get", "Show the active configuration", &getCommand{}},
+		{"status", "Show the state of the fleet", &statusCommand{}},
 		{"explain", "Show what the fleet decided for a request", &explainCommand{}},
 		{"dump", "Show the state of a router's process", &dumpCommand{}},
-		{"order", "Give an order to an engine", &orderCommand{}},
-		{"drain", "Stop a router as planned", &drainCommand{}},
+		{"order", "Send an order to an engine", &orderCommand{}},
+		{"drain", "Stop a router gracefully", &drainCommand{}},
 	}
 	for _, c := range commands {
 		if _, err := parser.AddCommand(c.name, c.short, c.short+".", c.data); err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// errExit ends the program with a code after its output was written.
+// errExit exits with a code and no message: the output was already written.
 type errExit struct{ code int }
 
 // Error implements error.
@@ -81,7 +81,7 @@
 	return exitFailed
 }
 
-// signalContext ends at SIGINT or SIGTERM.
+// signalContext returns a context that is canceled by SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
--- a/cmd/madderway/operator.go
+++ b/cmd/madderway/operator.go
@@ -10,7 +10,7 @@
 	"madderway/client"
 )
 
-// operatorOptions are the flags of all commands that call a router.
+// operatorOptions are the flags of commands that call a router.
 type operatorOptions struct {
 	Router string `long:"router" env:"MADDERWAY_ROUTER" default:"127.0.0.1:8081" description:"operators' address of any router"`
 	Token  string `long:"token" env:"MADDERWAY_TOKEN" required:"true" description:"operator's token"`
--- a/cmd/madderway/order.go
+++ b/cmd/madderway/order.go
@@ -25,6 +25,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("target %s took the order under epoch %d\n", reply.Target, reply.Epoch)
+	fmt.Printf("target %s accepted the order under epoch %d\n", reply.Target, reply.Epoch)
 	return nil
 }
