--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -28,11 +28,11 @@
 		})
 		t.Run("rest/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
-			testOneResting(t, kind)
+			testOnePausing(t, kind)
 		})
 		t.Run("all at rest/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
-			testAllResting(t, kind)
+			testAllPausing(t, kind)
 		})
 	}
 	t.Run("leaving/refusal", func(t *testing.T) {
@@ -283,8 +283,8 @@
 	}
 }
 
-// testOneResting has a worker refuse requests and ask for rest.
-func testOneResting(t *testing.T, kind platform.Kind) {
+// testOnePausing has a worker refuse requests and ask for rest.
+func testOnePausing(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
 	scheduler := s.schedulerOf()
@@ -319,8 +319,8 @@
 	return 0
 }
 
-// testAllResting has all workers of a service ask for rest.
-func testAllResting(t *testing.T, kind platform.Kind) {
+// testAllPausing has all workers of a service ask for rest.
+func testAllPausing(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 2)
 	workers := s.Workers(kind)
 	for _, w := range workers {
