--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -34,7 +34,7 @@
 	stop := make(chan struct{})
 	var reporter, callers sync.WaitGroup
 	short := func(g *router.Gateway) time.Duration { return time.Duration(g.Streams()) * 15 * time.Millisecond }
-	reporter.Go(func() { reportLateness(site.Gateway(0), short, stop) }) // gateway 3 is in the same data hall
+	reporter.Go(func() { reportLateness(site.Gateway(0), short, stop) }) // gateway 3, in the same data hall, takes over
 	const each, atOnce = 10, 16
 	var served atomic.Int64
 	for c := range atOnce {
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -14,7 +14,7 @@
 	"madderway/router"
 )
 
-// A target that announces that it leaves, or asks for rest, must get no more requests from the
+// A target that announces that it leaves, or asks for a pause, must get no more requests from the
 // gateway that hears it, nor soon from the others if the notice is for all.
 func TestTargetNoticesAreObeyed(t *testing.T) {
 	for _, kind := range platform.Kinds() {
@@ -26,11 +26,11 @@
 			t.Parallel()
 			testAllLeaving(t, kind)
 		})
-		t.Run("rest/"+kind.Name, func(t *testing.T) {
+		t.Run("pause/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
 			testOnePausing(t, kind)
 		})
-		t.Run("all at rest/"+kind.Name, func(t *testing.T) {
+		t.Run("all pausing/"+kind.Name, func(t *testing.T) {
 			t.Parallel()
 			testAllPausing(t, kind)
 		})
@@ -185,12 +185,12 @@
 		s.await("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
 	}
 	s.expectNone("after the store is back and lists it as ready", w, 0, 1, 2)
-	reborn, err := s.RebornWorker(w)
+	restarted, err := s.RebornWorker(w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.await("a new incarnation of the worker is ready", func() bool { return len(s.Gateway(0).Dump().Leaving) == 0 })
-	s.reach(0, reborn)
+	s.reach(0, restarted)
 }
 
 // testAllLeaving has all workers of a service announce that they leave.
@@ -266,7 +266,7 @@
 	s := newNoticeSite(t, platform.Kinds()[0], 6)
 	stop := make(chan struct{})
 	var reporter sync.WaitGroup
-	reporter.Go(func() { reportLateness(s.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3 is in the same data hall
+	reporter.Go(func() { reportLateness(s.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3, in the same data hall, takes over
 	defer reporter.Wait()
 	defer close(stop)
 	w := s.Workers(s.kind)[0]
@@ -283,7 +283,7 @@
 	}
 }
 
-// testOnePausing has a worker refuse requests and ask for rest.
+// testOnePausing has a worker refuse requests and ask for a pause.
 func testOnePausing(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
@@ -292,11 +292,11 @@
 	w.WantRest("0.2")
 	s.reach(asker, w)
 	w.WantRest("60")
-	s.reach(asker, w) // after the first rest
+	s.reach(asker, w) // after the first pause
 	s.expectNone("at the gateway that was asked", w, asker)
 	w.WantRest("0.1")
-	s.reach(neighbor, w) // a rest binds only the gateway that was asked
-	s.expectNone("after another gateway was asked for a shorter rest", w, asker)
+	s.reach(neighbor, w) // a pause binds only the gateway that was asked
+	s.expectNone("after another gateway was asked for a shorter pause", w, asker)
 	s.Restart(scheduler)
 	if err := s.AwaitReady(waitTimeout); err != nil {
 		t.Fatal(err)
@@ -319,19 +319,19 @@
 	return 0
 }
 
-// testAllPausing has all workers of a service ask for rest.
+// testAllPausing has all workers of a service ask for a pause.
 func testAllPausing(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 2)
 	workers := s.Workers(kind)
 	for _, w := range workers {
 		w.WantRest("60")
 	}
-	s.await("all workers have asked for rest", func() bool {
+	s.await("all workers have asked for a pause", func() bool {
 		s.burst(0)
 		return arrivals(workers) >= len(workers)
 	})
-	s.expectRefused("all rest", workers)
+	s.expectRefused("all pause", workers)
 	if a := s.ask(0); a.After < 10*time.Second {
-		t.Errorf("got a retry delay of %v, want the end of the first rest of 60 s", a.After)
+		t.Errorf("got a retry delay of %v, want the end of the first pause of 60 s", a.After)
 	}
 }
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -40,7 +40,7 @@
 	var reporter sync.WaitGroup
 	reporter.Go(func() {
 		reportLateness(site.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop)
-	}) // gateway 3 is in the same data hall
+	}) // gateway 3, in the same data hall, takes over
 	sendCrashing(t, site, 1, platform.Kinds()[0])
 	close(stop)
 	reporter.Wait()
