--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -15,7 +15,7 @@
 
 // A request that crashes each target that runs it must be refused by all gateways after three
 // crashes, however often its caller repeats it; other requests go on.
-func TestCrashingRequestIsQuarantined(t *testing.T) {
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	for _, kind := range platform.Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
@@ -25,7 +25,7 @@
 }
 
 // Gateways must share quarantines without the store.
-func TestCrashingRequestIsQuarantinedWithoutStore(t *testing.T) {
+func TestPoisonRequestIsQuarantinedWithoutStore(t *testing.T) {
 	t.Parallel()
 	site := newCrashSite(t, 4)
 	site.StoreAway(true)
@@ -33,7 +33,7 @@
 }
 
 // A request that an overloaded gateway hands over must be quarantined too.
-func TestHandedOverCrashingRequestIsQuarantined(t *testing.T) {
+func TestHandedOverPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	site := newCrashSite(t, 6)
 	stop := make(chan struct{})
