--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -19,7 +19,7 @@
 	for _, kind := range platform.Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
-			crashTargets(t, kind)
+			sendPoisonToAll(t, kind)
 		})
 	}
 }
@@ -27,21 +27,21 @@
 // Gateways must share quarantines without the store.
 func TestPoisonRequestIsQuarantinedWithoutStore(t *testing.T) {
 	t.Parallel()
-	site := newCrashSite(t, 4)
+	site := newPoisonSite(t, 4)
 	site.StoreAway(true)
-	sendCrashing(t, site, 4, platform.Kinds()[0])
+	sendPoison(t, site, 4, platform.Kinds()[0])
 }
 
 // A request that an overloaded gateway hands over must be quarantined too.
 func TestHandedOverPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	site := newCrashSite(t, 6)
+	site := newPoisonSite(t, 6)
 	stop := make(chan struct{})
 	var reporter sync.WaitGroup
 	reporter.Go(func() {
 		reportLateness(site.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop)
 	}) // gateway 3, in the same data hall, takes over
-	sendCrashing(t, site, 1, platform.Kinds()[0])
+	sendPoison(t, site, 1, platform.Kinds()[0])
 	close(stop)
 	reporter.Wait()
 	var figures strings.Builder
@@ -54,9 +54,9 @@
 // Quarantines must survive the end of all gateways, by the store.
 func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	t.Parallel()
-	site := newCrashSite(t, 4)
+	site := newPoisonSite(t, 4)
 	kind := platform.Kinds()[0]
-	sendCrashing(t, site, 4, kind)
+	sendPoison(t, site, 4, kind)
 	site.KillGateways()
 	if err := site.AwaitReady(10 * time.Second); err != nil {
 		t.Fatal(err)
@@ -78,14 +78,14 @@
 }
 
 const (
-	quarantineAfter = 3 // crashed targets
-	maxInFlight     = 3 // sends that may start before all gateways know
-	rounds          = 8 // requests to each gateway
+	deathsToQuarantine = 3 // crashed targets
+	maxInFlight        = 3 // sends that may start before all gateways know
+	rounds             = 8 // requests to each gateway
 )
 
-func crashTargets(t *testing.T, kind platform.Kind) { sendCrashing(t, newCrashSite(t, 4), 4, kind) }
+func sendPoisonToAll(t *testing.T, kind platform.Kind) { sendPoison(t, newPoisonSite(t, 4), 4, kind) }
 
-func newCrashSite(t *testing.T, gateways int) *platform.Site {
+func newPoisonSite(t *testing.T, gateways int) *platform.Site {
 	site, err := platform.Start(platform.Options{Gateways: gateways, Models: 4, Plains: 4, Accounts: 2, Length: time.Minute, Seed: 7})
 	if err != nil {
 		t.Fatal(err)
@@ -97,8 +97,8 @@
 	return site
 }
 
-// sendCrashing sends a request that crashes targets to gateways in turn.
-func sendCrashing(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
+// sendPoison sends a request that crashes targets to gateways in turn.
+func sendPoison(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
 	seed := uint64(0)
 	refusals, after := 0, time.Duration(0)
 	for range rounds {
@@ -117,8 +117,8 @@
 			site.AskAt(t.Context(), gateway, "account-1", seed)
 		}
 	}
-	if n := site.Endings(); n < quarantineAfter || n > quarantineAfter+maxInFlight {
-		t.Errorf("got %d targets crashed by one request, want %d and at most %d more", n, quarantineAfter, maxInFlight)
+	if n := site.Endings(); n < deathsToQuarantine || n > deathsToQuarantine+maxInFlight {
+		t.Errorf("got %d targets crashed by one request, want %d and at most %d more", n, deathsToQuarantine, maxInFlight)
 	}
 	if refusals < gateways || after < time.Minute {
 		t.Errorf("got the last %d tries refused, the last one with a retry delay of %v, want a refusal by each gateway and at least a minute", refusals, after)
