--- a/router/gatewaystate.go
+++ b/router/gatewaystate.go
@@ -37,7 +37,7 @@
 	PeerFetches       uint64     `json:"peer_fetches_total"`
 	TargetConnections uint64     `json:"target_connections_total"`
 	Mesh              mesh.State `json:"mesh"`
-	// Requests that are refused because targets failed while running them.
+	// Requests that are refused because targets died while running them.
 	Quarantined int    `json:"quarantined_requests"`
 	Goroutines  int    `json:"goroutines"`
 	HeapBytes   uint64 `json:"heap_bytes"`
