--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -13,8 +13,8 @@
 	"madderway/router"
 )
 
-// A request that crashes each target that runs it must be refused by all gateways after three
-// crashes, however often its caller repeats it; other requests go on.
+// A poison request must be refused by all gateways after three deaths of targets, however often
+// its caller repeats it; other requests are served.
 func TestPoisonRequestIsQuarantined(t *testing.T) {
 	for _, kind := range platform.Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 	sendPoison(t, site, 4, platform.Kinds()[0])
 }
 
-// A request that an overloaded gateway hands over must be quarantined too.
+// A poison request that an overloaded gateway hands over must be quarantined too.
 func TestHandedOverPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	site := newPoisonSite(t, 6)
@@ -73,12 +73,12 @@
 		}
 	}
 	if n := site.Endings() - before; n > 0 {
-		t.Errorf("got %d more crashed targets, want 0", n)
+		t.Errorf("got %d more deaths of targets, want 0", n)
 	}
 }
 
 const (
-	deathsToQuarantine = 3 // crashed targets
+	deathsToQuarantine = 3
 	maxInFlight        = 3 // sends that may start before all gateways know
 	rounds             = 8 // requests to each gateway
 )
@@ -97,7 +97,7 @@
 	return site
 }
 
-// sendPoison sends a request that crashes targets to gateways in turn.
+// sendPoison sends a poison request to gateways in turn, each followed by an ordinary one.
 func sendPoison(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
 	seed := uint64(0)
 	refusals, after := 0, time.Duration(0)
@@ -118,7 +118,7 @@
 		}
 	}
 	if n := site.Endings(); n < deathsToQuarantine || n > deathsToQuarantine+maxInFlight {
-		t.Errorf("got %d targets crashed by one request, want %d and at most %d more", n, deathsToQuarantine, maxInFlight)
+		t.Errorf("got %d deaths of targets by one request, want %d and at most %d more", n, deathsToQuarantine, maxInFlight)
 	}
 	if refusals < gateways || after < time.Minute {
 		t.Errorf("got the last %d tries refused, the last one with a retry delay of %v, want a refusal by each gateway and at least a minute", refusals, after)
