--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	printPlay(r)
+	printResult(r)
 	if len(r.Broken) > 0 {
 		return errors.New("failed checks: " + strings.Join(r.Broken, "; "))
 	}
@@ -64,7 +64,7 @@
 	return names
 }
 
-func printPlay(r platform.Result) {
+func printResult(r platform.Result) {
 	fmt.Printf("asked %d, served %d (late %d), refused %d, failed %d, doubled %d\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed, r.Doubled)
 	fmt.Printf("prompt tokens prefilled %d, of shared parts repeatedly %d\n", r.Read, r.Reread)
 	fmt.Printf("copies between workers %d, %d tokens\n", r.Copies, r.Copied)
