--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -64,15 +64,15 @@
 
 // serveEarly runs a server with early admission. Its handler echoes the body and returns in a
 // header whether the request was admitted early.
-func serveEarly(t *testing.T, most int) (*keyAdmission, string) {
+func serveEarly(t *testing.T, maxOpen int) (*keyAdmission, string) {
 	t.Helper()
-	s, early, address := newEarlyServer(t, most)
+	s, early, address := newEarlyServer(t, maxOpen)
 	go func() { _ = s.Serve() }()
 	return early, address
 }
 
 // newEarlyServer returns the server of serveEarly without running it.
-func newEarlyServer(t *testing.T, most int) (*Server, *keyAdmission, string) {
+func newEarlyServer(t *testing.T, maxOpen int) (*Server, *keyAdmission, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -83,7 +83,7 @@
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
 	})
-	s := NewServer(log.New("callers"), l, echo, most, &netopt.Traffic{})
+	s := NewServer(log.New("callers"), l, echo, maxOpen, &netopt.Traffic{})
 	early := &keyAdmission{results: make(chan HandOverResult, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
 	s.SetEarlyAdmission(early)
 	t.Cleanup(s.Close)
--- a/handlers/gateway/server.go
+++ b/handlers/gateway/server.go
@@ -60,8 +60,8 @@
 
 // NewServer returns a server with default limits that holds at most maxOpen connections and
 // counts their bytes in traffic. Serve runs it.
-func NewServer(logger log.Logger, l net.Listener, h http.Handler, most int, traffic *netopt.Traffic) *Server {
-	s := &Server{log: logger, listener: l, maxOpen: int64(most), traffic: traffic}
+func NewServer(logger log.Logger, l net.Listener, h http.Handler, maxOpen int, traffic *netopt.Traffic) *Server {
+	s := &Server{log: logger, listener: l, maxOpen: int64(maxOpen), traffic: traffic}
 	s.handler = s.closeWhenCrowded(h)
 	s.startServer(routing.Limits{})
 	return s
--- a/handlers/gateway/server_test.go
+++ b/handlers/gateway/server_test.go
@@ -32,13 +32,13 @@
 	return f.Listener.Accept()
 }
 
-func serve(t *testing.T, failures, most int, h http.Handler) (*Server, string) {
+func serve(t *testing.T, failures, maxOpen int, h http.Handler) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(log.New("callers"), &flakyListener{l, failures}, h, most, &netopt.Traffic{})
+	s := NewServer(log.New("callers"), &flakyListener{l, failures}, h, maxOpen, &netopt.Traffic{})
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve() }()
 	t.Cleanup(func() {
@@ -101,17 +101,17 @@
 
 // Idle connections of callers must not use up the limit.
 func TestServerClosesConnectionsNearLimit(t *testing.T) {
-	const most = 8
-	s, address := serve(t, 0, most, okHandler)
-	for i := range 5 * most {
+	const maxOpen = 8
+	s, address := serve(t, 0, maxOpen, okHandler)
+	for i := range 5 * maxOpen {
 		before := s.Open()
 		if got := ask(t, dial(t, address)); got != http.StatusOK {
 			t.Fatalf("connection %d got status %d with %d open, want 200", i, got, before)
 		}
-		for s.Open() > most-most/reservedFraction { // until the server has closed it
+		for s.Open() > maxOpen-maxOpen/reservedFraction { // until the server has closed it
 		}
 	}
-	if s.TurnedAway() != 0 || s.Open() < most/2 {
+	if s.TurnedAway() != 0 || s.Open() < maxOpen/2 {
 		t.Errorf("got %d connections turned away and %d open, want none turned away and at least half of the limit open", s.TurnedAway(), s.Open())
 	}
 }
