--- a/cmd/madderway-lab/demo.go
+++ b/cmd/madderway-lab/demo.go
@@ -18,13 +18,13 @@
 const demoRouters = 4
 
 type demoCommand struct {
-	common
+	commonOptions
 	Seconds int `long:"seconds" default:"30" description:"seconds of load, shared by the two firms"`
 }
 
 // Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
-	if err := c.setUp(); err != nil {
+	if err := c.setUpLog(); err != nil {
 		return err
 	}
 	var broken []string
@@ -36,9 +36,9 @@
 		broken = append(broken, b...)
 	}
 	if len(broken) > 0 {
-		return errors.New("broken promises: " + strings.Join(broken, "; "))
+		return errors.New("failed checks: " + strings.Join(broken, "; "))
 	}
-	fmt.Println("\nno promise was broken")
+	fmt.Println("\nall checks passed")
 	return nil
 }
 
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -15,7 +15,7 @@
 )
 
 type measureCommand struct {
-	common
+	commonOptions
 	Scenario   string        `long:"scenario" required:"true" description:"name of a scenario; 'list' prints them"`
 	Dispatch   string        `long:"dispatch" default:"fleet" choice:"fleet" choice:"naive" description:"how requests are dispatched"`
 	Seed       int64         `long:"seed" default:"1" description:"seed of the load"`
@@ -37,9 +37,9 @@
 	}
 	s, ok := measure.Scenarios()[c.Scenario]
 	if !ok {
-		return fmt.Errorf("no scenario %q; there are %s", c.Scenario, strings.Join(measure.Names(), ", "))
+		return fmt.Errorf("unknown scenario %q, want one of %s", c.Scenario, strings.Join(measure.Names(), ", "))
 	}
-	if err := c.setUp(); err != nil {
+	if err := c.setUpLog(); err != nil {
 		return err
 	}
 	r, err := measure.Run(measure.Options{
@@ -59,7 +59,7 @@
 		r.Text(os.Stdout)
 	}
 	if broken := r.Broken(); len(broken) > 0 {
-		return errors.New("broken promises: " + strings.Join(broken, "; "))
+		return errors.New("failed checks: " + strings.Join(broken, "; "))
 	}
 	return nil
 }
--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -13,8 +13,8 @@
 )
 
 type secondsCommand struct {
-	Picture string `long:"svg" description:"write a picture to this file as well"`
-	Args    struct {
+	SVG  string `long:"svg" description:"write a picture to this file as well"`
+	Args struct {
 		Logs []string `positional-arg-name:"LOG" required:"1"`
 	} `positional-args:"yes" required:"true"`
 }
@@ -40,15 +40,15 @@
 	}
 	all := seconds.Gather(lines)
 	if len(all) == 0 {
-		return errors.New("no scheduler wrote a line about a second in these logs")
+		return errors.New("no per-second line of a scheduler in these logs")
 	}
 	if err := seconds.WriteTable(os.Stdout, all); err != nil {
 		return err
 	}
-	if c.Picture == "" {
+	if c.SVG == "" {
 		return nil
 	}
-	f, err := os.Create(c.Picture)
+	f, err := os.Create(c.SVG)
 	if err != nil {
 		return err
 	}
--- a/cmd/madderway-lab/standins.go
+++ b/cmd/madderway-lab/standins.go
@@ -16,7 +16,7 @@
 )
 
 type standinsCommand struct {
-	common
+	commonOptions
 	File    string        `short:"f" long:"file" required:"true" description:"configuration whose targets are served at their addresses"`
 	Table   string        `long:"table" default:"127.0.0.1:9001" description:"address of the table"`
 	Objects string        `long:"objects" default:"127.0.0.1:9002" description:"address of the object store"`
@@ -41,7 +41,7 @@
 	if err := c.serve(d, vms); err != nil {
 		return err
 	}
-	fmt.Printf("table %s, object store %s, VM list %s, %d targets; POST /fault to any of them switches faults\n",
+	fmt.Printf("table %s, object store %s, VM list %s, %d targets; POST /fault to any of them injects faults\n",
 		c.Table, c.Objects, c.VMs, len(d.Targets))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/handlers/caller/caller.go
+++ b/handlers/caller/caller.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package caller serves the interface for callers: chat completions, models,
-// plain services and the rest of answers.
+// Package caller serves the router's HTTP interface for callers: chat completions, the list of
+// models, requests to plain services, and the resumption of answers.
 package caller
 
 import (
@@ -23,7 +23,7 @@
 	"madderway/services/dispatch"
 )
 
-// Headers of the callers' interface.
+// Headers of the callers' interface and their limits.
 const (
 	HeaderClass          = "X-Madderway-Class"
 	HeaderResume         = "X-Madderway-Resume"
@@ -35,39 +35,38 @@
 	maxKeyLength         = 256
 )
 
-// Handler serves callers.
+// Handler serves callers' requests.
 type Handler struct {
 	routerID string
 	maxBody  int64
 	config   *config.Service
 	dispatch *dispatch.Service
-	dying    <-chan struct{} // dying is closed where the router ends at once.
+	dying    <-chan struct{} // closed when the router stops at once
 
 	mu       sync.Mutex
 	draining bool
 	inflight sync.WaitGroup
 }
 
-// New returns a handler whose requests have bodies of at most maxBody bytes.
-// Once dying is closed, a begun answer is cut off rather than ended: a router
-// that ends at once has nothing true to say of it, and the caller resumes it.
+// New returns a handler whose request bodies have at most maxBody bytes. Once dying is closed, a
+// partial answer is cut off without an error event, so that the caller resumes it.
 func New(routerID string, maxBody int64, c *config.Service, d *dispatch.Service, dying <-chan struct{}) *Handler {
 	return &Handler{routerID: routerID, maxBody: maxBody, config: c, dispatch: d, dying: dying}
 }
 
-// Routes returns the HTTP handler.
+// Routes returns the HTTP handler of the interface.
 func (h *Handler) Routes() http.Handler {
 	r := bunrouter.New(
 		bunrouter.WithNotFoundHandler(notFound),
 		bunrouter.WithMethodNotAllowedHandler(notFound),
 	)
-	r.POST("/v1/chat/completions", h.guard(h.chat))
-	r.GET("/v1/models", h.guard(h.models))
-	r.GET("/v1/responses/:id", h.guard(h.resume))
+	r.POST("/v1/chat/completions", h.wrap(h.chat))
+	r.GET("/v1/models", h.wrap(h.models))
+	r.GET("/v1/responses/:id", h.wrap(h.resume))
 	for _, method := range []string{
 		http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete,
 	} {
-		r.Handle(method, "/services/:pool/*path", h.guard(h.plain))
+		r.Handle(method, "/services/:pool/*path", h.wrap(h.plain))
 	}
 	return r
 }
@@ -77,7 +76,7 @@
 	return nil
 }
 
-// call is an authenticated request.
+// call is a request with its ID and, once authenticated, its account.
 type call struct {
 	http.ResponseWriter
 	req     bunrouter.Request
@@ -85,13 +84,13 @@
 	account *conf.ClientAccount
 }
 
-// guard authenticates, counts what is in flight and sends errors.
-func (h *Handler) guard(serve func(c *call) error) bunrouter.HandlerFunc {
+// wrap adds the request ID, authentication, the count of requests in flight and error responses.
+func (h *Handler) wrap(serve func(c *call) error) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, req bunrouter.Request) error {
 		c := &call{ResponseWriter: w, req: req, id: ident.New(requestIDPrefix)}
 		w.Header().Set(api.HeaderRequestID, c.id)
 		w.Header().Set(HeaderRouter, h.routerID)
-		if !h.enter() {
+		if !h.beginRequest() {
 			api.WriteError(w, result.New(result.Draining, "router %s is stopping", h.routerID), c.id)
 			return nil
 		}
@@ -107,7 +106,7 @@
 	}
 }
 
-func (h *Handler) enter() bool {
+func (h *Handler) beginRequest() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.draining {
@@ -117,8 +116,8 @@
 	return true
 }
 
-// Drain refuses new requests and waits until those in flight have ended or the
-// context ends; it reports whether all have ended.
+// Drain refuses new requests and waits until those in flight have ended or ctx is done. It
+// reports whether all have ended.
 func (h *Handler) Drain(ctx context.Context) bool {
 	h.mu.Lock()
 	h.draining = true
--- a/handlers/gateway/buffers.go
+++ b/handlers/gateway/buffers.go
@@ -6,22 +6,21 @@
 import "sync"
 
 const (
-	// bufferStep is by how much the sizes of buffers differ. While callers send their requests
-	// slowly a thousand buffers are in use: with one size for all, of 64 KB, the collector
-	// took two fifths of a process that has 184 MB.
+	// Difference between two sizes. Slow requests hold their buffers for long: with a single
+	// large size they would take most of the memory.
 	bufferStep = 4 << 10
-	// bufferSizes is how many sizes are kept; longer buffers are made anew.
+	// Number of pooled sizes. Longer buffers are not pooled.
 	bufferSizes = 16
 )
 
-// buffers keeps buffers of some sizes for those that need them next.
-type buffers [bufferSizes]sync.Pool
+// bufferPools pools buffers by size.
+type bufferPools [bufferSizes]sync.Pool
 
-// requests are buffers for requests that are handed over.
-var requests buffers
+// requestBuffers holds requests that are handed over.
+var requestBuffers bufferPools
 
-// get returns a buffer of at least this size.
-func (b *buffers) get(size int) *[]byte {
+// get returns a buffer of at least size bytes.
+func (b *bufferPools) get(size int) *[]byte {
 	step := (size + bufferStep - 1) / bufferStep
 	if step > bufferSizes {
 		buffer := make([]byte, size)
@@ -34,8 +33,8 @@
 	return &buffer
 }
 
-// put gives a buffer back.
-func (b *buffers) put(buffer *[]byte) {
+// put returns a buffer to its pool.
+func (b *bufferPools) put(buffer *[]byte) {
 	if step := len(*buffer) / bufferStep; len(*buffer)%bufferStep == 0 && step >= 1 && step <= bufferSizes {
 		b[step-1].Put(buffer)
 	}
--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -16,91 +16,90 @@
 	"madderway/modules/netopt"
 )
 
-// callerConn is a connection of a caller. At the beginning of each request it looks at the
-// head itself while requests are judged early; the bytes of all that it does not refuse or
-// hand over are the HTTP server's. Where the server has read beyond the end of a request, or
-// the end is not plain, all that follows is the server's, too: what this connection reads next
-// may be the middle of a request.
+// callerConn is a connection of a caller. While requests are decided early, it parses the
+// header of each request itself and passes those that it neither refuses nor hands over to
+// the HTTP server. If the server has read beyond the end of a request, or the end is unknown,
+// the server gets all that follows: the next read might start in the middle of a request.
 type callerConn struct {
-	*counted
-	server   *Server
-	limits   routing.Limits
-	ahead    []byte        // ahead has been read of the next request.
-	stop     chan struct{} // stop ends a read that looks only whether the caller has left.
-	gone     bool          // gone tells that the caller has left during a request that was handed over.
-	early    bool          // early tells that the last request was answered without the HTTP server, whose deadlines do not hold.
-	served   bool          // served tells that the HTTP server reads a request, or all that is to come.
-	left     int64         // left is how much of its request the server has not read; negative where it has read more.
-	admitted bool          // admitted tells that the request which the HTTP server reads was counted and admitted.
+	*countedConn
+	server        *Server
+	limits        routing.Limits
+	buffered      []byte        // bytes of the next request
+	stopWatch     chan struct{} // ends watchForClose
+	callerLeft    bool          // during a hand-over
+	answeredEarly bool          // the last request bypassed the HTTP server, whose deadlines are not set
+	inServer      bool          // the HTTP server reads a request, or all that follows
+	unread        int64         // bytes of its request that the HTTP server has not read; negative if it has read more
+	admitted      bool          // the request in the HTTP server was counted and admitted
 }
 
-// endless is what is left of a request whose end is not known.
-const endless = math.MaxInt64
+// unknownLength is the unread part of a request whose end is not known.
+const unknownLength = math.MaxInt64
 
-// idle tells that the HTTP server has ended a request and waits for the next one.
-func (c *callerConn) idle() { c.served, c.admitted = c.left != 0, false }
+// onIdle is called when the HTTP server has ended a request and waits for the next one.
+func (c *callerConn) onIdle() { c.inServer, c.admitted = c.unread != 0, false }
 
 // SetReadDeadline implements net.Conn.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && !t.After(time.Now()) {
-		c.endLooking()
+		c.stopWatching()
 	}
-	return c.counted.SetReadDeadline(t)
+	return c.countedConn.SetReadDeadline(t)
 }
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.endLooking()
-	return c.counted.Close()
+	c.stopWatching()
+	return c.countedConn.Close()
 }
 
-func (c *callerConn) endLooking() {
+func (c *callerConn) stopWatching() {
 	select {
-	case c.stop <- struct{}{}:
+	case c.stopWatch <- struct{}{}:
 	default:
 	}
 }
 
-// look reads a byte for the HTTP server, which wants to know whether the caller leaves while
-// a request is served. A byte that comes begins the next request: it is kept until that is
-// read, and the server learns that it must wait no longer.
-func (c *callerConn) look(p []byte) (int, error) {
+// watchForClose reads a byte for the HTTP server, which wants to know whether the caller leaves
+// while a request is served. A byte that arrives belongs to the next request: it is buffered,
+// and the server gets a timeout once it stops waiting.
+func (c *callerConn) watchForClose(p []byte) (int, error) {
 	select {
-	case <-c.stop: // of an earlier look
+	case <-c.stopWatch: // left from an earlier watch
 	default:
 	}
-	n, err := c.counted.Read(p)
+	n, err := c.countedConn.Read(p)
 	if n == 0 {
 		return n, err
 	}
-	c.ahead = append(c.ahead, p[0])
-	<-c.stop
+	c.buffered = append(c.buffered, p[0])
+	<-c.stopWatch
 	return 0, os.ErrDeadlineExceeded
 }
 
-// readOn reads what has come, behind what was read ahead.
-func (c *callerConn) readOn(p []byte) (int, error) {
-	if len(c.ahead) == 0 {
-		return c.counted.Read(p)
+// readNext reads the buffered bytes, then the connection.
+func (c *callerConn) readNext(p []byte) (int, error) {
+	if len(c.buffered) == 0 {
+		return c.countedConn.Read(p)
 	}
-	taken := copy(p, c.ahead)
-	c.ahead = c.ahead[taken:]
-	if taken == len(p) || c.served {
+	taken := copy(p, c.buffered)
+	c.buffered = c.buffered[taken:]
+	if taken == len(p) || c.inServer {
 		return taken, nil
 	}
-	n, err := c.counted.Read(p[taken:])
+	n, err := c.countedConn.Read(p[taken:])
 	return taken + n, err
 }
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	for {
-		if c.served && c.left == 0 && len(p) == 1 && len(c.ahead) == 0 {
-			return c.look(p)
+		if c.inServer && c.unread == 0 && len(p) == 1 && len(c.buffered) == 0 {
+			return c.watchForClose(p)
 		}
-		n, err := c.readOn(p)
-		if c.served {
-			c.left -= int64(n)
+		n, err := c.readNext(p)
+		if c.inServer {
+			c.unread -= int64(n)
 			return n, err
 		}
 		if err != nil || n == 0 {
@@ -109,89 +108,89 @@
 		head, plain := httphead.Parse(p[:n])
 		rest := head.ContentLength - int64(n-head.Length)
 		if !plain || rest < 0 {
-			return n, c.toServer(NotJudged, endless)
+			return n, c.passToServer(Undecided, unknownLength)
 		}
-		if head.ContentLength > earlyBody || !c.server.judges() {
-			return n, c.toServer(NotJudged, rest)
+		if head.ContentLength > maxEarlyBody || !c.server.admitsEarly() {
+			return n, c.passToServer(Undecided, rest)
 		}
 		if c.hasLeft() {
 			return 0, io.EOF
 		}
-		closes := c.server.crowded()
-		j := c.server.early.Look(&head, LookOptions{Closes: closes, Movable: c.server.relay != nil})
-		switch j.Verdict {
+		closes := c.server.isCrowded()
+		decision := c.server.early.AdmitEarly(&head, EarlyOptions{ClosesConn: closes, CanHandOver: c.server.relay != nil})
+		switch decision.Verdict {
 		case HandedOver:
-			switch c.handOver(p[:n], rest, j) {
+			switch c.handOver(p[:n], rest, decision) {
 			case ended:
 				return 0, io.EOF
 			case servedHere:
-				return c.readBack(p)
+				return c.returnToServer(p)
 			}
-			c.early = true
+			c.answeredEarly = true
 		case Refused:
-			if err := c.refuse(j.Answer, rest); err != nil {
+			if err := c.refuse(decision.Answer, rest); err != nil {
 				return 0, err
 			}
 			if closes {
 				return 0, io.EOF
 			}
 		default:
-			return n, c.toServer(j.Verdict, rest)
+			return n, c.passToServer(decision.Verdict, rest)
 		}
 	}
 }
 
-// hasLeft tells whether the caller has closed the connection. A process that is late reads
-// requests whose callers have given up; what is done for them is done for nobody.
+// hasLeft reports whether the caller has closed the connection. A process that is late would
+// otherwise serve requests whose callers have given up.
 func (c *callerConn) hasLeft() bool {
-	return len(c.ahead) == 0 && netopt.Peek(c.counted.Conn) == netopt.PeekClosed
+	return len(c.buffered) == 0 && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
-// readBack leaves a request to the HTTP server that was read to be handed over.
-func (c *callerConn) readBack(p []byte) (int, error) {
-	whole := int64(len(c.ahead))
-	c.served = true
-	n, err := c.readOn(p)
+// returnToServer passes a request that was read for a hand-over to the HTTP server.
+func (c *callerConn) returnToServer(p []byte) (int, error) {
+	whole := int64(len(c.buffered))
+	c.inServer = true
+	n, err := c.readNext(p)
 	if err != nil {
 		return n, err
 	}
-	return n, c.toServer(Admitted, whole-int64(n))
+	return n, c.passToServer(Admitted, whole-int64(n))
 }
 
-// toServer leaves this request, of which so much is left, to the HTTP server.
-func (c *callerConn) toServer(v Verdict, left int64) error {
-	c.served, c.left, c.admitted = true, left, v == Admitted
-	if !c.early {
+// passToServer leaves a request with so many unread bytes to the HTTP server.
+func (c *callerConn) passToServer(v Verdict, left int64) error {
+	c.inServer, c.unread, c.admitted = true, left, v == Admitted
+	if !c.answeredEarly {
 		return nil
 	}
-	c.early = false
-	return c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits)))
+	c.answeredEarly = false
+	return c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits)))
 }
 
-// refuse reads the rest of a request and answers it.
+// refuse discards the rest of a request and writes the answer.
 func (c *callerConn) refuse(answer []byte, rest int64) error {
-	c.early = true
-	if err := c.drop(rest); err != nil {
+	c.answeredEarly = true
+	if err := c.discard(rest); err != nil {
 		return err
 	}
-	if _, err := c.counted.Write(answer); err != nil {
+	if _, err := c.countedConn.Write(answer); err != nil {
 		return err
 	}
-	return c.SetReadDeadline(netopt.DeadlineIn(idleTime(c.limits)))
+	return c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits)))
 }
 
-// drop reads so many bytes that nobody looks at.
-func (c *callerConn) drop(rest int64) error {
+// discard reads and drops the rest of a request.
+func (c *callerConn) discard(rest int64) error {
 	if rest == 0 {
 		return nil
 	}
-	if err := c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits))); err != nil {
+	if err := c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits))); err != nil {
 		return err
 	}
-	buffer := earlyBuffers.Get().(*[earlyBuffer]byte)
-	defer earlyBuffers.Put(buffer)
+	buffer := discardBuffers.Get().(*[discardBufferSize]byte)
+	defer discardBuffers.Put(buffer)
 	for rest > 0 {
-		n, err := c.counted.Read(buffer[:min(rest, earlyBuffer)])
+		n, err := c.countedConn.Read(buffer[:min(rest, discardBufferSize)])
 		rest -= int64(n)
 		if err != nil {
 			return err
@@ -200,29 +199,29 @@
 	return nil
 }
 
-// connKey is the key of a request's context under which its connection stands.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerHasLeft tells whether the caller of a request has closed its connection.
+// callerHasLeft reports whether the caller has closed its connection and sent nothing more.
 func callerHasLeft(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	return ok && c.hasLeft()
 }
 
-// connectionEnded tells whether the caller of a request has closed its connection, also while
-// the HTTP server reads from it.
-func connectionEnded(ctx context.Context) bool {
+// callerHasClosed reports whether the caller has closed its connection, even while the HTTP
+// server reads from it.
+func callerHasClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
-	return ok && netopt.Peek(c.counted.Conn) == netopt.PeekClosed
+	return ok && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
-// takeAdmitted tells whether a request was counted and admitted before the HTTP server
-// parsed it.
-func takeAdmitted(ctx context.Context) bool {
+// consumeAdmitted reports, once for each request, whether it was admitted before the HTTP
+// server parsed it.
+func consumeAdmitted(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok || !c.admitted {
 		return false
--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -18,114 +18,109 @@
 )
 
 const (
-	// earlyBody is the longest body of a request that is refused or handed over early: it
-	// must be read to its end before the next request.
-	earlyBody = 256 << 10
-	// earlyBuffer is the size in which the body of a refused request is read; most come in
-	// one or two.
-	earlyBuffer = 32 << 10
-	maxPlainID  = 64
+	// Longest body of a request that is refused or handed over early: it must be read to its
+	// end before the next request.
+	maxEarlyBody = 256 << 10
+	// Most bodies of refused requests fit into one or two buffers.
+	discardBufferSize = 32 << 10
+	maxPlainID        = 64
 )
 
-// earlyBuffers hold what is read of bodies that nobody looks at.
-var earlyBuffers = sync.Pool{New: func() any { return new([earlyBuffer]byte) }}
+var discardBuffers = sync.Pool{New: func() any { return new([discardBufferSize]byte) }}
 
-// Verdict is what an early look at a request decided.
+// Verdict is the outcome of an early decision.
 type Verdict int
 
-// The verdicts.
+// Outcomes of an early decision.
 const (
-	NotJudged  Verdict = iota // the HTTP server takes the request as any other
-	Admitted                  // the HTTP server takes it; it was counted and admitted
+	Undecided  Verdict = iota // the HTTP server handles the request as usual
+	Admitted                  // already counted and admitted; the HTTP server serves it
 	HandedOver                // another gateway serves it
 	Refused
 )
 
-// Judgement is what an early look at a request has found.
-type Judgement struct {
+// EarlyDecision is a decision on a request whose header only was read.
+type EarlyDecision struct {
 	Verdict Verdict
-	Answer  []byte        // Answer is that to a refused request.
-	ID      string        // ID is that of a request that is handed over.
-	Account string        // Account is that of a request that is handed over.
-	Within  time.Duration // Within is how long a request that is handed over may take.
+	Answer  []byte        // response to a refused request
+	ID      string        // set if the request is handed over
+	Account string        // set if the request is handed over
+	Timeout time.Duration // set if the request is handed over; 0 for none
 }
 
-// LookOptions say what may become of a request.
-type LookOptions struct {
-	Closes  bool // Closes tells that the answer ends the connection.
-	Movable bool // Movable tells that another gateway may serve the request.
+// EarlyOptions restrict an early decision.
+type EarlyOptions struct {
+	ClosesConn  bool // the answer closes the connection
+	CanHandOver bool // another gateway may serve the request
 }
 
-// EarlyJudge judges requests by their heads, before an HTTP server parses them.
-type EarlyJudge interface {
-	// Judges tells whether requests are to be looked at now.
-	Judges() bool
-	Look(h *httphead.Head, o LookOptions) Judgement
-	// Lost returns the answer to a request of which nobody knows what has become.
-	Lost(id string) []byte
-	// Busy returns the answer to a request that could not be handed over in time.
-	Busy(id string) []byte
-	// Told notes how handing a request over came out.
-	Told(j Judgement, h HandedTo)
+// EarlyAdmission admits, refuses or hands over requests by their headers, before an HTTP
+// server parses them.
+type EarlyAdmission interface {
+	// AdmitsEarly reports whether requests are to be decided early now.
+	AdmitsEarly() bool
+	AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision
+	// LostAnswer returns the response to a request whose outcome is unknown.
+	LostAnswer(id string) []byte
+	// BusyAnswer returns the response to a request that could not be handed over in time.
+	BusyAnswer(id string) []byte
+	// NoteHandedOver records the outcome of a hand-over.
+	NoteHandedOver(decision EarlyDecision, res HandOverResult)
 }
 
-// Judges implements EarlyJudge.
-func (h *Handler) Judges() bool {
+// AdmitsEarly implements EarlyAdmission.
+func (h *Handler) AdmitsEarly() bool {
 	return h.opts.Forward.Overloaded() && Mode(h.mode.Load()) == ServeAll
 }
 
-// Look implements EarlyJudge: while the gateway is short of processor time it judges the
-// requests of known accounts for targets that a scheduler chooses.
-//
-// A refusal through the HTTP server takes 80 microseconds of a process that shares its core,
-// measured on a gateway that refuses all of a flood of 1,000 requests a second; where each is
-// refused twice nothing is left for serving.
-func (h *Handler) Look(head *httphead.Head, o LookOptions) Judgement {
-	x := h.opts.Follow.Index()
-	if x == nil || !h.Judges() {
-		return Judgement{}
+// AdmitEarly implements EarlyAdmission. It decides on requests of known accounts to engines.
+// A refusal by the HTTP server would take the processor time that serving needs.
+func (h *Handler) AdmitEarly(head *httphead.Head, o EarlyOptions) EarlyDecision {
+	index := h.opts.Follow.Index()
+	if index == nil || !h.AdmitsEarly() {
+		return EarlyDecision{}
 	}
-	limits := x.Configuration.Limits
+	limits := index.Configuration.Limits
 	if limits.MaxHeaderBytes > 0 && head.Length > limits.MaxHeaderBytes || limits.MaxBodyBytes > 0 && head.ContentLength > limits.MaxBodyBytes {
-		return Judgement{}
+		return EarlyDecision{}
 	}
 	call, ok := h.opts.Dialect.PeekCall(head.Get)
-	route := x.Route(hostOf(string(head.Host)), string(head.Path))
-	if !ok || !plainID(call.ID) || route == nil || route.Public || len(route.Split) != 1 {
-		return Judgement{}
+	route := index.Route(hostWithoutPort(string(head.Host)), string(head.Path))
+	if !ok || !isPlainID(call.ID) || route == nil || route.Public || len(route.Split) != 1 {
+		return EarlyDecision{}
 	}
-	account, service := x.Account(call.Key), x.Service(route.Split[0].Service)
+	account, service := index.Account(call.Key), index.Service(route.Split[0].Service)
 	if account == nil || service == nil || service.Engine == nil || call.Prompt == nil {
-		return Judgement{}
+		return EarlyDecision{}
 	}
-	admission, err := h.opts.Forward.Admit(&call, service, account, o.Movable)
+	admission, err := h.opts.Forward.Admit(&call, service, account, o.CanHandOver)
 	switch {
 	case err != nil:
-		return Judgement{Verdict: Refused, Answer: h.earlyAnswer(err, call.ID, o.Closes)}
+		return EarlyDecision{Verdict: Refused, Answer: h.earlyAnswer(err, call.ID, o.ClosesConn)}
 	case admission == forward.HandOver:
-		return Judgement{Verdict: HandedOver, ID: call.ID, Account: account.GetName(), Within: route.Timeout}
+		return EarlyDecision{Verdict: HandedOver, ID: call.ID, Account: account.GetName(), Timeout: route.Timeout}
 	default:
-		return Judgement{Verdict: Admitted}
+		return EarlyDecision{Verdict: Admitted}
 	}
 }
 
-// Lost implements EarlyJudge.
-func (h *Handler) Lost(id string) []byte {
-	return h.earlyAnswer(result.New(result.OutcomeUnknown, "the gateway that took the request over is gone"), id, true)
+// LostAnswer implements EarlyAdmission.
+func (h *Handler) LostAnswer(id string) []byte {
+	return h.earlyAnswer(result.New(result.OutcomeUnknown, "the gateway that took over the request has failed"), id, true)
 }
 
-// Busy implements EarlyJudge.
-func (h *Handler) Busy(id string) []byte {
+// BusyAnswer implements EarlyAdmission.
+func (h *Handler) BusyAnswer(id string) []byte {
 	return h.earlyAnswer(h.opts.Forward.OverloadError(), id, false)
 }
 
-// Told implements EarlyJudge.
-func (h *Handler) Told(j Judgement, to HandedTo) {
-	h.opts.Forward.RecordHandOver(forward.HandOverResult{ID: j.ID, Account: j.Account, Peer: to.Peer, Elapsed: to.After, Bytes: to.Bytes, Lost: to.Lost, CallerGone: to.Gone})
+// NoteHandedOver implements EarlyAdmission.
+func (h *Handler) NoteHandedOver(decision EarlyDecision, res HandOverResult) {
+	h.opts.Forward.RecordHandOver(forward.HandOverResult{ID: decision.ID, Account: decision.Account, Peer: res.Peer, Elapsed: res.Elapsed, Bytes: res.Bytes, Lost: res.Lost, CallerGone: res.CallerLeft})
 }
 
-// plainID tells whether an ID can stand in an answer as it is.
-func plainID(id string) bool {
+// isPlainID reports whether an ID needs no escaping in JSON.
+func isPlainID(id string) bool {
 	for _, c := range []byte(id) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
 			return false
@@ -134,10 +129,10 @@
 	return len(id) <= maxPlainID
 }
 
-// earlyAnswer writes the same answer as refuse does.
+// earlyAnswer formats the same response as refuse writes.
 func (h *Handler) earlyAnswer(err error, id string, closes bool) []byte {
 	e := result.Convert(err)
-	body := append([]byte(nil), earlyBodyOf(e)...)
+	body := append([]byte(nil), earlyErrorPrefix(e)...)
 	body = strconv.AppendInt(body, e.RetryAfter.Milliseconds(), 10)
 	body = append(append(append(body, `,"request_id":"`...), id...), "\"}}\n"...)
 	status := result.Lookup(e.Code).Status
@@ -160,26 +155,24 @@
 	return append(b, body...)
 }
 
-// earlyBodies holds the beginnings of the bodies of early answers by code and detail, of which
-// there are a few.
-var earlyBodies sync.Map
+// earlyErrorPrefixes caches the results of earlyErrorPrefix by earlyErrorKey.
+var earlyErrorPrefixes sync.Map
 
-// earlyKey tells the errors apart whose bodies differ in more than time and ID.
-type earlyKey struct {
+type earlyErrorKey struct {
 	code   result.Code
 	detail string
 }
 
-// earlyBodyOf returns the body of an error up to the time after which the caller may return.
-func earlyBodyOf(e *result.ErrResult) []byte {
-	key := earlyKey{e.Code, e.Detail}
-	if body, ok := earlyBodies.Load(key); ok {
+// earlyErrorPrefix returns the JSON body of an error up to the value of retry_after_ms.
+func earlyErrorPrefix(e *result.ErrResult) []byte {
+	key := earlyErrorKey{e.Code, e.Detail}
+	if body, ok := earlyErrorPrefixes.Load(key); ok {
 		return body.([]byte)
 	}
 	info, _ := api.NewError(result.New(e.Code, "%s", e.Detail), "")
 	whole, _ := json.Marshal(info) // numbers and strings only: no error
 	const last = `"retry_after_ms":`
 	body := whole[:bytes.LastIndex(whole, []byte(last))+len(last)]
-	earlyBodies.Store(key, body)
+	earlyErrorPrefixes.Store(key, body)
 	return body
 }
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -23,69 +23,69 @@
 	"madderway/platform"
 )
 
-// refuseKey refuses the requests whose key is the flood's, and admits those whose key is
-// known.
-type refuseKey struct {
-	handler *Handler
-	looked  atomic.Int64
-	told    chan HandedTo
+// keyAdmission decides by the request's key: "flood" is refused, "known" is admitted and "moved"
+// is handed over where possible.
+type keyAdmission struct {
+	handler   *Handler
+	decisions atomic.Int64
+	results   chan HandOverResult
 }
 
-func (r *refuseKey) Judges() bool { return true }
+func (r *keyAdmission) AdmitsEarly() bool { return true }
 
-func (r *refuseKey) Lost(id string) []byte {
+func (r *keyAdmission) LostAnswer(id string) []byte {
 	return r.handler.earlyAnswer(result.New(result.OutcomeUnknown, "lost"), id, true)
 }
 
-func (r *refuseKey) Busy(id string) []byte {
+func (r *keyAdmission) BusyAnswer(id string) []byte {
 	return []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + strconv.Itoa(len(id)) + "\r\n\r\n" + id)
 }
 
-func (r *refuseKey) Told(_ Judgement, h HandedTo) { r.told <- h }
+func (r *keyAdmission) NoteHandedOver(_ EarlyDecision, h HandOverResult) { r.results <- h }
 
-func (r *refuseKey) Look(h *httphead.Head, o LookOptions) Judgement {
-	r.looked.Add(1)
+func (r *keyAdmission) AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision {
+	r.decisions.Add(1)
 	key := make([]string, 1)
 	h.Get(key, "Authorization")
 	switch key[0] {
 	case "Bearer flood":
-		return Judgement{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").WithRetryAfter(notReadyAfter), "id-1", o.Closes)}
+		return EarlyDecision{Verdict: Refused, Answer: r.handler.earlyAnswer(result.New(result.Overloaded, "too many").WithRetryAfter(notReadyRetryAfter), "id-1", o.ClosesConn)}
 	case "Bearer known":
-		return Judgement{Verdict: Admitted}
+		return EarlyDecision{Verdict: Admitted}
 	case "Bearer moved":
-		if o.Movable {
-			return Judgement{Verdict: HandedOver, ID: "id-2"}
+		if o.CanHandOver {
+			return EarlyDecision{Verdict: HandedOver, ID: "id-2"}
 		}
-		return Judgement{Verdict: Admitted}
+		return EarlyDecision{Verdict: Admitted}
 	default:
-		return Judgement{}
+		return EarlyDecision{}
 	}
 }
 
-// serveEarly runs a server that refuses early. Its handler echoes the body, and tells in a
-// header whether the request was admitted before.
-func serveEarly(t *testing.T, most int) (*refuseKey, string) {
+// serveEarly runs a server with early admission. Its handler echoes the body and returns in a
+// header whether the request was admitted early.
+func serveEarly(t *testing.T, maxOpen int) (*keyAdmission, string) {
 	t.Helper()
-	s, early, address := newEarlyServer(t, most)
+	s, early, address := newEarlyServer(t, maxOpen)
 	go func() { _ = s.Serve() }()
 	return early, address
 }
 
-// newEarlyServer is serveEarly but for the serving.
-func newEarlyServer(t *testing.T, most int) (*Server, *refuseKey, string) {
+// newEarlyServer returns the server of serveEarly without running it.
+func newEarlyServer(t *testing.T, maxOpen int) (*Server, *keyAdmission, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("Admitted", fmt.Sprint(takeAdmitted(r.Context())))
+		w.Header().Set("Admitted", fmt.Sprint(consumeAdmitted(r.Context())))
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
 	})
-	s := NewServer(log.New("callers"), l, echo, most, &netopt.Traffic{})
-	early := &refuseKey{told: make(chan HandedTo, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
-	s.JudgeEarly(early)
+	s := NewServer(log.New("callers"), l, echo, maxOpen, &netopt.Traffic{})
+	early := &keyAdmission{results: make(chan HandOverResult, 8), handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}}
+	s.SetEarlyAdmission(early)
 	t.Cleanup(s.Close)
 	return s, early, l.Addr().String()
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// answer reads the next answer.
+// answer reads the next response.
 func (c *caller) answer() (status int, body string, header http.Header) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -124,15 +124,15 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if resp.Close { // the library takes the field out
+	if resp.Close { // http.ReadResponse removes the header
 		resp.Header.Set("Connection", "close")
 	}
 	return resp.StatusCode, string(b), resp.Header
 }
 
-// A refused request is read to its end and the next one on the same connection is judged
-// anew, also where the HTTP server has served one in between.
-func TestEarlyRefusalKeepsTheConnection(t *testing.T) {
+// A refused request must be read to its end; the next one on the connection is decided on its
+// own, also after the HTTP server has served one.
+func TestEarlyRefusalKeepsConnection(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	c := newCaller(t, address)
 	for _, size := range []int{0, 10, 5000, 100_000} {
@@ -146,7 +146,7 @@
 	if status, body, header := c.answer(); status != http.StatusOK || body != "first" || header.Get("Admitted") != "true" {
 		t.Fatalf("status %d, %q, %v", status, body, header)
 	}
-	looked := early.looked.Load()
+	looked := early.decisions.Load()
 	c.send(post("flood", "second"))
 	if status, body, header := c.answer(); status != http.StatusServiceUnavailable || !strings.Contains(body, `"code":2010`) {
 		t.Errorf("status %d, %q, %v", status, body, header)
@@ -155,20 +155,20 @@
 	if status, body, header := c.answer(); status != http.StatusOK || body != "third" || header.Get("Admitted") != "false" {
 		t.Errorf("status %d, %q, %v", status, body, header)
 	}
-	if n := early.looked.Load() - looked; n != 2 {
-		t.Errorf("%d of two requests were looked at", n)
+	if n := early.decisions.Load() - looked; n != 2 {
+		t.Errorf("got %d early decisions, want 2", n)
 	}
 }
 
-// Of a request whose beginning the HTTP server has read ahead, with the bytes of the one
-// before or while that was served, the rest is never taken for a request of its own.
-func TestRequestReadAheadIsTheServers(t *testing.T) {
+// If the HTTP server has read the beginning of a request, the rest of it must not be taken for
+// another request.
+func TestReadAheadBytesAreNotParsedEarly(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	inner := post("flood", "inner")
 	outer := post("other", inner)
 	for at := 1; at < len(outer); at += 7 {
 		c := newCaller(t, address)
-		looked := early.looked.Load()
+		looked := early.decisions.Load()
 		c.send(post("other", "first") + outer[:at])
 		if status, body, _ := c.answer(); status != http.StatusOK || body != "first" {
 			t.Fatalf("split at %d: status %d, %q", at, status, body)
@@ -177,17 +177,17 @@
 		if status, body, _ := c.answer(); status != http.StatusOK || body != inner {
 			t.Fatalf("split at %d: status %d, %q", at, status, body)
 		}
-		if n := early.looked.Load() - looked; n != 0 {
-			t.Fatalf("split at %d: looked at %d requests that are not whole", at, n)
+		if n := early.decisions.Load() - looked; n != 0 {
+			t.Fatalf("split at %d: got %d early decisions on partial requests, want 0", at, n)
 		}
 		_ = c.Close()
 	}
 }
 
-// An early answer says the same as that of the HTTP server.
-func TestEarlyAnswerIsTheOrdinaryOne(t *testing.T) {
+// An early response must equal that of the HTTP server.
+func TestEarlyAnswerMatchesRefuse(t *testing.T) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
-	err := result.New(result.Overloaded, "asked for more than it can serve").WithRetryAfter(notReadyAfter)
+	err := result.New(result.Overloaded, "asked for more than it can serve").WithRetryAfter(notReadyRetryAfter)
 	want := httptest.NewRecorder()
 	h.refuse(want, "id-1", err)
 	resp, readErr := http.ReadResponse(bufio.NewReader(bytes.NewReader(h.earlyAnswer(err, "id-1", false))), nil)
@@ -197,18 +197,18 @@
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
 	if resp.StatusCode != want.Code || string(body) != want.Body.String() {
-		t.Errorf("status %d, %s; the HTTP server's is %d, %s", resp.StatusCode, body, want.Code, want.Body)
+		t.Errorf("got status %d, %s; want that of the HTTP server, %d, %s", resp.StatusCode, body, want.Code, want.Body)
 	}
 	for _, name := range []string{"Content-Type", "Retry-After"} {
 		if got := resp.Header.Get(name); got == "" || got != want.Header().Get(name) {
-			t.Errorf("%s is %q, the HTTP server's %q", name, got, want.Header().Get(name))
+			t.Errorf("got %s %q, want that of the HTTP server, %q", name, got, want.Header().Get(name))
 		}
 	}
 }
 
-// A request inside the body of another, or behind another in the same bytes, is never taken
-// for a request of its own before the HTTP server has parsed what comes first.
-func TestEarlyRefusalSeesNoSmuggledRequest(t *testing.T) {
+// A request within or behind another one must not be decided before the HTTP server has parsed
+// the first: request smuggling.
+func TestEarlyRefusalIgnoresRequestsInBodies(t *testing.T) {
 	early, address := serveEarly(t, 10)
 	inner := post("flood", "inner")
 	c := newCaller(t, address)
@@ -217,7 +217,7 @@
 		t.Fatalf("status %d, %q", status, body)
 	}
 	c = newCaller(t, address)
-	c.send(post("flood", inner)) // dropped with the request that it is the body of
+	c.send(post("flood", inner)) // the body is discarded
 	if status, _, _ := c.answer(); status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", status)
 	}
@@ -225,7 +225,7 @@
 	if status, body, _ := c.answer(); status != http.StatusOK || body != "next" {
 		t.Fatalf("status %d, %q: the body of a refused request was taken for a request", status, body)
 	}
-	looked := early.looked.Load()
+	looked := early.decisions.Load()
 	c = newCaller(t, address)
 	c.send(post("flood", "a") + post("flood", "b"))
 	for _, want := range []string{"a", "b"} {
@@ -233,8 +233,8 @@
 			t.Errorf("pipelined: status %d, %q", status, body)
 		}
 	}
-	if early.looked.Load() != looked {
-		t.Error("the first of two requests in the same bytes was looked at")
+	if early.decisions.Load() != looked {
+		t.Error("the first of two pipelined requests was decided early")
 	}
 	c = newCaller(t, address)
 	c.send("POST /x HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer flood\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
@@ -243,8 +243,8 @@
 	}
 }
 
-// Where little room is left an early refusal ends its connection.
-func TestEarlyRefusalLeavesRoom(t *testing.T) {
+// Early refusals must not let idle connections use up the limit.
+func TestEarlyRefusalClosesConnectionNearLimit(t *testing.T) {
 	_, address := serveEarly(t, 4)
 	var kept []*caller
 	for range 20 {
@@ -256,13 +256,13 @@
 		}
 		if header.Get("Connection") == "close" {
 			if _, err := c.reader.ReadByte(); err != io.EOF {
-				t.Fatalf("the connection goes on: %v", err)
+				t.Fatalf("the connection is still open after Connection: close: %v", err)
 			}
 			continue
 		}
 		kept = append(kept, c)
 	}
 	if len(kept) > 3 {
-		t.Errorf("%d of 4 connections are kept", len(kept))
+		t.Errorf("got %d of 4 connections kept open, want at most 3", len(kept))
 	}
 }
--- a/handlers/gateway/refuse_bench_test.go
+++ b/handlers/gateway/refuse_bench_test.go
@@ -17,11 +17,11 @@
 	"madderway/platform"
 )
 
-// refuser refuses each request before its body is read, and keeps its connection.
+// refuser refuses each request before its body is read, and keeps its connection open.
 var refuser = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	h := &Handler{opts: Options{Dialect: platform.Dialect{}}}
 	call := h.opts.Dialect.ReadCall(r.Header)
-	h.refuse(w, call.ID, result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(notReadyAfter))
+	h.refuse(w, call.ID, result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(notReadyRetryAfter))
 })
 
 func benchmarkRefusal(b *testing.B, body int, kept, early bool) {
@@ -31,7 +31,7 @@
 	}
 	s := NewServer(log.New("callers"), l, refuser, 100, &netopt.Traffic{})
 	if early {
-		s.JudgeEarly(&refuseKey{handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}})
+		s.SetEarlyAdmission(&keyAdmission{handler: &Handler{opts: Options{Dialect: platform.Dialect{}}}})
 	}
 	go func() { _ = s.Serve() }()
 	defer s.Close()
@@ -58,8 +58,8 @@
 	}
 }
 
-// BenchmarkRefusal times a refusal, the client's side and the kernel included, through the
-// HTTP server and before it.
+// BenchmarkRefusal compares refusals by the HTTP server with early ones, including the
+// client's side and the kernel.
 func BenchmarkRefusal(b *testing.B) {
 	for _, early := range []bool{false, true} {
 		for _, kept := range []bool{true, false} {
--- a/handlers/gateway/server_test.go
+++ b/handlers/gateway/server_test.go
@@ -18,13 +18,13 @@
 	"madderway/modules/netopt"
 )
 
-// flaky is a listener whose first accepts fail, as where descriptors are gone.
-type flaky struct {
+// flakyListener fails the first accepts, as when file descriptors run out.
+type flakyListener struct {
 	net.Listener
 	failures int
 }
 
-func (f *flaky) Accept() (net.Conn, error) {
+func (f *flakyListener) Accept() (net.Conn, error) {
 	if f.failures > 0 {
 		f.failures--
 		return nil, errors.New("too many open files")
@@ -32,19 +32,19 @@
 	return f.Listener.Accept()
 }
 
-func serve(t *testing.T, failures, most int, h http.Handler) (*Server, string) {
+func serve(t *testing.T, failures, maxOpen int, h http.Handler) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(log.New("callers"), &flaky{l, failures}, h, most, &netopt.Traffic{})
+	s := NewServer(log.New("callers"), &flakyListener{l, failures}, h, maxOpen, &netopt.Traffic{})
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve() }()
 	t.Cleanup(func() {
 		s.Close()
 		if err := <-ended; err != nil {
-			t.Errorf("the server ended by itself: %v", err)
+			t.Errorf("Serve returned %v before Close", err)
 		}
 	})
 	return s, l.Addr().String()
@@ -72,61 +72,60 @@
 	return c
 }
 
-var ok = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+var okHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 
-// A process that runs out of descriptors goes on when there are some again.
-func TestWantOfDescriptorsPasses(t *testing.T) {
-	_, address := serve(t, 3, 10, ok)
+// A lack of file descriptors must not end the server.
+func TestServerRetriesFailedAccept(t *testing.T) {
+	_, address := serve(t, 3, 10, okHandler)
 	if got := ask(t, dial(t, address)); got != http.StatusOK {
-		t.Errorf("status %d", got)
+		t.Errorf("got status %d after failed accepts, want 200", got)
 	}
 }
 
-func TestConnectionsBeyondTheLimitAreRefused(t *testing.T) {
-	s, address := serve(t, 0, 2, ok)
+func TestServerRefusesConnectionsBeyondLimit(t *testing.T) {
+	s, address := serve(t, 0, 2, okHandler)
 	one, two := dial(t, address), dial(t, address)
 	if ask(t, one) != http.StatusOK || ask(t, two) != http.StatusOK {
 		t.Fatal("a connection within the limit was refused")
 	}
 	if got := ask(t, dial(t, address)); got != http.StatusServiceUnavailable && got != 0 {
-		t.Errorf("status %d of a connection beyond the limit", got)
+		t.Errorf("got status %d on a connection beyond the limit, want 503", got)
 	}
 	_ = one.Close()
 	for s.Open() > 1 { // until the server has seen the end
 	}
 	if got := ask(t, dial(t, address)); got != http.StatusOK {
-		t.Errorf("status %d after a connection ended", got)
+		t.Errorf("got status %d after a connection ended, want 200", got)
 	}
 }
 
-// Callers that keep idle connections do not use up the limit: from a part of it on each
-// answer ends its connection, so that there is room for new ones.
-func TestKeptConnectionsLeaveRoom(t *testing.T) {
-	const most = 8
-	s, address := serve(t, 0, most, ok)
-	for i := range 5 * most {
+// Idle connections of callers must not use up the limit.
+func TestServerClosesConnectionsNearLimit(t *testing.T) {
+	const maxOpen = 8
+	s, address := serve(t, 0, maxOpen, okHandler)
+	for i := range 5 * maxOpen {
 		before := s.Open()
 		if got := ask(t, dial(t, address)); got != http.StatusOK {
-			t.Fatalf("connection %d was answered by status %d, %d are open", i, got, before)
+			t.Fatalf("connection %d got status %d with %d open, want 200", i, got, before)
 		}
-		for s.Open() > most-most/roomPart { // until the server has closed it
+		for s.Open() > maxOpen-maxOpen/reservedFraction { // until the server has closed it
 		}
 	}
-	if s.TurnedAway() != 0 || s.Open() < most/2 {
-		t.Errorf("%d turned away, %d open", s.TurnedAway(), s.Open())
+	if s.TurnedAway() != 0 || s.Open() < maxOpen/2 {
+		t.Errorf("got %d connections turned away and %d open, want none turned away and at least half of the limit open", s.TurnedAway(), s.Open())
 	}
 }
 
-// New limits hold for new connections; old ones go on.
-func TestLimitsChangeWhileServing(t *testing.T) {
-	s, address := serve(t, 0, 10, ok)
+// New limits must not cut open connections.
+func TestSetLimitsAppliesToNewConnections(t *testing.T) {
+	s, address := serve(t, 0, 10, okHandler)
 	old := dial(t, address)
 	if ask(t, old) != http.StatusOK {
-		t.Fatal("no answer")
+		t.Fatal("no answer before the change")
 	}
 	s.SetLimits(routing.Limits{MaxHeaderBytes: 100, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 	if ask(t, old) != http.StatusOK {
-		t.Error("a connection from before the change was cut")
+		t.Error("a connection opened before the change was cut")
 	}
 	c := dial(t, address)
 	go func() {
@@ -138,6 +137,6 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("status %d of a header beyond the new limit", resp.StatusCode)
+		t.Errorf("got status %d for a header beyond the new limit, want 431", resp.StatusCode)
 	}
 }
--- a/router/gatewaystate.go
+++ b/router/gatewaystate.go
@@ -19,25 +19,25 @@
 	"madderway/services/mesh"
 )
 
-// GatewayDump is the state of a gateway process.
+// GatewayDump is the state of a gateway process, as operators see it.
 type GatewayDump struct {
-	ID          string     `json:"id"`
-	Incarnation uint64     `json:"incarnation"`
-	DataHall    string     `json:"data_hall"`
-	Ready       bool       `json:"ready"`
-	Draining    bool       `json:"draining"`
-	Open        int        `json:"open_requests"`
-	Relaying    int        `json:"handed_over_requests"`
-	Callers     int        `json:"caller_connections"`
-	TurnedAway  uint64     `json:"caller_connections_turned_away_total"`
-	Targets     int        `json:"targets"`
-	Leaving     []string   `json:"leaving_targets,omitempty"` // Leaving are those of the targets that leave.
-	Evacuated   []string   `json:"evacuated_data_halls,omitempty"`
-	StoreCalls  uint64     `json:"store_calls_total"`
-	PeerFetches uint64     `json:"peer_fetches_total"`
-	Dials       uint64     `json:"target_connections_total"`
-	Mesh        mesh.State `json:"mesh"`
-	// Quarantined are the requests that are refused since targets ended under them.
+	ID                string     `json:"id"`
+	Incarnation       uint64     `json:"incarnation"`
+	DataHall          string     `json:"data_hall"`
+	Ready             bool       `json:"ready"`
+	Draining          bool       `json:"draining"`
+	InFlight          int        `json:"open_requests"`
+	HandedOver        int        `json:"handed_over_requests"`
+	CallerConnections int        `json:"caller_connections"`
+	TurnedAway        uint64     `json:"caller_connections_turned_away_total"`
+	Targets           int        `json:"targets"`
+	Leaving           []string   `json:"leaving_targets,omitempty"` // IDs
+	Evacuated         []string   `json:"evacuated_data_halls,omitempty"`
+	StoreCalls        uint64     `json:"store_calls_total"`
+	PeerFetches       uint64     `json:"peer_fetches_total"`
+	TargetConnections uint64     `json:"target_connections_total"`
+	Mesh              mesh.State `json:"mesh"`
+	// Requests that are refused because targets died while running them.
 	Quarantined int    `json:"quarantined_requests"`
 	Goroutines  int    `json:"goroutines"`
 	HeapBytes   uint64 `json:"heap_bytes"`
@@ -50,13 +50,13 @@
 	calls, fetches := g.follow.CallCounts()
 	return GatewayDump{
 		ID: g.self.ID, Incarnation: g.self.Incarnation, DataHall: g.self.DataHall, Ready: g.Ready(), Draining: g.isDraining(),
-		Open: g.open(), Relaying: g.callers.Relaying(), Callers: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, Dials: g.pool.Dials(),
-		Mesh: g.loop.State(), Quarantined: g.requests.Standings()[quarantine.Quarantined], Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
+		InFlight: g.inFlight(), HandedOver: g.callers.HandedOver(), CallerConnections: g.callers.Open(), TurnedAway: g.callers.TurnedAway(), Targets: len(g.follow.Targets().Targets), Leaving: g.follow.Targets().LeavingIDs(), Evacuated: g.follow.Evacuated(), StoreCalls: calls, PeerFetches: fetches, TargetConnections: g.pool.Dials(),
+		Mesh: g.loop.State(), Quarantined: g.quarantine.Standings()[quarantine.Quarantined], Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
 	}
 }
 
-// figures returns the handler of metrics and dumps.
-func (g *Gateway) figures() http.Handler {
+// operatorHandler serves metrics and dumps.
+func (g *Gateway) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { g.WriteMetrics(w) })
 	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, _ *http.Request) {
@@ -66,21 +66,21 @@
 	return mux
 }
 
-// WriteMetrics writes the gateway's figures in text form.
+// WriteMetrics writes the gateway's metrics in the text format.
 func (g *Gateway) WriteMetrics(w io.Writer) {
 	g.forward.WriteMetrics(w)
 	g.follow.WriteMetrics(w)
 	g.loop.WriteMetrics(w)
-	g.requests.WriteMetrics(w)
+	g.quarantine.WriteMetrics(w)
 	g.notices.WriteMetrics(w)
 	d := g.Dump()
 	gauge := func(name string, v any) { fmt.Fprintf(w, "madderway_gateway_%s %v\n", name, v) }
-	gauge("ready", boolNumber(d.Ready))
-	gauge("draining", boolNumber(d.Draining))
-	gauge("open_requests", d.Open)
-	gauge("handed_over_requests", d.Relaying)
-	gauge("carried_bytes_total", g.carried.Sent.Load()+g.carried.Received.Load())
-	gauge("caller_connections", d.Callers)
+	gauge("ready", boolToInt(d.Ready))
+	gauge("draining", boolToInt(d.Draining))
+	gauge("open_requests", d.InFlight)
+	gauge("handed_over_requests", d.HandedOver)
+	gauge("carried_bytes_total", g.relayMeter.Sent.Load()+g.relayMeter.Received.Load())
+	gauge("caller_connections", d.CallerConnections)
 	gauge("caller_connections_turned_away_total", d.TurnedAway)
 	gauge("targets", d.Targets)
 	gauge("leaving_targets", len(d.Leaving))
@@ -91,12 +91,12 @@
 	gauge("configuration_age_seconds", d.Mesh.Versions.ConfigurationAge.Seconds())
 	gauge("targets_revision", d.Mesh.Versions.Targets)
 	gauge("targets_age_seconds", d.Mesh.Versions.TargetsAge.Seconds())
-	gauge("watches_store", boolNumber(d.Mesh.Watches))
+	gauge("watches_store", boolToInt(d.Mesh.Watches))
 	gauge("store_calls_total", d.StoreCalls)
 	gauge("standstills_total", g.standstill.count.Load())
 	gauge("suspended_seconds_total", clock.Suspended().Seconds())
 	gauge("peer_fetches_total", d.PeerFetches)
-	gauge("target_connections_total", d.Dials)
+	gauge("target_connections_total", d.TargetConnections)
 	gauge("placements_pending", d.Mesh.Pending)
 	gauge("requests_at_engines", d.Mesh.Running)
 	gauge("control_seconds_total", d.Mesh.Busy.Seconds())
@@ -114,6 +114,6 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// Traffic returns the bytes sent to peers, with packet headers, and the time
-// spent on control.
+// Traffic returns the bytes sent to peers, including packet headers, and the time spent on
+// control.
 func (g *Gateway) Traffic() (bytes uint64, busy time.Duration) { return g.meter.Bytes(), g.loop.Busy() }
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -13,58 +13,50 @@
 	"madderway/router"
 )
 
-// A request crashed each model worker that began to run it, and its caller sent it again
-// and again, to whichever gateway the load balancer chose. Each gateway took each try for
-// a new request: all it knew of a request was forgotten with the answer. Under three
-// requests of one account 18, 13 and 18 workers of nine ended in 80 seconds, and with each
-// of them the 3 to 17 other streams that ran there. What one gateway wrote, ten times in
-// eight seconds with other IDs and targets:
-//
-//	front-1: Request failed. account="davo520" route="r-tbstw73" target="i-9ef93dc8db" sent=1 first="0s" after="175ms" tokens=3111 code="outcome_unknown"
-//
-// A request under which three workers have ended is not sent to another one, at any
-// gateway, and other requests go on. Three more may have left gateways that had not heard
-// of it yet.
-func TestRequestThatEndsTargetsIsNotSentOn(t *testing.T) {
+// A poison request must be refused by all gateways after three deaths of targets, however often
+// its caller repeats it; other requests are served.
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	for _, kind := range platform.Kinds() {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
-			endTargets(t, kind)
+			sendPoisonToAll(t, kind)
 		})
 	}
 }
 
-// The same while the store is away: what gateways tell each other does not need it.
-func TestRequestThatEndsTargetsIsNotSentOnWithoutStore(t *testing.T) {
+// Gateways must share quarantines without the store.
+func TestPoisonRequestIsQuarantinedWithoutStore(t *testing.T) {
 	t.Parallel()
-	site := endingSite(t, 4)
+	site := newPoisonSite(t, 4)
 	site.StoreAway(true)
-	sendEnding(t, site, 4, platform.Kinds()[0])
+	sendPoison(t, site, 4, platform.Kinds()[0])
 }
 
-// A request that a short gateway hands over is judged by the one that serves it.
-func TestHandedOverRequestThatEndsTargetsIsNotSentOn(t *testing.T) {
+// A poison request that an overloaded gateway hands over must be quarantined too.
+func TestHandedOverPoisonRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	site := endingSite(t, 6)
+	site := newPoisonSite(t, 6)
 	stop := make(chan struct{})
 	var reporter sync.WaitGroup
-	reporter.Go(func() { beLate(site.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop) }) // gateway 3 stands in the same hall
-	sendEnding(t, site, 1, platform.Kinds()[0])
+	reporter.Go(func() {
+		reportLateness(site.Gateway(0), func(*router.Gateway) time.Duration { return time.Second }, stop)
+	}) // gateway 3, in the same data hall, takes over
+	sendPoison(t, site, 1, platform.Kinds()[0])
 	close(stop)
 	reporter.Wait()
 	var figures strings.Builder
 	site.Gateway(0).WriteMetrics(&figures)
 	if strings.Contains(figures.String(), "\nmadderway_gateway_handed_over_total 0\n") {
-		t.Error("nothing was handed over")
+		t.Error("no request was handed over")
 	}
 }
 
-// Gateways that have all ended at once know from the store what they refused.
-func TestQuarantineOutlivesTheFleet(t *testing.T) {
+// Quarantines must survive the end of all gateways, by the store.
+func TestQuarantineSurvivesFleetRestart(t *testing.T) {
 	t.Parallel()
-	site := endingSite(t, 4)
+	site := newPoisonSite(t, 4)
 	kind := platform.Kinds()[0]
-	sendEnding(t, site, 4, kind)
+	sendPoison(t, site, 4, kind)
 	site.KillGateways()
 	if err := site.AwaitReady(10 * time.Second); err != nil {
 		t.Fatal(err)
@@ -73,27 +65,27 @@
 	for gateway := range 4 {
 		for end := time.Now().Add(20 * time.Second); site.Gateway(gateway).Dump().Quarantined == 0; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("gateway %d does not hear what was refused", gateway)
+				t.Fatalf("gateway %d did not load the quarantine", gateway)
 			}
 		}
 		if refused, _ := site.AskEnding(t.Context(), gateway, kind, "account-0", uint64(1000+gateway)); !refused {
-			t.Errorf("gateway %d does not refuse the request", gateway)
+			t.Errorf("gateway %d did not refuse the request", gateway)
 		}
 	}
 	if n := site.Endings() - before; n > 0 {
-		t.Errorf("%d more targets ended", n)
+		t.Errorf("got %d more deaths of targets, want 0", n)
 	}
 }
 
 const (
-	enough   = 3 // enough targets have ended under a request to refuse it
-	underWay = 3 // underWay is how many more sends may have left before all know.
-	rounds   = 8 // rounds is how often each gateway is asked.
+	deathsToQuarantine = 3
+	maxInFlight        = 3 // sends that may start before all gateways know
+	rounds             = 8 // requests to each gateway
 )
 
-func endTargets(t *testing.T, kind platform.Kind) { sendEnding(t, endingSite(t, 4), 4, kind) }
+func sendPoisonToAll(t *testing.T, kind platform.Kind) { sendPoison(t, newPoisonSite(t, 4), 4, kind) }
 
-func endingSite(t *testing.T, gateways int) *platform.Site {
+func newPoisonSite(t *testing.T, gateways int) *platform.Site {
 	site, err := platform.Start(platform.Options{Gateways: gateways, Models: 4, Plains: 4, Accounts: 2, Length: time.Minute, Seed: 7})
 	if err != nil {
 		t.Fatal(err)
@@ -105,8 +97,8 @@
 	return site
 }
 
-// sendEnding sends a request that ends targets to each of some gateways in turn.
-func sendEnding(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
+// sendPoison sends a poison request to gateways in turn, each followed by an ordinary one.
+func sendPoison(t *testing.T, site *platform.Site, gateways int, kind platform.Kind) {
 	seed := uint64(0)
 	refusals, after := 0, time.Duration(0)
 	for range rounds {
@@ -125,11 +117,11 @@
 			site.AskAt(t.Context(), gateway, "account-1", seed)
 		}
 	}
-	if n := site.Endings(); n < enough || n > enough+underWay {
-		t.Errorf("%d targets ended under one request, want %d and at most %d more", n, enough, underWay)
+	if n := site.Endings(); n < deathsToQuarantine || n > deathsToQuarantine+maxInFlight {
+		t.Errorf("got %d deaths of targets by one request, want %d and at most %d more", n, deathsToQuarantine, maxInFlight)
 	}
 	if refusals < gateways || after < time.Minute {
-		t.Errorf("the last %d tries were refused, the last one for %v", refusals, after)
+		t.Errorf("got the last %d tries refused, the last one with a retry delay of %v, want a refusal by each gateway and at least a minute", refusals, after)
 	}
 	for _, b := range site.Broken() {
 		t.Error(b)
--- a/router/router.go
+++ b/router/router.go
@@ -1,8 +1,11 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package router assembles one madderway router from its parts. It is the
-// library that the thin daemon runs; other programs can embed it.
+// Package router assembles routers and gateways from their services.
+//
+// Start runs a Router, which schedules requests to model engines and plain services by the
+// configuration in the platform's table. StartGateway runs a Gateway, which forwards requests
+// unchanged to the targets that the platform lists. Other programs can embed both.
 package router
 
 import (
@@ -47,12 +50,12 @@
 )
 
 const (
-	// leaveDelay lets the balancer and the peers see that this router leaves
-	// before it refuses anything.
+	// Time for the balancer and the peers to learn that this router leaves before it refuses
+	// requests.
 	leaveDelay = 200 * time.Millisecond
 )
 
-// Router is one running router.
+// Router is a running router.
 type Router struct {
 	t        tomb.Tomb
 	log      log.Logger
@@ -60,32 +63,31 @@
 	clock    clock.Clock
 	self     member.Record
 
-	meter    *peernet.Meter
-	server   *peernet.Server
-	loop     *control.Loop
-	requests *quarantine.Service // requests are those under which targets ended.
-	notices  *notice.Service     // notices are what targets have said of themselves.
-	config   *config.Service
-	peers    *peer.Service
-	claims   *claim.Service
-	answers  *answer.Store
-	dispatch *dispatch.Service
-	engine   *engine.Client
-	book     *trace.Recorder
-	orders   *order.Service
+	meter      *peernet.Meter
+	server     *peernet.Server
+	loop       *control.Loop
+	quarantine *quarantine.Service
+	notices    *notice.Service
+	config     *config.Service
+	peers      *peer.Service
+	claims     *claim.Service
+	answers    *answer.Store
+	dispatch   *dispatch.Service
+	engine     *engine.Client
+	traces     *trace.Recorder
+	orders     *order.Service
 
-	caller     *caller.Handler
-	callerHTTP *http.Server
-	operHTTP   *http.Server
+	caller       *caller.Handler
+	callerHTTP   *http.Server
+	operatorHTTP *http.Server
 
 	drainOnce sync.Once
 	draining  chan struct{}
 	stopped   chan struct{}
-	assembled chan struct{} // assembled is closed once all parts are there.
+	assembled chan struct{} // closed once assemble has set the fields that callbacks use
 }
 
-// Start builds a router and starts it. It returns an error where a listener or
-// a key cannot be had.
+// Start builds and starts a router. It fails if it cannot listen or load a key.
 func Start(s *setting.Settings) (*Router, error) {
 	r := &Router{
 		settings: s, clock: clock.System{}, log: log.New("router").With(s.Router.ID),
@@ -132,40 +134,40 @@
 	return out, nil
 }
 
-// assemble builds the parts from the peers' side to the callers' side.
+// assemble builds the services, from those towards the peers to those towards the callers.
 func (r *Router) assemble(auth *peernet.Auth, peerListener net.Listener) {
 	s, id := r.settings, r.settings.Router.ID
 	table := platform.NewHTTPTable(s.Platform.TableURL, s.Platform.Timeout.Duration)
 	objects := platform.NewHTTPObjects(s.Platform.ObjectURL, s.Platform.Timeout.Duration)
 	r.engine = engine.NewClient(s.Platform.Timeout.Duration)
-	r.book = trace.NewRecorder(id, r.clock, s.Control.TraceSize)
+	r.traces = trace.NewRecorder(id, r.clock, s.Control.TraceSize)
 	r.peers = peer.New()
-	// A duty that never ends keeps the tomb alive while parts are added.
+	// The tomb would die if all its goroutines ended before the next one is added.
 	r.t.Go(r.closeAtEnd)
 	r.config = config.New(&r.t, log.New("config").With(id), config.Options{
 		Clock: r.clock, Table: table, Objects: objects, Peers: r.peers, Isolation: s.Platform.Isolation.Duration,
 		PollHead: s.Platform.PollHead.Duration, Timeout: s.Platform.Timeout.Duration, OnAdopt: r.adopt,
 	})
-	r.requests = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
+	r.quarantine = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
 		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.TellRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, MetricsPrefix: "madderway"})
 	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.PauseTarget(target, "", rest) }
 	r.loop = control.NewLoop(&r.t, log.New("control").With(id), r.controlOptions(auth))
 	close(r.assembled)
-	r.peers.Attach(r.loop, r.config, r.book)
+	r.peers.Attach(r.loop, r.config, r.traces)
 	r.server = peernet.NewServer(&r.t, log.New("peer").With(id), auth, r.meter, peerListener, r.peers)
 	r.claims = claim.New(&r.t, log.New("claim").With(id), claim.Options{
-		Clock: r.clock, Table: table, Timeout: s.Platform.Timeout.Duration, Gone: r.memberGone,
+		Clock: r.clock, Table: table, Timeout: s.Platform.Timeout.Duration, Gone: r.memberIsDead,
 	})
-	r.claims.Sweep(r.sweeps)
+	r.claims.Sweep(r.isSweeper)
 	r.answers = answer.NewStore(&r.t, log.New("answer").With(id), answer.Options{
 		Clock: r.clock, Objects: objects, Kept: s.Answer.Kept.Duration, MaxBytes: s.Answer.MaxBytes, Timeout: s.Platform.Timeout.Duration,
 	})
 	r.dispatch = dispatch.New(&r.t, log.New("dispatch").With(id), dispatch.Options{
 		RouterID: id, Incarnation: r.self.Incarnation, DataHall: s.Router.DataHall, Clock: r.clock, Loop: r.loop,
 		Config: r.config, Engine: r.engine, Claims: r.claims, Answers: r.answers, Signer: answer.NewSigner(s.Answer.ResumeKey),
-		Trace: r.book, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimRetention: s.Platform.ClaimKept.Duration, Quarantine: r.requests,
+		Trace: r.traces, RetryRatio: s.Control.RetryRatio, RetryBurst: s.Control.RetryBurst, ClaimRetention: s.Platform.ClaimKept.Duration, Quarantine: r.quarantine,
 		Notices: r.notices,
 	})
 	r.orders = order.New(log.New("order").With(id), order.Options{
@@ -175,7 +177,7 @@
 	membership.New(&r.t, log.New("member").With(id), membership.Options{
 		Clock: r.clock, VMs: platform.NewHTTPVMs(s.Platform.VMListURL, s.Platform.Timeout.Duration), Engine: r.engine, Loop: r.loop,
 		PollList: s.Platform.PollVMs.Duration, PollLoad: s.Platform.PollLoad.Duration, Timeout: s.Platform.Timeout.Duration,
-		Targets: r.polledTargets, PoolKind: r.kindOf,
+		Targets: r.polledTargets, PoolKind: r.poolKind,
 	})
 }
 
@@ -194,7 +196,7 @@
 			Self: reporter, TallyInterval: c.TallyInterval.Duration, TallyBudget: c.TallyBudget,
 		},
 		ReserveShare: c.ReserveShare, Versions: r.config, DialTimeout: r.settings.Peer.DialTimeout.Duration, Ring: r.settings.Peer.Ring,
-		Requests: r.requests,
+		Requests: r.quarantine,
 	}
 }
 
@@ -203,8 +205,8 @@
 	r.loop.SetIndex(s.Index)
 }
 
-// polledTargets are those that this router schedules; the naive dispatcher
-// looks at all by itself.
+// polledTargets returns the targets whose load is polled: those that this router schedules, or
+// all with the naive dispatcher.
 func (r *Router) polledTargets() []*conf.Target {
 	if r.settings.Control.Dispatch != setting.DispatchNaive {
 		return r.loop.Owned()
@@ -220,7 +222,7 @@
 	return all
 }
 
-func (r *Router) kindOf(pool string) conf.PoolKind {
+func (r *Router) poolKind(pool string) conf.PoolKind {
 	s := r.config.Snapshot()
 	if s == nil {
 		return ""
@@ -232,8 +234,8 @@
 	return p.Kind
 }
 
-// memberGone tells whether an incarnation of a router is known to be dead.
-func (r *Router) memberGone(id string, incarnation uint64) bool {
+// memberIsDead reports whether an incarnation of a router is known to be dead.
+func (r *Router) memberIsDead(id string, incarnation uint64) bool {
 	if id == r.self.ID {
 		return incarnation != r.self.Incarnation
 	}
@@ -245,9 +247,9 @@
 	return false
 }
 
-// sweeps tells whether this router deletes expired rows: the live one with the
-// lowest ID does.
-func (r *Router) sweeps() bool {
+// isSweeper reports whether this router deletes expired rows: the live router with the lowest ID
+// does.
+func (r *Router) isSweeper() bool {
 	for _, m := range r.loop.Members() {
 		if m.State == member.StateAlive && m.ID < r.self.ID {
 			return false
@@ -267,9 +269,9 @@
 		RouterID: s.Router.ID, TokenSHA256: s.Operator.TokenSHA256, Config: r.config, Peers: r.peers, Orders: r.orders,
 		Ready: r.Ready, Dump: func() any { return r.Dump() }, Metrics: r.writeMetrics, Drain: func() { go r.Drain() }, Status: r.fillStatus,
 	})
-	r.operHTTP = &http.Server{Handler: oper.Routes(), MaxHeaderBytes: s.Caller.MaxHeaderBytes, ReadTimeout: time.Minute}
+	r.operatorHTTP = &http.Server{Handler: oper.Routes(), MaxHeaderBytes: s.Caller.MaxHeaderBytes, ReadTimeout: time.Minute}
 	r.t.Go(func() error { return serveHTTP(r.callerHTTP, callers) })
-	r.t.Go(func() error { return serveHTTP(r.operHTTP, operators) })
+	r.t.Go(func() error { return serveHTTP(r.operatorHTTP, operators) })
 }
 
 func serveHTTP(s *http.Server, l net.Listener) error {
@@ -282,12 +284,12 @@
 func (r *Router) closeAtEnd() error {
 	<-r.t.Dying()
 	_ = r.callerHTTP.Close()
-	_ = r.operHTTP.Close()
+	_ = r.operatorHTTP.Close()
 	r.engine.Close()
 	return nil
 }
 
-// Ready returns why the router takes no requests, or nil.
+// Ready returns nil, or the reason why the router accepts no requests.
 func (r *Router) Ready() error {
 	select {
 	case <-r.draining:
@@ -297,8 +299,8 @@
 	}
 }
 
-// Drain makes a planned stop: the others are told, new requests are refused as
-// not run, what is in flight ends, then the router stops.
+// Drain stops the router gracefully: it tells the peers, refuses new requests as not run and
+// waits for those in flight.
 func (r *Router) Drain() {
 	r.drainOnce.Do(func() {
 		r.log.Info("Drain started.")
@@ -309,13 +311,13 @@
 		defer cancel()
 		ended := r.caller.Drain(ctx)
 		closed := r.claims.Wait(ctx)
-		r.log.Info("Drain ended.", "all requests ended", ended, "all claims closed", closed)
+		r.log.Info("Drain ended.", "requests_ended", ended, "claims_closed", closed)
 		r.Stop()
 	})
 	<-r.stopped
 }
 
-// Stop ends the router at once.
+// Stop stops the router at once.
 func (r *Router) Stop() {
 	r.t.Kill(nil)
 	_ = r.t.Wait()
@@ -326,8 +328,8 @@
 	}
 }
 
-// Dead returns a channel that is closed when the router has ended.
+// Dead returns a channel that is closed when the router has stopped.
 func (r *Router) Dead() <-chan struct{} { return r.t.Dead() }
 
-// Err returns why the router ended.
+// Err returns the reason why the router stopped.
 func (r *Router) Err() error { return r.t.Err() }
--- a/router/state.go
+++ b/router/state.go
@@ -18,7 +18,7 @@
 	"madderway/services/control"
 )
 
-// Dump is the state of a router process.
+// Dump is the state of a router process, as operators see it.
 type Dump struct {
 	Router        string        `json:"router"`
 	Incarnation   uint64        `json:"incarnation"`
@@ -38,8 +38,8 @@
 	HeapBytes     uint64        `json:"heap_bytes"`
 }
 
-// duties are the goroutines that run as long as the router; each request,
-// claim and connection has one of its own besides.
+// duties lists the goroutines that run as long as the router, for the dump. Requests, claims and
+// connections have their own.
 var duties = []string{
 	"control: steps membership, queues and scheduler",
 	"config: reads the head row",
@@ -64,7 +64,7 @@
 		Router: r.self.ID, Incarnation: r.self.Incarnation, DataHall: r.self.DataHall, Region: r.self.Region,
 		ConfigVersion: v.Number, ConfigHash: v.Hash, Admits: r.config.Admits(), Draining: r.isDraining(), Duties: duties,
 		Control: r.loop.State(), Claims: r.claims.State(), Rings: []ring.State{r.config.Ring(), r.answers.Ring()},
-		Traces: r.book.Len(), PeersRefused: r.server.RefusedCount(), Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
+		Traces: r.traces.Len(), PeersRefused: r.server.RefusedCount(), Goroutines: runtime.NumGoroutine(), HeapBytes: mem.HeapAlloc,
 	}
 }
 
@@ -93,7 +93,7 @@
 
 func (r *Router) writeMetrics(w io.Writer) {
 	r.dispatch.WriteMetrics(w)
-	r.requests.WriteMetrics(w)
+	r.quarantine.WriteMetrics(w)
 	r.notices.WriteMetrics(w)
 	st := r.loop.State()
 	queued := 0
@@ -102,8 +102,8 @@
 	}
 	gauge := func(name string, v any) { fmt.Fprintf(w, "%s %v\n", name, v) }
 	gauge("madderway_config_version", r.config.InForce().Number)
-	gauge("madderway_admits", boolNumber(r.config.Admits()))
-	gauge("madderway_draining", boolNumber(r.isDraining()))
+	gauge("madderway_admits", boolToInt(r.config.Admits()))
+	gauge("madderway_draining", boolToInt(r.isDraining()))
 	gauge("madderway_queued", queued)
 	gauge("madderway_running", st.Admission.Running)
 	gauge("madderway_targets_scheduled", len(st.Scheduler.Targets))
@@ -130,15 +130,15 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-func boolNumber(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// Block cuts this router off from a peer in both directions, or mends it; tests
-// use it to partition the fleet.
+// Block cuts this router off from a peer in both directions, or ends that. Tests use it to
+// partition the fleet.
 func (r *Router) Block(peer string, blocked bool) {
 	r.loop.Block(peer, blocked)
 	r.server.Block(peer, blocked)
@@ -147,8 +147,8 @@
 // ID returns the router's ID.
 func (r *Router) ID() string { return r.self.ID }
 
-// Traffic returns the bytes sent to peers, with packet headers, and the time
-// spent on control.
+// Traffic returns the bytes sent to peers, including packet headers, and the time spent on
+// control.
 func (r *Router) Traffic() (bytes uint64, busyNanos int64) {
 	return r.meter.Bytes(), int64(r.loop.Busy())
 }
