--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -151,8 +151,8 @@
 		}
 	}
 	patience := route.Timeout
-	if call.Patience > 0 && (call.Patience < patience || patience == 0) {
-		patience = call.Patience
+	if call.Timeout > 0 && (call.Timeout < patience || patience == 0) {
+		patience = call.Timeout
 	}
 	body, err := h.body(w, r, x.Configuration.Limits, received.Add(patience))
 	if err != nil {
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -173,7 +173,7 @@
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.carried, Clock: g.clock})
 	g.loop = mesh.NewLoop(&g.t, log.New("mesh").With(s.ID), mesh.Options{
 		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.requests, Notices: g.notices,
-		Kept: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnGone: g.relay.Gone,
+		Kept: client.CachedParts, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnGone: g.relay.Gone,
 	})
 	g.requests.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
@@ -286,7 +286,7 @@
 // changed passes a new configuration or list of targets on.
 func (g *Gateway) changed() {
 	targets := g.follow.Targets()
-	g.pool.Keep(targets)
+	g.pool.Prune(targets)
 	g.forward.SetTargets(targets)
 	g.loop.SetWorld(g.follow.Index(), targets)
 	if x := g.follow.Index(); x != nil {
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -40,7 +40,7 @@
 	h.watched()
 	a := h.Targets().Find(routing.TargetID("a", 100))
 	before := h.Versions().Leaving
-	notices.Answered(a, upstream.Verdict{Leaving: true})
+	notices.Answered(a, upstream.AnswerInfo{Leaving: true})
 	<-h.changed
 	if !leaves(h, a.ID) || leaves(h, routing.TargetID("b", 100)) || before != 0 || h.Versions().Leaving == 0 {
 		t.Fatalf("%+v, digest %d and %d", h.Targets().Targets, before, h.Versions().Leaving)
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -35,7 +35,7 @@
 	defer impatient.Stop()
 	j.broken, j.refusal, j.permit = false, nil, notice.Permit{}
 	a, err := j.s.opts.Client.Send(ctx, p.target(), j.sendRequest(p.target()))
-	j.permit.End(err == nil && !a.Verdict.NotRun)
+	j.permit.End(err == nil && !a.Info.NotRun)
 	if errors.Is(err, errStalePlace) {
 		j.reason = err.Error()
 		j.history.Unsent++
@@ -56,9 +56,9 @@
 	}
 	defer a.Close()
 	j.history.Sent++
-	if a.Verdict.NotRun {
+	if a.Info.NotRun {
 		j.reason = "target did not run it"
-		p.ended(attempt.NotRun, a.Verdict.Moved)
+		p.ended(attempt.NotRun, a.Info.Misdirected)
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxWhole))
 		return attempt.NotRun, nil
 	}
@@ -95,7 +95,7 @@
 func (j *job) noAnswer(p place, err error) attempt.Outcome {
 	j.reason = err.Error()
 	outcome := attempt.Unknown
-	e, ok := upstream.IsErrExchange(err)
+	e, ok := upstream.AsErrExchange(err)
 	switch {
 	case ok && !e.Sent:
 		j.history.Unsent++
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -81,7 +81,7 @@
 		return targetEnd{}
 	}
 	past, sentAt := j.past, j.sentAt
-	ask := func(ctx context.Context) (ended, known bool) { return j.s.opts.Client.HasEnded(ctx, t) }
+	ask := func(ctx context.Context) (ended, known bool) { return j.s.opts.Client.HasExited(ctx, t) }
 	ended, known := requests.HasEnded(j.ctx, ask, func() { j.s.accuse(&past, t, sentAt) })
 	if !ended {
 		return targetEnd{looked: known}
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -79,11 +79,11 @@
 }
 
 // Answered implements upstream.Observer.
-func (s *Service) Answered(t *routing.Target, v upstream.Verdict) {
+func (s *Service) Answered(t *routing.Target, v upstream.AnswerInfo) {
 	if v.Leaving {
 		s.leaves(t)
 	}
-	s.WantsRest(t.ID, t.Service, v.Rest)
+	s.WantsRest(t.ID, t.Service, v.RetryAfter)
 }
 
 // WantsRest takes what a target of a service says of the rest that it wants.
--- a/services/notice/notice_test.go
+++ b/services/notice/notice_test.go
@@ -31,10 +31,10 @@
 	s, c, told := newService()
 	a, b := &routing.Target{ID: "a"}, &routing.Target{ID: "b"}
 	for range 2 {
-		s.Answered(a, upstream.Verdict{Leaving: true})
+		s.Answered(a, upstream.AnswerInfo{Leaving: true})
 	}
-	s.Answered(b, upstream.Verdict{Rest: retryafter.Result{Delay: 3 * time.Second}})
-	s.Answered(&routing.Target{ID: "c"}, upstream.Verdict{Rest: retryafter.Result{Invalid: 1}})
+	s.Answered(b, upstream.AnswerInfo{RetryAfter: retryafter.Result{Delay: 3 * time.Second}})
+	s.Answered(&routing.Target{ID: "c"}, upstream.AnswerInfo{RetryAfter: retryafter.Result{Invalid: 1}})
 	if *told != 1 || !s.Leaves("a") || s.Leaves("b") {
 		t.Errorf("told %d times, a leaves %v, b %v", *told, s.Leaves("a"), s.Leaves("b"))
 	}
--- a/services/upstream/dialect.go
+++ b/services/upstream/dialect.go
@@ -18,7 +18,7 @@
 type Call struct {
 	ID        string
 	Key       string        // Key is the client account's key, or empty.
-	Patience  time.Duration // Patience is how long the caller waits, 0 where it does not say.
+	Timeout   time.Duration // Patience is how long the caller waits, 0 where it does not say.
 	LastEvent string        // LastEvent is the event after which a stream is to go on, or empty.
 	Prompt    *routing.Prompt
 }
@@ -34,21 +34,21 @@
 	CopyFrom string
 }
 
-// Verdict is what the head of a target's answer says of the execution.
-type Verdict struct {
-	ID     string // ID is the request's own ID, echoed.
-	Signed bool   // Signed tells that the answer carries the target's signature.
-	NotRun bool   // NotRun tells that the target did not execute the request.
-	Moved  bool   // Moved tells that another target has the address.
+// AnswerInfo is what the head of a target's answer says of the execution.
+type AnswerInfo struct {
+	ID          string // ID is the request's own ID, echoed.
+	Signed      bool   // Signed tells that the answer carries the target's signature.
+	NotRun      bool   // NotRun tells that the target did not execute the request.
+	Misdirected bool   // Moved tells that another target has the address.
 	// Leaving tells that the target will end soon and is to get nothing new.
 	Leaving bool
-	// Rest is for how long the target wants nothing from this process.
-	Rest retryafter.Result
+	// RetryAfter is for how long the target wants nothing from this process.
+	RetryAfter retryafter.Result
 }
 
 // Observer is told of the head of each answer of a target, late answers and lists of kept parts
 // included, before it is used.
-type Observer func(t *routing.Target, v Verdict)
+type Observer func(t *routing.Target, v AnswerInfo)
 
 // Dialect reads and writes the headers between callers, gateways and targets.
 type Dialect interface {
@@ -60,11 +60,11 @@
 	// WriteCall sets what the fleet tells a target, and takes out of the header
 	// what a caller may not set.
 	WriteCall(h http.Header, o Outgoing)
-	ReadAnswer(status int, h http.Header) Verdict
-	// KeptPath is where a target that runs a model lists the parts of prompts
+	ReadAnswer(status int, h http.Header) AnswerInfo
+	// CachedPath is where a target that runs a model lists the parts of prompts
 	// that it keeps, and ReadKept reads that list.
-	KeptPath() string
-	ReadKept(list []byte) ([]routing.PromptPart, error)
+	CachedPath() string
+	ReadCached(list []byte) ([]routing.PromptPart, error)
 	// RefusalHeader tells a caller when to come back.
 	RefusalHeader(after time.Duration) (name, value string)
 }
--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -38,8 +38,8 @@
 // Error implements error.
 func (e ErrExchange) Error() string { return "target: " + e.Reason }
 
-// IsErrExchange returns err as an ErrExchange where it is one.
-func IsErrExchange(err error) (ErrExchange, bool) {
+// AsErrExchange returns err as an ErrExchange where it is one.
+func AsErrExchange(err error) (ErrExchange, bool) {
 	var e ErrExchange
 	ok := errors.As(err, &e)
 	return e, ok
@@ -65,11 +65,11 @@
 // Answer is a target's answer whose body is still to be read. Close must be
 // called.
 type Answer struct {
-	Status  int
-	Header  http.Header
-	Length  int64 // Length is the body's, -1 where it is not known.
-	Verdict Verdict
-	Body    io.Reader
+	Status int
+	Header http.Header
+	Length int64 // Length is the body's, -1 where it is not known.
+	Info   AnswerInfo
+	Body   io.Reader
 
 	client  *Client
 	target  *routing.Target
@@ -92,16 +92,16 @@
 // of all answers; nil tells nobody.
 func NewClient(pool *Pool, d Dialect, observe Observer) *Client {
 	if observe == nil {
-		observe = func(*routing.Target, Verdict) {}
+		observe = func(*routing.Target, AnswerInfo) {}
 	}
 	return &Client{pool: pool, dialect: d, observe: observe, endings: netopt.NewExitDetector()}
 }
 
 // readVerdict reads what the head of an answer says, and tells the observer. Who answers that
 // another target has the address is that other one, and says nothing of the one that was asked.
-func (c *Client) readVerdict(t *routing.Target, resp *http.Response) Verdict {
+func (c *Client) readVerdict(t *routing.Target, resp *http.Response) AnswerInfo {
 	v := c.dialect.ReadAnswer(resp.StatusCode, resp.Header)
-	if !v.Moved {
+	if !v.Misdirected {
 		c.observe(t, v)
 	}
 	return v
@@ -139,9 +139,9 @@
 	return a, nil
 }
 
-// HasEnded tells whether a target whose answer broke off has ended; known is false where the
+// HasExited tells whether a target whose answer broke off has ended; known is false where the
 // context ended first.
-func (c *Client) HasEnded(ctx context.Context, t *routing.Target) (ended, known bool) {
+func (c *Client) HasExited(ctx context.Context, t *routing.Target) (ended, known bool) {
 	return c.endings.Exited(ctx, t.ID, t.Address)
 }
 
@@ -187,8 +187,8 @@
 		if err != nil {
 			return err
 		}
-		a.Verdict = a.client.readVerdict(a.target, resp)
-		if a.Verdict.ID != "" && a.Verdict.ID != r.ID {
+		a.Info = a.client.readVerdict(a.target, resp)
+		if a.Info.ID != "" && a.Info.ID != r.ID {
 			if resp.Close || discard(resp.Body) != nil {
 				return errors.New("answer to another request")
 			}
@@ -216,11 +216,11 @@
 
 func (a *Answer) accept(resp *http.Response) error {
 	success := resp.StatusCode < http.StatusMultipleChoices
-	if success && (!a.Verdict.Signed || a.Verdict.ID == "") {
+	if success && (!a.Info.Signed || a.Info.ID == "") {
 		return errors.New("success without signature or ID")
 	}
 	a.Status, a.Header, a.Length = resp.StatusCode, resp.Header, resp.ContentLength
-	a.close = a.Verdict.Leaving || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	a.close = a.Info.Leaving || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	a.conn.keep = keepOf(resp.Header)
 	a.Body = &wholeReader{resp.Body, a}
 	return nil
--- a/services/upstream/exchange_test.go
+++ b/services/upstream/exchange_test.go
@@ -23,9 +23,9 @@
 // plainDialect is a small dialect of the tests' own.
 type plainDialect struct{}
 
-func (plainDialect) KeptPath() string { return "/kept" }
+func (plainDialect) CachedPath() string { return "/kept" }
 
-func (plainDialect) ReadKept(list []byte) ([]routing.PromptPart, error) {
+func (plainDialect) ReadCached(list []byte) ([]routing.PromptPart, error) {
 	var parts []routing.PromptPart
 	return parts, json.Unmarshal(list, &parts)
 }
@@ -38,8 +38,8 @@
 	h.Set("Left", fmt.Sprint(o.Remaining.Milliseconds()))
 }
 
-func (plainDialect) ReadAnswer(status int, h http.Header) Verdict {
-	return Verdict{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "", Moved: status == http.StatusMisdirectedRequest}
+func (plainDialect) ReadAnswer(status int, h http.Header) AnswerInfo {
+	return AnswerInfo{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest}
 }
 
 func (plainDialect) RefusalHeader(after time.Duration) (name, value string) {
@@ -149,15 +149,15 @@
 		return answer{text: fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text), close: true}
 	})
 	c, _ := newClient()
-	parts, err := c.Kept(context.Background(), s.target())
+	parts, err := c.CachedParts(context.Background(), s.target())
 	if err != nil || len(parts) != 1 || parts[0] != (routing.PromptPart{ID: 3, Tokens: 70}) {
 		t.Errorf("%v %v", parts, err)
 	}
-	if _, err := c.Kept(context.Background(), s.target()); err == nil {
+	if _, err := c.CachedParts(context.Background(), s.target()); err == nil {
 		t.Error("took something else for a list")
 	}
 	status = "429 Too Many Requests"
-	if _, err := c.Kept(context.Background(), s.target()); err == nil {
+	if _, err := c.CachedParts(context.Background(), s.target()); err == nil {
 		t.Error("took a refusal for a list")
 	}
 }
@@ -253,12 +253,12 @@
 	_ = l.Close()
 	c, _ := newClient()
 	_, err = c.Send(context.Background(), &routing.Target{ID: "t", Address: dead}, request("r", ""))
-	if e, ok := IsErrExchange(err); !ok || e.Sent {
+	if e, ok := AsErrExchange(err); !ok || e.Sent {
 		t.Errorf("nobody listens: %v, want an error that says not sent", err)
 	}
 	s := script(t, func(int, int, string) answer { return answer{reset: true} })
 	_, _, err = send(t, c, s, request("r", ""))
-	if e, ok := IsErrExchange(err); !ok || !e.Sent {
+	if e, ok := AsErrExchange(err); !ok || !e.Sent {
 		t.Errorf("reset after the request: %v, want an error that says sent", err)
 	}
 }
@@ -273,7 +273,7 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	if !a.Verdict.NotRun {
+	if !a.Info.NotRun {
 		t.Error("the target's word that it did not run the request was not read")
 	}
 }
@@ -413,7 +413,7 @@
 	if _, _, err := send(t, c, s, request("r", "")); err != nil {
 		t.Fatal(err)
 	}
-	p.Keep((&routing.TargetSet{}).BuildIndex())
+	p.Prune((&routing.TargetSet{}).BuildIndex())
 	if len(p.idle) != 0 {
 		t.Error("connections to a vanished target are kept")
 	}
@@ -437,7 +437,7 @@
 	if p.Dials() != 2 {
 		t.Errorf("%d connections for two lives", p.Dials())
 	}
-	p.Keep((&routing.TargetSet{Targets: []routing.Target{*life(2)}}).BuildIndex())
+	p.Prune((&routing.TargetSet{Targets: []routing.Target{*life(2)}}).BuildIndex())
 	if len(p.idle[life(1).ID]) != 0 || len(p.idle[life(2).ID]) != 1 {
 		t.Errorf("kept %v", p.idle)
 	}
@@ -462,8 +462,8 @@
 		if err := a.readHead(request("r", "")); err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, a.Body); err == nil && a.Status < 300 && (a.Verdict.ID != "r" || !a.Verdict.Signed) {
-			t.Errorf("status %d, verdict %+v was taken from %q", a.Status, a.Verdict, sent)
+		if _, err := io.Copy(io.Discard, a.Body); err == nil && a.Status < 300 && (a.Info.ID != "r" || !a.Info.Signed) {
+			t.Errorf("status %d, verdict %+v was taken from %q", a.Status, a.Info, sent)
 		}
 	})
 }
--- a/services/upstream/kept.go
+++ b/services/upstream/kept.go
@@ -15,9 +15,9 @@
 // maxKeptList bounds the list of parts that a target keeps, in bytes.
 const maxKeptList = 4 << 20
 
-// Kept asks a target which parts of prompts it keeps. It takes a connection of
+// CachedParts asks a target which parts of prompts it keeps. It takes a connection of
 // its own, since the answer carries neither ID nor signature.
-func (c *Client) Kept(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error) {
+func (c *Client) CachedParts(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error) {
 	connection, err := c.pool.dial(ctx, t)
 	if err != nil {
 		return nil, ErrExchange{false, err.Error()}
@@ -25,7 +25,7 @@
 	defer connection.Close()
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
-	request := fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", c.dialect.KeptPath(), t.Address)
+	request := fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", c.dialect.CachedPath(), t.Address)
 	if _, err := io.WriteString(connection, request); err != nil {
 		return nil, ErrExchange{true, err.Error()}
 	}
@@ -42,5 +42,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, ErrExchange{true, resp.Status}
 	}
-	return c.dialect.ReadKept(list)
+	return c.dialect.ReadCached(list)
 }
--- a/services/upstream/notice_test.go
+++ b/services/upstream/notice_test.go
@@ -17,11 +17,11 @@
 // tellingDialect also reads what a target says of itself.
 type tellingDialect struct{ plainDialect }
 
-func (tellingDialect) ReadAnswer(status int, h http.Header) Verdict {
+func (tellingDialect) ReadAnswer(status int, h http.Header) AnswerInfo {
 	v := plainDialect{}.ReadAnswer(status, h)
 	v.Leaving = h.Get("Leaving") != ""
 	if h.Get("Rest") != "" {
-		v.Rest.Delay = time.Second
+		v.RetryAfter.Delay = time.Second
 	}
 	return v
 }
@@ -48,8 +48,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := script(t, func(int, int, string) answer { return answer{text: c.text, close: true} })
 			heard := 0
-			client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), tellingDialect{}, func(target *routing.Target, v Verdict) {
-				if target.ID == "t" && v.Leaving && v.Rest.Delay == time.Second {
+			client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), tellingDialect{}, func(target *routing.Target, v AnswerInfo) {
+				if target.ID == "t" && v.Leaving && v.RetryAfter.Delay == time.Second {
 					heard++
 				}
 			})
@@ -64,8 +64,8 @@
 	t.Run("list of kept parts", func(t *testing.T) {
 		s := script(t, func(int, int, string) answer { return answer{text: head(200, ""), close: true} })
 		heard := 0
-		client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), tellingDialect{}, func(*routing.Target, Verdict) { heard++ })
-		if _, err := client.Kept(context.Background(), s.target()); err != nil || heard != 1 {
+		client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), tellingDialect{}, func(*routing.Target, AnswerInfo) { heard++ })
+		if _, err := client.CachedParts(context.Background(), s.target()); err != nil || heard != 1 {
 			t.Errorf("heard %d times, %v", heard, err)
 		}
 	})
--- a/services/upstream/pool.go
+++ b/services/upstream/pool.go
@@ -60,8 +60,8 @@
 	p.maxIdle = max(n, 1)
 }
 
-// Keep closes the idle connections of all targets but those.
-func (p *Pool) Keep(targets *routing.TargetSet) {
+// Prune closes the idle connections of all targets but those.
+func (p *Pool) Prune(targets *routing.TargetSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, conns := range p.idle {
