--- a/services/upstream/connection_test.go
+++ b/services/upstream/connection_test.go
@@ -27,7 +27,7 @@
 		idle      time.Duration
 		mayRepeat bool
 		dials     uint64
-	}{{0, true, 1}, {onceIdle / 2, false, 1}, {onceIdle + time.Millisecond, true, 1}, {onceIdle + time.Millisecond, false, 2}} {
+	}{{0, true, 1}, {maxIdleOnce / 2, false, 1}, {maxIdleOnce + time.Millisecond, true, 1}, {maxIdleOnce + time.Millisecond, false, 2}} {
 		fake.Advance(step.idle)
 		r := request("r", "")
 		r.MayRepeat, r.Deadline = step.mayRepeat, fake.Now().Add(10*time.Second)
--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// inlineBody is the size up to which a body is written before the answer is
+	// maxInlineBody is the size up to which a body is written before the answer is
 	// read; a longer one is written beside it, since a target may answer early.
-	inlineBody = 4 << 10
-	// maxForeign is how many answers to earlier requests are passed over.
-	maxForeign = 2
-	maxDiscard = 1 << 20
-	maxKeep    = time.Minute
+	maxInlineBody = 4 << 10
+	// maxStrayAnswers is how many answers to earlier requests are passed over.
+	maxStrayAnswers = 2
+	maxDiscard      = 1 << 20
+	maxKeepAlive    = time.Minute
 )
 
 // ErrExchange tells why a target gave no usable answer, and whether the request
@@ -71,13 +71,13 @@
 	Info   AnswerInfo
 	Body   io.Reader
 
-	client  *Client
-	target  *routing.Target
-	conn    *conn
-	close   bool
-	written chan error
-	whole   bool
-	stop    func() bool
+	client    *Client
+	target    *routing.Target
+	conn      *conn
+	close     bool
+	writeDone chan error
+	complete  bool
+	stop      func() bool
 }
 
 // Client exchanges requests with targets.
@@ -85,7 +85,7 @@
 	pool    *Pool
 	dialect Dialect
 	observe Observer
-	endings *netopt.ExitDetector
+	exits   *netopt.ExitDetector
 }
 
 // NewClient returns a client that takes its connections from the pool and tells the observer
@@ -94,7 +94,7 @@
 	if observe == nil {
 		observe = func(*routing.Target, AnswerInfo) {}
 	}
-	return &Client{pool: pool, dialect: d, observe: observe, endings: netopt.NewExitDetector()}
+	return &Client{pool: pool, dialect: d, observe: observe, exits: netopt.NewExitDetector()}
 }
 
 // readVerdict reads what the head of an answer says, and tells the observer. Who answers that
@@ -110,9 +110,9 @@
 // Send sends a request and returns the head of its answer. Where the context
 // ends, the connection is closed at once, so that the target can stop.
 func (c *Client) Send(ctx context.Context, t *routing.Target, r *Request) (*Answer, error) {
-	maxIdle := maxKeep
+	maxIdle := maxKeepAlive
 	if !r.MayRepeat {
-		maxIdle = onceIdle
+		maxIdle = maxIdleOnce
 	}
 	connection, err := c.pool.get(ctx, t, maxIdle)
 	if err != nil {
@@ -128,7 +128,7 @@
 	// The context ends it earlier where the machine is suspended meanwhile.
 	_ = connection.SetDeadline(netopt.DeadlineIn(r.Deadline.Sub(c.pool.clock.Now())))
 	a := &Answer{client: c, target: t, conn: connection, stop: stop}
-	if err := a.write(c.head(r), r.Body); err != nil {
+	if err := a.write(c.encodeHead(r), r.Body); err != nil {
 		a.Close()
 		return nil, ErrExchange{true, err.Error()}
 	}
@@ -142,11 +142,11 @@
 // HasExited tells whether a target whose answer broke off has ended; known is false where the
 // context ended first.
 func (c *Client) HasExited(ctx context.Context, t *routing.Target) (ended, known bool) {
-	return c.endings.Exited(ctx, t.ID, t.Address)
+	return c.exits.Exited(ctx, t.ID, t.Address)
 }
 
-// head writes the request line and header. Hop-by-hop fields stay behind.
-func (c *Client) head(r *Request) *bytes.Buffer {
+// encodeHead writes the request line and header. Hop-by-hop fields stay behind.
+func (c *Client) encodeHead(r *Request) *bytes.Buffer {
 	h := r.Header.Clone()
 	RemoveHopByHop(h)
 	c.dialect.WriteCall(h, r.Outgoing)
@@ -162,19 +162,19 @@
 }
 
 func (a *Answer) write(head *bytes.Buffer, body []byte) error {
-	if len(body) <= inlineBody {
+	if len(body) <= maxInlineBody {
 		head.Write(body)
 		_, err := a.conn.Write(head.Bytes())
 		return err
 	}
-	a.written = make(chan error, 1)
+	a.writeDone = make(chan error, 1)
 	connection := a.conn
 	go func() {
 		_, err := connection.Write(head.Bytes())
 		if err == nil {
 			_, err = connection.Write(body)
 		}
-		a.written <- err
+		a.writeDone <- err
 	}()
 	return nil
 }
@@ -182,7 +182,7 @@
 // readHead reads answers until the one to this request comes. Answers to
 // earlier requests may arrive late on the same connection; they are dropped.
 func (a *Answer) readHead(r *Request) error {
-	for range maxForeign + 1 {
+	for range maxStrayAnswers + 1 {
 		resp, err := a.readResponse(r.Method)
 		if err != nil {
 			return err
@@ -221,8 +221,8 @@
 	}
 	a.Status, a.Header, a.Length = resp.StatusCode, resp.Header, resp.ContentLength
 	a.close = a.Info.Leaving || resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	a.conn.keep = keepOf(resp.Header)
-	a.Body = &wholeReader{resp.Body, a}
+	a.conn.keepAlive = parseKeepAlive(resp.Header)
+	a.Body = &eofReader{resp.Body, a}
 	return nil
 }
 
@@ -234,31 +234,31 @@
 	return err
 }
 
-// keepOf returns how long the target's idle connections may be used again.
-func keepOf(h http.Header) time.Duration {
+// parseKeepAlive returns how long the target's idle connections may be used again.
+func parseKeepAlive(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if s, err := strconv.Atoi(value); err == nil && s >= 0 {
-			return min(time.Duration(idleShare*float64(s)*float64(time.Second)), maxKeep)
+			return min(time.Duration(keepAliveShare*float64(s)*float64(time.Second)), maxKeepAlive)
 		}
 	}
-	return idleDefault
+	return defaultKeepAlive
 }
 
-// wholeReader notes that the body was read to its end.
-type wholeReader struct {
+// eofReader notes that the body was read to its end.
+type eofReader struct {
 	io.Reader
 	answer *Answer
 }
 
 // Read implements io.Reader.
-func (r *wholeReader) Read(p []byte) (int, error) {
+func (r *eofReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if err == io.EOF {
-		r.answer.whole = true
+		r.answer.complete = true
 	}
 	return n, err
 }
@@ -266,7 +266,7 @@
 // Close gives the connection back, or closes it where anything is left on it.
 func (a *Answer) Close() {
 	canceled := !a.stop()
-	if canceled || !a.whole || a.close || !a.wrote() || a.conn.reader.Buffered() > 0 {
+	if canceled || !a.complete || a.close || !a.requestWritten() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
@@ -274,13 +274,13 @@
 	a.client.pool.put(a.target.ID, a.conn)
 }
 
-// wrote tells whether the whole request has been written.
-func (a *Answer) wrote() bool {
-	if a.written == nil {
+// requestWritten tells whether the whole request has been written.
+func (a *Answer) requestWritten() bool {
+	if a.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-a.written:
+	case err := <-a.writeDone:
 		return err == nil
 	default:
 		return false
--- a/services/upstream/exchange_test.go
+++ b/services/upstream/exchange_test.go
@@ -388,7 +388,7 @@
 		idle := append([]*conn(nil), p.idle["t"]...)
 		p.mu.Unlock()
 		for _, i := range idle {
-			for quiet(i) { // until the end of the connection has arrived
+			for isQuiet(i) { // until the end of the connection has arrived
 			}
 		}
 	}
@@ -399,9 +399,9 @@
 
 func TestKeepAliveIsHeeded(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"timeout=10": 6 * time.Second, "max=3, timeout=5": 3 * time.Second, "": idleDefault, "timeout=x": idleDefault, "timeout=0": 0,
+		"timeout=10": 6 * time.Second, "max=3, timeout=5": 3 * time.Second, "": defaultKeepAlive, "timeout=x": defaultKeepAlive, "timeout=0": 0,
 	} {
-		if got := keepOf(http.Header{"Keep-Alive": {text}}); got != want {
+		if got := parseKeepAlive(http.Header{"Keep-Alive": {text}}); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
--- a/services/upstream/kept.go
+++ b/services/upstream/kept.go
@@ -12,8 +12,8 @@
 	"madderway/models/routing"
 )
 
-// maxKeptList bounds the list of parts that a target keeps, in bytes.
-const maxKeptList = 4 << 20
+// maxCachedList bounds the list of parts that a target keeps, in bytes.
+const maxCachedList = 4 << 20
 
 // CachedParts asks a target which parts of prompts it keeps. It takes a connection of
 // its own, since the answer carries neither ID nor signature.
@@ -35,7 +35,7 @@
 	}
 	defer resp.Body.Close()
 	c.readVerdict(t, resp)
-	list, err := io.ReadAll(io.LimitReader(resp.Body, maxKeptList))
+	list, err := io.ReadAll(io.LimitReader(resp.Body, maxCachedList))
 	if err != nil {
 		return nil, ErrExchange{true, err.Error()}
 	}
--- a/services/upstream/pool.go
+++ b/services/upstream/pool.go
@@ -17,13 +17,13 @@
 
 const (
 	readBuffer = 8 << 10
-	// idleDefault is how long an idle connection is used again where the target
+	// defaultKeepAlive is how long an idle connection is used again where the target
 	// has not said how long it keeps one; idleShare is the part of what it said.
-	idleDefault = 4 * time.Second
-	idleShare   = 0.6
-	// onceIdle bounds the idle time before a request that must not be executed
+	defaultKeepAlive = 4 * time.Second
+	keepAliveShare   = 0.6
+	// maxIdleOnce bounds the idle time before a request that must not be executed
 	// twice: a connection that the target forgot would lose it.
-	onceIdle = 1500 * time.Millisecond
+	maxIdleOnce = 1500 * time.Millisecond
 )
 
 // conn is one connection to a target.
@@ -31,7 +31,7 @@
 	net.Conn
 	reader    *bufio.Reader
 	idleSince time.Time
-	keep      time.Duration
+	keepAlive time.Duration
 	reused    bool
 }
 
@@ -102,7 +102,7 @@
 		if c == nil {
 			return p.dial(ctx, t)
 		}
-		if p.clock.Now().Sub(c.idleSince) < min(maxIdleTime, c.keep) && quiet(c) {
+		if p.clock.Now().Sub(c.idleSince) < min(maxIdleTime, c.keepAlive) && isQuiet(c) {
 			c.reused = true
 			return c, nil
 		}
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	counted := p.traffic.Wrap(raw)
-	return &conn{Conn: counted, reader: bufio.NewReaderSize(counted, readBuffer), keep: idleDefault}, nil
+	return &conn{Conn: counted, reader: bufio.NewReaderSize(counted, readBuffer), keepAlive: defaultKeepAlive}, nil
 }
 
 func (p *Pool) put(id string, c *conn) {
@@ -146,9 +146,9 @@
 	p.idle[id] = append(conns, c)
 }
 
-// quiet tells whether nothing has arrived on an idle connection: neither an
+// isQuiet tells whether nothing has arrived on an idle connection: neither an
 // end nor bytes that belong to no request.
-func quiet(c *conn) bool {
+func isQuiet(c *conn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
