--- a/services/upstream/connection_test.go
+++ b/services/upstream/connection_test.go
@@ -18,8 +18,8 @@
 
 // A request that must not run twice takes no connection that has been idle for long: a target
 // that has forgotten it would lose the request, and nobody could send it again.
-func TestOnceRequestsTakeFreshConnections(t *testing.T) {
-	s := script(t, func(int, int, string) answer { return answer{text: whole("r", "body")} })
+func TestSendTakesFreshConnectionUnlessRepeatable(t *testing.T) {
+	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: signedAnswer("r", "body")} })
 	c, p := newClient()
 	fake := clock.NewFake()
 	p.clock = fake
@@ -42,7 +42,7 @@
 
 // A connection on which a long body is still being written is not used for another request,
 // though its answer is whole.
-func TestConnectionWithAHalfWrittenBodyIsNotUsed(t *testing.T) {
+func TestConnectionWithUnwrittenBodyIsNotReused(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/services/upstream/exchange_test.go
+++ b/services/upstream/exchange_test.go
@@ -46,28 +46,28 @@
 	return "Retry-After", after.String()
 }
 
-// scripted is a target that answers each connection by a script: a function of
+// scriptedTarget is a target that answers each connection by a script: a function of
 // the request's text and its number on the connection.
-type scripted struct {
+type scriptedTarget struct {
 	listener net.Listener
 	mu       sync.Mutex
 	seen     []string
 	conns    int
 }
 
-type answer struct {
+type scriptedAnswer struct {
 	text  string
 	close bool // close the connection after it
 	reset bool // reset the connection instead of an answer
 }
 
-func script(t *testing.T, answers func(conn, request int, text string) answer) *scripted {
+func startTarget(t *testing.T, answers func(conn, request int, text string) scriptedAnswer) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{listener: l}
+	s := &scriptedTarget{listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for n := 0; ; n++ {
@@ -84,7 +84,7 @@
 	return s
 }
 
-func (s *scripted) serve(c *net.TCPConn, conn int, answers func(conn, request int, text string) answer) {
+func (s *scriptedTarget) serve(c *net.TCPConn, conn int, answers func(conn, request int, text string) scriptedAnswer) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -108,11 +108,11 @@
 	}
 }
 
-func (s *scripted) target() *routing.Target {
+func (s *scriptedTarget) target() *routing.Target {
 	return &routing.Target{ID: "t", Address: s.listener.Addr().String()}
 }
 
-func whole(id, body string) string {
+func signedAnswer(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-func send(t *testing.T, c *Client, s *scripted, r *Request) (status int, body string, err error) {
+func send(t *testing.T, c *Client, s *scriptedTarget, r *Request) (status int, body string, err error) {
 	t.Helper()
 	a, err := c.Send(context.Background(), s.target(), r)
 	if err != nil {
@@ -141,12 +141,12 @@
 
 // A target is asked what it keeps on a connection of its own; an answer that is
 // no list is an error.
-func TestKeptPartsAreRead(t *testing.T) {
+func TestCachedPartsReadsList(t *testing.T) {
 	texts := []string{`[{"ID":3,"Tokens":70}]`, `{"no":"list"}`}
 	status := "200 OK"
-	s := script(t, func(conn, _ int, _ string) answer {
+	s := startTarget(t, func(conn, _ int, _ string) scriptedAnswer {
 		text := texts[min(conn, len(texts)-1)]
-		return answer{text: fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text), close: true}
+		return scriptedAnswer{text: fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text), close: true}
 	})
 	c, _ := newClient()
 	parts, err := c.CachedParts(context.Background(), s.target())
@@ -162,8 +162,10 @@
 	}
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	s := script(t, func(_, n int, _ string) answer { return answer{text: whole(fmt.Sprint("r", n), "body")} })
+func TestSendReusesConnection(t *testing.T) {
+	s := startTarget(t, func(_, n int, _ string) scriptedAnswer {
+		return scriptedAnswer{text: signedAnswer(fmt.Sprint("r", n), "body")}
+	})
 	c, p := newClient()
 	for n := range 5 {
 		if status, body, err := send(t, c, s, request(fmt.Sprint("r", n), "x")); status != 200 || body != "body" || err != nil {
@@ -181,11 +183,11 @@
 // A second answer that comes late, where the next one is due, belongs to the
 // earlier request.
 func TestLateExtraAnswerIsDropped(t *testing.T) {
-	s := script(t, func(conn, n int, _ string) answer {
+	s := startTarget(t, func(conn, n int, _ string) scriptedAnswer {
 		if n == 1 {
-			return answer{text: whole("r0", "stale") + whole("r1", "fresh")}
+			return scriptedAnswer{text: signedAnswer("r0", "stale") + signedAnswer("r1", "fresh")}
 		}
-		return answer{text: whole(fmt.Sprint("r", n), "first")}
+		return scriptedAnswer{text: signedAnswer(fmt.Sprint("r", n), "first")}
 	})
 	c, _ := newClient()
 	if _, body, err := send(t, c, s, request("r0", "")); body != "first" || err != nil {
@@ -197,9 +199,9 @@
 }
 
 // Bytes after a whole answer make the connection useless, the answer is good.
-func TestExtraBytesEndTheConnection(t *testing.T) {
-	s := script(t, func(conn, n int, _ string) answer {
-		return answer{text: whole(fmt.Sprint("r", conn), "body") + "garbage"}
+func TestExtraBytesCloseConnection(t *testing.T) {
+	s := startTarget(t, func(conn, n int, _ string) scriptedAnswer {
+		return scriptedAnswer{text: signedAnswer(fmt.Sprint("r", conn), "body") + "garbage"}
 	})
 	c, p := newClient()
 	for n := range 3 {
@@ -212,10 +214,10 @@
 	}
 }
 
-func TestBrokenAnswersAreErrors(t *testing.T) {
+func TestSendRejectsBrokenAnswer(t *testing.T) {
 	for name, text := range map[string]string{
 		"no protocol":          "rubbish\r\n\r\n",
-		"another request's":    whole("other", "body"),
+		"another request's":    signedAnswer("other", "body"),
 		"without signature":    "HTTP/1.1 200 OK\r\nId: r\r\nContent-Length: 1\r\n\r\nx",
 		"without ID":           "HTTP/1.1 200 OK\r\nSigned: yes\r\nContent-Length: 1\r\n\r\nx",
 		"cut in the head":      "HTTP/1.1 200 OK\r\nId: r\r\nSig",
@@ -225,7 +227,7 @@
 		"change of protocol":   "HTTP/1.1 101 Switching Protocols\r\nId: r\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := script(t, func(int, int, string) answer { return answer{text: text, close: true} })
+			s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: text, close: true} })
 			c, _ := newClient()
 			if _, body, err := send(t, c, s, request("r", "")); err == nil {
 				t.Errorf("taken for whole: %q", body)
@@ -235,16 +237,16 @@
 }
 
 // An answer without a length ends with its connection; a reset is no such end.
-func TestUnframedAnswer(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: r\r\nSigned: yes\r\nConnection: close\r\n\r\n"
-	s := script(t, func(int, int, string) answer { return answer{text: head + "all of it", close: true} })
+	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: head + "all of it", close: true} })
 	c, _ := newClient()
 	if _, body, err := send(t, c, s, request("r", "")); body != "all of it" || err != nil {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-func TestWhatIsKnownOfAFailedSend(t *testing.T) {
+func TestErrExchangeReportsWhetherSent(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -256,16 +258,16 @@
 	if e, ok := AsErrExchange(err); !ok || e.Sent {
 		t.Errorf("nobody listens: %v, want an error that says not sent", err)
 	}
-	s := script(t, func(int, int, string) answer { return answer{reset: true} })
+	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{reset: true} })
 	_, _, err = send(t, c, s, request("r", ""))
 	if e, ok := AsErrExchange(err); !ok || !e.Sent {
 		t.Errorf("reset after the request: %v, want an error that says sent", err)
 	}
 }
 
-func TestNotRunIsRead(t *testing.T) {
-	s := script(t, func(int, int, string) answer {
-		return answer{text: "HTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"}
+func TestSendReadsNotRun(t *testing.T) {
+	s := startTarget(t, func(int, int, string) scriptedAnswer {
+		return scriptedAnswer{text: "HTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"}
 	})
 	c, _ := newClient()
 	a, err := c.Send(context.Background(), s.target(), request("r", ""))
@@ -280,7 +282,7 @@
 
 // Where the caller has gone, the connection ends at once so that the target can
 // stop.
-func TestCancelEndsTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	gone := make(chan struct{})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -317,7 +319,7 @@
 // A target may answer a long request before it has read it, and go on reading:
 // what it then gets is the rest of that request, or the end of the connection,
 // and never a part of another one.
-func TestEarlyAnswerToALongRequest(t *testing.T) {
+func TestEarlyAnswerToLongRequest(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -375,9 +377,9 @@
 
 // An idle connection on which something has come, or that has ended, is not
 // used again.
-func TestIdleConnectionIsLookedAt(t *testing.T) {
-	s := script(t, func(conn, _ int, _ string) answer {
-		return answer{text: whole(fmt.Sprint("r", conn), "body"), close: true}
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	s := startTarget(t, func(conn, _ int, _ string) scriptedAnswer {
+		return scriptedAnswer{text: signedAnswer(fmt.Sprint("r", conn), "body"), close: true}
 	})
 	c, p := newClient()
 	for n := range 2 {
@@ -397,7 +399,7 @@
 	}
 }
 
-func TestKeepAliveIsHeeded(t *testing.T) {
+func TestParseKeepAlive(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"timeout=10": 6 * time.Second, "max=3, timeout=5": 3 * time.Second, "": defaultKeepAlive, "timeout=x": defaultKeepAlive, "timeout=0": 0,
 	} {
@@ -407,8 +409,8 @@
 	}
 }
 
-func TestVanishedTargetsLoseTheirConnections(t *testing.T) {
-	s := script(t, func(int, int, string) answer { return answer{text: whole("r", "body")} })
+func TestPruneClosesConnectionsOfRemovedTargets(t *testing.T) {
+	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: signedAnswer("r", "body")} })
 	c, p := newClient()
 	if _, _, err := send(t, c, s, request("r", "")); err != nil {
 		t.Fatal(err)
@@ -420,8 +422,8 @@
 }
 
 // A connection to an older life of a target is not used for the new one, at the same address.
-func TestAnotherLifeTakesAnotherConnection(t *testing.T) {
-	s := script(t, func(int, int, string) answer { return answer{text: whole("r", "body")} })
+func TestNewIncarnationUsesNewConnection(t *testing.T) {
+	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: signedAnswer("r", "body")} })
 	c, p := newClient()
 	life := func(born int64) *routing.Target {
 		return &routing.Target{ID: routing.TargetID("t", born), Name: "t", Born: born, Address: s.listener.Addr().String()}
@@ -446,8 +448,8 @@
 // Whatever a target sends, the caller gets an error or a signed, whole answer
 // to its own request.
 func FuzzAnswer(f *testing.F) {
-	f.Add([]byte(whole("r", "body")))
-	f.Add([]byte(whole("other", "stale") + whole("r", "body")))
+	f.Add([]byte(signedAnswer("r", "body")))
+	f.Add([]byte(signedAnswer("other", "stale") + signedAnswer("r", "body")))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nId: r\r\nSigned: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, sent []byte) {
