--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -31,8 +31,8 @@
 	Clock   clock.Clock
 	Table   platform.Table
 	Timeout time.Duration
-	// Gone tells whether an incarnation of a router is known to be dead.
-	Gone func(router string, incarnation uint64) bool
+	// IsDead tells whether an incarnation of a router is known to be dead.
+	IsDead func(router string, incarnation uint64) bool
 }
 
 // Service runs claims.
@@ -60,22 +60,22 @@
 
 // Outcome is what Acquire gave: the right to send, or what to tell the caller.
 type Outcome struct {
-	Held    *Held // Held is set where the call may be sent.
+	Grant   *Grant // Held is set where the call may be sent.
 	Verdict core.Verdict
 	Row     core.Row
 }
 
-// Held is the right to send a call. Exactly one of Record and Release must be
+// Grant is the right to send a call. Exactly one of Record and Release must be
 // called.
-type Held struct {
+type Grant struct {
 	events chan core.Event
 }
 
 // Record writes the outcome of the call until it is confirmed.
-func (h *Held) Record(row core.Row) { h.events <- core.Ended{Row: row} }
+func (h *Grant) Record(row core.Row) { h.events <- core.Ended{Row: row} }
 
 // Release gives the claim up; only for a call that provably did not run.
-func (h *Held) Release() { h.events <- core.NotRun{} }
+func (h *Grant) Release() { h.events <- core.NotRun{} }
 
 // Key returns the table's key of an account's idempotency key. The parts are
 // hashed, so that no key can name another account's row.
@@ -159,7 +159,7 @@
 		case core.Wait:
 			go r.wait(a.For, r.holderGone())
 		case core.Send:
-			r.reply(Outcome{Held: &Held{r.external}})
+			r.reply(Outcome{Grant: &Grant{r.external}})
 		case core.Reply:
 			r.reply(Outcome{Verdict: a.Verdict, Row: a.Row})
 		case core.Finish:
@@ -187,7 +187,7 @@
 // holderGone tells whether the router is dead that holds another attempt.
 func (r *runner) holderGone() bool {
 	router, incarnation, waiting := r.machine.Holder()
-	return waiting && r.s.opts.Gone(router, incarnation)
+	return waiting && r.s.opts.IsDead(router, incarnation)
 }
 
 func (r *runner) wait(d time.Duration, gone bool) {
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -110,7 +110,7 @@
 		_ = tb.Wait()
 	})
 	return New(&tb, log.New("claim"), Options{
-		Clock: c, Table: table, Timeout: time.Second, Gone: func(string, uint64) bool { return false },
+		Clock: c, Table: table, Timeout: time.Second, IsDead: func(string, uint64) bool { return false },
 	})
 }
 
@@ -144,8 +144,8 @@
 	close(table.gate)
 	wg.Wait()
 	for i, o := range outcomes {
-		if (o.Held != nil) != (i != 7) {
-			t.Errorf("claim %d: held %t, verdict %d", i, o.Held != nil, o.Verdict)
+		if (o.Grant != nil) != (i != 7) {
+			t.Errorf("claim %d: held %t, verdict %d", i, o.Grant != nil, o.Verdict)
 		}
 	}
 	if o := outcomes[7]; o.Verdict != core.VerdictRecorded || o.Row.Status != 200 {
@@ -159,15 +159,15 @@
 	table.unknowns = 1
 	s := newService(t, table, clock.System{})
 	o := s.Acquire(context.Background(), Key("alder", "k"), rowOf(1))
-	if o.Held == nil {
+	if o.Grant == nil {
 		t.Fatalf("verdict %d", o.Verdict)
 	}
-	o.Held.Record(core.Row{State: core.StateDone, Attempt: "att-1", Digest: "d", Status: 201})
+	o.Grant.Record(core.Row{State: core.StateDone, Attempt: "att-1", Digest: "d", Status: 201})
 	if !s.Wait(context.Background()) {
 		t.Fatal("the outcome was never recorded")
 	}
 	again := s.Acquire(context.Background(), Key("alder", "k"), rowOf(2))
-	if again.Held != nil || again.Verdict != core.VerdictRecorded || again.Row.Status != 201 {
+	if again.Grant != nil || again.Verdict != core.VerdictRecorded || again.Row.Status != 201 {
 		t.Fatalf("the second call: %+v", again)
 	}
 }
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -32,17 +32,17 @@
 	wait, cancel := clock.WithDeadline(ctx, s.opts.Clock, j.deadline)
 	defer cancel()
 	outcome := s.opts.Claims.Acquire(wait, claim.Key(j.account.Name, c.IdempotencyKey), row)
-	if outcome.Held == nil {
+	if outcome.Grant == nil {
 		s.opts.Book.Note(j.requestID, j.account.Name, "claim", "not held: verdict %d, attempt %s of request %s", outcome.Verdict, outcome.Row.Attempt, outcome.Row.RequestID)
 		return s.replay(ctx, outcome)
 	}
 	s.opts.Book.Note(j.requestID, j.account.Name, "claim", "held by attempt %s", row.Attempt)
 	a, err := s.plainAttempts(ctx, j, c, true)
 	if err != nil && result.Convert(err).Execution() == result.RanNo {
-		outcome.Held.Release()
+		outcome.Grant.Release()
 		return a, err
 	}
-	s.record(row, a, err, outcome.Held)
+	s.record(row, a, err, outcome.Grant)
 	return a, err
 }
 
@@ -55,7 +55,7 @@
 
 // record writes the outcome into the claim's row; a large answer goes to the
 // object store first.
-func (s *Service) record(row core.Row, a PlainAnswer, err error, held *claim.Held) {
+func (s *Service) record(row core.Row, a PlainAnswer, err error, held *claim.Grant) {
 	if err != nil {
 		row.State = core.StateUnknown
 		held.Record(row)
