--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -24,7 +24,7 @@
 // KeyPrefix stands before the keys of all claim rows.
 const KeyPrefix = "claim/"
 
-const waitPoll = 20 * time.Millisecond
+const waitPollInterval = 20 * time.Millisecond
 
 // Options are the parts of a Service.
 type Options struct {
@@ -44,9 +44,9 @@
 
 	sweepAfter string // sweepAfter is the key that the last sweep ended at.
 
-	open      atomic.Int64  // open counts the claims that are not closed.
-	committed atomic.Uint64 // committed counts rows written.
-	batches   atomic.Uint64 // batches counts transactions.
+	open         atomic.Int64  // open counts the claims that are not closed.
+	committed    atomic.Uint64 // committed counts rows written.
+	transactions atomic.Uint64 // batches counts transactions.
 }
 
 // New starts the service; it ends with the tomb.
@@ -107,7 +107,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-s.opts.Clock.After(waitPoll):
+		case <-s.opts.Clock.After(waitPollInterval):
 		}
 	}
 	return true
@@ -126,7 +126,7 @@
 
 func (r *runner) run(ctx context.Context) {
 	// A claim outlives its caller; only the router's end stops it.
-	if r.do(r.machine.Step(core.Begin{})) {
+	if r.perform(r.machine.Step(core.Begin{})) {
 		return
 	}
 	deadline := ctx.Done()
@@ -142,22 +142,22 @@
 		case ev = <-r.external:
 		case ev = <-r.internal:
 		}
-		if r.do(r.machine.Step(ev)) {
+		if r.perform(r.machine.Step(ev)) {
 			return
 		}
 	}
 }
 
-// do carries actions out; it reports whether the claim is closed.
-func (r *runner) do(actions []core.Action) (closed bool) {
+// perform carries actions out; it reports whether the claim is closed.
+func (r *runner) perform(actions []core.Action) (closed bool) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case core.Write:
-			r.s.put(write{r.key, a, r.internal})
+			r.s.enqueue(write{r.key, a, r.internal})
 		case core.ReadRow:
 			go r.read()
 		case core.Wait:
-			go r.wait(a.For, r.holderGone())
+			go r.wait(a.For, r.holderDead())
 		case core.Send:
 			r.reply(Outcome{Grant: &Grant{r.external}})
 		case core.Reply:
@@ -184,8 +184,8 @@
 	}
 }
 
-// holderGone tells whether the router is dead that holds another attempt.
-func (r *runner) holderGone() bool {
+// holderDead tells whether the router is dead that holds another attempt.
+func (r *runner) holderDead() bool {
 	router, incarnation, waiting := r.machine.Holder()
 	return waiting && r.s.opts.IsDead(router, incarnation)
 }
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -30,12 +30,12 @@
 // fakeTable is a table in memory. It holds transactions back until opened, so
 // that groups gather.
 type fakeTable struct {
-	mu       sync.Mutex
-	rows     map[string]platform.Row
-	next     uint64
-	groups   []int
-	gate     chan struct{}
-	unknowns int // unknowns is how many transactions take effect without an answer.
+	mu          sync.Mutex
+	rows        map[string]platform.Row
+	next        uint64
+	groups      []int
+	gate        chan struct{}
+	lostAnswers int // unknowns is how many transactions take effect without an answer.
 }
 
 func newFakeTable() *fakeTable {
@@ -71,8 +71,8 @@
 	for _, k := range tx.Deletes {
 		delete(f.rows, k)
 	}
-	if f.unknowns > 0 {
-		f.unknowns--
+	if f.lostAnswers > 0 {
+		f.lostAnswers--
 		return platform.TxResult{Outcome: platform.OutcomeUnknown}
 	}
 	return res
@@ -118,7 +118,7 @@
 
 // Claims that come while a transaction is on its way share the next one; one
 // that conflicts does not fail the others.
-func TestGroupCommit(t *testing.T) {
+func TestGroupCommitIsolatesConflicts(t *testing.T) {
 	const n = 40
 	table := newFakeTable()
 	table.gate = make(chan struct{})
@@ -138,7 +138,7 @@
 			outcomes[i] = s.Acquire(context.Background(), Key("alder", fmt.Sprint(i)), rowOf(i))
 		}()
 	}
-	for s.writes.State().Length < n-committers*groupLimit && s.open.Load() < n {
+	for s.writes.State().Length < n-committers*maxGroupRows && s.open.Load() < n {
 		<-time.After(time.Millisecond)
 	}
 	close(table.gate)
@@ -154,9 +154,9 @@
 }
 
 // The answer to a group is lost: each claim reads its own row back.
-func TestUnknownGroupIsReadBack(t *testing.T) {
+func TestUnknownOutcomeIsReadBack(t *testing.T) {
 	table := newFakeTable()
-	table.unknowns = 1
+	table.lostAnswers = 1
 	s := newService(t, table, clock.System{})
 	o := s.Acquire(context.Background(), Key("alder", "k"), rowOf(1))
 	if o.Grant == nil {
--- a/services/claim/commit.go
+++ b/services/claim/commit.go
@@ -17,8 +17,8 @@
 const (
 	// committers is how many groups may be on their way to the table at once.
 	committers = 4
-	// groupLimit is how many rows one transaction holds at most.
-	groupLimit = 32
+	// maxGroupRows is how many rows one transaction holds at most.
+	maxGroupRows = 32
 )
 
 // write is a conditional write of one claim.
@@ -28,7 +28,7 @@
 	answer chan core.Event
 }
 
-func (s *Service) put(w write) {
+func (s *Service) enqueue(w write) {
 	if !s.writes.Put(s.t.Dying(), w) {
 		return
 	}
@@ -49,7 +49,7 @@
 
 func (s *Service) gather(first write) []write {
 	group := []write{first}
-	for len(group) < groupLimit {
+	for len(group) < maxGroupRows {
 		select {
 		case w := <-s.writes.Out():
 			group = append(group, w)
@@ -64,7 +64,7 @@
 // transaction, so the rows are then written one by one; an unknown outcome is
 // told to each, and each reads its own row back.
 func (s *Service) commitGroup(group []write) {
-	group, again := split(group)
+	group, again := splitDuplicates(group)
 	defer func() {
 		for _, w := range again {
 			s.commitGroup([]write{w})
@@ -78,12 +78,12 @@
 		return
 	}
 	for _, w := range group {
-		w.tell(s, res)
+		w.reply(s, res)
 	}
 }
 
-// split takes out the writes to a row that the group already writes.
-func split(group []write) (unique, again []write) {
+// splitDuplicates takes out the writes to a row that the group already writes.
+func splitDuplicates(group []write) (unique, again []write) {
 	seen := map[string]bool{}
 	for _, w := range group {
 		if seen[w.key] {
@@ -110,13 +110,13 @@
 	defer cancel()
 	res := s.opts.Table.Commit(ctx, tx)
 	if res.Outcome == platform.OutcomeOK {
-		s.batches.Add(1)
+		s.transactions.Add(1)
 		s.committed.Add(uint64(len(group)))
 	}
 	return res
 }
 
-func (w write) tell(s *Service, res platform.TxResult) {
+func (w write) reply(s *Service, res platform.TxResult) {
 	ev := core.Written{}
 	switch res.Outcome {
 	case platform.OutcomeOK:
@@ -154,5 +154,5 @@
 
 // State returns what a dump shows.
 func (s *Service) State() State {
-	return State{s.open.Load(), s.committed.Load(), s.batches.Load(), s.writes.State()}
+	return State{s.open.Load(), s.committed.Load(), s.transactions.Load(), s.writes.State()}
 }
--- a/services/claim/sweep.go
+++ b/services/claim/sweep.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	sweepEvery = time.Minute
-	sweepLimit = 500
+	sweepInterval = time.Minute
+	sweepLimit    = 500
 )
 
 // Sweep starts to delete expired rows while mine reports true; one router of
@@ -25,7 +25,7 @@
 			select {
 			case <-s.t.Dying():
 				return nil
-			case <-s.opts.Clock.After(sweepEvery):
+			case <-s.opts.Clock.After(sweepInterval):
 			}
 			if mine() {
 				s.SweepOnce()
