--- a/router/gateway.go
+++ b/router/gateway.go
@@ -167,7 +167,7 @@
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
 	members.EnableFullSync, members.MaxRumors = true, maxRumors
 	g.requests = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
-		Clock: g.clock, Figures: "madderway_gateway", Tell: func(r core.Record) { g.loop.TellRecord(r) },
+		Clock: g.clock, MetricPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.TellRecord(r) },
 	})
 	client := upstream.NewClient(g.pool, platform.Dialect{}, g.notices.Answered)
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.carried, Clock: g.clock})
@@ -175,7 +175,7 @@
 		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.requests, Notices: g.notices,
 		Kept: client.CachedParts, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnGone: g.relay.Gone,
 	})
-	g.requests.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
+	g.requests.RunArchive(&g.t, quarantine.ArchiveOptions{Archive: platform.NewQuarantine(store), IsReader: g.loop.Watches, FirstStart: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
 		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Register: platform.NewGateways(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
 		Empty: s.FirstStart,
@@ -271,7 +271,7 @@
 // copy. Few gateways do, as few do at the start.
 func (g *Gateway) storeCameBack() {
 	if g.loop.Watches() {
-		g.requests.KeepAgain()
+		g.requests.RewriteArchive()
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -147,7 +147,7 @@
 		PollHead: s.Platform.PollHead.Duration, Timeout: s.Platform.Timeout.Duration, OnAdopt: r.adopt,
 	})
 	r.requests = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
-		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.TellRecord(record) },
+		Clock: r.clock, MetricPrefix: "madderway", Share: func(record core.Record) { r.loop.TellRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, Figures: "madderway"})
 	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.WantsRest(target, "", rest) }
--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -130,7 +130,7 @@
 		outcome, status, err := st.try()
 		if err == nil {
 			st.complete()
-			st.j.past.Passed()
+			st.j.past.Succeeded()
 			return nil
 		}
 		err = withHistory(err, ran)
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -107,9 +107,9 @@
 	// budgetSpent tells that a retry was allowed but for the budget.
 	budgetSpent bool
 	uri         string
-	past        quarantine.Try // past is what earlier tries of the request have done.
-	permit      notice.Permit  // permit is that to send to the target of the attempt.
-	sentAt      time.Time      // sentAt is when the last attempt began.
+	past        quarantine.Attempt // past is what earlier tries of the request have done.
+	permit      notice.Permit      // permit is that to send to the target of the attempt.
+	sentAt      time.Time          // sentAt is when the last attempt began.
 }
 
 // Admit tells whether requests may be admitted now.
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -97,7 +97,7 @@
 			ran = result.RanYes
 		}
 		if err == nil && status < http.StatusInternalServerError {
-			j.past.Passed()
+			j.past.Succeeded()
 			return a, nil
 		}
 		if err == nil {
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -14,14 +14,14 @@
 
 // beginTry begins a try of a request; the job's try must be ended.
 func (s *Service) beginTry(j *job, body []byte) {
-	j.past = s.opts.Requests.Try(core.Identity{
+	j.past = s.opts.Requests.NewAttempt(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
 	})
 }
 
 // mayBeSent returns why the request must not be sent to a target, or nil.
 func (s *Service) mayBeSent(j *job) error {
-	err := j.past.MayBeSent()
+	err := j.past.Check()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
 		s.opts.Book.Note(j.requestID, j.account.Name, "refused", "%v", err)
@@ -37,9 +37,9 @@
 	}
 	past, sentAt := j.past, j.sentAt
 	ask := func(ctx context.Context) (ended, known bool) { return s.endings.Exited(ctx, t.Name, t.Address) }
-	ended, _ := quarantine.HasEnded(ctx, ask, func() { past.Accuse(t.Name, sentAt) })
+	ended, _ := quarantine.HasExited(ctx, ask, func() { past.TargetDied(t.Name, sentAt) })
 	if ended {
 		s.opts.Book.Note(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.past.Request())
-		j.past.Accuse(t.Name, sentAt)
+		j.past.TargetDied(t.Name, sentAt)
 	}
 }
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -49,9 +49,9 @@
 	broken    bool // broken tells that the last target ended its answer or connection early.
 	placedAt  time.Time
 	sentAt    time.Time
-	refusal   error          // refusal is why the request may not be sent to a target.
-	permit    notice.Permit  // permit is that to send to the target, while its answer has not begun.
-	past      quarantine.Try // past is what earlier tries of the request have done.
+	refusal   error              // refusal is why the request may not be sent to a target.
+	permit    notice.Permit      // permit is that to send to the target, while its answer has not begun.
+	past      quarantine.Attempt // past is what earlier tries of the request have done.
 	lastEvent string
 	headOut   bool
 	repeat    func() bool   // repeat takes one repeat from the retry budget.
@@ -90,7 +90,7 @@
 		j.at, j.target, j.placedAt = p.target(), p.target().ID, j.s.opts.Clock.Now()
 		outcome, answer := j.exchange(p)
 		if outcome == 0 {
-			j.past.Passed()
+			j.past.Succeeded()
 			return nil
 		}
 		if errors.Is(j.refusal, context.Canceled) {
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -29,7 +29,7 @@
 // mayBeSent returns why the request must not be sent to a target, or nil. The account's other
 // requests are not throttled for one that is refused for its past.
 func (j *job) mayBeSent() error {
-	err := j.past.MayBeSent()
+	err := j.past.Check()
 	if err != nil && scheduled(j.r.Service, &j.r.Call) {
 		j.disregard()
 	}
@@ -82,7 +82,7 @@
 	}
 	past, sentAt := j.past, j.sentAt
 	ask := func(ctx context.Context) (ended, known bool) { return j.s.opts.Client.HasExited(ctx, t) }
-	ended, known := requests.HasEnded(j.ctx, ask, func() { j.s.accuse(&past, t, sentAt) })
+	ended, known := requests.HasExited(j.ctx, ask, func() { j.s.accuse(&past, t, sentAt) })
 	if !ended {
 		return targetEnd{looked: known}
 	}
@@ -91,8 +91,8 @@
 }
 
 // accuse remembers the request under which a target has ended, unless that was to leave.
-func (s *Service) accuse(past *requests.Try, t *routing.Target, sentAt time.Time) {
+func (s *Service) accuse(past *requests.Attempt, t *routing.Target, sentAt time.Time) {
 	if now := s.opts.Follow.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
-		past.Accuse(t.ID, sentAt)
+		past.TargetDied(t.ID, sentAt)
 	}
 }
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -21,8 +21,8 @@
 // begun another life, when it goes on: the place no longer holds, and nothing is sent.
 func TestNothingIsSentToAStalePlace(t *testing.T) {
 	c := clock.NewFake()
-	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
-	j := &job{s: &Service{opts: Options{Clock: c, Requests: q, Follow: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
+	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Share: func(quarantine.Record) {}})
+	j := &job{s: &Service{opts: Options{Clock: c, Requests: q, Follow: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, past: q.NewAttempt(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
 	c.Advance(placeHolds)
 	if err := j.checkAtSend(); err != nil {
 		t.Errorf("a place that still holds: %v", err)
@@ -37,13 +37,13 @@
 // now is sent without asking.
 func TestNothingIsSentForACallerWhoHasLeft(t *testing.T) {
 	c := clock.NewFake()
-	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
+	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Share: func(quarantine.Record) {}})
 	left, asked := false, 0
 	r := &Request{Received: c.Now(), Left: func() bool {
 		asked++
 		return left
 	}}
-	j := &job{s: &Service{opts: Options{Clock: c, Requests: q, Follow: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, past: q.Try(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
+	j := &job{s: &Service{opts: Options{Clock: c, Requests: q, Follow: listed("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, past: q.NewAttempt(quarantine.Identity{}), placedAt: c.Now(), at: &routing.Target{ID: "t"}}
 	if err := j.checkAtSend(); err != nil || asked > 0 {
 		t.Errorf("right after it came: %v, asked %d times", err, asked)
 	}
--- a/services/peerwire/records_test.go
+++ b/services/peerwire/records_test.go
@@ -35,7 +35,7 @@
 
 func newNode(id string, c *clock.Fake, others ...string) *node {
 	n := &node{id: id, clock: c, out: NewOutbox(0), members: member.New(member.DefaultConfig(), member.Record{ID: id, Incarnation: 1, Address: "a"})}
-	n.service = quarantine.New(log.New("quarantine"), quarantine.Options{Clock: c, Figures: "test", Tell: func(r core.Record) { n.records.Tell(c.Now(), r, "") }})
+	n.service = quarantine.New(log.New("quarantine"), quarantine.Options{Clock: c, MetricPrefix: "test", Share: func(r core.Record) { n.records.Tell(c.Now(), r, "") }})
 	n.records = NewRecords(id, n.service, n.members, n.out)
 	for _, other := range others {
 		n.members.Step(c.Now(), member.HeartbeatSeen{From: member.Record{ID: other, Incarnation: 1, State: member.StateAlive, Address: "a"}})
@@ -51,12 +51,12 @@
 func (n *node) end(targets ...string) {
 	for _, target := range targets {
 		n.clock.Advance(2 * time.Second)
-		n.service.Ended(bad(), target, n.clock.Now().Add(-time.Second))
+		n.service.TargetDied(bad(), target, n.clock.Now().Add(-time.Second))
 	}
 }
 
 func (n *node) standing() core.Standing {
-	s, _ := n.service.Judge(bad().Fingerprint())
+	s, _ := n.service.Standing(bad().Fingerprint())
 	return s
 }
 
--- a/services/quarantine/archive.go
+++ b/services/quarantine/archive.go
@@ -43,17 +43,17 @@
 	drop []quarantine.Fingerprint
 }
 
-// Keeping is what a Service needs to keep what is refused.
-type Keeping struct {
+// ArchiveOptions is what a Service needs to keep what is refused.
+type ArchiveOptions struct {
 	Archive Archive
-	// Looks tells whether this gateway is one of those that read the archive for all.
-	Looks func() bool
-	// Empty tells that nothing can be kept yet: the whole fleet starts for the first time.
-	Empty bool
+	// IsReader tells whether this gateway is one of those that read the archive for all.
+	IsReader func() bool
+	// FirstStart tells that nothing can be kept yet: the whole fleet starts for the first time.
+	FirstStart bool
 }
 
-// Keep starts to keep what is refused; it ends with the tomb.
-func (s *Service) Keep(t *tomb.Tomb, k Keeping) {
+// RunArchive starts to keep what is refused; it ends with the tomb.
+func (s *Service) RunArchive(t *tomb.Tomb, k ArchiveOptions) {
 	t.Go(func() error {
 		s.look(t, k)
 		for {
@@ -68,8 +68,8 @@
 }
 
 // look reads the archive soon after the start.
-func (s *Service) look(t *tomb.Tomb, k Keeping) {
-	if k.Empty {
+func (s *Service) look(t *tomb.Tomb, k ArchiveOptions) {
+	if k.FirstStart {
 		return
 	}
 	pause := lookAfter
@@ -79,19 +79,19 @@
 			return
 		case <-s.opts.Clock.After(pause):
 		}
-		if !k.Looks() || s.read(t, k.Archive) {
+		if !k.IsReader() || s.read(t, k.Archive) {
 			return
 		}
 		pause = min(max(2*pause, archiveAgain), archiveMost)
 	}
 }
 
-// KeepAgain puts what is refused into the archive once more: that has come back from an older
+// RewriteArchive puts what is refused into the archive once more: that has come back from an older
 // copy. A request that was refused since then would end three more targets after the loss of
 // all gateways.
-func (s *Service) KeepAgain() {
+func (s *Service) RewriteArchive() {
 	for _, r := range s.Shared() {
-		if standing, _ := s.Judge(r.Request); standing == quarantine.Quarantined {
+		if standing, _ := s.Standing(r.Request); standing == quarantine.Quarantined {
 			s.change(change{put: &r})
 		}
 	}
@@ -112,11 +112,11 @@
 		date(&records[i], now)
 	}
 	for _, r := range s.Merge("archive", records, func(quarantine.Fingerprint) bool { return false }) {
-		s.opts.Tell(r)
+		s.opts.Share(r)
 	}
 	var useless []quarantine.Fingerprint
 	for _, r := range records {
-		if standing, _ := s.Judge(r.Request); standing == quarantine.Unsuspected {
+		if standing, _ := s.Standing(r.Request); standing == quarantine.Unsuspected {
 			useless = append(useless, r.Request)
 		}
 	}
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -22,10 +22,10 @@
 // Options are the parts of a Service.
 type Options struct {
 	Clock clock.Clock
-	// Figures is what the names of the figures begin with.
-	Figures string
-	// Tell tells other gateways of a record; it must not wait for them.
-	Tell func(r quarantine.Record)
+	// MetricPrefix is what the names of the figures begin with.
+	MetricPrefix string
+	// Share tells other gateways of a record; it must not wait for them.
+	Share func(r quarantine.Record)
 }
 
 // Service holds the table.
@@ -51,8 +51,8 @@
 	set := metrics.NewSet()
 	return &Service{
 		log: logger, opts: o, table: quarantine.New(), changes: make(chan change, archiveRing), set: set,
-		ends:    set.NewCounter(o.Figures + "_requests_accused_total"),
-		refused: set.NewCounter(o.Figures + "_quarantine_refused_total"),
+		ends:    set.NewCounter(o.MetricPrefix + "_requests_accused_total"),
+		refused: set.NewCounter(o.MetricPrefix + "_quarantine_refused_total"),
 	}
 }
 
@@ -67,8 +67,8 @@
 	return s.table.Knows(outline)
 }
 
-// Judge returns the standing of a request and, where it is quarantined, for how long.
-func (s *Service) Judge(f quarantine.Fingerprint) (quarantine.Standing, time.Duration) {
+// Standing returns the standing of a request and, where it is quarantined, for how long.
+func (s *Service) Standing(f quarantine.Fingerprint) (quarantine.Standing, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Standing(s.opts.Clock.Now(), f)
@@ -89,8 +89,8 @@
 	s.table.EndTrial(f)
 }
 
-// Ended takes that a target has ended under a request that was sent to it then.
-func (s *Service) Ended(id quarantine.Identity, target string, sent time.Time) {
+// TargetDied takes that a target has ended under a request that was sent to it then.
+func (s *Service) TargetDied(id quarantine.Identity, target string, sent time.Time) {
 	now := s.opts.Clock.Now()
 	f := id.Fingerprint()
 	s.mu.Lock()
@@ -104,14 +104,14 @@
 	}
 	s.ends.Inc()
 	s.logChange(r, before, after, hold, "")
-	s.opts.Tell(r)
+	s.opts.Share(r)
 	if after == quarantine.Quarantined && before != after {
 		s.change(change{put: &r})
 	}
 }
 
-// Passed takes that a request has gone through at a target.
-func (s *Service) Passed(f quarantine.Fingerprint) {
+// Succeeded takes that a request has gone through at a target.
+func (s *Service) Succeeded(f quarantine.Fingerprint) {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
 	before, _ := s.table.Standing(now, f)
@@ -120,7 +120,7 @@
 	s.mu.Unlock()
 	if news {
 		s.logChange(r, before, quarantine.Unsuspected, 0, "")
-		s.opts.Tell(r)
+		s.opts.Share(r)
 		if len(r.Deaths) >= quarantine.QuarantineThreshold {
 			s.change(change{drop: []quarantine.Fingerprint{f}})
 		}
@@ -219,6 +219,6 @@
 	s.set.WritePrometheus(w)
 	standings := s.Standings()
 	for _, standing := range []quarantine.Standing{quarantine.Suspect, quarantine.OnTrial, quarantine.Quarantined} {
-		fmt.Fprintf(w, "%s_remembered_requests{standing=%q} %d\n", s.opts.Figures, standing, standings[standing])
+		fmt.Fprintf(w, "%s_remembered_requests{standing=%q} %d\n", s.opts.MetricPrefix, standing, standings[standing])
 	}
 }
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -102,8 +102,8 @@
 
 func newFixture(t *testing.T, a *archive, empty bool) *fixture {
 	f := &fixture{t: &tomb.Tomb{}, clock: clock.NewFake()}
-	f.Service = New(log.New("quarantine"), Options{Clock: f.clock, Tell: func(r quarantine.Record) { f.told = append(f.told, r) }})
-	f.Keep(f.t, Keeping{Archive: a, Looks: func() bool { return true }, Empty: empty})
+	f.Service = New(log.New("quarantine"), Options{Clock: f.clock, Share: func(r quarantine.Record) { f.told = append(f.told, r) }})
+	f.RunArchive(f.t, ArchiveOptions{Archive: a, IsReader: func() bool { return true }, FirstStart: empty})
 	t.Cleanup(func() {
 		f.t.Kill(nil)
 		_ = f.t.Wait()
@@ -137,12 +137,12 @@
 func (f *fixture) end(id quarantine.Identity, targets int) {
 	for i := range targets {
 		f.clock.Advance(3 * time.Second)
-		f.Ended(id, fmt.Sprint("t", i), f.clock.Now().Add(-time.Second))
+		f.TargetDied(id, fmt.Sprint("t", i), f.clock.Now().Add(-time.Second))
 	}
 }
 
 func (f *fixture) standing(id quarantine.Identity) quarantine.Standing {
-	s, _ := f.Judge(id.Fingerprint())
+	s, _ := f.Standing(id.Fingerprint())
 	return s
 }
 
@@ -201,7 +201,7 @@
 	f := newFixture(t, a, true)
 	f.end(bad(), quarantine.QuarantineThreshold)
 	f.expect(t, a, "put")
-	f.Passed(bad().Fingerprint())
+	f.Succeeded(bad().Fingerprint())
 	f.expect(t, a, "drop")
 	if got := f.standing(bad()); got != quarantine.Unsuspected {
 		t.Errorf("it is %v", got)
@@ -234,7 +234,7 @@
 	a.mu.Lock()
 	clear(a.rows)
 	a.mu.Unlock()
-	f.KeepAgain()
+	f.RewriteArchive()
 	f.expect(t, a, "put")
 	if !a.has(bad().Fingerprint()) || a.has(other.Fingerprint()) {
 		t.Error("not what is refused was written again")
--- a/services/quarantine/try.go
+++ b/services/quarantine/try.go
@@ -11,14 +11,14 @@
 	"madderway/models/result"
 )
 
-// EndWait is how long a request waits to know whether its target has ended before it goes on
+// ExitTimeout is how long a request waits to know whether its target has ended before it goes on
 // at another one. A target that has ended says so within a few milliseconds; what is cut off
 // says nothing, and the request must not wait for that.
-const EndWait = 60 * time.Millisecond
+const ExitTimeout = 60 * time.Millisecond
 
-// Try is one try of a request, with what it has asked of earlier ones. It is not safe for
+// Attempt is one try of a request, with what it has asked of earlier ones. It is not safe for
 // concurrent use; End must be called when it is over.
-type Try struct {
+type Attempt struct {
 	s       *Service
 	id      quarantine.Identity
 	request quarantine.Fingerprint
@@ -26,25 +26,25 @@
 	onTrial bool // onTrial tells that this is the one run of a request on trial.
 }
 
-// Try begins a try.
-func (s *Service) Try(id quarantine.Identity) Try { return Try{s: s, id: id} }
+// NewAttempt begins a try.
+func (s *Service) NewAttempt(id quarantine.Identity) Attempt { return Attempt{s: s, id: id} }
 
 // Request returns the request's fingerprint, which is worked out once.
-func (t *Try) Request() quarantine.Fingerprint {
+func (t *Attempt) Request() quarantine.Fingerprint {
 	if !t.known {
 		t.request, t.known = t.id.Fingerprint(), true
 	}
 	return t.request
 }
 
-// MayBeSent returns why the request must not be sent to a target, or nil. A request that ends
+// Check returns why the request must not be sent to a target, or nil. A request that ends
 // each target that runs it would otherwise end one at each try: 11 to 19 of nine in half a
 // minute, each with up to 17 other streams.
-func (t *Try) MayBeSent() error {
+func (t *Attempt) Check() error {
 	if !t.s.Knows(t.id) {
 		return nil
 	}
-	switch standing, hold := t.s.Judge(t.Request()); {
+	switch standing, hold := t.s.Standing(t.Request()); {
 	case standing == quarantine.Quarantined:
 		return t.refuse("targets have ended under request %s", hold)
 	case standing == quarantine.OnTrial && !t.onTrial:
@@ -57,35 +57,35 @@
 	return nil
 }
 
-func (t *Try) refuse(why string, after time.Duration) error {
+func (t *Attempt) refuse(why string, after time.Duration) error {
 	t.s.refused.Inc()
 	return result.New(result.EndsTargets, why, t.Request()).WithRetryAfter(after)
 }
 
-// Passed tells that a target has run the request to its end. A failure tells nothing: a target
+// Succeeded tells that a target has run the request to its end. A failure tells nothing: a target
 // can give one before it begins to run a request.
-func (t *Try) Passed() {
+func (t *Attempt) Succeeded() {
 	if t.known || t.s.Knows(t.id) {
-		t.s.Passed(t.Request())
+		t.s.Succeeded(t.Request())
 	}
 }
 
-// Accuse tells that a target has ended to which the request was sent then.
-func (t *Try) Accuse(target string, sentAt time.Time) { t.s.Ended(t.id, target, sentAt) }
+// TargetDied tells that a target has ended to which the request was sent then.
+func (t *Attempt) TargetDied(target string, sentAt time.Time) { t.s.TargetDied(t.id, target, sentAt) }
 
 // End lets the next try of a request on trial begin.
-func (t *Try) End() {
+func (t *Attempt) End() {
 	if t.onTrial {
 		t.s.EndTrial(t.request)
 	}
 }
 
-// HasEnded asks whether a target has ended: soon, and where that is not known by then, beside
+// HasExited asks whether a target has ended: soon, and where that is not known by then, beside
 // the caller. Late gets a finding that comes later.
-func HasEnded(ctx context.Context, ask func(ctx context.Context) (ended, known bool), late func()) (ended, known bool) {
+func HasExited(ctx context.Context, ask func(ctx context.Context) (ended, known bool), late func()) (ended, known bool) {
 	// The end of a request's time must not hide its target's end from later ones.
 	ctx = context.WithoutCancel(ctx)
-	soon, cancel := context.WithTimeout(ctx, EndWait)
+	soon, cancel := context.WithTimeout(ctx, ExitTimeout)
 	defer cancel()
 	ended, known = ask(soon)
 	if !known {
