--- a/services/quarantine/archive.go
+++ b/services/quarantine/archive.go
@@ -22,25 +22,25 @@
 }
 
 const (
-	// archiveTime bounds one call of the archive.
-	archiveTime = 2 * time.Second
-	// archiveRing is how many changes may wait for the archive; it is away for seconds, and
+	// archiveTimeout bounds one call of the archive.
+	archiveTimeout = 2 * time.Second
+	// archiveQueueSize is how many changes may wait for the archive; it is away for seconds, and
 	// few requests are refused.
-	archiveRing = 64
-	// archiveAgain is the pause after a call that failed; it doubles up to archiveMost.
-	archiveAgain = time.Second
-	archiveMost  = 10 * time.Second
-	// lookAfter is how long after its start a gateway looks into the archive. By then it
+	archiveQueueSize = 64
+	// archiveBackoff is the pause after a call that failed; it doubles up to archiveMost.
+	archiveBackoff    = time.Second
+	maxArchiveBackoff = 10 * time.Second
+	// firstReadDelay is how long after its start a gateway looks into the archive. By then it
 	// knows whether others are there, and three of the fleet look for all.
-	lookAfter = 700 * time.Millisecond
-	// dropMost is how many rows one call may drop.
-	dropMost = 90
+	firstReadDelay = 700 * time.Millisecond
+	// maxDeletes is how many rows one call may drop.
+	maxDeletes = 90
 )
 
 // change is one of the archive: a record to put, or requests to drop.
 type change struct {
-	put  *quarantine.Record
-	drop []quarantine.Fingerprint
+	put     *quarantine.Record
+	deletes []quarantine.Fingerprint
 }
 
 // ArchiveOptions is what a Service needs to keep what is refused.
@@ -55,34 +55,34 @@
 // RunArchive starts to keep what is refused; it ends with the tomb.
 func (s *Service) RunArchive(t *tomb.Tomb, k ArchiveOptions) {
 	t.Go(func() error {
-		s.look(t, k)
+		s.readAtStart(t, k)
 		for {
 			select {
 			case <-t.Dying():
 				return nil
 			case c := <-s.changes:
-				s.write(t, k.Archive, c)
+				s.apply(t, k.Archive, c)
 			}
 		}
 	})
 }
 
-// look reads the archive soon after the start.
-func (s *Service) look(t *tomb.Tomb, k ArchiveOptions) {
+// readAtStart reads the archive soon after the start.
+func (s *Service) readAtStart(t *tomb.Tomb, k ArchiveOptions) {
 	if k.FirstStart {
 		return
 	}
-	pause := lookAfter
+	pause := firstReadDelay
 	for {
 		select {
 		case <-t.Dying():
 			return
 		case <-s.opts.Clock.After(pause):
 		}
-		if !k.IsReader() || s.read(t, k.Archive) {
+		if !k.IsReader() || s.readArchive(t, k.Archive) {
 			return
 		}
-		pause = min(max(2*pause, archiveAgain), archiveMost)
+		pause = min(max(2*pause, archiveBackoff), maxArchiveBackoff)
 	}
 }
 
@@ -92,14 +92,14 @@
 func (s *Service) RewriteArchive() {
 	for _, r := range s.Shared() {
 		if standing, _ := s.Standing(r.Request); standing == quarantine.Quarantined {
-			s.change(change{put: &r})
+			s.enqueue(change{put: &r})
 		}
 	}
 }
 
-// read takes what is kept, tells it on and drops what is no longer of use.
-func (s *Service) read(t *tomb.Tomb, a Archive) bool {
-	ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTime)
+// readArchive takes what is kept, tells it on and drops what is no longer of use.
+func (s *Service) readArchive(t *tomb.Tomb, a Archive) bool {
+	ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTimeout)
 	defer cancel()
 	records, err := a.Records(ctx)
 	if err != nil {
@@ -109,7 +109,7 @@
 	s.log.Info("Read what is refused.", "requests", len(records))
 	now := s.opts.Clock.Now()
 	for i := range records {
-		date(&records[i], now)
+		setDeathTimes(&records[i], now)
 	}
 	for _, r := range s.Merge("archive", records, func(quarantine.Fingerprint) bool { return false }) {
 		s.opts.Share(r)
@@ -120,21 +120,21 @@
 			useless = append(useless, r.Request)
 		}
 	}
-	s.change(change{drop: useless})
+	s.enqueue(change{deletes: useless})
 	return true
 }
 
-// date gives the ends of a record times from now back: the archive's are of another clock.
-func date(r *quarantine.Record, now time.Time) {
+// setDeathTimes gives the ends of a record times from now back: the archive's are of another clock.
+func setDeathTimes(r *quarantine.Record, now time.Time) {
 	const apart = 2 * time.Second // more than ends of one target can be told apart by
 	for i := range r.Deaths {
 		r.Deaths[i].At = now.Add(-time.Duration(i) * apart)
 	}
 }
 
-// change has the archive changed, where one is kept.
-func (s *Service) change(c change) {
-	if c.put == nil && len(c.drop) == 0 {
+// enqueue has the archive changed, where one is kept.
+func (s *Service) enqueue(c change) {
+	if c.put == nil && len(c.deletes) == 0 {
 		return
 	}
 	select {
@@ -144,15 +144,15 @@
 	}
 }
 
-// write makes one change; a put is tried until it is done, a drop once: it is made up for
+// apply makes one change; a put is tried until it is done, a drop once: it is made up for
 // when the archive is read.
-func (s *Service) write(t *tomb.Tomb, a Archive, c change) {
+func (s *Service) apply(t *tomb.Tomb, a Archive, c change) {
 	if c.put == nil {
-		s.drop(t, a, c.drop)
+		s.deleteArchived(t, a, c.deletes)
 		return
 	}
-	for pause := archiveAgain; ; pause = min(2*pause, archiveMost) {
-		ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTime)
+	for pause := archiveBackoff; ; pause = min(2*pause, maxArchiveBackoff) {
+		ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTimeout)
 		err := a.Put(ctx, *c.put)
 		cancel()
 		if err == nil {
@@ -167,10 +167,10 @@
 	}
 }
 
-func (s *Service) drop(t *tomb.Tomb, a Archive, requests []quarantine.Fingerprint) {
+func (s *Service) deleteArchived(t *tomb.Tomb, a Archive, requests []quarantine.Fingerprint) {
 	for len(requests) > 0 {
-		n := min(len(requests), dropMost)
-		ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTime)
+		n := min(len(requests), maxDeletes)
+		ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTimeout)
 		err := a.Drop(ctx, requests[:n])
 		cancel()
 		if err != nil {
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -42,7 +42,7 @@
 	changes chan change // changes wait for the archive.
 
 	set     *metrics.Set
-	ends    *metrics.Counter
+	deaths  *metrics.Counter
 	refused *metrics.Counter
 }
 
@@ -50,8 +50,8 @@
 func New(logger log.Logger, o Options) *Service {
 	set := metrics.NewSet()
 	return &Service{
-		log: logger, opts: o, table: quarantine.New(), changes: make(chan change, archiveRing), set: set,
-		ends:    set.NewCounter(o.MetricPrefix + "_requests_accused_total"),
+		log: logger, opts: o, table: quarantine.New(), changes: make(chan change, archiveQueueSize), set: set,
+		deaths:  set.NewCounter(o.MetricPrefix + "_requests_accused_total"),
 		refused: set.NewCounter(o.MetricPrefix + "_quarantine_refused_total"),
 	}
 }
@@ -97,16 +97,16 @@
 	before, _ := s.table.Standing(now, f)
 	r, accused := s.table.TargetDied(now, id, target, sent)
 	after, hold := s.table.Standing(now, f)
-	s.count()
+	s.updateKnown()
 	s.mu.Unlock()
 	if !accused {
 		return
 	}
-	s.ends.Inc()
+	s.deaths.Inc()
 	s.logChange(r, before, after, hold, "")
 	s.opts.Share(r)
 	if after == quarantine.Quarantined && before != after {
-		s.change(change{put: &r})
+		s.enqueue(change{put: &r})
 	}
 }
 
@@ -116,13 +116,13 @@
 	s.mu.Lock()
 	before, _ := s.table.Standing(now, f)
 	r, news := s.table.Succeeded(now, f)
-	s.count()
+	s.updateKnown()
 	s.mu.Unlock()
 	if news {
 		s.logChange(r, before, quarantine.Unsuspected, 0, "")
 		s.opts.Share(r)
 		if len(r.Deaths) >= quarantine.QuarantineThreshold {
-			s.change(change{drop: []quarantine.Fingerprint{f}})
+			s.enqueue(change{deletes: []quarantine.Fingerprint{f}})
 		}
 	}
 }
@@ -137,14 +137,14 @@
 		before, _ := s.table.Standing(now, other.Request)
 		r, changed := s.table.Merge(now, other)
 		after, hold := s.table.Standing(now, other.Request)
-		s.count()
+		s.updateKnown()
 		s.mu.Unlock()
 		if !changed {
 			continue
 		}
 		s.logChange(r, before, after, hold, from)
 		if after == quarantine.Quarantined && before != after && first(r.Request) {
-			s.change(change{put: &r})
+			s.enqueue(change{put: &r})
 		}
 		if r.IsShared() {
 			news = append(news, r)
@@ -179,7 +179,7 @@
 	}
 	s.mu.Lock()
 	over := s.table.Expire(s.opts.Clock.Now())
-	s.count()
+	s.updateKnown()
 	s.mu.Unlock()
 	var drop []quarantine.Fingerprint
 	for _, r := range over {
@@ -187,11 +187,11 @@
 			drop = append(drop, r.Request)
 		}
 	}
-	s.change(change{drop: drop})
+	s.enqueue(change{deletes: drop})
 }
 
-// count keeps known right; mu is held.
-func (s *Service) count() { s.known.Store(int32(s.table.Len())) }
+// updateKnown keeps known right; mu is held.
+func (s *Service) updateKnown() { s.known.Store(int32(s.table.Len())) }
 
 // logChange tells of a request whose standing has changed. The first end under a request is
 // told by the line of the failed attempt.
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -25,39 +25,39 @@
 	m.Run()
 }
 
-// archive is one in memory that can be away.
-type archive struct {
+// fakeArchive is one in memory that can be away.
+type fakeArchive struct {
 	mu    sync.Mutex
-	away  bool
+	down  bool
 	rows  map[quarantine.Fingerprint]quarantine.Record
 	calls chan string // calls gets one name for each call.
 }
 
-var errAway = errors.New("away")
+var errDown = errors.New("away")
 
-func newArchive() *archive {
-	return &archive{rows: map[quarantine.Fingerprint]quarantine.Record{}, calls: make(chan string, 64)}
+func newArchive() *fakeArchive {
+	return &fakeArchive{rows: map[quarantine.Fingerprint]quarantine.Record{}, calls: make(chan string, 64)}
 }
 
-func (a *archive) call(name string, do func()) error {
+func (a *fakeArchive) call(name string, do func()) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	defer func() { a.calls <- name }()
-	if a.away {
-		return errAway
+	if a.down {
+		return errDown
 	}
 	do()
 	return nil
 }
 
-func (a *archive) setAway(away bool) {
+func (a *fakeArchive) setDown(away bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.away = away
+	a.down = away
 }
 
 // Records implements Archive.
-func (a *archive) Records(context.Context) ([]quarantine.Record, error) {
+func (a *fakeArchive) Records(context.Context) ([]quarantine.Record, error) {
 	var out []quarantine.Record
 	err := a.call("read", func() {
 		for _, r := range a.rows {
@@ -73,12 +73,12 @@
 }
 
 // Put implements Archive.
-func (a *archive) Put(_ context.Context, r quarantine.Record) error {
+func (a *fakeArchive) Put(_ context.Context, r quarantine.Record) error {
 	return a.call("put", func() { a.rows[r.Request] = r })
 }
 
 // Drop implements Archive.
-func (a *archive) Drop(_ context.Context, requests []quarantine.Fingerprint) error {
+func (a *fakeArchive) Drop(_ context.Context, requests []quarantine.Fingerprint) error {
 	return a.call("drop", func() {
 		for _, f := range requests {
 			delete(a.rows, f)
@@ -86,7 +86,7 @@
 	})
 }
 
-func (a *archive) has(f quarantine.Fingerprint) bool {
+func (a *fakeArchive) has(f quarantine.Fingerprint) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_, ok := a.rows[f]
@@ -95,14 +95,14 @@
 
 type fixture struct {
 	*Service
-	t     *tomb.Tomb
-	clock *clock.Fake
-	told  []quarantine.Record
+	t      *tomb.Tomb
+	clock  *clock.Fake
+	shared []quarantine.Record
 }
 
-func newFixture(t *testing.T, a *archive, empty bool) *fixture {
+func newFixture(t *testing.T, a *fakeArchive, empty bool) *fixture {
 	f := &fixture{t: &tomb.Tomb{}, clock: clock.NewFake()}
-	f.Service = New(log.New("quarantine"), Options{Clock: f.clock, Share: func(r quarantine.Record) { f.told = append(f.told, r) }})
+	f.Service = New(log.New("quarantine"), Options{Clock: f.clock, Share: func(r quarantine.Record) { f.shared = append(f.shared, r) }})
 	f.RunArchive(f.t, ArchiveOptions{Archive: a, IsReader: func() bool { return true }, FirstStart: empty})
 	t.Cleanup(func() {
 		f.t.Kill(nil)
@@ -111,8 +111,8 @@
 	return f
 }
 
-// expect moves the clock until the archive is called.
-func (f *fixture) expect(t *testing.T, a *archive, call string) {
+// expectCall moves the clock until the archive is called.
+func (f *fixture) expectCall(t *testing.T, a *fakeArchive, call string) {
 	t.Helper()
 	for {
 		select {
@@ -130,11 +130,11 @@
 	}
 }
 
-func bad() quarantine.Identity {
+func poisonRequest() quarantine.Identity {
 	return quarantine.Identity{Account: "a", Method: "POST", Host: "h", URI: "/p", Body: []byte("x")}
 }
 
-func (f *fixture) end(id quarantine.Identity, targets int) {
+func (f *fixture) killTargets(id quarantine.Identity, targets int) {
 	for i := range targets {
 		f.clock.Advance(3 * time.Second)
 		f.TargetDied(id, fmt.Sprint("t", i), f.clock.Now().Add(-time.Second))
@@ -148,73 +148,73 @@
 
 // What is refused is written though the archive is away at first, is read by a process that
 // knows nothing, refused there for its whole time again, told on, and dropped when it is over.
-func TestRefusedRequestsOutliveTheProcess(t *testing.T) {
+func TestQuarantineSurvivesRestart(t *testing.T) {
 	a := newArchive()
 	first := newFixture(t, a, true)
-	a.setAway(true)
-	first.end(bad(), quarantine.QuarantineThreshold)
-	first.expect(t, a, "put")
-	a.setAway(false)
-	first.expect(t, a, "put")
-	if !a.has(bad().Fingerprint()) {
+	a.setDown(true)
+	first.killTargets(poisonRequest(), quarantine.QuarantineThreshold)
+	first.expectCall(t, a, "put")
+	a.setDown(false)
+	first.expectCall(t, a, "put")
+	if !a.has(poisonRequest().Fingerprint()) {
 		t.Fatal("nothing was kept")
 	}
-	a.setAway(true)
+	a.setDown(true)
 	next := newFixture(t, a, false)
-	next.expect(t, a, "read")
-	a.setAway(false)
-	next.expect(t, a, "read")
+	next.expectCall(t, a, "read")
+	a.setDown(false)
+	next.expectCall(t, a, "read")
 	next.t.Kill(nil)
 	_ = next.t.Wait()
-	if got := next.standing(bad()); got != quarantine.Quarantined {
+	if got := next.standing(poisonRequest()); got != quarantine.Quarantined {
 		t.Fatalf("the next process takes it for %v", got)
 	}
-	if len(next.told) != 1 {
-		t.Errorf("%d records were told on", len(next.told))
+	if len(next.shared) != 1 {
+		t.Errorf("%d records were told on", len(next.shared))
 	}
 }
 
 // A record that is over goes from the archive, by the gateway that keeps it first.
-func TestWhatIsOverLeavesTheArchive(t *testing.T) {
+func TestExpiredRecordIsDeletedFromArchive(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
-	f.end(bad(), quarantine.QuarantineThreshold)
-	f.expect(t, a, "put")
+	f.killTargets(poisonRequest(), quarantine.QuarantineThreshold)
+	f.expectCall(t, a, "put")
 	f.clock.Advance(48 * time.Hour)
 	f.Expire(func(quarantine.Fingerprint) bool { return false })
-	if !a.has(bad().Fingerprint()) {
+	if !a.has(poisonRequest().Fingerprint()) {
 		t.Fatal("dropped by another gateway")
 	}
-	f.end(bad(), quarantine.QuarantineThreshold)
-	f.expect(t, a, "put")
+	f.killTargets(poisonRequest(), quarantine.QuarantineThreshold)
+	f.expectCall(t, a, "put")
 	f.clock.Advance(48 * time.Hour)
 	f.Expire(func(quarantine.Fingerprint) bool { return true })
-	f.expect(t, a, "drop")
-	if a.has(bad().Fingerprint()) {
+	f.expectCall(t, a, "drop")
+	if a.has(poisonRequest().Fingerprint()) {
 		t.Error("kept for ever")
 	}
 }
 
 // A request that goes through is cleared here, elsewhere and in the archive.
-func TestRunThatGoesThroughClears(t *testing.T) {
+func TestSuccessClearsRequest(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
-	f.end(bad(), quarantine.QuarantineThreshold)
-	f.expect(t, a, "put")
-	f.Succeeded(bad().Fingerprint())
-	f.expect(t, a, "drop")
-	if got := f.standing(bad()); got != quarantine.Unsuspected {
+	f.killTargets(poisonRequest(), quarantine.QuarantineThreshold)
+	f.expectCall(t, a, "put")
+	f.Succeeded(poisonRequest().Fingerprint())
+	f.expectCall(t, a, "drop")
+	if got := f.standing(poisonRequest()); got != quarantine.Unsuspected {
 		t.Errorf("it is %v", got)
 	}
-	if last := f.told[len(f.told)-1]; !last.Deaths[0].Forgiven {
+	if last := f.shared[len(f.shared)-1]; !last.Deaths[0].Forgiven {
 		t.Error("the others were not told")
 	}
 }
 
 // While nothing is known of any request a look costs next to nothing: 3 ns.
-func BenchmarkNothingKnown(b *testing.B) {
+func BenchmarkKnowsEmptyTable(b *testing.B) {
 	s := New(log.New("quarantine"), Options{Clock: clock.System{}})
-	id := bad()
+	id := poisonRequest()
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Knows(id)
@@ -223,20 +223,20 @@
 
 // What is refused is written once more where the archive may have lost it; what is only
 // suspected never was there.
-func TestRefusedRequestsAreKeptAgain(t *testing.T) {
+func TestRewriteArchiveWritesQuarantinedOnly(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
-	f.end(bad(), quarantine.QuarantineThreshold)
-	f.expect(t, a, "put")
-	other := bad()
+	f.killTargets(poisonRequest(), quarantine.QuarantineThreshold)
+	f.expectCall(t, a, "put")
+	other := poisonRequest()
 	other.URI = "/suspect"
-	f.end(other, quarantine.ShareThreshold)
+	f.killTargets(other, quarantine.ShareThreshold)
 	a.mu.Lock()
 	clear(a.rows)
 	a.mu.Unlock()
 	f.RewriteArchive()
-	f.expect(t, a, "put")
-	if !a.has(bad().Fingerprint()) || a.has(other.Fingerprint()) {
+	f.expectCall(t, a, "put")
+	if !a.has(poisonRequest().Fingerprint()) || a.has(other.Fingerprint()) {
 		t.Error("not what is refused was written again")
 	}
 }
--- a/services/quarantine/try.go
+++ b/services/quarantine/try.go
@@ -19,11 +19,11 @@
 // Attempt is one try of a request, with what it has asked of earlier ones. It is not safe for
 // concurrent use; End must be called when it is over.
 type Attempt struct {
-	s       *Service
-	id      quarantine.Identity
-	request quarantine.Fingerprint
-	known   bool // known tells that request is set.
-	onTrial bool // onTrial tells that this is the one run of a request on trial.
+	s          *Service
+	id         quarantine.Identity
+	request    quarantine.Fingerprint
+	hasRequest bool // known tells that request is set.
+	onTrial    bool // onTrial tells that this is the one run of a request on trial.
 }
 
 // NewAttempt begins a try.
@@ -31,8 +31,8 @@
 
 // Request returns the request's fingerprint, which is worked out once.
 func (t *Attempt) Request() quarantine.Fingerprint {
-	if !t.known {
-		t.request, t.known = t.id.Fingerprint(), true
+	if !t.hasRequest {
+		t.request, t.hasRequest = t.id.Fingerprint(), true
 	}
 	return t.request
 }
@@ -65,7 +65,7 @@
 // Succeeded tells that a target has run the request to its end. A failure tells nothing: a target
 // can give one before it begins to run a request.
 func (t *Attempt) Succeeded() {
-	if t.known || t.s.Knows(t.id) {
+	if t.hasRequest || t.s.Knows(t.id) {
 		t.s.Succeeded(t.Request())
 	}
 }
