--- a/services/platform/object.go
+++ b/services/platform/object.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// ErrAbsent is the general kind of ErrObjectNotExist.
-var ErrAbsent = errors.New("not there")
+// ErrNotExist is the general kind of ErrObjectNotExist.
+var ErrNotExist = errors.New("not there")
 
 // ErrObjectNotExist names an object that is not in the store.
 type ErrObjectNotExist struct{ Key string }
@@ -23,7 +23,7 @@
 func (e ErrObjectNotExist) Error() string { return "no object " + e.Key }
 
 // Unwrap returns ErrAbsent.
-func (e ErrObjectNotExist) Unwrap() error { return ErrAbsent }
+func (e ErrObjectNotExist) Unwrap() error { return ErrNotExist }
 
 // IsErrObjectNotExist reports whether err is an ErrObjectNotExist.
 func IsErrObjectNotExist(err error) bool {
