--- a/router/router.go
+++ b/router/router.go
@@ -160,7 +160,7 @@
 	})
 	r.claims.Sweep(r.sweeps)
 	r.answers = answer.NewStore(&r.t, log.New("answer").With(id), answer.Options{
-		Clock: r.clock, Objects: objects, Kept: s.Answer.Kept.Duration, MaxBytes: s.Answer.MaxBytes, Timeout: s.Platform.Timeout.Duration,
+		Clock: r.clock, Objects: objects, Retention: s.Answer.Kept.Duration, MaxBytes: s.Answer.MaxBytes, Timeout: s.Platform.Timeout.Duration,
 	})
 	r.dispatch = dispatch.New(&r.t, log.New("dispatch").With(id), dispatch.Options{
 		RouterID: id, Incarnation: r.self.Incarnation, DataHall: s.Router.DataHall, Clock: r.clock, Loop: r.loop,
--- a/services/answer/keep.go
+++ b/services/answer/keep.go
@@ -28,8 +28,8 @@
 	bodyPrefix = "recorded/"
 )
 
-// Kept is a complete answer.
-type Kept struct {
+// StoredAnswer is a complete answer.
+type StoredAnswer struct {
 	RequestID   string    `json:"request_id"`
 	Account     string    `json:"account"`
 	ContentType string    `json:"content_type"`
@@ -40,16 +40,16 @@
 
 type keepJob struct {
 	account conf.ClientAccount
-	kept    Kept
+	kept    StoredAnswer
 }
 
 // Options are the parts of a Store.
 type Options struct {
-	Clock    clock.Clock
-	Objects  platform.Objects
-	Kept     time.Duration
-	MaxBytes int64
-	Timeout  time.Duration
+	Clock     clock.Clock
+	Objects   platform.Objects
+	Retention time.Duration
+	MaxBytes  int64
+	Timeout   time.Duration
 }
 
 // Store keeps answers whose callers have gone in the object store.
@@ -75,9 +75,9 @@
 	return objectPrefix + hex.EncodeToString(sum[:8]) + "/"
 }
 
-// Keep queues an answer to be written. It reports false where the answer is
+// Enqueue queues an answer to be written. It reports false where the answer is
 // too large or too many wait.
-func (s *Store) Keep(account conf.ClientAccount, requestID, contentType string, events []string) bool {
+func (s *Store) Enqueue(account conf.ClientAccount, requestID, contentType string, events []string) bool {
 	size := int64(0)
 	for _, e := range events {
 		size += int64(len(e))
@@ -86,9 +86,9 @@
 		return false
 	}
 	now := s.opts.Clock.Now()
-	return s.jobs.TryPut(keepJob{account, Kept{
+	return s.jobs.TryPut(keepJob{account, StoredAnswer{
 		RequestID: requestID, Account: account.Name, ContentType: contentType,
-		Events: events, At: now, Expires: now.Add(s.opts.Kept),
+		Events: events, At: now, Expires: now.Add(s.opts.Retention),
 	}})
 }
 
@@ -146,7 +146,7 @@
 	size := int64(0)
 	for i, info := range infos {
 		size += info.Size
-		if i < account.KeepAnswers && size <= account.KeepBytes && now.Sub(info.Modified) < s.opts.Kept {
+		if i < account.KeepAnswers && size <= account.KeepBytes && now.Sub(info.Modified) < s.opts.Retention {
 			continue
 		}
 		if err := s.opts.Objects.Delete(ctx, info.Key); err != nil {
@@ -156,8 +156,8 @@
 }
 
 // Fetch returns a kept answer to the account that owns it.
-func (s *Store) Fetch(ctx context.Context, account, requestID string) (Kept, error) {
-	var k Kept
+func (s *Store) Fetch(ctx context.Context, account, requestID string) (StoredAnswer, error) {
+	var k StoredAnswer
 	content, err := s.opts.Objects.Get(ctx, accountPrefix(account)+requestID)
 	if err != nil {
 		return k, err
--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -257,7 +257,7 @@
 	if !st.callerGone {
 		return
 	}
-	kept := st.s.opts.Answers.Keep(*st.j.account, st.j.requestID, "text/event-stream", st.events)
+	kept := st.s.opts.Answers.Enqueue(*st.j.account, st.j.requestID, "text/event-stream", st.events)
 	st.s.opts.Book.Note(st.j.requestID, st.j.account.Name, "keep", "caller gone, answer of %d events kept: %t", len(st.events), kept)
 }
 
