--- a/services/answer/keep.go
+++ b/services/answer/keep.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	objectPrefix = "answer/"
-	keepRetry    = time.Second
-	keepTries    = 120
+	objectPrefix       = "answer/"
+	writeRetryInterval = time.Second
+	maxWriteTries      = 120
 	// bodyPrefix holds the large answers of calls that must not be repeated.
 	bodyPrefix = "recorded/"
 )
@@ -38,9 +38,9 @@
 	Expires     time.Time `json:"expires"`
 }
 
-type keepJob struct {
+type writeJob struct {
 	account conf.ClientAccount
-	kept    StoredAnswer
+	answer  StoredAnswer
 }
 
 // Options are the parts of a Store.
@@ -57,12 +57,12 @@
 	t    *tomb.Tomb
 	log  log.Logger
 	opts Options
-	jobs *ring.Ring[keepJob]
+	jobs *ring.Ring[writeJob]
 }
 
 // NewStore starts the goroutine that writes answers; it ends with the tomb.
 func NewStore(t *tomb.Tomb, logger log.Logger, o Options) *Store {
-	s := &Store{t: t, log: logger, opts: o, jobs: ring.New[keepJob]("answers to keep", 256)}
+	s := &Store{t: t, log: logger, opts: o, jobs: ring.New[writeJob]("answers to keep", 256)}
 	t.Go(s.run)
 	return s
 }
@@ -86,7 +86,7 @@
 		return false
 	}
 	now := s.opts.Clock.Now()
-	return s.jobs.TryPut(keepJob{account, StoredAnswer{
+	return s.jobs.TryPut(writeJob{account, StoredAnswer{
 		RequestID: requestID, Account: account.Name, ContentType: contentType,
 		Events: events, At: now, Expires: now.Add(s.opts.Retention),
 	}})
@@ -107,34 +107,34 @@
 }
 
 // write tries until the store takes the answer, for a bounded time.
-func (s *Store) write(job keepJob) {
-	content, err := json.Marshal(job.kept)
+func (s *Store) write(job writeJob) {
+	content, err := json.Marshal(job.answer)
 	if err != nil {
-		s.log.Error(err, "Could not encode an answer.", "request", job.kept.RequestID)
+		s.log.Error(err, "Could not encode an answer.", "request", job.answer.RequestID)
 		return
 	}
-	key := accountPrefix(job.account.Name) + job.kept.RequestID
-	for range keepTries {
+	key := accountPrefix(job.account.Name) + job.answer.RequestID
+	for range maxWriteTries {
 		ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), s.opts.Timeout)
 		err = s.opts.Objects.Put(ctx, key, content)
 		cancel()
 		if err == nil {
-			s.log.Debug("Kept an answer.", "request", job.kept.RequestID, "bytes", len(content))
-			s.bound(job.account)
+			s.log.Debug("Kept an answer.", "request", job.answer.RequestID, "bytes", len(content))
+			s.enforceLimits(job.account)
 			return
 		}
 		select {
 		case <-s.t.Dying():
 			return
-		case <-s.opts.Clock.After(keepRetry):
+		case <-s.opts.Clock.After(writeRetryInterval):
 		}
 	}
-	s.log.Error(err, "Lost an answer that was to be kept.", "request", job.kept.RequestID)
+	s.log.Error(err, "Lost an answer that was to be kept.", "request", job.answer.RequestID)
 }
 
-// bound deletes the oldest and the expired answers of an account over its
+// enforceLimits deletes the oldest and the expired answers of an account over its
 // limits.
-func (s *Store) bound(account conf.ClientAccount) {
+func (s *Store) enforceLimits(account conf.ClientAccount) {
 	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), s.opts.Timeout)
 	defer cancel()
 	infos, err := s.opts.Objects.List(ctx, accountPrefix(account.Name))
--- a/services/answer/token.go
+++ b/services/answer/token.go
@@ -32,7 +32,7 @@
 	return errors.As(err, &e)
 }
 
-const maxToken = 2048
+const maxTokenSize = 2048
 
 // Token says where an answer is produced. It goes to the caller with the first
 // bytes, so nothing is stored on the way.
@@ -71,7 +71,7 @@
 // request.
 func (s *Signer) Verify(text, account, requestID string) (Token, error) {
 	var t Token
-	if len(text) > maxToken {
+	if len(text) > maxTokenSize {
 		return t, ErrBadToken{"too long"}
 	}
 	payload, sum, ok := strings.Cut(text, ".")
--- a/services/answer/token_test.go
+++ b/services/answer/token_test.go
@@ -10,7 +10,7 @@
 
 const key = "a key of the routers"
 
-func TestTokenRoundTrip(t *testing.T) {
+func TestVerifyAcceptsOwnTokenOnly(t *testing.T) {
 	s := NewSigner(key)
 	want := Token{Account: "alder", RequestID: "req-1", Attempt: 2, Target: "t", Address: "127.0.0.1:1", StreamID: "req-1.2"}
 	text := s.Sign(want)
