--- a/router/router.go
+++ b/router/router.go
@@ -150,7 +150,7 @@
 		Clock: r.clock, MetricPrefix: "madderway", Share: func(record core.Record) { r.loop.TellRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, Figures: "madderway"})
-	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.WantsRest(target, "", rest) }
+	r.engine.OnRetryAfter = func(target string, rest retryafter.Result) { r.notices.WantsRest(target, "", rest) }
 	r.loop = control.NewLoop(&r.t, log.New("control").With(id), r.controlOptions(auth))
 	close(r.assembled)
 	r.peers.Attach(r.loop, r.config, r.book)
--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -212,9 +212,9 @@
 func (st *stream) startFailed(ctx context.Context, target *conf.Target, err error, fin *admit.Finished) (string, int, error) {
 	fin.Failed = true
 	st.j.deny = append(st.j.deny, target.Name)
-	a, _ := engine.AsAttempt(err)
+	a, _ := engine.AsErrAttempt(err)
 	st.s.opts.Book.Note(st.j.requestID, st.j.account.Name, "attempt", "%d at %s did not start: %v", st.attempt, target.Name, err)
-	if !a.Ran {
+	if !a.MayHaveRun {
 		return outcomeNotRun, a.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
 	st.s.lookAtEnd(ctx, st.j, target)
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -141,9 +141,9 @@
 		return a, "", a.Status, nil
 	}
 	s.opts.Book.Note(j.requestID, j.account.Name, "attempt", "%s: %v", target.Name, err)
-	at, _ := engine.AsAttempt(err)
+	at, _ := engine.AsErrAttempt(err)
 	j.deny = append(j.deny, target.Name)
-	if !at.Ran {
+	if !at.MayHaveRun {
 		fin.Failed = true
 		return a, outcomeNotRun, at.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
@@ -184,7 +184,7 @@
 		err = errors.New("the answer is too large")
 	}
 	if err != nil {
-		return PlainAnswer{}, engine.ErrAttempt{Target: target.Name, Ran: true, Cause: err}
+		return PlainAnswer{}, engine.ErrAttempt{Target: target.Name, MayHaveRun: true, Cause: err}
 	}
 	return PlainAnswer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -59,6 +59,6 @@
 
 // taken tells whether a target took a call, as far as its answer tells.
 func taken(err error) bool {
-	a, failed := engine.AsAttempt(err)
-	return !failed || a.Ran
+	a, failed := engine.AsErrAttempt(err)
+	return !failed || a.MayHaveRun
 }
--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -37,10 +37,10 @@
 
 // ErrAttempt tells what is known of an attempt that did not succeed.
 type ErrAttempt struct {
-	Target string
-	Ran    bool // Ran is false only where the target provably did not run it.
-	Status int
-	Cause  error
+	Target     string
+	MayHaveRun bool // Ran is false only where the target provably did not run it.
+	Status     int
+	Cause      error
 }
 
 // Error implements error.
@@ -54,8 +54,8 @@
 // Unwrap returns ErrTarget.
 func (e ErrAttempt) Unwrap() error { return ErrTarget }
 
-// AsAttempt returns the ErrAttempt inside err.
-func AsAttempt(err error) (ErrAttempt, bool) {
+// AsErrAttempt returns the ErrAttempt inside err.
+func AsErrAttempt(err error) (ErrAttempt, bool) {
 	var e ErrAttempt
 	ok := errors.As(err, &e)
 	return e, ok
@@ -79,8 +79,8 @@
 
 // Client reaches targets over HTTP.
 type Client struct {
-	// OnRest is told that a target wants rest; nil tells nobody. It is set before the first call.
-	OnRest func(target string, r retryafter.Result)
+	// OnRetryAfter is told that a target wants rest; nil tells nobody. It is set before the first call.
+	OnRetryAfter func(target string, r retryafter.Result)
 
 	http  *http.Client
 	fresh *http.Client // fresh never reuses a connection that may be dead already.
@@ -116,10 +116,10 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, ErrAttempt{Target: target, Ran: !notSent(err), Cause: err}
+		return nil, ErrAttempt{Target: target, MayHaveRun: !notSent(err), Cause: err}
 	}
-	if r := retryafter.Read(resp.StatusCode, resp.Header); c.OnRest != nil && r != (retryafter.Result{}) {
-		c.OnRest(target, r)
+	if r := retryafter.Read(resp.StatusCode, resp.Header); c.OnRetryAfter != nil && r != (retryafter.Result{}) {
+		c.OnRetryAfter(target, r)
 	}
 	if saidNotRun(resp) {
 		_ = resp.Body.Close()
@@ -154,15 +154,15 @@
 	u := fmt.Sprintf("http://%s/v1/streams/%s?offset=%d", address, url.PathEscape(streamID), offset)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
-		return nil, ErrAttempt{Target: target, Ran: true, Cause: err}
+		return nil, ErrAttempt{Target: target, MayHaveRun: true, Cause: err}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, ErrAttempt{Target: target, Ran: true, Cause: err}
+		return nil, ErrAttempt{Target: target, MayHaveRun: true, Cause: err}
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, ErrAttempt{Target: target, Ran: true, Status: resp.StatusCode}
+		return nil, ErrAttempt{Target: target, MayHaveRun: true, Status: resp.StatusCode}
 	}
 	return resp, nil
 }
@@ -188,7 +188,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
-		return ErrAttempt{Status: resp.StatusCode, Ran: false, Cause: errors.New(string(text))}
+		return ErrAttempt{Status: resp.StatusCode, MayHaveRun: false, Cause: errors.New(string(text))}
 	}
 	return nil
 }
