--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -82,9 +82,9 @@
 	// OnRetryAfter is told that a target wants rest; nil tells nobody. It is set before the first call.
 	OnRetryAfter func(target string, r retryafter.Result)
 
-	http  *http.Client
-	fresh *http.Client // fresh never reuses a connection that may be dead already.
-	poll  *http.Client
+	http    *http.Client
+	noReuse *http.Client // fresh never reuses a connection that may be dead already.
+	poll    *http.Client
 }
 
 // NewClient returns a client; pollTimeout bounds load reports, cache events
@@ -96,7 +96,7 @@
 	}
 	fresh := transport.Clone()
 	fresh.DisableKeepAlives = true
-	return &Client{http: &http.Client{Transport: transport}, fresh: &http.Client{Transport: fresh}, poll: &http.Client{Transport: transport, Timeout: pollTimeout}}
+	return &Client{http: &http.Client{Transport: transport}, noReuse: &http.Client{Transport: fresh}, poll: &http.Client{Transport: transport, Timeout: pollTimeout}}
 }
 
 // Close drops idle connections.
@@ -112,7 +112,7 @@
 	req.GetBody = nil
 	client := c.http
 	if once {
-		client = c.fresh
+		client = c.noReuse
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -121,7 +121,7 @@
 	if r := retryafter.Read(resp.StatusCode, resp.Header); c.OnRetryAfter != nil && r != (retryafter.Result{}) {
 		c.OnRetryAfter(target, r)
 	}
-	if saidNotRun(resp) {
+	if reportsNotRun(resp) {
 		_ = resp.Body.Close()
 		return nil, ErrAttempt{Target: target, Status: resp.StatusCode}
 	}
@@ -133,7 +133,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func saidNotRun(resp *http.Response) bool {
+func reportsNotRun(resp *http.Response) bool {
 	busy := resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
 	return busy && resp.Header.Get("X-Not-Run") != ""
 }
--- a/services/engine/sse_test.go
+++ b/services/engine/sse_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestEventsLateAndRepeated(t *testing.T) {
+func TestEventReaderOrder(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		last, want int
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestFormatRoundTrip(t *testing.T) {
+func TestEventFormatRoundTrip(t *testing.T) {
 	ids, err := readAll(string(Event{1, "a"}.Format())+string(Event{2, DoneData}.Format()), 0)
 	if err != nil || len(ids) != 2 {
 		t.Fatalf("%v, %v", ids, err)
