--- a/router/gateway.go
+++ b/router/gateway.go
@@ -175,9 +175,9 @@
 		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.requests, Notices: g.notices,
 		Kept: client.CachedParts, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnGone: g.relay.Gone,
 	})
-	g.requests.RunArchive(&g.t, quarantine.ArchiveOptions{Archive: platform.NewQuarantine(store), IsReader: g.loop.Watches, FirstStart: s.FirstStart})
+	g.requests.RunArchive(&g.t, quarantine.ArchiveOptions{Archive: platform.NewQuarantineArchive(store), IsReader: g.loop.Watches, FirstStart: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
-		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Register: platform.NewGateways(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
+		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Register: platform.NewGatewayRegister(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
 		Empty: s.FirstStart,
 	})
 	guard := forward.NewGuard(log.New("guard").With(s.ID), g.clock, forward.GuardOptions{
