--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -97,9 +97,9 @@
 	return &Client{pool: pool, dialect: d, observe: observe, exits: netopt.NewExitDetector()}
 }
 
-// readVerdict reads what the head of an answer says, and tells the observer. Who answers that
+// readInfo reads what the head of an answer says, and tells the observer. Who answers that
 // another target has the address is that other one, and says nothing of the one that was asked.
-func (c *Client) readVerdict(t *routing.Target, resp *http.Response) AnswerInfo {
+func (c *Client) readInfo(t *routing.Target, resp *http.Response) AnswerInfo {
 	v := c.dialect.ReadAnswer(resp.StatusCode, resp.Header)
 	if !v.Misdirected {
 		c.observe(t, v)
@@ -187,7 +187,7 @@
 		if err != nil {
 			return err
 		}
-		a.Info = a.client.readVerdict(a.target, resp)
+		a.Info = a.client.readInfo(a.target, resp)
 		if a.Info.ID != "" && a.Info.ID != r.ID {
 			if resp.Close || discard(resp.Body) != nil {
 				return errors.New("answer to another request")
--- a/services/upstream/kept.go
+++ b/services/upstream/kept.go
@@ -34,7 +34,7 @@
 		return nil, ErrExchange{true, err.Error()}
 	}
 	defer resp.Body.Close()
-	c.readVerdict(t, resp)
+	c.readInfo(t, resp)
 	list, err := io.ReadAll(io.LimitReader(resp.Body, maxCachedList))
 	if err != nil {
 		return nil, ErrExchange{true, err.Error()}
