--- a/services/upstream/connection_test.go
+++ b/services/upstream/connection_test.go
@@ -16,8 +16,7 @@
 	"madderway/modules/clock"
 )
 
-// A request that must not run twice takes no connection that has been idle for long: a target
-// that has forgotten it would lose the request, and nobody could send it again.
+// Guards against an unrepeatable request that is lost on a connection the target has dropped.
 func TestSendTakesFreshConnectionUnlessRepeatable(t *testing.T) {
 	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: signedAnswer("r", "body")} })
 	c, p := newClient()
@@ -35,13 +34,12 @@
 			t.Fatal(err)
 		}
 		if p.Dials() != step.dials {
-			t.Errorf("step %d: %d connections, want %d", i, p.Dials(), step.dials)
+			t.Errorf("step %d: got %d connections, want %d", i, p.Dials(), step.dials)
 		}
 	}
 }
 
-// A connection on which a long body is still being written is not used for another request,
-// though its answer is whole.
+// Guards against reuse of a connection on which the last request's body is still being written.
 func TestConnectionWithUnwrittenBodyIsNotReused(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +59,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 					_, _ = io.WriteString(c, "HTTP/1.1 413 Too Large\r\nId: r\r\nSigned: yes\r\nContent-Length: 2\r\n\r\nno")
 				}
-				<-done // and never reads on
+				<-done // never reads the body
 			}()
 		}
 	}()
@@ -76,6 +74,6 @@
 		a.Close()
 	}
 	if p.Dials() != 2 {
-		t.Errorf("%d connections for two requests", p.Dials())
+		t.Errorf("got %d connections for two requests, want 2", p.Dials())
 	}
 }
--- a/services/upstream/dialect.go
+++ b/services/upstream/dialect.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package upstream exchanges requests and answers with targets over HTTP/1.1:
-// a bounded pool of connections for each target, and for each exchange the
-// plain word on what is known of it afterwards.
+// Package upstream sends requests to targets over HTTP/1.1 and reads their answers.
+//
+// It keeps a bounded pool of idle connections for each target. An error says whether the
+// request may have reached the target, so that the caller knows whether it may retry.
 package upstream
 
 import (
@@ -14,57 +15,56 @@
 	"madderway/modules/retryafter"
 )
 
-// Call is what the head of a caller's request says beyond plain HTTP.
+// Call holds the fields that a gateway reads from the header of a caller's request.
 type Call struct {
 	ID        string
-	Key       string        // Key is the client account's key, or empty.
-	Timeout   time.Duration // Patience is how long the caller waits, 0 where it does not say.
-	LastEvent string        // LastEvent is the event after which a stream is to go on, or empty.
+	Key       string        // the client account's key, may be empty
+	Timeout   time.Duration // 0 if the caller sets none
+	LastEvent string        // resume the stream after this event, may be empty
 	Prompt    *routing.Prompt
 }
 
-// Outgoing is what the head of a request says to a target.
+// Outgoing holds the fields that a gateway sets in the header of a request to a target.
 type Outgoing struct {
 	Remaining time.Duration
 	TargetID  string
 	Account   string
 	LastEvent string
-	// CopyFrom is the address of the target that keeps more of the prompt, from
-	// which this one should copy it, or empty.
+	// CopyFrom is the address of a target that has more of the prompt cached, from which this
+	// one should copy it. It may be empty.
 	CopyFrom string
 }
 
-// AnswerInfo is what the head of a target's answer says of the execution.
+// AnswerInfo holds the fields that a gateway reads from the header of a target's answer.
 type AnswerInfo struct {
-	ID          string // ID is the request's own ID, echoed.
-	Signed      bool   // Signed tells that the answer carries the target's signature.
-	NotRun      bool   // NotRun tells that the target did not execute the request.
-	Misdirected bool   // Moved tells that another target has the address.
-	// Leaving tells that the target will end soon and is to get nothing new.
+	ID          string // the request ID that the answer echoes
+	Signed      bool   // the answer carries the target's signature
+	NotRun      bool   // the target did not execute the request
+	Misdirected bool   // another target now has the address
+	// Leaving reports that the target shuts down soon and must get no new requests.
 	Leaving bool
-	// RetryAfter is for how long the target wants nothing from this process.
+	// RetryAfter holds the time for which the target accepts no requests from this process.
 	RetryAfter retryafter.Result
 }
 
-// Observer is told of the head of each answer of a target, late answers and lists of kept parts
-// included, before it is used.
+// Observer is called with the header of each answer before the answer is used. That includes
+// late answers to earlier requests and lists of cached parts.
 type Observer func(t *routing.Target, v AnswerInfo)
 
 // Dialect reads and writes the headers between callers, gateways and targets.
 type Dialect interface {
 	ReadCall(h http.Header) Call
-	// PeekCall reads what decides whether a request is refused, from a head that was not
-	// parsed: the ID, the key and whether there is a prompt and of how many tokens; its parts
-	// are not read. It reports false where a field is there twice.
+	// PeekCall reads the fields that decide on a refusal from a head that is not parsed yet: the
+	// ID, the key and the prompt's number of tokens, without its parts. It returns false if a
+	// field occurs twice.
 	PeekCall(get func(values []string, names ...string) (once bool)) (Call, bool)
-	// WriteCall sets what the fleet tells a target, and takes out of the header
-	// what a caller may not set.
+	// WriteCall sets the fields of o and removes headers that callers must not set.
 	WriteCall(h http.Header, o Outgoing)
 	ReadAnswer(status int, h http.Header) AnswerInfo
-	// CachedPath is where a target that runs a model lists the parts of prompts
-	// that it keeps, and ReadKept reads that list.
+	// CachedPath returns the path at which an engine lists the cached parts of prompts.
 	CachedPath() string
+	// ReadCached decodes the list of cached parts.
 	ReadCached(list []byte) ([]routing.PromptPart, error)
-	// RefusalHeader tells a caller when to come back.
+	// RefusalHeader returns the header that tells a caller when to retry.
 	RefusalHeader(after time.Duration) (name, value string)
 }
--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -19,64 +19,61 @@
 )
 
 const (
-	// maxInlineBody is the size up to which a body is written before the answer is
-	// read; a longer one is written beside it, since a target may answer early.
+	// maxInlineBody is the size up to which a body is written before the answer is read. A
+	// longer one is written concurrently, since a target may answer early.
 	maxInlineBody = 4 << 10
-	// maxStrayAnswers is how many answers to earlier requests are passed over.
+	// maxStrayAnswers is the number of answers to earlier requests that are skipped.
 	maxStrayAnswers = 2
-	maxDiscard      = 1 << 20
+	maxDiscard      = 1 << 20 // bytes of a stray answer's body
 	maxKeepAlive    = time.Minute
 )
 
-// ErrExchange tells why a target gave no usable answer, and whether the request
-// may have reached it.
+// ErrExchange reports why a target gave no usable answer.
 type ErrExchange struct {
-	Sent   bool // Sent tells that at least one byte was written.
+	Sent   bool // at least one byte of the request was written
 	Reason string
 }
 
 // Error implements error.
 func (e ErrExchange) Error() string { return "target: " + e.Reason }
 
-// AsErrExchange returns err as an ErrExchange where it is one.
+// AsErrExchange returns the ErrExchange in err's chain, if any.
 func AsErrExchange(err error) (ErrExchange, bool) {
 	var e ErrExchange
 	ok := errors.As(err, &e)
 	return e, ok
 }
 
-// Request is one request as it goes to a target.
+// Request is a request to a target.
 type Request struct {
 	ID        string
 	Method    string
 	URI       string
 	Host      string
-	Header    http.Header // Header is the caller's; the exchange makes a copy.
+	Header    http.Header // copied, not modified
 	Body      []byte
 	MayRepeat bool
 	Outgoing  Outgoing
 	Deadline  time.Time
-	// Check is asked when a connection is there, right before the first byte is written:
-	// waiting for one can take as long as the reason not to send needs to become known.
-	// Its error ends the exchange, with nothing sent; nil asks nothing.
+	// Check, if set, is called once there is a connection, before the first byte is written:
+	// the request may have become invalid meanwhile. Its error ends the exchange unsent.
 	Check func() error
 }
 
-// Answer is a target's answer whose body is still to be read. Close must be
-// called.
+// Answer is a target's answer whose body is not read yet. The caller must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // Length is the body's, -1 where it is not known.
+	Length int64 // of the body, -1 if unknown
 	Info   AnswerInfo
 	Body   io.Reader
 
 	client    *Client
 	target    *routing.Target
 	conn      *conn
-	close     bool
+	close     bool // the connection must not be reused
 	writeDone chan error
-	complete  bool
+	complete  bool // the body was read to its end
 	stop      func() bool
 }
 
@@ -88,8 +85,7 @@
 	exits   *netopt.ExitDetector
 }
 
-// NewClient returns a client that takes its connections from the pool and tells the observer
-// of all answers; nil tells nobody.
+// NewClient returns a client that takes its connections from the pool. The observer may be nil.
 func NewClient(pool *Pool, d Dialect, observe Observer) *Client {
 	if observe == nil {
 		observe = func(*routing.Target, AnswerInfo) {}
@@ -97,8 +93,8 @@
 	return &Client{pool: pool, dialect: d, observe: observe, exits: netopt.NewExitDetector()}
 }
 
-// readInfo reads what the head of an answer says, and tells the observer. Who answers that
-// another target has the address is that other one, and says nothing of the one that was asked.
+// readInfo reads an answer's header and calls the observer, except for a misdirected
+// request: that answer comes from another target than the intended one.
 func (c *Client) readInfo(t *routing.Target, resp *http.Response) AnswerInfo {
 	v := c.dialect.ReadAnswer(resp.StatusCode, resp.Header)
 	if !v.Misdirected {
@@ -107,8 +103,8 @@
 	return v
 }
 
-// Send sends a request and returns the head of its answer. Where the context
-// ends, the connection is closed at once, so that the target can stop.
+// Send sends a request and returns its answer once the header is read. If the context ends, the
+// connection is closed at once, so that the target can stop.
 func (c *Client) Send(ctx context.Context, t *routing.Target, r *Request) (*Answer, error) {
 	maxIdle := maxKeepAlive
 	if !r.MayRepeat {
@@ -125,7 +121,7 @@
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
-	// The context ends it earlier where the machine is suspended meanwhile.
+	// If the machine is suspended meanwhile, the context ends the exchange earlier.
 	_ = connection.SetDeadline(netopt.DeadlineIn(r.Deadline.Sub(c.pool.clock.Now())))
 	a := &Answer{client: c, target: t, conn: connection, stop: stop}
 	if err := a.write(c.encodeHead(r), r.Body); err != nil {
@@ -139,13 +135,13 @@
 	return a, nil
 }
 
-// HasExited tells whether a target whose answer broke off has ended; known is false where the
+// HasExited reports whether a target whose answer broke off has exited. known is false if the
 // context ended first.
-func (c *Client) HasExited(ctx context.Context, t *routing.Target) (ended, known bool) {
+func (c *Client) HasExited(ctx context.Context, t *routing.Target) (exited, known bool) {
 	return c.exits.Exited(ctx, t.ID, t.Address)
 }
 
-// encodeHead writes the request line and header. Hop-by-hop fields stay behind.
+// encodeHead encodes the request line and the header without hop-by-hop fields.
 func (c *Client) encodeHead(r *Request) *bytes.Buffer {
 	h := r.Header.Clone()
 	RemoveHopByHop(h)
@@ -179,8 +175,8 @@
 	return nil
 }
 
-// readHead reads answers until the one to this request comes. Answers to
-// earlier requests may arrive late on the same connection; they are dropped.
+// readHead reads the head of the answer to this request. It skips late answers to earlier
+// requests on the same connection.
 func (a *Answer) readHead(r *Request) error {
 	for range maxStrayAnswers + 1 {
 		resp, err := a.readResponse(r.Method)
@@ -190,13 +186,13 @@
 		a.Info = a.client.readInfo(a.target, resp)
 		if a.Info.ID != "" && a.Info.ID != r.ID {
 			if resp.Close || discard(resp.Body) != nil {
-				return errors.New("answer to another request")
+				return errors.New("answer to another request, which cannot be skipped")
 			}
 			continue
 		}
 		return a.accept(resp)
 	}
-	return errors.New("answers to other requests")
+	return errors.New("too many answers to other requests")
 }
 
 func (a *Answer) readResponse(method string) (*http.Response, error) {
@@ -209,7 +205,7 @@
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("unasked change of protocol")
+			return nil, errors.New("unexpected protocol switch")
 		}
 	}
 }
@@ -229,12 +225,12 @@
 func discard(body io.Reader) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscard))
 	if err == nil && n == maxDiscard {
-		err = errors.New("too long")
+		err = errors.New("body of a stray answer is too long")
 	}
 	return err
 }
 
-// parseKeepAlive returns how long the target's idle connections may be used again.
+// parseKeepAlive returns the time for which an idle connection to the target may be reused.
 func parseKeepAlive(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -248,7 +244,7 @@
 	return defaultKeepAlive
 }
 
-// eofReader notes that the body was read to its end.
+// eofReader records that the body was read to its end.
 type eofReader struct {
 	io.Reader
 	answer *Answer
@@ -263,7 +259,7 @@
 	return n, err
 }
 
-// Close gives the connection back, or closes it where anything is left on it.
+// Close returns the connection to the pool, or closes it if any part of the exchange is left.
 func (a *Answer) Close() {
 	canceled := !a.stop()
 	if canceled || !a.complete || a.close || !a.requestWritten() || a.conn.reader.Buffered() > 0 {
@@ -274,7 +270,6 @@
 	a.client.pool.put(a.target.ID, a.conn)
 }
 
-// requestWritten tells whether the whole request has been written.
 func (a *Answer) requestWritten() bool {
 	if a.writeDone == nil {
 		return true
@@ -292,7 +287,7 @@
 	"Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// RemoveHopByHop takes out the fields that belong to one connection only.
+// RemoveHopByHop deletes the fields that apply to a single connection only.
 func RemoveHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
--- a/services/upstream/exchange_test.go
+++ b/services/upstream/exchange_test.go
@@ -20,7 +20,7 @@
 	"madderway/modules/netopt"
 )
 
-// plainDialect is a small dialect of the tests' own.
+// plainDialect is a minimal dialect for the tests.
 type plainDialect struct{}
 
 func (plainDialect) CachedPath() string { return "/kept" }
@@ -46,8 +46,8 @@
 	return "Retry-After", after.String()
 }
 
-// scriptedTarget is a target that answers each connection by a script: a function of
-// the request's text and its number on the connection.
+// scriptedTarget answers each connection by a function of the request's text and its number on
+// the connection.
 type scriptedTarget struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -57,8 +57,8 @@
 
 type scriptedAnswer struct {
 	text  string
-	close bool // close the connection after it
-	reset bool // reset the connection instead of an answer
+	close bool // close the connection after the text
+	reset bool // reset the connection instead of answering
 }
 
 func startTarget(t *testing.T, answers func(conn, request int, text string) scriptedAnswer) *scriptedTarget {
@@ -139,8 +139,7 @@
 	return NewClient(p, plainDialect{}, nil), p
 }
 
-// A target is asked what it keeps on a connection of its own; an answer that is
-// no list is an error.
+// Guards against a body that is no list, or an error status, taken for a list of cached parts.
 func TestCachedPartsReadsList(t *testing.T) {
 	texts := []string{`[{"ID":3,"Tokens":70}]`, `{"no":"list"}`}
 	status := "200 OK"
@@ -151,14 +150,14 @@
 	c, _ := newClient()
 	parts, err := c.CachedParts(context.Background(), s.target())
 	if err != nil || len(parts) != 1 || parts[0] != (routing.PromptPart{ID: 3, Tokens: 70}) {
-		t.Errorf("%v %v", parts, err)
+		t.Errorf("got %v, %v, want one part", parts, err)
 	}
 	if _, err := c.CachedParts(context.Background(), s.target()); err == nil {
-		t.Error("took something else for a list")
+		t.Error("accepted a body that is no list")
 	}
 	status = "429 Too Many Requests"
 	if _, err := c.CachedParts(context.Background(), s.target()); err == nil {
-		t.Error("took a refusal for a list")
+		t.Error("accepted status 429 as a list")
 	}
 }
 
@@ -169,19 +168,18 @@
 	c, p := newClient()
 	for n := range 5 {
 		if status, body, err := send(t, c, s, request(fmt.Sprint("r", n), "x")); status != 200 || body != "body" || err != nil {
-			t.Fatalf("%d %q %v", status, body, err)
+			t.Fatalf("got status %d, body %q, error %v", status, body, err)
 		}
 	}
 	if p.Dials() != 1 {
-		t.Errorf("%d connections for five requests in a row", p.Dials())
+		t.Errorf("got %d connections for five sequential requests, want 1", p.Dials())
 	}
 	if !strings.HasPrefix(s.seen[0], "POST /a/b?c=%2F r0 x") {
-		t.Errorf("the target saw %q", s.seen[0])
+		t.Errorf("target received %q", s.seen[0])
 	}
 }
 
-// A second answer that comes late, where the next one is due, belongs to the
-// earlier request.
+// Guards against a duplicate answer to an earlier request taken for the answer to the next one.
 func TestLateExtraAnswerIsDropped(t *testing.T) {
 	s := startTarget(t, func(conn, n int, _ string) scriptedAnswer {
 		if n == 1 {
@@ -194,11 +192,11 @@
 		t.Fatal(body, err)
 	}
 	if _, body, err := send(t, c, s, request("r1", "")); body != "fresh" || err != nil {
-		t.Errorf("the second request got %q, %v", body, err)
+		t.Errorf("second request: got %q, %v, want \"fresh\"", body, err)
 	}
 }
 
-// Bytes after a whole answer make the connection useless, the answer is good.
+// Guards against reuse of a connection that has unread bytes after a complete answer.
 func TestExtraBytesCloseConnection(t *testing.T) {
 	s := startTarget(t, func(conn, n int, _ string) scriptedAnswer {
 		return scriptedAnswer{text: signedAnswer(fmt.Sprint("r", conn), "body") + "garbage"}
@@ -210,7 +208,7 @@
 		}
 	}
 	if p.Dials() != 3 {
-		t.Errorf("%d connections, want a new one each time", p.Dials())
+		t.Errorf("got %d connections, want a new one each time", p.Dials())
 	}
 }
 
@@ -230,19 +228,19 @@
 			s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: text, close: true} })
 			c, _ := newClient()
 			if _, body, err := send(t, c, s, request("r", "")); err == nil {
-				t.Errorf("taken for whole: %q", body)
+				t.Errorf("accepted body %q", body)
 			}
 		})
 	}
 }
 
-// An answer without a length ends with its connection; a reset is no such end.
+// Guards against rejecting an answer that is delimited by the end of its connection.
 func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: r\r\nSigned: yes\r\nConnection: close\r\n\r\n"
 	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: head + "all of it", close: true} })
 	c, _ := newClient()
 	if _, body, err := send(t, c, s, request("r", "")); body != "all of it" || err != nil {
-		t.Errorf("%q, %v", body, err)
+		t.Errorf("got %q, %v, want the complete body", body, err)
 	}
 }
 
@@ -256,12 +254,12 @@
 	c, _ := newClient()
 	_, err = c.Send(context.Background(), &routing.Target{ID: "t", Address: dead}, request("r", ""))
 	if e, ok := AsErrExchange(err); !ok || e.Sent {
-		t.Errorf("nobody listens: %v, want an error that says not sent", err)
+		t.Errorf("connection refused: got %v, want an ErrExchange that is not Sent", err)
 	}
 	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{reset: true} })
 	_, _, err = send(t, c, s, request("r", ""))
 	if e, ok := AsErrExchange(err); !ok || !e.Sent {
-		t.Errorf("reset after the request: %v, want an error that says sent", err)
+		t.Errorf("reset after the request: got %v, want an ErrExchange that is Sent", err)
 	}
 }
 
@@ -276,12 +274,11 @@
 	}
 	defer a.Close()
 	if !a.Info.NotRun {
-		t.Error("the target's word that it did not run the request was not read")
+		t.Error("NotRun is false although the answer has the header")
 	}
 }
 
-// Where the caller has gone, the connection ends at once so that the target can
-// stop.
+// Guards against a target that keeps working for a caller that has gone.
 func TestCancelClosesConnection(t *testing.T) {
 	gone := make(chan struct{})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -311,14 +308,13 @@
 	}()
 	c, _ := newClient()
 	if _, err := c.Send(ctx, &routing.Target{ID: "t", Address: l.Addr().String()}, request("r", "")); err == nil {
-		t.Fatal("an answer came")
+		t.Fatal("got an answer after the cancellation")
 	}
 	<-gone
 }
 
-// A target may answer a long request before it has read it, and go on reading:
-// what it then gets is the rest of that request, or the end of the connection,
-// and never a part of another one.
+// Guards against part of another request being sent in place of the rest of a long body, when
+// the target answers before it has read the body.
 func TestEarlyAnswerToLongRequest(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -343,19 +339,19 @@
 		}
 		body, err := io.ReadAll(a.Body)
 		if a.Status != http.StatusRequestEntityTooLarge || string(body) != "no" || err != nil {
-			t.Fatalf("%d %q %v", a.Status, body, err)
+			t.Fatalf("got status %d, body %q, error %v", a.Status, body, err)
 		}
 		a.Close()
 	}
 	select {
 	case text := <-foreign:
-		t.Errorf("in place of a body the target got %q", text)
+		t.Errorf("target received %q in place of the body", text)
 	default:
 	}
 }
 
-// answerEarly answers each request of a connection at its head, then reads its
-// body and reports what does not belong there.
+// answerEarly answers each request after its header, then reads the body and reports foreign
+// bytes in it.
 func answerEarly(c net.Conn, foreign chan<- string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -375,8 +371,7 @@
 	}
 }
 
-// An idle connection on which something has come, or that has ended, is not
-// used again.
+// Guards against reuse of an idle connection that has received data or a close.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	s := startTarget(t, func(conn, _ int, _ string) scriptedAnswer {
 		return scriptedAnswer{text: signedAnswer(fmt.Sprint("r", conn), "body"), close: true}
@@ -390,12 +385,12 @@
 		idle := append([]*conn(nil), p.idle["t"]...)
 		p.mu.Unlock()
 		for _, i := range idle {
-			for isQuiet(i) { // until the end of the connection has arrived
+			for isQuiet(i) { // wait for the close to arrive
 			}
 		}
 	}
 	if p.Dials() != 2 {
-		t.Errorf("%d connections, the first one had ended", p.Dials())
+		t.Errorf("got %d connections, want 2, as the first one was closed", p.Dials())
 	}
 }
 
@@ -404,7 +399,7 @@
 		"timeout=10": 6 * time.Second, "max=3, timeout=5": 3 * time.Second, "": defaultKeepAlive, "timeout=x": defaultKeepAlive, "timeout=0": 0,
 	} {
 		if got := parseKeepAlive(http.Header{"Keep-Alive": {text}}); got != want {
-			t.Errorf("%q: %v, want %v", text, got, want)
+			t.Errorf("%q: got %v, want %v", text, got, want)
 		}
 	}
 }
@@ -417,19 +412,19 @@
 	}
 	p.Prune((&routing.TargetSet{}).BuildIndex())
 	if len(p.idle) != 0 {
-		t.Error("connections to a vanished target are kept")
+		t.Error("pool still has connections to a removed target")
 	}
 }
 
-// A connection to an older life of a target is not used for the new one, at the same address.
+// Guards against reuse of a connection to an earlier incarnation at the same address.
 func TestNewIncarnationUsesNewConnection(t *testing.T) {
 	s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: signedAnswer("r", "body")} })
 	c, p := newClient()
-	life := func(born int64) *routing.Target {
+	incarnation := func(born int64) *routing.Target {
 		return &routing.Target{ID: routing.TargetID("t", born), Name: "t", Born: born, Address: s.listener.Addr().String()}
 	}
 	for _, born := range []int64{1, 1, 2, 2} {
-		a, err := c.Send(t.Context(), life(born), request("r", ""))
+		a, err := c.Send(t.Context(), incarnation(born), request("r", ""))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -437,16 +432,16 @@
 		a.Close()
 	}
 	if p.Dials() != 2 {
-		t.Errorf("%d connections for two lives", p.Dials())
+		t.Errorf("got %d connections for two incarnations, want 2", p.Dials())
 	}
-	p.Prune((&routing.TargetSet{Targets: []routing.Target{*life(2)}}).BuildIndex())
-	if len(p.idle[life(1).ID]) != 0 || len(p.idle[life(2).ID]) != 1 {
-		t.Errorf("kept %v", p.idle)
+	p.Prune((&routing.TargetSet{Targets: []routing.Target{*incarnation(2)}}).BuildIndex())
+	if len(p.idle[incarnation(1).ID]) != 0 || len(p.idle[incarnation(2).ID]) != 1 {
+		t.Errorf("idle connections %v, want one to the new incarnation", p.idle)
 	}
 }
 
-// Whatever a target sends, the caller gets an error or a signed, whole answer
-// to its own request.
+// Guards against any input being accepted as a success other than a signed, complete answer to
+// the request.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(signedAnswer("r", "body")))
 	f.Add([]byte(signedAnswer("other", "stale") + signedAnswer("r", "body")))
@@ -465,7 +460,7 @@
 			return
 		}
 		if _, err := io.Copy(io.Discard, a.Body); err == nil && a.Status < 300 && (a.Info.ID != "r" || !a.Info.Signed) {
-			t.Errorf("status %d, verdict %+v was taken from %q", a.Status, a.Info, sent)
+			t.Errorf("accepted status %d, info %+v from %q", a.Status, a.Info, sent)
 		}
 	})
 }
--- a/services/upstream/kept.go
+++ b/services/upstream/kept.go
@@ -12,11 +12,10 @@
 	"madderway/models/routing"
 )
 
-// maxCachedList bounds the list of parts that a target keeps, in bytes.
-const maxCachedList = 4 << 20
+const maxCachedList = 4 << 20 // bytes
 
-// CachedParts asks a target which parts of prompts it keeps. It takes a connection of
-// its own, since the answer carries neither ID nor signature.
+// CachedParts returns the parts of prompts that a target has cached. It opens a connection of
+// its own, since the answer has neither ID nor signature.
 func (c *Client) CachedParts(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error) {
 	connection, err := c.pool.dial(ctx, t)
 	if err != nil {
--- a/services/upstream/notice_test.go
+++ b/services/upstream/notice_test.go
@@ -14,7 +14,7 @@
 	"madderway/modules/netopt"
 )
 
-// noticeDialect also reads what a target says of itself.
+// noticeDialect also reads the fields that a target sends about itself.
 type noticeDialect struct{ plainDialect }
 
 func (noticeDialect) ReadAnswer(status int, h http.Header) AnswerInfo {
@@ -26,9 +26,8 @@
 	return v
 }
 
-// Whatever kind of answer tells it, what a target says of itself is heard: an answer that comes
-// late to an earlier request and a list of kept parts, too. An answer that another target has
-// the address says nothing of the one that was asked.
+// Guards against an answer of any kind that does not reach the observer, and against a
+// misdirected answer counted for the intended target.
 func TestObserverSeesEachAnswer(t *testing.T) {
 	head := func(status int, id string) string {
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nId: %s\r\nSigned: yes\r\nLeaving: 1\r\nRest: 1\r\nContent-Length: 2\r\n\r\n[]", status, id)
@@ -42,36 +41,36 @@
 		"failure":     {head(500, "r"), 1},
 		"refusal":     {head(503, "r"), 1},
 		"late answer": {head(200, "earlier") + signedAnswer("r", "own"), 1},
-		"moved":       {head(421, "r"), 0},
-		"silence":     {signedAnswer("r", "own"), 0},
+		"misdirected": {head(421, "r"), 0},
+		"no notice":   {signedAnswer("r", "own"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: c.text, close: true} })
-			heard := 0
+			observed := 0
 			client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), noticeDialect{}, func(target *routing.Target, v AnswerInfo) {
 				if target.ID == "t" && v.Leaving && v.RetryAfter.Delay == time.Second {
-					heard++
+					observed++
 				}
 			})
 			if _, _, err := send(t, client, s, request("r", "")); err != nil {
 				t.Fatal(err)
 			}
-			if heard != c.want {
-				t.Errorf("heard %d times, want %d", heard, c.want)
+			if observed != c.want {
+				t.Errorf("observed %d answers, want %d", observed, c.want)
 			}
 		})
 	}
-	t.Run("list of kept parts", func(t *testing.T) {
+	t.Run("list of cached parts", func(t *testing.T) {
 		s := startTarget(t, func(int, int, string) scriptedAnswer { return scriptedAnswer{text: head(200, ""), close: true} })
-		heard := 0
-		client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), noticeDialect{}, func(*routing.Target, AnswerInfo) { heard++ })
-		if _, err := client.CachedParts(context.Background(), s.target()); err != nil || heard != 1 {
-			t.Errorf("heard %d times, %v", heard, err)
+		observed := 0
+		client := NewClient(NewPool(time.Second, 4, &netopt.Traffic{}), noticeDialect{}, func(*routing.Target, AnswerInfo) { observed++ })
+		if _, err := client.CachedParts(context.Background(), s.target()); err != nil || observed != 1 {
+			t.Errorf("observed %d answers, error %v, want 1", observed, err)
 		}
 	})
 }
 
-// A connection to a target that leaves is not kept for another request, whatever it says.
+// Guards against reuse of a connection to a leaving target whose answer does not close it.
 func TestConnectionToLeavingTargetIsNotReused(t *testing.T) {
 	s := startTarget(t, func(_, n int, _ string) scriptedAnswer {
 		return scriptedAnswer{text: fmt.Sprintf("HTTP/1.1 200 OK\r\nId: r%d\r\nSigned: yes\r\nLeaving: 1\r\nContent-Length: 0\r\n\r\n", n)}
@@ -82,6 +81,6 @@
 		t.Fatal(err)
 	}
 	if len(pool.idle) != 0 {
-		t.Error("the connection was kept")
+		t.Error("connection was returned to the pool")
 	}
 }
--- a/services/upstream/pool.go
+++ b/services/upstream/pool.go
@@ -17,21 +17,20 @@
 
 const (
 	readBuffer = 8 << 10
-	// defaultKeepAlive is how long an idle connection is used again where the target
-	// has not said how long it keeps one; idleShare is the part of what it said.
+	// defaultKeepAlive is the time for which an idle connection is reused if the target states no
+	// keep-alive timeout; otherwise it is keepAliveShare of that timeout.
 	defaultKeepAlive = 4 * time.Second
 	keepAliveShare   = 0.6
-	// maxIdleOnce bounds the idle time before a request that must not be executed
-	// twice: a connection that the target forgot would lose it.
+	// maxIdleOnce bounds the idle time of a connection for a request that must not run twice: if
+	// the target has dropped the connection, the request is lost.
 	maxIdleOnce = 1500 * time.Millisecond
 )
 
-// conn is one connection to a target.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
 	idleSince time.Time
-	keepAlive time.Duration
+	keepAlive time.Duration // maximum idle time
 	reused    bool
 }
 
@@ -42,25 +41,25 @@
 	traffic *netopt.Traffic
 
 	mu      sync.Mutex
-	idle    map[string][]*conn // by target ID, the latest used last
+	idle    map[string][]*conn // by target ID, least recently used first
 	maxIdle int
 	dials   uint64
 }
 
-// NewPool returns a pool that keeps at most maxIdle connections for each target, whose
-// bytes are counted.
+// NewPool returns a pool that keeps at most maxIdle connections to each target and counts their
+// bytes in traffic.
 func NewPool(dialTimeout time.Duration, maxIdle int, traffic *netopt.Traffic) *Pool {
 	return &Pool{dialer: netopt.Dialer(dialTimeout), clock: clock.System{}, traffic: traffic, idle: map[string][]*conn{}, maxIdle: maxIdle}
 }
 
-// SetMaxIdle changes how many idle connections are kept for each target.
+// SetMaxIdle changes the number of idle connections that are kept for each target.
 func (p *Pool) SetMaxIdle(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdle = max(n, 1)
 }
 
-// Prune closes the idle connections of all targets but those.
+// Prune closes the idle connections to targets that are leaving or not in the set.
 func (p *Pool) Prune(targets *routing.TargetSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,8 +74,8 @@
 	}
 }
 
-// CloseIdle closes all idle connections: after a standstill of the process the other ends
-// may have forgotten them, and a request that must not run twice would be lost.
+// CloseIdle closes all idle connections. After a suspension of the process the targets may have
+// dropped them, and a request that must not run twice would be lost.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,14 +87,14 @@
 	}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of connections opened.
 func (p *Pool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// get returns an idle connection that still looks sound, or a new one.
+// get returns an idle connection that still looks usable, or a new one.
 func (p *Pool) get(ctx context.Context, t *routing.Target, maxIdleTime time.Duration) (*conn, error) {
 	for {
 		c := p.take(t.ID)
@@ -146,8 +145,7 @@
 	p.idle[id] = append(conns, c)
 }
 
-// isQuiet tells whether nothing has arrived on an idle connection: neither an
-// end nor bytes that belong to no request.
+// isQuiet reports whether nothing has arrived on an idle connection, neither data nor a close.
 func isQuiet(c *conn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
