--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package claim runs the claims of calls that must not be repeated against the
-// platform's table: one goroutine for each claim, one that commits the writes
-// of many of them in a group.
+// Package claim ensures that a call that must not be repeated is sent by at most one router. It
+// drives the state machine of core/claim against the platform's table.
+//
+// Each claim has a goroutine; a few others commit the claims' writes in groups.
 package claim
 
 import (
@@ -21,17 +22,17 @@
 	"madderway/services/platform"
 )
 
-// KeyPrefix stands before the keys of all claim rows.
+// KeyPrefix is the prefix of the keys of all claim rows.
 const KeyPrefix = "claim/"
 
 const waitPollInterval = 20 * time.Millisecond
 
-// Options are the parts of a Service.
+// Options are the dependencies and settings of a Service.
 type Options struct {
 	Clock   clock.Clock
 	Table   platform.Table
-	Timeout time.Duration
-	// IsDead tells whether an incarnation of a router is known to be dead.
+	Timeout time.Duration // for each call of the table
+	// IsDead reports whether an incarnation of a router is known to be dead.
 	IsDead func(router string, incarnation uint64) bool
 }
 
@@ -42,14 +43,14 @@
 	opts   Options
 	writes *ring.Ring[write]
 
-	sweepAfter string // sweepAfter is the key that the last sweep ended at.
+	sweepAfter string // key at which the last sweep ended
 
-	open         atomic.Int64  // open counts the claims that are not closed.
-	committed    atomic.Uint64 // committed counts rows written.
-	transactions atomic.Uint64 // batches counts transactions.
+	open         atomic.Int64  // claims that are not finished
+	committed    atomic.Uint64 // rows written
+	transactions atomic.Uint64
 }
 
-// New starts the service; it ends with the tomb.
+// New starts the service, which runs until the tomb dies.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	s := &Service{t: t, log: logger, opts: o, writes: ring.New[write]("claims", 1024)}
 	for range committers {
@@ -58,33 +59,32 @@
 	return s
 }
 
-// Outcome is what Acquire gave: the right to send, or what to tell the caller.
+// Outcome is the result of Acquire: the grant to send, or the reason for not sending.
 type Outcome struct {
-	Grant   *Grant // Held is set where the call may be sent.
+	Grant   *Grant // nil if the call must not be sent
 	Verdict core.Verdict
 	Row     core.Row
 }
 
-// Grant is the right to send a call. Exactly one of Record and Release must be
-// called.
+// Grant permits sending a call. The holder must call either Record or Release, exactly once.
 type Grant struct {
 	events chan core.Event
 }
 
-// Record writes the outcome of the call until it is confirmed.
-func (h *Grant) Record(row core.Row) { h.events <- core.Ended{Row: row} }
+// Record stores the outcome of the call, with retries until the write is confirmed.
+func (g *Grant) Record(row core.Row) { g.events <- core.Ended{Row: row} }
 
-// Release gives the claim up; only for a call that provably did not run.
-func (h *Grant) Release() { h.events <- core.NotRun{} }
+// Release gives up the claim. The call must provably not have run.
+func (g *Grant) Release() { g.events <- core.NotRun{} }
 
-// Key returns the table's key of an account's idempotency key. The parts are
-// hashed, so that no key can name another account's row.
+// Key returns the table key of an account's idempotency key. Both parts are hashed, so that no
+// key can collide with another account's row.
 func Key(account, idempotencyKey string) string {
 	return KeyPrefix + digest(account) + "/" + digest(idempotencyKey)
 }
 
-// Acquire claims the right to send. It returns at the context's end at the
-// latest; what is left to write goes on until it is confirmed.
+// Acquire claims the right to send a call. It returns when the context ends at the latest;
+// pending writes continue until they are confirmed.
 func (s *Service) Acquire(ctx context.Context, key string, row core.Row) Outcome {
 	answer := make(chan Outcome, 1)
 	r := &runner{
@@ -100,8 +100,7 @@
 	return <-answer
 }
 
-// Wait waits until no claim has anything left to write, or the context ends;
-// it reports whether that is so.
+// Wait waits until all claims are finished. It returns false if the context ends first.
 func (s *Service) Wait(ctx context.Context) bool {
 	for s.open.Load() > 0 {
 		select {
@@ -113,7 +112,7 @@
 	return true
 }
 
-// runner steps one machine.
+// runner executes the actions of one claim's state machine and feeds it events.
 type runner struct {
 	s        *Service
 	key      string
@@ -125,7 +124,7 @@
 }
 
 func (r *runner) run(ctx context.Context) {
-	// A claim outlives its caller; only the router's end stops it.
+	// A claim outlives its caller and ends only with the router.
 	if r.perform(r.machine.Step(core.Begin{})) {
 		return
 	}
@@ -148,7 +147,7 @@
 	}
 }
 
-// perform carries actions out; it reports whether the claim is closed.
+// perform executes actions. It returns true once the claim is finished.
 func (r *runner) perform(actions []core.Action) (closed bool) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -184,14 +183,14 @@
 	}
 }
 
-// holderDead tells whether the router is dead that holds another attempt.
+// holderDead reports whether the router whose attempt holds the row is dead.
 func (r *runner) holderDead() bool {
 	router, incarnation, waiting := r.machine.Holder()
 	return waiting && r.s.opts.IsDead(router, incarnation)
 }
 
-func (r *runner) wait(d time.Duration, gone bool) {
-	if gone {
+func (r *runner) wait(d time.Duration, dead bool) {
+	if dead {
 		r.send(core.HolderDead{})
 		return
 	}
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -27,15 +27,14 @@
 	os.Exit(m.Run())
 }
 
-// fakeTable is a table in memory. It holds transactions back until opened, so
-// that groups gather.
+// fakeTable is a table in memory. Commit blocks until gate is closed, so that groups build up.
 type fakeTable struct {
 	mu          sync.Mutex
 	rows        map[string]platform.Row
 	next        uint64
-	groups      []int
+	groups      []int // rows of each transaction
 	gate        chan struct{}
-	lostAnswers int // unknowns is how many transactions take effect without an answer.
+	lostAnswers int // transactions yet to take effect without an answer
 }
 
 func newFakeTable() *fakeTable {
@@ -116,8 +115,7 @@
 
 func rowOf(i int) core.Row { return core.Row{Attempt: fmt.Sprint("att-", i), Digest: "d"} }
 
-// Claims that come while a transaction is on its way share the next one; one
-// that conflicts does not fail the others.
+// Guards against one conflicting row that fails the other claims of its transaction.
 func TestGroupCommitIsolatesConflicts(t *testing.T) {
 	const n = 40
 	table := newFakeTable()
@@ -145,30 +143,30 @@
 	wg.Wait()
 	for i, o := range outcomes {
 		if (o.Grant != nil) != (i != 7) {
-			t.Errorf("claim %d: held %t, verdict %d", i, o.Grant != nil, o.Verdict)
+			t.Errorf("claim %d: granted %t, verdict %d", i, o.Grant != nil, o.Verdict)
 		}
 	}
 	if o := outcomes[7]; o.Verdict != core.VerdictRecorded || o.Row.Status != 200 {
-		t.Errorf("the taken key: %+v", o)
+		t.Errorf("recorded key: got %+v, want the recorded answer", o)
 	}
 }
 
-// The answer to a group is lost: each claim reads its own row back.
+// Guards against a claim that is lost because the answer to its transaction was lost.
 func TestUnknownOutcomeIsReadBack(t *testing.T) {
 	table := newFakeTable()
 	table.lostAnswers = 1
 	s := newService(t, table, clock.System{})
 	o := s.Acquire(context.Background(), Key("alder", "k"), rowOf(1))
 	if o.Grant == nil {
-		t.Fatalf("verdict %d", o.Verdict)
+		t.Fatalf("got verdict %d, want a grant", o.Verdict)
 	}
 	o.Grant.Record(core.Row{State: core.StateDone, Attempt: "att-1", Digest: "d", Status: 201})
 	if !s.Wait(context.Background()) {
-		t.Fatal("the outcome was never recorded")
+		t.Fatal("outcome was not recorded")
 	}
 	again := s.Acquire(context.Background(), Key("alder", "k"), rowOf(2))
 	if again.Grant != nil || again.Verdict != core.VerdictRecorded || again.Row.Status != 201 {
-		t.Fatalf("the second call: %+v", again)
+		t.Fatalf("second call: got %+v, want the recorded answer", again)
 	}
 }
 
@@ -185,9 +183,9 @@
 		table.rows[key] = platform.Row{Key: key, Version: uint64(i + 1), Value: value}
 	}
 	if n := s.SweepOnce(); n != 1 {
-		t.Fatalf("deleted %d rows", n)
+		t.Fatalf("deleted %d rows, want 1", n)
 	}
 	if _, ok := table.rows[Key("alder", "1")]; !ok || len(table.rows) != 1 {
-		t.Fatalf("left %d rows", len(table.rows))
+		t.Fatalf("%d rows left, want the unexpired one only", len(table.rows))
 	}
 }
--- a/services/claim/commit.go
+++ b/services/claim/commit.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// committers is how many groups may be on their way to the table at once.
+	// committers is the number of transactions that may be in flight at once.
 	committers = 4
-	// maxGroupRows is how many rows one transaction holds at most.
+	// maxGroupRows bounds the rows of one transaction.
 	maxGroupRows = 32
 )
 
@@ -34,8 +34,8 @@
 	}
 }
 
-// commit takes the writes that wait and commits them in one transaction. While
-// one group is on its way the next one gathers, so the group grows with load.
+// commit writes the queued rows in groups. While one group is in flight the next one
+// accumulates, so groups grow with the load.
 func (s *Service) commit() error {
 	for {
 		select {
@@ -60,9 +60,8 @@
 	return group
 }
 
-// commitGroup commits a group. A conflict of one row fails all of a
-// transaction, so the rows are then written one by one; an unknown outcome is
-// told to each, and each reads its own row back.
+// commitGroup commits a group in one transaction. If one row conflicts, the whole transaction
+// fails and the rows are written one by one. After an unknown outcome each claim reads its row.
 func (s *Service) commitGroup(group []write) {
 	group, again := splitDuplicates(group)
 	defer func() {
@@ -82,7 +81,7 @@
 	}
 }
 
-// splitDuplicates takes out the writes to a row that the group already writes.
+// splitDuplicates separates repeated writes to the same row, which one transaction cannot hold.
 func splitDuplicates(group []write) (unique, again []write) {
 	seen := map[string]bool{}
 	for _, w := range group {
@@ -144,7 +143,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// State is what a dump shows of the claims.
+// State is the state of the claims in a dump.
 type State struct {
 	Open      int64      `json:"open"`
 	Committed uint64     `json:"rows_committed_total"`
@@ -152,7 +151,7 @@
 	Ring      ring.State `json:"ring"`
 }
 
-// State returns what a dump shows.
+// State returns a snapshot for a dump.
 func (s *Service) State() State {
 	return State{s.open.Load(), s.committed.Load(), s.transactions.Load(), s.writes.State()}
 }
--- a/services/claim/sweep.go
+++ b/services/claim/sweep.go
@@ -17,9 +17,9 @@
 	sweepLimit    = 500
 )
 
-// Sweep starts to delete expired rows while mine reports true; one router of
-// the fleet does it.
-func (s *Service) Sweep(mine func() bool) {
+// Sweep starts to delete expired rows periodically while isSweeper returns true, which it must
+// do at one router of the fleet only.
+func (s *Service) Sweep(isSweeper func() bool) {
 	s.t.Go(func() error {
 		for {
 			select {
@@ -27,16 +27,15 @@
 				return nil
 			case <-s.opts.Clock.After(sweepInterval):
 			}
-			if mine() {
+			if isSweeper() {
 				s.SweepOnce()
 			}
 		}
 	})
 }
 
-// SweepOnce deletes expired rows, each on condition that it has not changed.
-// It returns how many it deleted. Each call goes on where the last one ended,
-// and only one goroutine may call it.
+// SweepOnce deletes expired rows that have not changed since they were read and returns their
+// number. Each call continues where the last one ended. It is not safe for concurrent use.
 func (s *Service) SweepOnce() int {
 	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), s.opts.Timeout)
 	defer cancel()
