--- a/services/quarantine/archive.go
+++ b/services/quarantine/archive.go
@@ -12,47 +12,46 @@
 	"madderway/core/quarantine"
 )
 
-// Archive keeps what is refused where it outlasts the processes of the fleet: after the
-// loss of all machines each refused request would end three more targets.
+// Archive stores quarantined requests outside the fleet. Without it a loss of all gateways would
+// let each of those requests kill three more targets.
 type Archive interface {
-	// Records returns all that is kept, the time of its ends aside.
+	// Records returns all records, without the times of their deaths.
 	Records(ctx context.Context) ([]quarantine.Record, error)
 	Put(ctx context.Context, r quarantine.Record) error
 	Drop(ctx context.Context, requests []quarantine.Fingerprint) error
 }
 
 const (
-	// archiveTimeout bounds one call of the archive.
+	// archiveTimeout bounds each call of the archive.
 	archiveTimeout = 2 * time.Second
-	// archiveQueueSize is how many changes may wait for the archive; it is away for seconds, and
-	// few requests are refused.
+	// archiveQueueSize bounds the changes that wait while the archive is unavailable.
 	archiveQueueSize = 64
-	// archiveBackoff is the pause after a call that failed; it doubles up to archiveMost.
+	// archiveBackoff is the pause after a failed call. It doubles up to maxArchiveBackoff.
 	archiveBackoff    = time.Second
 	maxArchiveBackoff = 10 * time.Second
-	// firstReadDelay is how long after its start a gateway looks into the archive. By then it
-	// knows whether others are there, and three of the fleet look for all.
+	// firstReadDelay is the time after the start at which a gateway first considers reading the
+	// archive. By then it knows the other gateways, of which three read for all.
 	firstReadDelay = 700 * time.Millisecond
-	// maxDeletes is how many rows one call may drop.
+	// maxDeletes bounds the rows that one call deletes.
 	maxDeletes = 90
 )
 
-// change is one of the archive: a record to put, or requests to drop.
+// change is a queued write to the archive: a record to put or requests to delete.
 type change struct {
 	put     *quarantine.Record
 	deletes []quarantine.Fingerprint
 }
 
-// ArchiveOptions is what a Service needs to keep what is refused.
+// ArchiveOptions configure the use of an archive.
 type ArchiveOptions struct {
 	Archive Archive
-	// IsReader tells whether this gateway is one of those that read the archive for all.
+	// IsReader reports whether this gateway is one of those that read the archive for all.
 	IsReader func() bool
-	// FirstStart tells that nothing can be kept yet: the whole fleet starts for the first time.
+	// FirstStart is true if the fleet has never run before, so the archive is empty.
 	FirstStart bool
 }
 
-// RunArchive starts to keep what is refused; it ends with the tomb.
+// RunArchive starts reading from and writing to the archive, until the tomb dies.
 func (s *Service) RunArchive(t *tomb.Tomb, k ArchiveOptions) {
 	t.Go(func() error {
 		s.readAtStart(t, k)
@@ -67,7 +66,7 @@
 	})
 }
 
-// readAtStart reads the archive soon after the start.
+// readAtStart reads the archive, with retries, if this gateway is one of its readers.
 func (s *Service) readAtStart(t *tomb.Tomb, k ArchiveOptions) {
 	if k.FirstStart {
 		return
@@ -86,9 +85,8 @@
 	}
 }
 
-// RewriteArchive puts what is refused into the archive once more: that has come back from an older
-// copy. A request that was refused since then would end three more targets after the loss of
-// all gateways.
+// RewriteArchive writes all quarantined requests again, after the archive was restored from an
+// older copy that may lack some.
 func (s *Service) RewriteArchive() {
 	for _, r := range s.Shared() {
 		if standing, _ := s.Standing(r.Request); standing == quarantine.Quarantined {
@@ -97,16 +95,17 @@
 	}
 }
 
-// readArchive takes what is kept, tells it on and drops what is no longer of use.
+// readArchive merges the archived records, shares them with other gateways and deletes those
+// that have expired.
 func (s *Service) readArchive(t *tomb.Tomb, a Archive) bool {
 	ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTimeout)
 	defer cancel()
 	records, err := a.Records(ctx)
 	if err != nil {
-		s.log.Warn("What is refused cannot be read, will try again.", "error", err)
+		s.log.Warn("Failed to read quarantined requests from the archive, will retry.", "error", err)
 		return false
 	}
-	s.log.Info("Read what is refused.", "requests", len(records))
+	s.log.Info("Read quarantined requests from the archive.", "requests", len(records))
 	now := s.opts.Clock.Now()
 	for i := range records {
 		setDeathTimes(&records[i], now)
@@ -114,25 +113,26 @@
 	for _, r := range s.Merge("archive", records, func(quarantine.Fingerprint) bool { return false }) {
 		s.opts.Share(r)
 	}
-	var useless []quarantine.Fingerprint
+	var expired []quarantine.Fingerprint
 	for _, r := range records {
 		if standing, _ := s.Standing(r.Request); standing == quarantine.Unsuspected {
-			useless = append(useless, r.Request)
+			expired = append(expired, r.Request)
 		}
 	}
-	s.enqueue(change{deletes: useless})
+	s.enqueue(change{deletes: expired})
 	return true
 }
 
-// setDeathTimes gives the ends of a record times from now back: the archive's are of another clock.
+// setDeathTimes sets the times of the deaths back from now: the archive holds none, as its
+// writers' clocks may differ.
 func setDeathTimes(r *quarantine.Record, now time.Time) {
-	const apart = 2 * time.Second // more than ends of one target can be told apart by
+	const interval = 2 * time.Second // long enough for the deaths to count as separate ones
 	for i := range r.Deaths {
-		r.Deaths[i].At = now.Add(-time.Duration(i) * apart)
+		r.Deaths[i].At = now.Add(-time.Duration(i) * interval)
 	}
 }
 
-// enqueue has the archive changed, where one is kept.
+// enqueue queues a change for the archive.
 func (s *Service) enqueue(c change) {
 	if c.put == nil && len(c.deletes) == 0 {
 		return
@@ -140,12 +140,12 @@
 	select {
 	case s.changes <- c:
 	default:
-		s.log.Warn("Too many changes wait for the archive, one left out.")
+		s.log.Warn("Archive queue is full, dropped a change.")
 	}
 }
 
-// apply makes one change; a put is tried until it is done, a drop once: it is made up for
-// when the archive is read.
+// apply performs one change. A put is retried until it succeeds. A delete is not: the next read
+// of the archive repeats it.
 func (s *Service) apply(t *tomb.Tomb, a Archive, c change) {
 	if c.put == nil {
 		s.deleteArchived(t, a, c.deletes)
@@ -158,7 +158,7 @@
 		if err == nil {
 			return
 		}
-		s.log.Warn("A refused request is not kept, will try again.", "request", c.put.Request, "error", err)
+		s.log.Warn("Failed to archive a quarantined request, will retry.", "request", c.put.Request, "error", err)
 		select {
 		case <-t.Dying():
 			return
@@ -174,7 +174,7 @@
 		err := a.Drop(ctx, requests[:n])
 		cancel()
 		if err != nil {
-			s.log.Warn("Requests that are no longer refused stay in the archive.", "requests", len(requests), "error", err)
+			s.log.Warn("Failed to delete requests from the archive.", "requests", len(requests), "error", err)
 			return
 		}
 		requests = requests[n:]
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -1,8 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package quarantine keeps the table of requests under which targets ended, for the
-// requests of this gateway and for what other gateways tell, and writes what it decides.
+// Package quarantine keeps a gateway's table of poison requests, those under which targets die.
+//
+// It feeds core/quarantine with the deaths and successes seen here and with the records of other
+// gateways, and shares, archives and logs the changes. Attempt checks a request before it is sent.
 package quarantine
 
 import (
@@ -19,34 +21,33 @@
 	"madderway/modules/log"
 )
 
-// Options are the parts of a Service.
+// Options are the dependencies and settings of a Service.
 type Options struct {
 	Clock clock.Clock
-	// MetricPrefix is what the names of the figures begin with.
+	// MetricPrefix is the prefix of the metrics' names.
 	MetricPrefix string
-	// Share tells other gateways of a record; it must not wait for them.
+	// Share sends a record to other gateways. It must not block.
 	Share func(r quarantine.Record)
 }
 
-// Service holds the table.
+// Service holds the table. It is safe for concurrent use.
 type Service struct {
 	log  log.Logger
 	opts Options
-	// known is how many requests are remembered: where there are none, a request costs
-	// one load of it.
+	// known is the number of records. Requests that meet an empty table check only this.
 	known atomic.Int32
 
-	mu    sync.Mutex // mu guards what follows.
+	mu    sync.Mutex // guards table
 	table *quarantine.Table
 
-	changes chan change // changes wait for the archive.
+	changes chan change // for the archive
 
 	set     *metrics.Set
 	deaths  *metrics.Counter
 	refused *metrics.Counter
 }
 
-// New returns a service that remembers nothing.
+// New returns a service with an empty table.
 func New(logger log.Logger, o Options) *Service {
 	set := metrics.NewSet()
 	return &Service{
@@ -56,7 +57,7 @@
 	}
 }
 
-// Knows tells whether a request may be one of those remembered.
+// Knows reports whether the table may have a record of the request.
 func (s *Service) Knows(id quarantine.Identity) bool {
 	if s.known.Load() == 0 {
 		return false
@@ -67,29 +68,29 @@
 	return s.table.Knows(outline)
 }
 
-// Standing returns the standing of a request and, where it is quarantined, for how long.
+// Standing returns the standing of a request and, if it is quarantined, the remaining time.
 func (s *Service) Standing(f quarantine.Fingerprint) (quarantine.Standing, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Standing(s.opts.Clock.Now(), f)
 }
 
-// StartTrial tells whether a request on trial may run here now, and if not, when its caller
-// may come back. Where it may, EndTrial must follow.
+// StartTrial reports whether a request on trial may run here now; if so, EndTrial must follow.
+// Otherwise the duration tells when to retry.
 func (s *Service) StartTrial(f quarantine.Fingerprint) (bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.StartTrial(f), s.table.TrialRetryAfter()
 }
 
-// EndTrial tells that the run is over.
+// EndTrial ends the run that StartTrial permitted.
 func (s *Service) EndTrial(f quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.EndTrial(f)
 }
 
-// TargetDied takes that a target has ended under a request that was sent to it then.
+// TargetDied records the death of a target to which the request was sent at the given time.
 func (s *Service) TargetDied(id quarantine.Identity, target string, sent time.Time) {
 	now := s.opts.Clock.Now()
 	f := id.Fingerprint()
@@ -110,15 +111,15 @@
 	}
 }
 
-// Succeeded takes that a request has gone through at a target.
+// Succeeded records that a target has completed the request.
 func (s *Service) Succeeded(f quarantine.Fingerprint) {
 	now := s.opts.Clock.Now()
 	s.mu.Lock()
 	before, _ := s.table.Standing(now, f)
-	r, news := s.table.Succeeded(now, f)
+	r, changed := s.table.Succeeded(now, f)
 	s.updateKnown()
 	s.mu.Unlock()
-	if news {
+	if changed {
 		s.logChange(r, before, quarantine.Unsuspected, 0, "")
 		s.opts.Share(r)
 		if len(r.Deaths) >= quarantine.QuarantineThreshold {
@@ -127,9 +128,9 @@
 	}
 }
 
-// Merge takes records of another gateway. It returns those that told anything new and that
-// all gateways are to know. First tells whether this gateway is the first to keep a record.
-func (s *Service) Merge(from string, records []quarantine.Record, first func(f quarantine.Fingerprint) bool) []quarantine.Record {
+// Merge merges records of another gateway and returns the changed ones that all gateways must
+// have. isFirst reports whether this gateway is the one that archives a record.
+func (s *Service) Merge(from string, records []quarantine.Record, isFirst func(f quarantine.Fingerprint) bool) []quarantine.Record {
 	now := s.opts.Clock.Now()
 	var news []quarantine.Record
 	for _, other := range records {
@@ -143,7 +144,7 @@
 			continue
 		}
 		s.logChange(r, before, after, hold, from)
-		if after == quarantine.Quarantined && before != after && first(r.Request) {
+		if after == quarantine.Quarantined && before != after && isFirst(r.Request) {
 			s.enqueue(change{put: &r})
 		}
 		if r.IsShared() {
@@ -153,15 +154,15 @@
 	return news
 }
 
-// Shared returns the records that all gateways are to know.
+// Shared returns the records that all gateways must have.
 func (s *Service) Shared() []quarantine.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Shared(s.opts.Clock.Now())
 }
 
-// Digest returns the digest of the shared records, 0 where there are none, and how long it
-// has not changed.
+// Digest returns the digest of the shared records, 0 if there are none, and the time since it
+// last changed.
 func (s *Service) Digest() (digest uint64, age time.Duration) {
 	if s.known.Load() == 0 {
 		return 0, 0
@@ -171,30 +172,30 @@
 	return s.table.Digest(), s.opts.Clock.Now().Sub(s.table.ChangedAt())
 }
 
-// Expire forgets what is over. First tells whether this gateway is the first to keep a
-// record, which then goes from the archive, too.
-func (s *Service) Expire(first func(f quarantine.Fingerprint) bool) {
+// Expire deletes expired records. isFirst reports whether this gateway is the one that also
+// deletes a record from the archive.
+func (s *Service) Expire(isFirst func(f quarantine.Fingerprint) bool) {
 	if s.known.Load() == 0 {
 		return
 	}
 	s.mu.Lock()
-	over := s.table.Expire(s.opts.Clock.Now())
+	expired := s.table.Expire(s.opts.Clock.Now())
 	s.updateKnown()
 	s.mu.Unlock()
 	var drop []quarantine.Fingerprint
-	for _, r := range over {
-		if len(r.Deaths) >= quarantine.QuarantineThreshold && first(r.Request) {
+	for _, r := range expired {
+		if len(r.Deaths) >= quarantine.QuarantineThreshold && isFirst(r.Request) {
 			drop = append(drop, r.Request)
 		}
 	}
 	s.enqueue(change{deletes: drop})
 }
 
-// updateKnown keeps known right; mu is held.
+// updateKnown sets known. The caller must hold mu.
 func (s *Service) updateKnown() { s.known.Store(int32(s.table.Len())) }
 
-// logChange tells of a request whose standing has changed. The first end under a request is
-// told by the line of the failed attempt.
+// logChange logs a change of a request's standing. The first death is left out: the log line of
+// the failed attempt reports it.
 func (s *Service) logChange(r quarantine.Record, before, after quarantine.Standing, hold time.Duration, from string) {
 	if before == after || before <= quarantine.Suspect && after <= quarantine.Suspect {
 		return
@@ -204,17 +205,17 @@
 		targets[i] = d.Target
 	}
 	s.log.Info("Standing of a request changed.", "request", r.Request, "account", r.Account, "standing", after, "before", before,
-		"targets_ended", targets, "refused_for", hold.Round(time.Second), "from", from)
+		"dead_targets", targets, "quarantined_for", hold.Round(time.Second), "from", from)
 }
 
-// Standings counts the requests of each standing.
+// Standings returns the number of requests of each standing.
 func (s *Service) Standings() map[quarantine.Standing]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Standings(s.opts.Clock.Now())
 }
 
-// WriteMetrics writes the figures in text form.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (s *Service) WriteMetrics(w io.Writer) {
 	s.set.WritePrometheus(w)
 	standings := s.Standings()
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -25,12 +25,12 @@
 	m.Run()
 }
 
-// fakeArchive is one in memory that can be away.
+// fakeArchive is an archive in memory that can be down.
 type fakeArchive struct {
 	mu    sync.Mutex
 	down  bool
 	rows  map[quarantine.Fingerprint]quarantine.Record
-	calls chan string // calls gets one name for each call.
+	calls chan string // names of the calls
 }
 
 var errDown = errors.New("away")
@@ -111,14 +111,14 @@
 	return f
 }
 
-// expectCall moves the clock until the archive is called.
+// expectCall advances the clock until the archive is called, and checks the call.
 func (f *fixture) expectCall(t *testing.T, a *fakeArchive, call string) {
 	t.Helper()
 	for {
 		select {
 		case got := <-a.calls:
 			if got != call {
-				t.Fatalf("the archive got %q, want %q", got, call)
+				t.Fatalf("got archive call %q, want %q", got, call)
 			}
 			return
 		default:
@@ -146,8 +146,8 @@
 	return s
 }
 
-// What is refused is written though the archive is away at first, is read by a process that
-// knows nothing, refused there for its whole time again, told on, and dropped when it is over.
+// Guards against a quarantined request that is forgotten if the archive is down at first or if
+// the gateway restarts.
 func TestQuarantineSurvivesRestart(t *testing.T) {
 	a := newArchive()
 	first := newFixture(t, a, true)
@@ -157,7 +157,7 @@
 	a.setDown(false)
 	first.expectCall(t, a, "put")
 	if !a.has(poisonRequest().Fingerprint()) {
-		t.Fatal("nothing was kept")
+		t.Fatal("request is not in the archive")
 	}
 	a.setDown(true)
 	next := newFixture(t, a, false)
@@ -167,14 +167,15 @@
 	next.t.Kill(nil)
 	_ = next.t.Wait()
 	if got := next.standing(poisonRequest()); got != quarantine.Quarantined {
-		t.Fatalf("the next process takes it for %v", got)
+		t.Fatalf("standing after a restart is %v, want quarantined", got)
 	}
 	if len(next.shared) != 1 {
-		t.Errorf("%d records were told on", len(next.shared))
+		t.Errorf("shared %d records, want 1", len(next.shared))
 	}
 }
 
-// A record that is over goes from the archive, by the gateway that keeps it first.
+// Guards against expired records that stay in the archive, or are deleted by a gateway that is
+// not the first one of the record.
 func TestExpiredRecordIsDeletedFromArchive(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
@@ -183,7 +184,7 @@
 	f.clock.Advance(48 * time.Hour)
 	f.Expire(func(quarantine.Fingerprint) bool { return false })
 	if !a.has(poisonRequest().Fingerprint()) {
-		t.Fatal("dropped by another gateway")
+		t.Fatal("record was deleted by a gateway that is not its first one")
 	}
 	f.killTargets(poisonRequest(), quarantine.QuarantineThreshold)
 	f.expectCall(t, a, "put")
@@ -191,11 +192,11 @@
 	f.Expire(func(quarantine.Fingerprint) bool { return true })
 	f.expectCall(t, a, "drop")
 	if a.has(poisonRequest().Fingerprint()) {
-		t.Error("kept for ever")
+		t.Error("expired record is still in the archive")
 	}
 }
 
-// A request that goes through is cleared here, elsewhere and in the archive.
+// Guards against a request that succeeds and stays quarantined here, elsewhere or in the archive.
 func TestSuccessClearsRequest(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
@@ -204,14 +205,14 @@
 	f.Succeeded(poisonRequest().Fingerprint())
 	f.expectCall(t, a, "drop")
 	if got := f.standing(poisonRequest()); got != quarantine.Unsuspected {
-		t.Errorf("it is %v", got)
+		t.Errorf("standing is %v, want unsuspected", got)
 	}
 	if last := f.shared[len(f.shared)-1]; !last.Deaths[0].Forgiven {
-		t.Error("the others were not told")
+		t.Error("success was not shared")
 	}
 }
 
-// While nothing is known of any request a look costs next to nothing: 3 ns.
+// The check of each request must cost almost nothing while the table is empty.
 func BenchmarkKnowsEmptyTable(b *testing.B) {
 	s := New(log.New("quarantine"), Options{Clock: clock.System{}})
 	id := poisonRequest()
@@ -221,8 +222,7 @@
 	}
 }
 
-// What is refused is written once more where the archive may have lost it; what is only
-// suspected never was there.
+// Guards against quarantined requests that a restored archive lacks, and suspects written to it.
 func TestRewriteArchiveWritesQuarantinedOnly(t *testing.T) {
 	a := newArchive()
 	f := newFixture(t, a, true)
@@ -237,6 +237,6 @@
 	f.RewriteArchive()
 	f.expectCall(t, a, "put")
 	if !a.has(poisonRequest().Fingerprint()) || a.has(other.Fingerprint()) {
-		t.Error("not what is refused was written again")
+		t.Error("rewritten records are not exactly the quarantined ones")
 	}
 }
--- a/services/quarantine/try.go
+++ b/services/quarantine/try.go
@@ -11,25 +11,23 @@
 	"madderway/models/result"
 )
 
-// ExitTimeout is how long a request waits to know whether its target has ended before it goes on
-// at another one. A target that has ended says so within a few milliseconds; what is cut off
-// says nothing, and the request must not wait for that.
+// ExitTimeout bounds the wait for the answer whether a target has exited, before its request is
+// retried elsewhere. A dead target's machine answers within milliseconds, an unreachable one never.
 const ExitTimeout = 60 * time.Millisecond
 
-// Attempt is one try of a request, with what it has asked of earlier ones. It is not safe for
-// concurrent use; End must be called when it is over.
+// Attempt is one attempt of a request. It is not safe for concurrent use. End must be called.
 type Attempt struct {
 	s          *Service
 	id         quarantine.Identity
 	request    quarantine.Fingerprint
-	hasRequest bool // known tells that request is set.
-	onTrial    bool // onTrial tells that this is the one run of a request on trial.
+	hasRequest bool // request is set
+	onTrial    bool // this attempt is the one run of a request on trial
 }
 
-// NewAttempt begins a try.
+// NewAttempt starts an attempt.
 func (s *Service) NewAttempt(id quarantine.Identity) Attempt { return Attempt{s: s, id: id} }
 
-// Request returns the request's fingerprint, which is worked out once.
+// Request returns the request's fingerprint, which is computed at most once.
 func (t *Attempt) Request() quarantine.Fingerprint {
 	if !t.hasRequest {
 		t.request, t.hasRequest = t.id.Fingerprint(), true
@@ -37,20 +35,19 @@
 	return t.request
 }
 
-// Check returns why the request must not be sent to a target, or nil. A request that ends
-// each target that runs it would otherwise end one at each try: 11 to 19 of nine in half a
-// minute, each with up to 17 other streams.
+// Check returns an error if the request must not be sent to a target, since it would probably
+// kill the target together with all other requests there.
 func (t *Attempt) Check() error {
 	if !t.s.Knows(t.id) {
 		return nil
 	}
 	switch standing, hold := t.s.Standing(t.Request()); {
 	case standing == quarantine.Quarantined:
-		return t.refuse("targets have ended under request %s", hold)
+		return t.refuse("targets have died while serving request %s", hold)
 	case standing == quarantine.OnTrial && !t.onTrial:
 		ok, pause := t.s.StartTrial(t.Request())
 		if !ok {
-			return t.refuse("another try of request %s is under way", pause)
+			return t.refuse("another attempt of request %s is in progress", pause)
 		}
 		t.onTrial = true
 	}
@@ -62,38 +59,38 @@
 	return result.New(result.EndsTargets, why, t.Request()).WithRetryAfter(after)
 }
 
-// Succeeded tells that a target has run the request to its end. A failure tells nothing: a target
-// can give one before it begins to run a request.
+// Succeeded records that a target has completed the request. Failures are not recorded, since a
+// target may fail a request before it runs it.
 func (t *Attempt) Succeeded() {
 	if t.hasRequest || t.s.Knows(t.id) {
 		t.s.Succeeded(t.Request())
 	}
 }
 
-// TargetDied tells that a target has ended to which the request was sent then.
+// TargetDied records the death of a target to which the request was sent at the given time.
 func (t *Attempt) TargetDied(target string, sentAt time.Time) { t.s.TargetDied(t.id, target, sentAt) }
 
-// End lets the next try of a request on trial begin.
+// End ends the attempt and permits the next one of a request on trial.
 func (t *Attempt) End() {
 	if t.onTrial {
 		t.s.EndTrial(t.request)
 	}
 }
 
-// HasExited asks whether a target has ended: soon, and where that is not known by then, beside
-// the caller. Late gets a finding that comes later.
-func HasExited(ctx context.Context, ask func(ctx context.Context) (ended, known bool), late func()) (ended, known bool) {
-	// The end of a request's time must not hide its target's end from later ones.
+// HasExited asks whether a target has exited and waits at most ExitTimeout for the answer. If it
+// is not known by then, HasExited keeps asking in the background and calls late on a positive answer.
+func HasExited(ctx context.Context, ask func(ctx context.Context) (exited, known bool), late func()) (exited, known bool) {
+	// The death must be recorded for later requests even if this one's deadline passes first.
 	ctx = context.WithoutCancel(ctx)
 	soon, cancel := context.WithTimeout(ctx, ExitTimeout)
 	defer cancel()
-	ended, known = ask(soon)
+	exited, known = ask(soon)
 	if !known {
 		go func() {
-			if ended, _ := ask(ctx); ended {
+			if exited, _ := ask(ctx); exited {
 				late()
 			}
 		}()
 	}
-	return ended, known
+	return exited, known
 }
