--- a/services/platform/object.go
+++ b/services/platform/object.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// ErrNotExist is the general kind of ErrObjectNotExist.
-var ErrNotExist = errors.New("not there")
+// ErrNotExist matches every ErrObjectNotExist in errors.Is.
+var ErrNotExist = errors.New("object does not exist")
 
-// ErrObjectNotExist names an object that is not in the store.
+// ErrObjectNotExist reports that an object is not in the store.
 type ErrObjectNotExist struct{ Key string }
 
 // Error implements error.
-func (e ErrObjectNotExist) Error() string { return "no object " + e.Key }
+func (e ErrObjectNotExist) Error() string { return "object does not exist: " + e.Key }
 
 // Unwrap returns ErrAbsent.
 func (e ErrObjectNotExist) Unwrap() error { return ErrNotExist }
@@ -31,7 +31,7 @@
 	return errors.As(err, &e)
 }
 
-// ObjectInfo is one object in a listing.
+// ObjectInfo describes an object in a listing.
 type ObjectInfo struct {
 	Key      string    `json:"key"`
 	Size     int64     `json:"size"`
@@ -40,23 +40,23 @@
 
 // Objects is the platform's object store.
 type Objects interface {
-	// Put writes an object; writing the same one again does no harm.
+	// Put writes an object. It is idempotent.
 	Put(ctx context.Context, key string, content []byte) error
-	// Get reads an object; an absent one gives ErrObjectNotExist.
+	// Get reads an object. If it is absent, the error is an ErrObjectNotExist.
 	Get(ctx context.Context, key string) ([]byte, error)
-	// Delete removes an object; an absent one is no error.
+	// Delete removes an object if it exists.
 	Delete(ctx context.Context, key string) error
 	// List returns the objects whose keys have the prefix.
 	List(ctx context.Context, prefix string) ([]ObjectInfo, error)
 }
 
-// HTTPObjects reaches an object store over HTTP.
+// HTTPObjects is a client of an object store over HTTP.
 type HTTPObjects struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTPObjects returns a store at a base URL whose calls take at most timeout.
+// NewHTTPObjects returns a client of the store at a base URL. The timeout bounds each call.
 func NewHTTPObjects(base string, timeout time.Duration) *HTTPObjects {
 	return &HTTPObjects{base, newClient(timeout)}
 }
--- a/services/platform/table.go
+++ b/services/platform/table.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package platform reaches the platform's table, object store and VM list. The
-// interfaces are small, so that tests can use fakes in their place.
+// Package platform has the clients of the platform's table, object store and VM list. Callers use
+// the interfaces, so that tests can replace the clients by fakes.
 package platform
 
 import (
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// Outcome is what became of a transaction.
+// Outcome is the outcome of a transaction.
 type Outcome uint8
 
-// The outcomes of a transaction.
+// Outcomes of a transaction.
 const (
 	OutcomeOK          Outcome = iota + 1
 	OutcomeConflict            // a condition did not hold; nothing was written
-	OutcomeUnknown             // the answer was lost; it may take effect, also later
-	OutcomeUnavailable         // it was not taken; it will not take effect
+	OutcomeUnknown             // the answer was lost; the transaction may have taken effect or may still do so
+	OutcomeUnavailable         // the transaction did not and will not take effect
 )
 
 // String returns the name of the outcome.
@@ -34,7 +34,7 @@
 	return [...]string{"none", "ok", "conflict", "unknown", "unavailable"}[o]
 }
 
-// Condition demands that a row has a version; 0 means absent.
+// Condition requires that a row has the version; 0 requires that the row is absent.
 type Condition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -46,28 +46,28 @@
 	Value []byte `json:"value"`
 }
 
-// Row is a row as the table holds it; version 0 means absent.
+// Row is a row of the table; version 0 means that the row is absent.
 type Row struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value,omitempty"`
 }
 
-// Tx is a transaction: all of it takes effect if all conditions hold.
+// Tx is a transaction. It takes effect as a whole if all conditions hold, else not at all.
 type Tx struct {
 	Conditions []Condition `json:"conditions"`
 	Puts       []Put       `json:"puts,omitempty"`
 	Deletes    []string    `json:"deletes,omitempty"`
 }
 
-// TxResult is the table's word on a transaction. Rows are the new versions
-// after OutcomeOK, and the rows of the conditions after OutcomeConflict.
+// TxResult is the result of a transaction. Rows holds the written rows after OutcomeOK, and the
+// current rows of the conditions after OutcomeConflict.
 type TxResult struct {
 	Outcome Outcome `json:"-"`
 	Rows    []Row   `json:"rows"`
 }
 
-// Row returns the row with this key.
+// Row returns the row with the key, or an absent one.
 func (r TxResult) Row(key string) Row {
 	for _, row := range r.Rows {
 		if row.Key == key {
@@ -77,10 +77,10 @@
 	return Row{Key: key}
 }
 
-// ErrUnavailable tells that a service of the platform gave no answer.
+// ErrUnavailable matches every ErrPlatform in errors.Is.
 var ErrUnavailable = errors.New("platform unavailable")
 
-// ErrPlatform names the service and the reason.
+// ErrPlatform reports that a service of the platform gave no usable answer.
 type ErrPlatform struct {
 	Service string
 	Cause   error
@@ -100,25 +100,24 @@
 
 // Table is the platform's transactional table.
 type Table interface {
-	// Commit runs a transaction; it never returns an error, because what
-	// cannot be known is an outcome of its own.
+	// Commit runs a transaction. Failures are reported by the outcome.
 	Commit(ctx context.Context, tx Tx) TxResult
-	// Get reads a row; an absent one has version 0.
+	// Get reads a row. If it is absent, its version is 0.
 	Get(ctx context.Context, key string) (Row, error)
-	// Scan returns up to limit rows whose keys have the prefix and come after
-	// a key, in the order of the keys.
+	// Scan returns up to limit rows in the order of their keys, which have the prefix and are
+	// greater than after.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 }
 
-const maxResponse = 32 << 20
+const maxResponse = 32 << 20 // bytes
 
-// HTTPTable reaches a table over HTTP and JSON.
+// HTTPTable is a client of a table over HTTP and JSON.
 type HTTPTable struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTPTable returns a table at a base URL whose calls take at most timeout.
+// NewHTTPTable returns a client of the table at a base URL. The timeout bounds each call.
 func NewHTTPTable(base string, timeout time.Duration) *HTTPTable {
 	return &HTTPTable{base, newClient(timeout)}
 }
@@ -139,7 +138,7 @@
 	if err != nil {
 		return TxResult{Outcome: OutcomeUnavailable}
 	}
-	// A POST without GetBody is not sent again by the client on its own.
+	// Without GetBody the HTTP client cannot retry the request by itself.
 	req.GetBody = nil
 	resp, err := t.client.Do(req)
 	if err != nil {
@@ -149,8 +148,8 @@
 	return readTx(resp)
 }
 
-// outcomeOf tells a refused connection, after which nothing can have been
-// written, from all else.
+// outcomeOf returns OutcomeUnavailable if the connection failed, so that nothing was sent, and
+// OutcomeUnknown for all other errors.
 func outcomeOf(err error) Outcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/services/platform/vmlist.go
+++ b/services/platform/vmlist.go
@@ -11,19 +11,19 @@
 	"madderway/models/vm"
 )
 
-// VMs is the platform's lagging list of VMs.
+// VMs lists the platform's VMs. The list may lag behind their actual state.
 type VMs interface {
 	// List returns the VMs that are live or leaving.
 	List(ctx context.Context) ([]vm.VM, error)
 }
 
-// HTTPVMs reads the list over HTTP and JSON.
+// HTTPVMs is a client of the VM list over HTTP and JSON.
 type HTTPVMs struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTPVMs returns a list at a base URL whose calls take at most timeout.
+// NewHTTPVMs returns a client of the list at a base URL. The timeout bounds each call.
 func NewHTTPVMs(base string, timeout time.Duration) *HTTPVMs {
 	return &HTTPVMs{base, newClient(timeout)}
 }
