--- a/services/answer/keep.go
+++ b/services/answer/keep.go
@@ -21,10 +21,11 @@
 )
 
 const (
+	// objectPrefix is the prefix of the keys of stored answers.
 	objectPrefix       = "answer/"
 	writeRetryInterval = time.Second
 	maxWriteTries      = 120
-	// bodyPrefix holds the large answers of calls that must not be repeated.
+	// bodyPrefix is the prefix of the keys of large answers to calls that must not be repeated.
 	bodyPrefix = "recorded/"
 )
 
@@ -33,7 +34,7 @@
 	RequestID   string    `json:"request_id"`
 	Account     string    `json:"account"`
 	ContentType string    `json:"content_type"`
-	Events      []string  `json:"events"` // Events are the data of a stream's events, in order from offset 1.
+	Events      []string  `json:"events"` // data of the stream's events, in order from offset 1
 	At          time.Time `json:"at"`
 	Expires     time.Time `json:"expires"`
 }
@@ -43,16 +44,17 @@
 	answer  StoredAnswer
 }
 
-// Options are the parts of a Store.
+// Options are the dependencies and settings of a Store.
 type Options struct {
 	Clock     clock.Clock
 	Objects   platform.Objects
 	Retention time.Duration
-	MaxBytes  int64
-	Timeout   time.Duration
+	MaxBytes  int64         // of one answer
+	Timeout   time.Duration // for each call of the object store
 }
 
-// Store keeps answers whose callers have gone in the object store.
+// Store writes answers whose callers have disconnected to the object store, from which they can
+// fetch them later.
 type Store struct {
 	t    *tomb.Tomb
 	log  log.Logger
@@ -60,14 +62,14 @@
 	jobs *ring.Ring[writeJob]
 }
 
-// NewStore starts the goroutine that writes answers; it ends with the tomb.
+// NewStore starts the goroutine that writes answers, which runs until the tomb dies.
 func NewStore(t *tomb.Tomb, logger log.Logger, o Options) *Store {
 	s := &Store{t: t, log: logger, opts: o, jobs: ring.New[writeJob]("answers to keep", 256)}
 	t.Go(s.run)
 	return s
 }
 
-// Ring returns the state of the ring of answers to keep.
+// Ring returns the state of the queue of answers to write.
 func (s *Store) Ring() ring.State { return s.jobs.State() }
 
 func accountPrefix(account string) string {
@@ -75,8 +77,8 @@
 	return objectPrefix + hex.EncodeToString(sum[:8]) + "/"
 }
 
-// Enqueue queues an answer to be written. It reports false where the answer is
-// too large or too many wait.
+// Enqueue queues an answer to be written. It returns false if the answer is too large or the
+// queue is full.
 func (s *Store) Enqueue(account conf.ClientAccount, requestID, contentType string, events []string) bool {
 	size := int64(0)
 	for _, e := range events {
@@ -106,11 +108,11 @@
 	}
 }
 
-// write tries until the store takes the answer, for a bounded time.
+// write writes an answer, with a bounded number of retries.
 func (s *Store) write(job writeJob) {
 	content, err := json.Marshal(job.answer)
 	if err != nil {
-		s.log.Error(err, "Could not encode an answer.", "request", job.answer.RequestID)
+		s.log.Error(err, "Failed to encode an answer.", "request", job.answer.RequestID)
 		return
 	}
 	key := accountPrefix(job.account.Name) + job.answer.RequestID
@@ -119,7 +121,7 @@
 		err = s.opts.Objects.Put(ctx, key, content)
 		cancel()
 		if err == nil {
-			s.log.Debug("Kept an answer.", "request", job.answer.RequestID, "bytes", len(content))
+			s.log.Debug("Stored an answer.", "request", job.answer.RequestID, "bytes", len(content))
 			s.enforceLimits(job.account)
 			return
 		}
@@ -129,11 +131,10 @@
 		case <-s.opts.Clock.After(writeRetryInterval):
 		}
 	}
-	s.log.Error(err, "Lost an answer that was to be kept.", "request", job.answer.RequestID)
+	s.log.Error(err, "Failed to store an answer, giving up.", "request", job.answer.RequestID)
 }
 
-// enforceLimits deletes the oldest and the expired answers of an account over its
-// limits.
+// enforceLimits deletes an account's expired answers, and the oldest ones over its limits.
 func (s *Store) enforceLimits(account conf.ClientAccount) {
 	ctx, cancel := context.WithTimeout(s.t.Context(context.Background()), s.opts.Timeout)
 	defer cancel()
@@ -155,30 +156,31 @@
 	}
 }
 
-// Fetch returns a kept answer to the account that owns it.
+// Fetch returns a stored answer of the account. If there is none or it has expired, the error is
+// a platform.ErrObjectNotExist.
 func (s *Store) Fetch(ctx context.Context, account, requestID string) (StoredAnswer, error) {
-	var k StoredAnswer
+	var a StoredAnswer
 	content, err := s.opts.Objects.Get(ctx, accountPrefix(account)+requestID)
 	if err != nil {
-		return k, err
+		return a, err
 	}
-	if err := json.Unmarshal(content, &k); err != nil {
-		return k, err
+	if err := json.Unmarshal(content, &a); err != nil {
+		return a, err
 	}
-	if k.Account != account || s.opts.Clock.Now().After(k.Expires) {
-		return k, platform.ErrObjectNotExist{Key: requestID}
+	if a.Account != account || s.opts.Clock.Now().After(a.Expires) {
+		return a, platform.ErrObjectNotExist{Key: requestID}
 	}
-	return k, nil
+	return a, nil
 }
 
-// PutBody writes the large answer of a call that must not be repeated and
-// returns the object's name.
+// PutBody stores a large answer to a call that must not be repeated. It returns the object's
+// name.
 func (s *Store) PutBody(ctx context.Context, attempt string, body []byte) (string, error) {
 	name := bodyPrefix + attempt
 	return name, s.opts.Objects.Put(ctx, name, body)
 }
 
-// GetBody reads an answer that PutBody wrote.
+// GetBody reads an answer that PutBody stored.
 func (s *Store) GetBody(ctx context.Context, name string) ([]byte, error) {
 	return s.opts.Objects.Get(ctx, name)
 }
--- a/services/answer/token.go
+++ b/services/answer/token.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package answer lets answers outlive the connection they were asked over:
-// signed resume tokens, and answers kept in the object store.
+// Package answer lets a caller get an answer after its connection broke: by a signed token with
+// which it resumes the stream, or from the object store.
 package answer
 
 import (
@@ -14,10 +14,10 @@
 	"strings"
 )
 
-// ErrToken is the general kind of ErrBadToken.
+// ErrToken matches every ErrBadToken in errors.Is.
 var ErrToken = errors.New("bad resume token")
 
-// ErrBadToken tells why a token is refused.
+// ErrBadToken reports why a token was rejected.
 type ErrBadToken struct{ Reason string }
 
 // Error implements error.
@@ -32,10 +32,10 @@
 	return errors.As(err, &e)
 }
 
-const maxTokenSize = 2048
+const maxTokenSize = 2048 // bytes
 
-// Token says where an answer is produced. It goes to the caller with the first
-// bytes, so nothing is stored on the way.
+// Token identifies the stream that produces an answer. The caller receives it with the first
+// bytes, so the routers need not store it.
 type Token struct {
 	Account   string `json:"a"`
 	RequestID string `json:"r"`
@@ -45,10 +45,10 @@
 	StreamID  string `json:"s"`
 }
 
-// Signer makes and checks tokens.
+// Signer signs and verifies tokens.
 type Signer struct{ key []byte }
 
-// NewSigner returns a signer by a key that all routers know.
+// NewSigner returns a signer with a key that all routers share.
 func NewSigner(key string) *Signer { return &Signer{[]byte(key)} }
 
 func (s *Signer) mac(payload string) []byte {
@@ -57,7 +57,7 @@
 	return m.Sum(nil)
 }
 
-// Sign returns the text of a token.
+// Sign encodes and signs a token.
 func (s *Signer) Sign(t Token) string {
 	raw, err := json.Marshal(t)
 	if err != nil {
@@ -67,8 +67,7 @@
 	return payload + "." + base64.RawURLEncoding.EncodeToString(s.mac(payload))
 }
 
-// Verify parses a token and checks that it was signed for this account and
-// request.
+// Verify decodes a token and checks that it was signed for this account and request.
 func (s *Signer) Verify(text, account, requestID string) (Token, error) {
 	var t Token
 	if len(text) > maxTokenSize {
--- a/services/answer/token_test.go
+++ b/services/answer/token_test.go
@@ -16,7 +16,7 @@
 	text := s.Sign(want)
 	got, err := s.Verify(text, "alder", "req-1")
 	if err != nil || got != want {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("got %+v, %v, want %+v", got, err, want)
 	}
 	for name, bad := range map[string]func() (Token, error){
 		"another account": func() (Token, error) { return s.Verify(text, "birch", "req-1") },
@@ -27,7 +27,7 @@
 		"no signature":    func() (Token, error) { return s.Verify(strings.Split(text, ".")[0], "alder", "req-1") },
 	} {
 		if _, err := bad(); !IsErrBadToken(err) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want an ErrBadToken", name, err)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		got, err := s.Verify(text, "alder", "req-1")
 		if err == nil && s.Sign(got) != text {
-			t.Errorf("accepted %q, which it did not sign", text)
+			t.Errorf("accepted %q, which the signer did not produce", text)
 		}
 	})
 }
