--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package engine speaks to targets: model engines with resumable streams and
-// fenced orders, and plain services.
+// Package engine is the client of targets: of model engines, which have resumable streams and
+// take fenced orders, and of plain services.
 package engine
 
 import (
@@ -28,17 +28,17 @@
 	HeaderPriority = "X-Priority"
 	HeaderAccount  = "X-Client-Account"
 	HeaderRequest  = "X-Request-Id"
-	// HeaderPrefix names the prompt's prefix; the engine's cache events use it.
+	// HeaderPrefix carries the ID of the prompt's prefix, as in the engine's cache events.
 	HeaderPrefix = "X-Prefix-Id"
 )
 
-// ErrTarget is the general kind of all errors of this package.
+// ErrTarget matches every ErrAttempt in errors.Is.
 var ErrTarget = errors.New("target failed")
 
-// ErrAttempt tells what is known of an attempt that did not succeed.
+// ErrAttempt reports a failed attempt.
 type ErrAttempt struct {
 	Target     string
-	MayHaveRun bool // Ran is false only where the target provably did not run it.
+	MayHaveRun bool // false only if the target provably did not run the request
 	Status     int
 	Cause      error
 }
@@ -54,14 +54,14 @@
 // Unwrap returns ErrTarget.
 func (e ErrAttempt) Unwrap() error { return ErrTarget }
 
-// AsErrAttempt returns the ErrAttempt inside err.
+// AsErrAttempt returns the ErrAttempt in err's chain, if any.
 func AsErrAttempt(err error) (ErrAttempt, bool) {
 	var e ErrAttempt
 	ok := errors.As(err, &e)
 	return e, ok
 }
 
-// LoadReport is a target's own word on its load; it lags.
+// LoadReport is the load that a target reports about itself. It may be stale.
 type LoadReport struct {
 	Running int  `json:"running"`
 	Waiting int  `json:"waiting"`
@@ -69,7 +69,7 @@
 	Leaving bool `json:"leaving"`
 }
 
-// Order is a fenced order to an engine.
+// Order is an order to an engine, fenced by an epoch: an engine rejects those of older epochs.
 type Order struct {
 	Epoch  uint64 `json:"epoch"`
 	Action string `json:"action"` // load, unload or role
@@ -77,18 +77,18 @@
 	Role   string `json:"role,omitempty"`
 }
 
-// Client reaches targets over HTTP.
+// Client sends requests to targets over HTTP.
 type Client struct {
-	// OnRetryAfter is told that a target wants rest; nil tells nobody. It is set before the first call.
+	// OnRetryAfter is called when a target asks for a pause. It may be nil and must be set before
+	// the first request.
 	OnRetryAfter func(target string, r retryafter.Result)
 
 	http    *http.Client
-	noReuse *http.Client // fresh never reuses a connection that may be dead already.
-	poll    *http.Client
+	noReuse *http.Client // opens a new connection for each request
+	poll    *http.Client // for load reports, cache events and orders
 }
 
-// NewClient returns a client; pollTimeout bounds load reports, cache events
-// and orders.
+// NewClient returns a client. pollTimeout bounds load reports, cache events and orders.
 func NewClient(pollTimeout time.Duration) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
@@ -99,16 +99,15 @@
 	return &Client{http: &http.Client{Transport: transport}, noReuse: &http.Client{Transport: fresh}, poll: &http.Client{Transport: transport, Timeout: pollTimeout}}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do sends a request to a target. An error is an ErrAttempt. Nothing was sent
-// where the connection could not be made; the target says itself that it did
-// not run a call with status 429 or 503 and the header X-Not-Run. A call that
-// must not be repeated gets a connection of its own, so that an idle one that
-// the target has closed cannot leave its outcome unknown.
+// Do sends a request to a target. Every error is an ErrAttempt. The request did not run if the
+// connection failed, or if the target says so by status 429 or 503 and the header X-Not-Run.
+// With once set, the request must not be repeated and gets a new connection: on an idle one that
+// the target has closed, its outcome would be unknown.
 func (c *Client) Do(req *http.Request, target string, once bool) (*http.Response, error) {
-	// Without GetBody the client cannot repeat the request on its own.
+	// Without GetBody the HTTP client cannot retry the request by itself.
 	req.GetBody = nil
 	client := c.http
 	if once {
@@ -138,8 +137,7 @@
 	return busy && resp.Header.Get("X-Not-Run") != ""
 }
 
-// StartStream sends a chat completion under a stream ID. It always asks for a
-// stream, so that an answer can be resumed.
+// StartStream sends a chat completion. The header must carry the stream's ID.
 func (c *Client) StartStream(ctx context.Context, address, target string, h http.Header, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -149,7 +147,7 @@
 	return c.Do(req, target, false)
 }
 
-// ResumeStream continues a stream after the event with the given offset.
+// ResumeStream continues a stream after the event at the offset.
 func (c *Client) ResumeStream(ctx context.Context, address, target, streamID string, offset int) (*http.Response, error) {
 	u := fmt.Sprintf("http://%s/v1/streams/%s?offset=%d", address, url.PathEscape(streamID), offset)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
@@ -167,7 +165,7 @@
 	return resp, nil
 }
 
-// CancelStream stops a stream that nobody wants any more.
+// CancelStream stops a stream that has no caller any more.
 func (c *Client) CancelStream(ctx context.Context, address, streamID string) error {
 	return c.post(ctx, "http://"+address+"/v1/streams/"+url.PathEscape(streamID)+"/cancel", nil)
 }
@@ -209,21 +207,21 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(into)
 }
 
-// Load asks for a target's load report.
+// Load returns a target's load report.
 func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
 	var l LoadReport
 	err := c.getJSON(ctx, "http://"+address+"/load", &l)
 	return l, err
 }
 
-// CacheEvents asks for an engine's cache events from a sequence number on.
+// CacheEvents returns an engine's cache events starting at a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, from uint64) ([]place.CacheEvent, error) {
 	var events []place.CacheEvent
 	err := c.getJSON(ctx, "http://"+address+"/cache/events?from="+strconv.FormatUint(from, 10), &events)
 	return events, err
 }
 
-// Send gives a fenced order; an engine that checks refuses a lower epoch.
+// SendOrder sends an order to an engine.
 func (c *Client) Send(ctx context.Context, address string, o Order) error {
 	return c.post(ctx, "http://"+address+"/orders", o)
 }
--- a/services/engine/sse.go
+++ b/services/engine/sse.go
@@ -13,16 +13,16 @@
 	"strings"
 )
 
-// MaxEvent is the size of the largest server-sent event, in bytes.
+// MaxEvent is the maximum size of a server-sent event, in bytes.
 const MaxEvent = 1 << 20
 
 // DoneData is the data of the last event of a stream.
 const DoneData = "[DONE]"
 
-// ErrBrokenStream tells that a stream ended or went wrong before its last event.
+// ErrBrokenStream matches every ErrStream in errors.Is.
 var ErrBrokenStream = errors.New("broken stream")
 
-// ErrStream names what is wrong with a stream.
+// ErrStream reports an invalid stream, or one that ended before its last event.
 type ErrStream struct{ Reason string }
 
 // Error implements error.
@@ -31,36 +31,35 @@
 // Unwrap returns ErrBrokenStream.
 func (e ErrStream) Unwrap() error { return ErrBrokenStream }
 
-// Event is one server-sent event. ID is its offset in the stream, from 1.
+// Event is a server-sent event. ID is its offset in the stream, starting at 1.
 type Event struct {
 	ID   int
 	Data string
 }
 
-// Done reports whether the event ends the stream.
+// Done reports whether the event is the last one of its stream.
 func (e Event) Done() bool { return e.Data == DoneData }
 
-// Format returns the event as it goes to callers.
+// Format encodes the event for callers.
 func (e Event) Format() []byte {
 	return fmt.Appendf(nil, "id: %d\ndata: %s\n\n", e.ID, e.Data)
 }
 
-// EventReader reads server-sent events.
+// EventReader reads the server-sent events of a stream.
 type EventReader struct {
 	scan *bufio.Scanner
 	last int
 }
 
-// NewEventReader returns a reader; last is the offset of the event before the
-// first one it will read.
+// NewEventReader returns a reader that starts after the event at offset last.
 func NewEventReader(r io.Reader, last int) *EventReader {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(make([]byte, 0, 4096), MaxEvent)
 	return &EventReader{scan: scan, last: last}
 }
 
-// Next returns the next event. A gap or an end before the last event gives
-// an ErrStream; an event that was delivered before is passed over.
+// Next returns the next event and skips repeated ones. If an event is missing or the stream ends
+// early, the error is an ErrStream.
 func (r *EventReader) Next() (Event, error) {
 	for {
 		ev, err := r.read()
@@ -74,7 +73,7 @@
 			continue
 		}
 		if ev.ID > r.last+1 {
-			return Event{}, ErrStream{fmt.Sprintf("event %d after %d", ev.ID, r.last)}
+			return Event{}, ErrStream{fmt.Sprintf("got event %d after event %d", ev.ID, r.last)}
 		}
 		r.last = ev.ID
 		return ev, nil
@@ -95,7 +94,7 @@
 		}
 		field, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok {
-			return Event{}, ErrStream{"a line without a colon"}
+			return Event{}, ErrStream{"line without a colon"}
 		}
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch string(field) {
@@ -104,7 +103,7 @@
 		case "id":
 			id, err := strconv.Atoi(string(value))
 			if err != nil || id < 1 {
-				return Event{}, ErrStream{"a bad event ID"}
+				return Event{}, ErrStream{"invalid event ID"}
 			}
 			ev.ID = id
 		}
--- a/services/engine/sse_test.go
+++ b/services/engine/sse_test.go
@@ -41,7 +41,7 @@
 	} {
 		ids, err := readAll(c.text, c.last)
 		if len(ids) != c.want || (err != nil) != c.broken || err != nil && !errors.Is(err, ErrBrokenStream) {
-			t.Errorf("%s: events %v, %v", c.name, ids, err)
+			t.Errorf("%s: got events %v, error %v, want %d events, broken %t", c.name, ids, err, c.want, c.broken)
 		}
 	}
 }
@@ -49,6 +49,6 @@
 func TestEventFormatRoundTrip(t *testing.T) {
 	ids, err := readAll(string(Event{1, "a"}.Format())+string(Event{2, DoneData}.Format()), 0)
 	if err != nil || len(ids) != 2 {
-		t.Fatalf("%v, %v", ids, err)
+		t.Fatalf("got events %v, error %v, want two events", ids, err)
 	}
 }
