--- a/services/engine/sse.go
+++ b/services/engine/sse.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		if ev.ID > r.last+1 {
-			return Event{}, ErrStream{fmt.Sprintf("got event %d after event %d", ev.ID, r.last)}
+			return Event{}, ErrStream{fmt.Sprintf("event %d after %d", ev.ID, r.last)}
 		}
 		r.last = ev.ID
 		return ev, nil
@@ -94,7 +94,7 @@
 		}
 		field, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok {
-			return Event{}, ErrStream{"line without a colon"}
+			return Event{}, ErrStream{"a line without a colon"}
 		}
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch string(field) {
@@ -103,7 +103,7 @@
 		case "id":
 			id, err := strconv.Atoi(string(value))
 			if err != nil || id < 1 {
-				return Event{}, ErrStream{"invalid event ID"}
+				return Event{}, ErrStream{"a bad event ID"}
 			}
 			ev.ID = id
 		}
--- a/services/platform/object.go
+++ b/services/platform/object.go
@@ -20,7 +20,7 @@
 type ErrObjectNotExist struct{ Key string }
 
 // Error implements error.
-func (e ErrObjectNotExist) Error() string { return "object does not exist: " + e.Key }
+func (e ErrObjectNotExist) Error() string { return "no object " + e.Key }
 
 // Unwrap returns ErrAbsent.
 func (e ErrObjectNotExist) Unwrap() error { return ErrNotExist }
--- a/services/quarantine/archive.go
+++ b/services/quarantine/archive.go
@@ -17,7 +17,9 @@
 type Archive interface {
 	// Records returns all records, without the times of their deaths.
 	Records(ctx context.Context) ([]quarantine.Record, error)
+	// Put writes the record of a quarantined request.
 	Put(ctx context.Context, r quarantine.Record) error
+	// Drop deletes the records of the requests.
 	Drop(ctx context.Context, requests []quarantine.Fingerprint) error
 }
 
@@ -123,8 +125,8 @@
 	return true
 }
 
-// setDeathTimes sets the times of the deaths back from now: the archive holds none, as its
-// writers' clocks may differ.
+// setDeathTimes sets the times of a record's deaths, at intervals before now. The archive holds
+// none, since its writers' clocks may differ.
 func setDeathTimes(r *quarantine.Record, now time.Time) {
 	const interval = 2 * time.Second // long enough for the deaths to count as separate ones
 	for i := range r.Deaths {
--- a/services/upstream/dialect.go
+++ b/services/upstream/dialect.go
@@ -49,7 +49,7 @@
 
 // Observer is called with the header of each answer before the answer is used. That includes
 // late answers to earlier requests and lists of cached parts.
-type Observer func(t *routing.Target, v AnswerInfo)
+type Observer func(t *routing.Target, info AnswerInfo)
 
 // Dialect reads and writes the headers between callers, gateways and targets.
 type Dialect interface {
--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -96,11 +96,11 @@
 // readInfo reads an answer's header and calls the observer, except for a misdirected
 // request: that answer comes from another target than the intended one.
 func (c *Client) readInfo(t *routing.Target, resp *http.Response) AnswerInfo {
-	v := c.dialect.ReadAnswer(resp.StatusCode, resp.Header)
-	if !v.Misdirected {
-		c.observe(t, v)
+	info := c.dialect.ReadAnswer(resp.StatusCode, resp.Header)
+	if !info.Misdirected {
+		c.observe(t, info)
 	}
-	return v
+	return info
 }
 
 // Send sends a request and returns its answer once the header is read. If the context ends, the
