--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -186,13 +186,13 @@
 		a.Info = a.client.readInfo(a.target, resp)
 		if a.Info.ID != "" && a.Info.ID != r.ID {
 			if resp.Close || discard(resp.Body) != nil {
-				return errors.New("answer to another request, which cannot be skipped")
+				return errors.New("answer to another request")
 			}
 			continue
 		}
 		return a.accept(resp)
 	}
-	return errors.New("too many answers to other requests")
+	return errors.New("answers to other requests")
 }
 
 func (a *Answer) readResponse(method string) (*http.Response, error) {
@@ -205,7 +205,7 @@
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("unexpected protocol switch")
+			return nil, errors.New("unasked change of protocol")
 		}
 	}
 }
