--- a/services/platform/object.go
+++ b/services/platform/object.go
@@ -22,7 +22,7 @@
 // Error implements error.
 func (e ErrObjectNotExist) Error() string { return "no object " + e.Key }
 
-// Unwrap returns ErrAbsent.
+// Unwrap returns ErrNotExist.
 func (e ErrObjectNotExist) Unwrap() error { return ErrNotExist }
 
 // IsErrObjectNotExist reports whether err is an ErrObjectNotExist.
