--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -154,8 +154,8 @@
 		}
 	}
 	timeout := route.Timeout
-	if call.Patience > 0 && (call.Patience < timeout || timeout == 0) {
-		timeout = call.Patience
+	if call.Timeout > 0 && (call.Timeout < timeout || timeout == 0) {
+		timeout = call.Timeout
 	}
 	body, err := h.readBody(w, r, index.Configuration.Limits, received.Add(timeout))
 	if err != nil {
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -161,17 +161,17 @@
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
 	members.EnableFullSync, members.MaxRumors = true, maxRumors
 	g.quarantine = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
-		Clock: g.clock, Figures: "madderway_gateway", Tell: func(r core.Record) { g.loop.TellRecord(r) },
+		Clock: g.clock, MetricPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.TellRecord(r) },
 	})
 	client := upstream.NewClient(g.pool, platform.Dialect{}, g.notices.Answered)
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.relayMeter, Clock: g.clock})
 	g.loop = mesh.NewLoop(&g.t, log.New("mesh").With(s.ID), mesh.Options{
 		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.quarantine, Notices: g.notices,
-		Kept: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelayPeers, OnGone: g.relay.Gone,
+		Kept: client.CachedParts, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelayPeers, OnGone: g.relay.Gone,
 	})
-	g.quarantine.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
+	g.quarantine.RunArchive(&g.t, quarantine.ArchiveOptions{Archive: platform.NewQuarantineArchive(store), IsReader: g.loop.Watches, FirstStart: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
-		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Registry: platform.NewGateways(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
+		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Registry: platform.NewGatewayRegister(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
 		EmptyRegistry: s.FirstStart,
 	})
 	guard := forward.NewGuard(log.New("guard").With(s.ID), g.clock, forward.GuardOptions{
@@ -263,7 +263,7 @@
 // the few gateways that watch the store do so.
 func (g *Gateway) storeRestored() {
 	if g.loop.Watches() {
-		g.quarantine.KeepAgain()
+		g.quarantine.RewriteArchive()
 	}
 }
 
@@ -278,7 +278,7 @@
 // applyUpdate applies a new configuration or list of targets.
 func (g *Gateway) applyUpdate() {
 	targets := g.follow.Targets()
-	g.pool.Keep(targets)
+	g.pool.Prune(targets)
 	g.forward.SetTargets(targets)
 	g.loop.SetWorld(g.follow.Index(), targets)
 	if index := g.follow.Index(); index != nil {
--- a/router/router.go
+++ b/router/router.go
@@ -149,20 +149,20 @@
 		PollHead: s.Platform.PollHead.Duration, Timeout: s.Platform.Timeout.Duration, OnAdopt: r.adopt,
 	})
 	r.quarantine = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
-		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.TellRecord(record) },
+		Clock: r.clock, MetricPrefix: "madderway", Share: func(record core.Record) { r.loop.TellRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, MetricsPrefix: "madderway"})
-	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.PauseTarget(target, "", rest) }
+	r.engine.OnRetryAfter = func(target string, rest retryafter.Result) { r.notices.PauseTarget(target, "", rest) }
 	r.loop = control.NewLoop(&r.t, log.New("control").With(id), r.controlOptions(auth))
 	close(r.assembled)
 	r.peers.Attach(r.loop, r.config, r.traces)
 	r.server = peernet.NewServer(&r.t, log.New("peer").With(id), auth, r.meter, peerListener, r.peers)
 	r.claims = claim.New(&r.t, log.New("claim").With(id), claim.Options{
-		Clock: r.clock, Table: table, Timeout: s.Platform.Timeout.Duration, Gone: r.memberIsDead,
+		Clock: r.clock, Table: table, Timeout: s.Platform.Timeout.Duration, IsDead: r.memberIsDead,
 	})
 	r.claims.Sweep(r.isSweeper)
 	r.answers = answer.NewStore(&r.t, log.New("answer").With(id), answer.Options{
-		Clock: r.clock, Objects: objects, Kept: s.Answer.Kept.Duration, MaxBytes: s.Answer.MaxBytes, Timeout: s.Platform.Timeout.Duration,
+		Clock: r.clock, Objects: objects, Retention: s.Answer.Kept.Duration, MaxBytes: s.Answer.MaxBytes, Timeout: s.Platform.Timeout.Duration,
 	})
 	r.dispatch = dispatch.New(&r.t, log.New("dispatch").With(id), dispatch.Options{
 		RouterID: id, Incarnation: r.self.Incarnation, DataHall: s.Router.DataHall, Clock: r.clock, Loop: r.loop,
--- a/services/answer/token_test.go
+++ b/services/answer/token_test.go
@@ -10,13 +10,13 @@
 
 const key = "a key of the routers"
 
-func TestTokenRoundTrip(t *testing.T) {
+func TestVerifyAcceptsOwnTokenOnly(t *testing.T) {
 	s := NewSigner(key)
 	want := Token{Account: "alder", RequestID: "req-1", Attempt: 2, Target: "t", Address: "127.0.0.1:1", StreamID: "req-1.2"}
 	text := s.Sign(want)
 	got, err := s.Verify(text, "alder", "req-1")
 	if err != nil || got != want {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("got %+v, error %v, want the signed token", got, err)
 	}
 	for name, bad := range map[string]func() (Token, error){
 		"another account": func() (Token, error) { return s.Verify(text, "birch", "req-1") },
@@ -27,7 +27,7 @@
 		"no signature":    func() (Token, error) { return s.Verify(strings.Split(text, ".")[0], "alder", "req-1") },
 	} {
 		if _, err := bad(); !IsErrBadToken(err) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want an ErrBadToken", name, err)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		got, err := s.Verify(text, "alder", "req-1")
 		if err == nil && s.Sign(got) != text {
-			t.Errorf("accepted %q, which it did not sign", text)
+			t.Errorf("accepted %q, which the signer did not produce", text)
 		}
 	})
 }
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -27,15 +27,14 @@
 	os.Exit(m.Run())
 }
 
-// fakeTable is a table in memory. It holds transactions back until opened, so
-// that groups gather.
+// fakeTable is a table in memory. Commit blocks until gate is closed, so that groups build up.
 type fakeTable struct {
-	mu       sync.Mutex
-	rows     map[string]platform.Row
-	next     uint64
-	groups   []int
-	gate     chan struct{}
-	unknowns int // unknowns is how many transactions take effect without an answer.
+	mu          sync.Mutex
+	rows        map[string]platform.Row
+	next        uint64
+	groups      []int // rows of each transaction
+	gate        chan struct{}
+	lostAnswers int // transactions yet to take effect without an answer
 }
 
 func newFakeTable() *fakeTable {
@@ -71,8 +70,8 @@
 	for _, k := range tx.Deletes {
 		delete(f.rows, k)
 	}
-	if f.unknowns > 0 {
-		f.unknowns--
+	if f.lostAnswers > 0 {
+		f.lostAnswers--
 		return platform.TxResult{Outcome: platform.OutcomeUnknown}
 	}
 	return res
@@ -110,15 +109,14 @@
 		_ = tb.Wait()
 	})
 	return New(&tb, log.New("claim"), Options{
-		Clock: c, Table: table, Timeout: time.Second, Gone: func(string, uint64) bool { return false },
+		Clock: c, Table: table, Timeout: time.Second, IsDead: func(string, uint64) bool { return false },
 	})
 }
 
 func rowOf(i int) core.Row { return core.Row{Attempt: fmt.Sprint("att-", i), Digest: "d"} }
 
-// Claims that come while a transaction is on its way share the next one; one
-// that conflicts does not fail the others.
-func TestGroupCommit(t *testing.T) {
+// Guards against one conflicting row that fails the other claims of its transaction.
+func TestGroupCommitIsolatesConflicts(t *testing.T) {
 	const n = 40
 	table := newFakeTable()
 	table.gate = make(chan struct{})
@@ -138,37 +136,37 @@
 			outcomes[i] = s.Acquire(context.Background(), Key("alder", fmt.Sprint(i)), rowOf(i))
 		}()
 	}
-	for s.writes.State().Length < n-committers*groupLimit && s.open.Load() < n {
+	for s.writes.State().Length < n-committers*maxGroupRows && s.open.Load() < n {
 		<-time.After(time.Millisecond)
 	}
 	close(table.gate)
 	wg.Wait()
 	for i, o := range outcomes {
-		if (o.Held != nil) != (i != 7) {
-			t.Errorf("claim %d: held %t, verdict %d", i, o.Held != nil, o.Verdict)
+		if (o.Grant != nil) != (i != 7) {
+			t.Errorf("claim %d: granted %t, verdict %d", i, o.Grant != nil, o.Verdict)
 		}
 	}
 	if o := outcomes[7]; o.Verdict != core.VerdictRecorded || o.Row.Status != 200 {
-		t.Errorf("the taken key: %+v", o)
+		t.Errorf("recorded key: got %+v, want the recorded answer", o)
 	}
 }
 
-// The answer to a group is lost: each claim reads its own row back.
-func TestUnknownGroupIsReadBack(t *testing.T) {
+// Guards against a claim that is lost because the answer to its transaction was lost.
+func TestUnknownOutcomeIsReadBack(t *testing.T) {
 	table := newFakeTable()
-	table.unknowns = 1
+	table.lostAnswers = 1
 	s := newService(t, table, clock.System{})
 	o := s.Acquire(context.Background(), Key("alder", "k"), rowOf(1))
-	if o.Held == nil {
-		t.Fatalf("verdict %d", o.Verdict)
+	if o.Grant == nil {
+		t.Fatalf("got verdict %d, want a grant", o.Verdict)
 	}
-	o.Held.Record(core.Row{State: core.StateDone, Attempt: "att-1", Digest: "d", Status: 201})
+	o.Grant.Record(core.Row{State: core.StateDone, Attempt: "att-1", Digest: "d", Status: 201})
 	if !s.Wait(context.Background()) {
-		t.Fatal("the outcome was never recorded")
+		t.Fatal("outcome was not recorded")
 	}
 	again := s.Acquire(context.Background(), Key("alder", "k"), rowOf(2))
-	if again.Held != nil || again.Verdict != core.VerdictRecorded || again.Row.Status != 201 {
-		t.Fatalf("the second call: %+v", again)
+	if again.Grant != nil || again.Verdict != core.VerdictRecorded || again.Row.Status != 201 {
+		t.Fatalf("second call: got %+v, want the recorded answer", again)
 	}
 }
 
@@ -185,9 +183,9 @@
 		table.rows[key] = platform.Row{Key: key, Version: uint64(i + 1), Value: value}
 	}
 	if n := s.SweepOnce(); n != 1 {
-		t.Fatalf("deleted %d rows", n)
+		t.Fatalf("deleted %d rows, want 1", n)
 	}
 	if _, ok := table.rows[Key("alder", "1")]; !ok || len(table.rows) != 1 {
-		t.Fatalf("left %d rows", len(table.rows))
+		t.Fatalf("%d rows left, want the unexpired one only", len(table.rows))
 	}
 }
--- a/services/claim/commit.go
+++ b/services/claim/commit.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// committers is how many groups may be on their way to the table at once.
+	// committers is the number of transactions that may be in flight at once.
 	committers = 4
-	// groupLimit is how many rows one transaction holds at most.
-	groupLimit = 32
+	// maxGroupRows bounds the rows of one transaction.
+	maxGroupRows = 32
 )
 
 // write is a conditional write of one claim.
@@ -28,14 +28,14 @@
 	answer chan core.Event
 }
 
-func (s *Service) put(w write) {
+func (s *Service) enqueue(w write) {
 	if !s.writes.Put(s.t.Dying(), w) {
 		return
 	}
 }
 
-// commit takes the writes that wait and commits them in one transaction. While
-// one group is on its way the next one gathers, so the group grows with load.
+// commit writes the queued rows in groups. While one group is in flight the next one
+// accumulates, so groups grow with the load.
 func (s *Service) commit() error {
 	for {
 		select {
@@ -49,7 +49,7 @@
 
 func (s *Service) gather(first write) []write {
 	group := []write{first}
-	for len(group) < groupLimit {
+	for len(group) < maxGroupRows {
 		select {
 		case w := <-s.writes.Out():
 			group = append(group, w)
@@ -60,11 +60,10 @@
 	return group
 }
 
-// commitGroup commits a group. A conflict of one row fails all of a
-// transaction, so the rows are then written one by one; an unknown outcome is
-// told to each, and each reads its own row back.
+// commitGroup commits a group in one transaction. If one row conflicts, the whole transaction
+// fails and the rows are written one by one. After an unknown outcome each claim reads its row.
 func (s *Service) commitGroup(group []write) {
-	group, again := split(group)
+	group, again := splitDuplicates(group)
 	defer func() {
 		for _, w := range again {
 			s.commitGroup([]write{w})
@@ -78,12 +77,12 @@
 		return
 	}
 	for _, w := range group {
-		w.tell(s, res)
+		w.reply(s, res)
 	}
 }
 
-// split takes out the writes to a row that the group already writes.
-func split(group []write) (unique, again []write) {
+// splitDuplicates separates repeated writes to the same row, which one transaction cannot hold.
+func splitDuplicates(group []write) (unique, again []write) {
 	seen := map[string]bool{}
 	for _, w := range group {
 		if seen[w.key] {
@@ -110,13 +109,13 @@
 	defer cancel()
 	res := s.opts.Table.Commit(ctx, tx)
 	if res.Outcome == platform.OutcomeOK {
-		s.batches.Add(1)
+		s.transactions.Add(1)
 		s.committed.Add(uint64(len(group)))
 	}
 	return res
 }
 
-func (w write) tell(s *Service, res platform.TxResult) {
+func (w write) reply(s *Service, res platform.TxResult) {
 	ev := core.Written{}
 	switch res.Outcome {
 	case platform.OutcomeOK:
@@ -144,7 +143,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// State is what a dump shows of the claims.
+// State is the state of the claims in a dump.
 type State struct {
 	Open      int64      `json:"open"`
 	Committed uint64     `json:"rows_committed_total"`
@@ -152,7 +151,7 @@
 	Ring      ring.State `json:"ring"`
 }
 
-// State returns what a dump shows.
+// State returns a snapshot for a dump.
 func (s *Service) State() State {
-	return State{s.open.Load(), s.committed.Load(), s.batches.Load(), s.writes.State()}
+	return State{s.open.Load(), s.committed.Load(), s.transactions.Load(), s.writes.State()}
 }
--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -129,7 +129,7 @@
 		outcome, status, err := st.try()
 		if err == nil {
 			st.complete()
-			st.j.try.Passed()
+			st.j.try.Succeeded()
 			return nil
 		}
 		err = withHistory(err, ran)
@@ -210,9 +210,9 @@
 func (st *stream) startFailed(ctx context.Context, target *conf.Target, err error, fin *admit.Finished) (string, int, error) {
 	fin.Failed = true
 	st.j.deny = append(st.j.deny, target.Name)
-	a, _ := engine.AsAttempt(err)
+	a, _ := engine.AsErrAttempt(err)
 	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "attempt", "%d at %s did not start: %v", st.attempt, target.Name, err)
-	if !a.Ran {
+	if !a.MayHaveRun {
 		return outcomeNotRun, a.Status, result.Wrap(result.TargetRefused, err).WithRetryAfter(time.Second)
 	}
 	st.s.checkTargetDeath(ctx, st.j, target)
@@ -255,7 +255,7 @@
 	if !st.callerGone {
 		return
 	}
-	kept := st.s.opts.Answers.Keep(*st.j.account, st.j.requestID, "text/event-stream", st.events)
+	kept := st.s.opts.Answers.Enqueue(*st.j.account, st.j.requestID, "text/event-stream", st.events)
 	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "keep", "caller gone, response of %d events kept: %t", len(st.events), kept)
 }
 
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -107,9 +107,9 @@
 	prefer      map[string]float64
 	budgetSpent bool // the policy permitted a retry, but the budget did not
 	uri         string
-	try         quarantine.Try // current try of the request in the quarantine
-	permit      notice.Permit  // to send to the target of the attempt
-	sentAt      time.Time      // start of the last attempt
+	try         quarantine.Attempt // current try of the request in the quarantine
+	permit      notice.Permit      // to send to the target of the attempt
+	sentAt      time.Time          // start of the last attempt
 }
 
 // Admit returns an error if requests cannot be admitted now.
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -14,14 +14,14 @@
 
 // beginTry starts a try of the request in the quarantine; the try must be ended.
 func (s *Service) beginTry(j *job, body []byte) {
-	j.try = s.opts.Quarantine.Try(core.Identity{
+	j.try = s.opts.Quarantine.NewAttempt(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
 	})
 }
 
 // checkQuarantine returns an error if the request is quarantined.
 func (s *Service) checkQuarantine(j *job) error {
-	err := j.try.MayBeSent()
+	err := j.try.Check()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
 		s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "%v", err)
@@ -37,9 +37,9 @@
 	}
 	try, sentAt := j.try, j.sentAt
 	ask := func(ctx context.Context) (exited, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
-	died, _ := quarantine.HasEnded(ctx, ask, func() { try.Accuse(t.Name, sentAt) })
+	died, _ := quarantine.HasExited(ctx, ask, func() { try.TargetDied(t.Name, sentAt) })
 	if died {
 		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
-		j.try.Accuse(t.Name, sentAt)
+		j.try.TargetDied(t.Name, sentAt)
 	}
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -58,6 +58,6 @@
 
 // accepted reports whether a target accepted a call, as far as the error tells.
 func accepted(err error) bool {
-	a, failed := engine.AsAttempt(err)
-	return !failed || a.Ran
+	a, failed := engine.AsErrAttempt(err)
+	return !failed || a.MayHaveRun
 }
--- a/services/engine/sse_test.go
+++ b/services/engine/sse_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestEventsLateAndRepeated(t *testing.T) {
+func TestEventReaderOrder(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		last, want int
@@ -41,14 +41,14 @@
 	} {
 		ids, err := readAll(c.text, c.last)
 		if len(ids) != c.want || (err != nil) != c.broken || err != nil && !errors.Is(err, ErrBrokenStream) {
-			t.Errorf("%s: events %v, %v", c.name, ids, err)
+			t.Errorf("%s: got events %v, error %v", c.name, ids, err)
 		}
 	}
 }
 
-func TestFormatRoundTrip(t *testing.T) {
+func TestEventFormatRoundTrip(t *testing.T) {
 	ids, err := readAll(string(Event{1, "a"}.Format())+string(Event{2, DoneData}.Format()), 0)
 	if err != nil || len(ids) != 2 {
-		t.Fatalf("%v, %v", ids, err)
+		t.Fatalf("got events %v, error %v, want two events", ids, err)
 	}
 }
--- a/services/follow/leaving_test.go
+++ b/services/follow/leaving_test.go
@@ -40,7 +40,7 @@
 	h.nextWatch()
 	a := h.Targets().Find(routing.TargetID("a", 100))
 	before := h.Versions().Leaving
-	notices.Answered(a, upstream.Verdict{Leaving: true})
+	notices.Answered(a, upstream.AnswerInfo{Leaving: true})
 	<-h.changed
 	if !isLeaving(h, a.ID) || isLeaving(h, routing.TargetID("b", 100)) || before != 0 || h.Versions().Leaving == 0 {
 		t.Fatalf("targets %+v, digests %d and %d, want only a leaving", h.Targets().Targets, before, h.Versions().Leaving)
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -35,7 +35,7 @@
 	defer slowTimer.Stop()
 	j.brokeOff, j.refusal, j.permit = false, nil, notice.Permit{}
 	a, err := j.s.opts.Client.Send(ctx, p.target(), j.sendRequest(p.target()))
-	j.permit.End(err == nil && !a.Verdict.NotRun)
+	j.permit.End(err == nil && !a.Info.NotRun)
 	if errors.Is(err, errStalePlacement) {
 		j.reason = err.Error()
 		j.history.Unsent++
@@ -56,9 +56,9 @@
 	}
 	defer a.Close()
 	j.history.Sent++
-	if a.Verdict.NotRun {
+	if a.Info.NotRun {
 		j.reason = "target rejected the request without running it"
-		p.ended(attempt.NotRun, a.Verdict.Moved)
+		p.ended(attempt.NotRun, a.Info.Misdirected)
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedResponse))
 		return attempt.NotRun, nil
 	}
@@ -95,7 +95,7 @@
 func (j *job) noAnswer(p placement, err error) attempt.Outcome {
 	j.reason = err.Error()
 	outcome := attempt.Unknown
-	e, ok := upstream.IsErrExchange(err)
+	e, ok := upstream.AsErrExchange(err)
 	switch {
 	case ok && !e.Sent:
 		j.history.Unsent++
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -49,9 +49,9 @@
 	brokeOff            bool // the last target ended its response or connection early
 	placedAt            time.Time
 	sentAt              time.Time
-	refusal             error          // why the request must not be sent to a target
-	permit              notice.Permit  // to send to the target, held until its response begins
-	try                 quarantine.Try // current try of the request in the quarantine
+	refusal             error              // why the request must not be sent to a target
+	permit              notice.Permit      // to send to the target, held until its response begins
+	try                 quarantine.Attempt // current try of the request in the quarantine
 	lastEvent           string
 	headOut             bool
 	takeFromRetryBudget func() bool
@@ -90,7 +90,7 @@
 		j.target, j.targetID, j.placedAt = p.target(), p.target().ID, j.s.opts.Clock.Now()
 		outcome, failure := j.exchange(p)
 		if outcome == 0 {
-			j.try.Passed()
+			j.try.Succeeded()
 			return nil
 		}
 		if errors.Is(j.refusal, context.Canceled) {
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -29,7 +29,7 @@
 // checkQuarantine returns an error if the request is quarantined. Such a request does not count
 // for the throttle of its account.
 func (j *job) checkQuarantine() error {
-	err := j.try.MayBeSent()
+	err := j.try.Check()
 	if err != nil && scheduled(j.r.Service, &j.r.Call) {
 		j.disregard()
 	}
@@ -79,8 +79,8 @@
 		return targetDeath{}
 	}
 	try, sentAt := j.try, j.sentAt
-	ask := func(ctx context.Context) (died, known bool) { return j.s.opts.Client.HasEnded(ctx, t) }
-	died, known := requests.HasEnded(j.ctx, ask, func() { j.s.recordDeath(&try, t, sentAt) })
+	ask := func(ctx context.Context) (died, known bool) { return j.s.opts.Client.HasExited(ctx, t) }
+	died, known := requests.HasExited(j.ctx, ask, func() { j.s.recordDeath(&try, t, sentAt) })
 	if !died {
 		return targetDeath{checked: known}
 	}
@@ -89,8 +89,8 @@
 }
 
 // recordDeath records a request under which a target died, unless the target was leaving.
-func (s *Service) recordDeath(try *requests.Try, t *routing.Target, sentAt time.Time) {
+func (s *Service) recordDeath(try *requests.Attempt, t *routing.Target, sentAt time.Time) {
 	if now := s.opts.Targets.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
-		try.Accuse(t.ID, sentAt)
+		try.TargetDied(t.ID, sentAt)
 	}
 }
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -20,8 +20,8 @@
 // Guards against sending to a target that left or restarted while this process stood still.
 func TestStalePlacementIsNotUsed(t *testing.T) {
 	c := clock.NewFake()
-	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
-	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), target: &routing.Target{ID: "t"}}
+	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Share: func(quarantine.Record) {}})
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: &Request{}, try: q.NewAttempt(quarantine.Identity{}), placedAt: c.Now(), target: &routing.Target{ID: "t"}}
 	c.Advance(maxPlacementAge)
 	if err := j.checkAtSend(); err != nil {
 		t.Errorf("fresh placement: got error %v", err)
@@ -35,13 +35,13 @@
 // Guards against work for gone callers, and against checking callers of fresh requests.
 func TestRequestOfGoneCallerIsNotSent(t *testing.T) {
 	c := clock.NewFake()
-	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Tell: func(quarantine.Record) {}})
+	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Share: func(quarantine.Record) {}})
 	gone, checks := false, 0
 	r := &Request{Received: c.Now(), CallerGone: func() bool {
 		checks++
 		return gone
 	}}
-	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, try: q.Try(quarantine.Identity{}), placedAt: c.Now(), target: &routing.Target{ID: "t"}}
+	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, try: q.NewAttempt(quarantine.Identity{}), placedAt: c.Now(), target: &routing.Target{ID: "t"}}
 	if err := j.checkAtSend(); err != nil || checks > 0 {
 		t.Errorf("fresh request: got error %v, %d checks of the caller, want none", err, checks)
 	}
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -79,11 +79,11 @@
 }
 
 // Answered implements upstream.Observer.
-func (s *Service) Answered(t *routing.Target, v upstream.Verdict) {
+func (s *Service) Answered(t *routing.Target, v upstream.AnswerInfo) {
 	if v.Leaving {
 		s.addLeaving(t)
 	}
-	s.PauseTarget(t.ID, t.Service, v.Rest)
+	s.PauseTarget(t.ID, t.Service, v.RetryAfter)
 }
 
 // PauseTarget handles the pause that a target of a service asked for.
--- a/services/quarantine/try.go
+++ b/services/quarantine/try.go
@@ -11,89 +11,86 @@
 	"madderway/models/result"
 )
 
-// EndWait is how long a request waits to know whether its target has ended before it goes on
-// at another one. A target that has ended says so within a few milliseconds; what is cut off
-// says nothing, and the request must not wait for that.
-const EndWait = 60 * time.Millisecond
+// ExitTimeout bounds the wait to learn whether a target has exited before its request is retried
+// elsewhere. An exit is detected within milliseconds; an unreachable target may never answer.
+const ExitTimeout = 60 * time.Millisecond
 
-// Try is one try of a request, with what it has asked of earlier ones. It is not safe for
-// concurrent use; End must be called when it is over.
-type Try struct {
-	s       *Service
-	id      quarantine.Identity
-	request quarantine.Fingerprint
-	known   bool // known tells that request is set.
-	onTrial bool // onTrial tells that this is the one run of a request on trial.
+// Attempt is one attempt of a request. It is not safe for concurrent use. End must be called.
+type Attempt struct {
+	s          *Service
+	id         quarantine.Identity
+	request    quarantine.Fingerprint
+	hasRequest bool // request is set
+	onTrial    bool // this attempt is the one run of a request on trial
 }
 
-// Try begins a try.
-func (s *Service) Try(id quarantine.Identity) Try { return Try{s: s, id: id} }
+// NewAttempt starts an attempt.
+func (s *Service) NewAttempt(id quarantine.Identity) Attempt { return Attempt{s: s, id: id} }
 
-// Request returns the request's fingerprint, which is worked out once.
-func (t *Try) Request() quarantine.Fingerprint {
-	if !t.known {
-		t.request, t.known = t.id.Fingerprint(), true
+// Request returns the request's fingerprint, which is computed at most once.
+func (a *Attempt) Request() quarantine.Fingerprint {
+	if !a.hasRequest {
+		a.request, a.hasRequest = a.id.Fingerprint(), true
 	}
-	return t.request
+	return a.request
 }
 
-// MayBeSent returns why the request must not be sent to a target, or nil. A request that ends
-// each target that runs it would otherwise end one at each try: 11 to 19 of nine in half a
-// minute, each with up to 17 other streams.
-func (t *Try) MayBeSent() error {
-	if !t.s.Knows(t.id) {
+// Check returns an error if the request must not be sent to a target, since it would probably
+// kill the target together with all other requests there.
+func (a *Attempt) Check() error {
+	if !a.s.Knows(a.id) {
 		return nil
 	}
-	switch standing, hold := t.s.Judge(t.Request()); {
+	switch standing, hold := a.s.Standing(a.Request()); {
 	case standing == quarantine.Quarantined:
-		return t.refuse("targets have ended under request %s", hold)
-	case standing == quarantine.OnTrial && !t.onTrial:
-		ok, pause := t.s.StartTrial(t.Request())
+		return a.refuse("targets have ended under request %s", hold)
+	case standing == quarantine.OnTrial && !a.onTrial:
+		ok, pause := a.s.StartTrial(a.Request())
 		if !ok {
-			return t.refuse("another try of request %s is under way", pause)
+			return a.refuse("another try of request %s is under way", pause)
 		}
-		t.onTrial = true
+		a.onTrial = true
 	}
 	return nil
 }
 
-func (t *Try) refuse(why string, after time.Duration) error {
-	t.s.refused.Inc()
-	return result.New(result.EndsTargets, why, t.Request()).WithRetryAfter(after)
+func (a *Attempt) refuse(why string, after time.Duration) error {
+	a.s.refused.Inc()
+	return result.New(result.EndsTargets, why, a.Request()).WithRetryAfter(after)
 }
 
-// Passed tells that a target has run the request to its end. A failure tells nothing: a target
-// can give one before it begins to run a request.
-func (t *Try) Passed() {
-	if t.known || t.s.Knows(t.id) {
-		t.s.Passed(t.Request())
+// Succeeded records that a target has completed the request. Failures are not recorded, since a
+// target may fail a request before it runs it.
+func (a *Attempt) Succeeded() {
+	if a.hasRequest || a.s.Knows(a.id) {
+		a.s.Succeeded(a.Request())
 	}
 }
 
-// Accuse tells that a target has ended to which the request was sent then.
-func (t *Try) Accuse(target string, sentAt time.Time) { t.s.Ended(t.id, target, sentAt) }
+// TargetDied records the death of a target to which the request was sent at the given time.
+func (a *Attempt) TargetDied(target string, sentAt time.Time) { a.s.TargetDied(a.id, target, sentAt) }
 
-// End lets the next try of a request on trial begin.
-func (t *Try) End() {
-	if t.onTrial {
-		t.s.EndTrial(t.request)
+// End ends the attempt and permits the next one of a request on trial.
+func (a *Attempt) End() {
+	if a.onTrial {
+		a.s.EndTrial(a.request)
 	}
 }
 
-// HasEnded asks whether a target has ended: soon, and where that is not known by then, beside
-// the caller. Late gets a finding that comes later.
-func HasEnded(ctx context.Context, ask func(ctx context.Context) (ended, known bool), late func()) (ended, known bool) {
-	// The end of a request's time must not hide its target's end from later ones.
+// HasExited asks whether a target has exited and waits at most ExitTimeout for the answer. If it
+// is not known by then, HasExited keeps asking in the background and calls late if it has.
+func HasExited(ctx context.Context, ask func(ctx context.Context) (exited, known bool), late func()) (exited, known bool) {
+	// The death must be recorded for later requests even if this one's deadline passes first.
 	ctx = context.WithoutCancel(ctx)
-	soon, cancel := context.WithTimeout(ctx, EndWait)
+	soon, cancel := context.WithTimeout(ctx, ExitTimeout)
 	defer cancel()
-	ended, known = ask(soon)
+	exited, known = ask(soon)
 	if !known {
 		go func() {
-			if ended, _ := ask(ctx); ended {
+			if exited, _ := ask(ctx); exited {
 				late()
 			}
 		}()
 	}
-	return ended, known
+	return exited, known
 }
