--- a/router/gateway.go
+++ b/router/gateway.go
@@ -167,13 +167,13 @@
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
 	members.EnableFullSync, members.MaxRumors = true, maxRumors
 	g.requests = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
-		Clock: g.clock, Figures: "madderway_gateway", Tell: func(r core.Record) { g.loop.TellRecord(r) },
+		Clock: g.clock, Figures: "madderway_gateway", Tell: func(r core.Record) { g.loop.ShareRecord(r) },
 	})
 	client := upstream.NewClient(g.pool, platform.Dialect{}, g.notices.Answered)
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.carried, Clock: g.clock})
 	g.loop = mesh.NewLoop(&g.t, log.New("mesh").With(s.ID), mesh.Options{
-		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.requests, Notices: g.notices,
-		Kept: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnGone: g.relay.Gone,
+		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Quarantine: g.requests, Notices: g.notices,
+		FetchCachedParts: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnIncarnationEnd: g.relay.Gone,
 	})
 	g.requests.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
@@ -288,7 +288,7 @@
 	targets := g.follow.Targets()
 	g.pool.Keep(targets)
 	g.forward.SetTargets(targets)
-	g.loop.SetWorld(g.follow.Index(), targets)
+	g.loop.SetRouting(g.follow.Index(), targets)
 	if x := g.follow.Index(); x != nil {
 		g.callers.SetLimits(x.Configuration.Limits)
 	}
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -324,7 +324,7 @@
 		return 0
 	}
 	s.ask(0)
-	for _, id := range s.Gateway(0).Dump().Mesh.Seats {
+	for _, id := range s.Gateway(0).Dump().Mesh.Schedulers {
 		return slices.Index([]string{"gateway-0", "gateway-1", "gateway-2"}, id)
 	}
 	s.t.Fatal("no gateway schedules the engines")
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -40,8 +40,8 @@
 	return &wire.Reply{Ok: true, Content: content}
 }
 
-// SetWorld puts a configuration and a list of targets in force.
-func (l *Loop) SetWorld(x *routing.Index, targets *routing.TargetSet) { l.put(worldIn{x, targets}) }
+// SetRouting puts a configuration and a list of targets in force.
+func (l *Loop) SetRouting(x *routing.Index, targets *routing.TargetSet) { l.put(worldIn{x, targets}) }
 
 // SetSeeds adds gateways to begin with.
 func (l *Loop) SetSeeds(addresses []string) {
--- a/services/mesh/kept.go
+++ b/services/mesh/kept.go
@@ -38,7 +38,7 @@
 // not asked, since an operator wants nothing sent to them.
 func (l *Loop) askKept(now time.Time, key cell.Key, s *scheduled) {
 	g := l.layout.Group(key)
-	if l.opts.Kept == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.keptAt) < askKeptAgain {
+	if l.opts.FetchCachedParts == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.keptAt) < askKeptAgain {
 		return
 	}
 	s.keptAt = now
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(l.t.Context(context.Background()), askKeptTime)
 	defer cancel()
 	start := l.opts.Clock.Now()
-	parts, err := l.opts.Kept(ctx, t)
+	parts, err := l.opts.FetchCachedParts(ctx, t)
 	took := l.opts.Clock.Now().Sub(start)
 	if err != nil {
 		l.log.Info("Target did not say what it keeps.", "cell", key, "target", t.ID, "took", took, "error", err)
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -69,18 +69,18 @@
 	Meter  *peernet.Meter
 	Member member.Config
 	Follow *follow.Service
-	// Requests are those under which targets ended.
-	Requests *quarantine.Service
+	// Quarantine are those under which targets ended.
+	Quarantine *quarantine.Service
 	// Notices are what targets have said of themselves.
 	Notices *notice.Service
 	// FairWindow is the span over which client accounts are compared.
 	FairWindow time.Duration
 	// OnMembers is told of the members after each change, OnGone that one is dead or has
 	// begun a new life; nil where nobody asks. They must not wait.
-	OnMembers func(others []member.Record)
-	OnGone    func(id string)
-	// Kept asks a target which parts of prompts it keeps; nil where none tell.
-	Kept func(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error)
+	OnMembers        func(others []member.Record)
+	OnIncarnationEnd func(id string)
+	// FetchCachedParts asks a target which parts of prompts it keeps; nil where none tell.
+	FetchCachedParts func(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error)
 }
 
 type scheduled struct {
@@ -139,7 +139,7 @@
 		entry: entry.New(o.Self.ID), cells: map[cell.Key]*scheduled{}, undecided: map[cell.Key]*scheduled{}, given: map[string]given{}, layout: &cell.Layout{},
 		answers: map[cell.RequestID]chan Decision{}, links: map[string]*peernet.Link{}, out: peerwire.NewOutbox(lazyDelay), traffic: newTraffic(),
 	}
-	l.records = peerwire.NewRecords(o.Self.ID, o.Requests, l.members, l.out)
+	l.records = peerwire.NewRecords(o.Self.ID, o.Quarantine, l.members, l.out)
 	l.requests.Store(firstID(o.Self.Incarnation))
 	l.size.Store(1)
 	l.known.Store(1)
--- a/services/mesh/quarantine.go
+++ b/services/mesh/quarantine.go
@@ -10,5 +10,5 @@
 
 func (recordIn) isInput() {}
 
-// TellRecord tells other gateways of a request under which targets have ended.
-func (l *Loop) TellRecord(r quarantine.Record) { l.put(recordIn{r}) }
+// ShareRecord tells other gateways of a request under which targets have ended.
+func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
--- a/services/mesh/state.go
+++ b/services/mesh/state.go
@@ -12,15 +12,15 @@
 
 // State is what a dump shows of a loop.
 type State struct {
-	Self     string            `json:"self"`
-	Members  []MemberState     `json:"members"`
-	Watches  bool              `json:"watches_store"`
-	Versions follow.Versions   `json:"versions"`
-	Pending  int               `json:"pending"`
-	Running  int               `json:"running"`
-	Cells    []cell.State      `json:"cells_scheduled_here"`
-	Seats    map[string]string `json:"schedulers_in_use"`
-	Busy     time.Duration     `json:"busy_ns"`
+	Self       string            `json:"self"`
+	Members    []MemberState     `json:"members"`
+	Watches    bool              `json:"watches_store"`
+	Versions   follow.Versions   `json:"versions"`
+	Pending    int               `json:"pending"`
+	Running    int               `json:"running"`
+	Cells      []cell.State      `json:"cells_scheduled_here"`
+	Schedulers map[string]string `json:"schedulers_in_use"`
+	Busy       time.Duration     `json:"busy_ns"`
 }
 
 // MemberState is one other gateway.
@@ -39,7 +39,7 @@
 			st.Members = append(st.Members, MemberState{ID: m.ID, State: m.State.String(), DataHall: m.DataHall})
 		}
 		st.Pending, st.Running = l.entry.Pending(), l.entry.Running()
-		st.Seats = l.entry.Schedulers()
+		st.Schedulers = l.entry.Schedulers()
 		for key, s := range l.cells {
 			state := s.cell.State(now)
 			state.Key = key
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -30,8 +30,8 @@
 			}
 			l.enter(now, entry.PeerRestarted{ID: a.ID})
 			l.records.Gone(a.ID)
-			if l.opts.OnGone != nil {
-				l.opts.OnGone(a.ID)
+			if l.opts.OnIncarnationEnd != nil {
+				l.opts.OnIncarnationEnd(a.ID)
 			}
 		}
 	}
