--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -163,7 +163,7 @@
 	}
 	return &forward.Request{
 		Call: call, Method: r.Method, URI: uri, Host: r.Host, Header: r.Header, Body: body, Route: route, Service: service,
-		Account: account, Received: received, Deadline: received.Add(patience), Carrier: relay.CarrierOf(r.Context()),
+		Account: account, Received: received, Deadline: received.Add(patience), Carrier: relay.HandedOverBy(r.Context()),
 		Left: func() bool { return connectionEnded(r.Context()) },
 	}, nil
 }
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -33,7 +33,7 @@
 	// Send hands a request over. The first relay.HeadSize bytes of the buffer are free, the
 	// request follows. The answer goes to the caller; when it is over, waiting reads of the
 	// caller are ended by a deadline. Left tells whether the caller has left.
-	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handed, error)
+	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handover, error)
 }
 
 // HandedTo tells how handing a request over came out.
@@ -78,14 +78,14 @@
 	handed, err := c.send(begun, rest)
 	if err != nil {
 		to.Gone = c.gone
-		to.Lost = !c.gone && relay.IsErrSent(err)
+		to.Lost = !c.gone && relay.IsErrMaybeSent(err)
 		switch {
 		case to.Lost:
 			_, _ = c.counted.Write(c.server.early.Lost(j.ID)) // the caller may be gone, too
 			return ended
 		case to.Gone:
 			return ended
-		case errors.Is(err, relay.ErrFull):
+		case errors.Is(err, relay.ErrCongested):
 			return c.refuseBusy(j.ID)
 		}
 		return servedHere
@@ -119,12 +119,12 @@
 
 // send reads the rest of a request and hands it over. Where no gateway takes it, its bytes
 // are those that are read next.
-func (c *callerConn) send(begun []byte, rest int64) (*relay.Handed, error) {
-	size := relay.HeadSize + len(begun) + int(rest)
+func (c *callerConn) send(begun []byte, rest int64) (*relay.Handover, error) {
+	size := relay.HeaderSize + len(begun) + int(rest)
 	pooled := requests.get(size)
 	defer requests.put(pooled)
 	buffer := *pooled
-	held := relay.HeadSize + copy(buffer[relay.HeadSize:], begun)
+	held := relay.HeaderSize + copy(buffer[relay.HeaderSize:], begun)
 	if rest > 0 {
 		err := c.SetReadDeadline(netopt.DeadlineIn(headerTime(c.limits)))
 		if err == nil {
@@ -138,18 +138,18 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
 	defer cancel()
 	handed, err := c.server.relay.Send(ctx, buffer[:size], c.counted, c.hasLeft)
-	if errors.Is(err, relay.ErrLeft) {
+	if errors.Is(err, relay.ErrCallerLeft) {
 		c.gone = true
 		return nil, err
 	}
-	if err != nil && !relay.IsErrSent(err) {
-		c.ahead = append([]byte(nil), buffer[relay.HeadSize:size]...)
+	if err != nil && !relay.IsErrMaybeSent(err) {
+		c.ahead = append([]byte(nil), buffer[relay.HeaderSize:size]...)
 	}
 	return handed, err
 }
 
 // await waits until an answer is over, the caller has left, or it is time to give up.
-func (c *callerConn) await(handed *relay.Handed, end time.Time) {
+func (c *callerConn) await(handed *relay.Handover, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
 		c.gone = true
 		handed.Cancel()
@@ -173,7 +173,7 @@
 	handed.Cancel()
 }
 
-func isOver(handed *relay.Handed) bool {
+func isOver(handed *relay.Handover) bool {
 	select {
 	case <-handed.Done():
 		return true
@@ -182,7 +182,7 @@
 	}
 }
 
-func (c *callerConn) awaitOver(handed *relay.Handed, end time.Time) {
+func (c *callerConn) awaitOver(handed *relay.Handover, end time.Time) {
 	late := make(chan struct{})
 	timer := clock.System{}.AfterFunc(end.Sub(now()), func() { close(late) })
 	defer timer.Stop()
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -65,7 +65,7 @@
 		body, _ := io.ReadAll(r.Body)
 		began <- struct{}{}
 		<-sent
-		w.Header().Set("Carrier", relay.CarrierOf(r.Context()))
+		w.Header().Set("Carrier", relay.HandedOverBy(r.Context()))
 		for part := body; len(part) > 0; part = part[min(len(part), 3000):] {
 			_, _ = w.Write(part[:min(len(part), 3000)])
 			if len(body) > 10_000 {
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -173,7 +173,7 @@
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.carried, Clock: g.clock})
 	g.loop = mesh.NewLoop(&g.t, log.New("mesh").With(s.ID), mesh.Options{
 		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Quarantine: g.requests, Notices: g.notices,
-		FetchCachedParts: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnIncarnationEnd: g.relay.Gone,
+		FetchCachedParts: client.Kept, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelief, OnIncarnationEnd: g.relay.Disconnect,
 	})
 	g.requests.Keep(&g.t, quarantine.Keeping{Archive: platform.NewQuarantine(store), Looks: g.loop.Watches, Empty: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
--- a/services/relay/frame.go
+++ b/services/relay/frame.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// HeadSize is the size of what stands before the bytes of a frame: kind, number, length.
-	HeadSize = 1 + 4 + 4
+	// HeaderSize is the size of what stands before the bytes of a frame: kind, number, length.
+	HeaderSize = 1 + 4 + 4
 	// maxFrame is the most bytes that a frame has.
 	maxFrame = 1 << 20
 )
@@ -49,7 +49,7 @@
 // end with their frame or with what was read.
 type decoder struct {
 	frame
-	head [HeadSize]byte
+	head [HeaderSize]byte
 	held int // held is how much of a head has come.
 }
 
@@ -65,7 +65,7 @@
 		}
 		n := copy(d.head[d.held:], b)
 		d.held, b = d.held+n, b[n:]
-		if d.held < HeadSize {
+		if d.held < HeaderSize {
 			return nil
 		}
 		d.held = 0
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -41,8 +41,8 @@
 	tries = 2
 )
 
-// ErrNobody tells that there is no gateway to hand a request over to.
-var ErrNobody = errors.New("no gateway of the data hall has time")
+// ErrNoPeer tells that there is no gateway to hand a request over to.
+var ErrNoPeer = errors.New("no gateway of the data hall has time")
 
 // Peer is another gateway of the data hall that keeps up with its callers.
 type Peer struct {
@@ -113,9 +113,9 @@
 	s.chooser.SetPeers(choice)
 }
 
-// Gone tells that a gateway is dead, or has begun a new life: what it had taken over is
+// Disconnect tells that a gateway is dead, or has begun a new life: what it had taken over is
 // lost. It does not wait.
-func (s *Service) Gone(id string) {
+func (s *Service) Disconnect(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.peers[id]; p != nil {
@@ -149,8 +149,8 @@
 // follows. The answer goes to the caller; when it is over, waiting reads of the caller are
 // ended by a deadline. Left tells whether the caller has left; it is asked right before the
 // request is written, which may be long after Send is called.
-func (s *Service) Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*Handed, error) {
-	err := error(ErrNobody)
+func (s *Service) Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*Handover, error) {
+	err := error(ErrNoPeer)
 	for range tries {
 		p := s.choose()
 		if p == nil {
@@ -158,21 +158,21 @@
 		}
 		var t *tunnel
 		if t, err = s.open(ctx, p); err == nil {
-			h := &Handed{s: s, Peer: p.ID, caller: caller, tunnel: t, done: make(chan struct{})}
+			h := &Handover{s: s, Peer: p.ID, caller: caller, tunnel: t, done: make(chan struct{})}
 			if err = t.send(h, buffer, left); err == nil {
 				return h, nil
 			}
 		}
-		if errors.Is(err, ErrLeft) {
+		if errors.Is(err, ErrCallerLeft) {
 			s.ended(p.ID)
 			return nil, err
 		}
-		if errors.Is(err, ErrFull) {
+		if errors.Is(err, ErrCongested) {
 			s.ended(p.ID)
 			continue
 		}
 		s.failed(p, err)
-		if IsErrSent(err) {
+		if IsErrMaybeSent(err) {
 			return nil, err
 		}
 	}
@@ -200,7 +200,7 @@
 		return t, nil
 	}
 	if p.gone || !s.t.Alive() {
-		return nil, ErrNobody
+		return nil, ErrNoPeer
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTime)
 	defer cancel()
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -108,10 +108,10 @@
 }
 
 // ask hands a request for a path over; the caller's end of its connection is returned.
-func ask(t *testing.T, s *Service, path string) (*Handed, net.Conn, error) {
+func ask(t *testing.T, s *Service, path string) (*Handover, net.Conn, error) {
 	t.Helper()
 	near, caller := connection(t)
-	h, err := s.Send(t.Context(), append(make([]byte, HeadSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, stays)
+	h, err := s.Send(t.Context(), append(make([]byte, HeaderSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, stays)
 	return h, caller, err
 }
 
@@ -119,7 +119,7 @@
 func stays() bool { return false }
 
 // answered reads the answer of a request and waits for its end.
-func answered(t *testing.T, h *Handed, caller net.Conn, want string) {
+func answered(t *testing.T, h *Handover, caller net.Conn, want string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 	if err != nil {
@@ -189,15 +189,15 @@
 		t.Fatal(err)
 	}
 	<-f.waiting
-	s.Gone("far")
+	s.Disconnect("far")
 	<-lost.Done()
-	for _, h := range []*Handed{given, lost} {
+	for _, h := range []*Handover{given, lost} {
 		if bytes, whole := h.Result(); bytes != 0 || whole {
 			t.Errorf("%d bytes, whole %v", bytes, whole)
 		}
 	}
 	s.SetPeers(nil)
-	if _, _, err := ask(t, s, "/a"); !errors.Is(err, ErrNobody) || s.Available() {
+	if _, _, err := ask(t, s, "/a"); !errors.Is(err, ErrNoPeer) || s.Available() {
 		t.Errorf("handed one more over: %v", err)
 	}
 }
@@ -264,9 +264,9 @@
 	near, _ := connection(t)
 	for _, used := range []bool{true, false} {
 		tunnel := newTunnel(&silentConn{closed: make(chan struct{})}, clock.System{})
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		if used {
-			if err := tunnel.send(h, make([]byte, HeadSize+1), stays); err != nil {
+			if err := tunnel.send(h, make([]byte, HeaderSize+1), stays); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -305,7 +305,7 @@
 		}
 		var sent []byte
 		for i, b := range [][]byte{first, second} {
-			var head [HeadSize]byte
+			var head [HeaderSize]byte
 			putHead(head[:], kindPart+kind(i), uint32(i), len(b))
 			sent = append(append(sent, head[:]...), b...)
 		}
@@ -369,8 +369,8 @@
 	conn := &stuckConn{writes: make(chan int), goOn: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
 	const size = 16 << 10
-	send := func(left func() bool) (*Handed, chan error) {
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+	send := func(left func() bool) (*Handover, chan error) {
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		sent := make(chan error, 1)
 		go func() { sent <- tunnel.send(h, make([]byte, size), left) }()
 		return h, sent
@@ -392,7 +392,7 @@
 	}
 	canceled.Cancel() // returns though the connection takes nothing
 	conn.goOn <- struct{}{}
-	if n := <-conn.writes; n != HeadSize {
+	if n := <-conn.writes; n != HeaderSize {
 		t.Errorf("%d bytes are written before the word that a caller has left", n)
 	}
 	close(conn.goOn)
@@ -404,7 +404,7 @@
 		t.Error(err)
 	}
 	<-asked
-	if err := <-leaves; !errors.Is(err, ErrLeft) {
+	if err := <-leaves; !errors.Is(err, ErrCallerLeft) {
 		t.Errorf("a request whose caller has left: %v", err)
 	}
 }
@@ -431,8 +431,8 @@
 	sent := make(chan error, requests)
 	for range requests {
 		near, _ := connection(t)
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
-		go func() { sent <- tunnel.send(h, make([]byte, HeadSize), asks) }()
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), asks) }()
 	}
 	for range requests {
 		<-conn.writes
@@ -464,9 +464,9 @@
 	c := clock.NewFake()
 	tunnel := newTunnel(conn, c)
 	send := func() chan error {
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		sent := make(chan error, 1)
-		go func() { sent <- tunnel.send(h, make([]byte, HeadSize), stays) }()
+		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), stays) }()
 		return sent
 	}
 	first := send()
@@ -485,7 +485,7 @@
 	if err := <-first; err != nil {
 		t.Error(err)
 	}
-	if err := <-late; !errors.Is(err, ErrFull) {
+	if err := <-late; !errors.Is(err, ErrCongested) {
 		t.Errorf("a request that waited for too long: %v", err)
 	}
 	if w := tunnel.waiting(c.Now()); w != 0 {
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -38,8 +38,8 @@
 
 type carrierKey struct{}
 
-// CarrierOf returns the gateway that has handed a request over, or empty.
-func CarrierOf(ctx context.Context) string {
+// HandedOverBy returns the gateway that has handed a request over, or empty.
+func HandedOverBy(ctx context.Context) string {
 	carrier, _ := ctx.Value(carrierKey{}).(string)
 	return carrier
 }
@@ -141,7 +141,7 @@
 	defer f.ended(number)
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 	if err != nil {
-		f.s.log.Warn("Dropped a request that was handed over.", "peer", CarrierOf(ctx), "reason", err)
+		f.s.log.Warn("Dropped a request that was handed over.", "peer", HandedOverBy(ctx), "reason", err)
 		f.signal(kindBroken, number)
 		return
 	}
@@ -150,7 +150,7 @@
 		if p := recover(); p != nil {
 			f.signal(kindBroken, number)
 			if p != any(http.ErrAbortHandler) {
-				f.s.log.Error(fmt.Errorf("panic: %v", p), "A request that was handed over failed.", "peer", CarrierOf(ctx))
+				f.s.log.Error(fmt.Errorf("panic: %v", p), "A request that was handed over failed.", "peer", HandedOverBy(ctx))
 			}
 		}
 	}()
@@ -159,7 +159,7 @@
 }
 
 func (f *farEnd) signal(k kind, number uint32) {
-	var b [HeadSize]byte
+	var b [HeaderSize]byte
 	putHead(b[:], k, number, 0)
 	f.write(b[:])
 }
@@ -253,7 +253,7 @@
 
 // begin writes the head; whole tells that all of the body was written.
 func (a *answer) begin(whole bool) {
-	var room [HeadSize]byte
+	var room [HeaderSize]byte
 	a.out = append(a.out[:0], room[:]...)
 	if a.begun {
 		return
@@ -299,10 +299,10 @@
 
 // send sends the frame that was made.
 func (a *answer) send(k kind) {
-	if a.err != nil || k == kindPart && len(a.out) <= HeadSize {
+	if a.err != nil || k == kindPart && len(a.out) <= HeaderSize {
 		return
 	}
-	putHead(a.out, k, a.number, len(a.out)-HeadSize)
+	putHead(a.out, k, a.number, len(a.out)-HeaderSize)
 	a.err = a.far.write(a.out)
 	a.out = a.out[:0]
 }
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -37,24 +37,24 @@
 	keptTime = 10 * time.Second
 )
 
-// ErrLeft tells that a request was not handed over since its caller had left.
-var ErrLeft = errors.New("the caller has left")
+// ErrCallerLeft tells that a request was not handed over since its caller had left.
+var ErrCallerLeft = errors.New("the caller has left")
 
-// ErrFull tells that a request was not sent since others wait for the connection for too long.
-var ErrFull = errors.New("requests wait for too long for the gateway")
+// ErrCongested tells that a request was not sent since others wait for the connection for too long.
+var ErrCongested = errors.New("requests wait for too long for the gateway")
 
-// ErrSent tells that a request may have reached the other gateway, whose connection broke.
-type ErrSent struct{ Reason error }
+// ErrMaybeSent tells that a request may have reached the other gateway, whose connection broke.
+type ErrMaybeSent struct{ Reason error }
 
 // Error implements error.
-func (e ErrSent) Error() string { return "sent in part: " + e.Reason.Error() }
+func (e ErrMaybeSent) Error() string { return "sent in part: " + e.Reason.Error() }
 
 // Unwrap returns the reason.
-func (e ErrSent) Unwrap() error { return e.Reason }
+func (e ErrMaybeSent) Unwrap() error { return e.Reason }
 
-// IsErrSent reports whether err is an ErrSent.
-func IsErrSent(err error) bool {
-	var e ErrSent
+// IsErrMaybeSent reports whether err is an ErrSent.
+func IsErrMaybeSent(err error) bool {
+	var e ErrMaybeSent
 	return errors.As(err, &e)
 }
 
@@ -75,7 +75,7 @@
 
 	mu     sync.Mutex
 	next   uint32
-	handed map[uint32]*Handed // handed are the requests whose answers are not over.
+	handed map[uint32]*Handover // handed are the requests whose answers are not over.
 	closed bool
 	// signals are frames without bytes that go out before the next request: the message that a
 	// caller has left does not wait behind the requests of others.
@@ -84,7 +84,7 @@
 
 // newTunnel starts a tunnel's writer, which ends when the tunnel is closed.
 func newTunnel(conn net.Conn, c clock.Clock) *tunnel {
-	t := &tunnel{conn: conn, clock: c, handed: map[uint32]*Handed{}, work: make(chan struct{}, 1)}
+	t := &tunnel{conn: conn, clock: c, handed: map[uint32]*Handover{}, work: make(chan struct{}, 1)}
 	go t.write()
 	return t
 }
@@ -105,7 +105,7 @@
 
 // send sends a request, unless the caller has left when its turn comes; its head is written
 // into the buffer.
-func (t *tunnel) send(h *Handed, buffer []byte, left func() bool) error {
+func (t *tunnel) send(h *Handover, buffer []byte, left func() bool) error {
 	o := &outgoing{frame: buffer, since: t.clock.Now(), left: left, done: make(chan error, 1)}
 	if err := t.enqueue(h, o); err != nil {
 		return err
@@ -118,19 +118,19 @@
 	return err
 }
 
-func (t *tunnel) enqueue(h *Handed, o *outgoing) error {
+func (t *tunnel) enqueue(h *Handover, o *outgoing) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case t.closed:
 		return net.ErrClosed
 	case len(t.queue) >= maxQueue:
-		return ErrFull
+		return ErrCongested
 	}
 	t.next++
 	h.number = t.next
 	t.handed[h.number] = h
-	putHead(o.frame, kindEnd, h.number, len(o.frame)-HeadSize)
+	putHead(o.frame, kindEnd, h.number, len(o.frame)-HeaderSize)
 	t.queue = append(t.queue, o)
 	if t.first.IsZero() {
 		t.first = o.since
@@ -217,13 +217,13 @@
 		return err
 	}
 	if o.left() {
-		return ErrLeft
+		return ErrCallerLeft
 	}
 	if t.clock.Now().Sub(o.since) > maxWait {
-		return ErrFull
+		return ErrCongested
 	}
 	if err := t.writeNow(o.frame); err != nil {
-		return ErrSent{err}
+		return ErrMaybeSent{err}
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 
 // signal sends a frame without bytes.
 func (t *tunnel) signal(k kind, number uint32) error {
-	var b [HeadSize]byte
+	var b [HeaderSize]byte
 	putHead(b[:], k, number, 0)
 	t.mu.Lock()
 	closed := t.closed
@@ -267,13 +267,13 @@
 }
 
 // forget drops a request; what still comes of its answer is passed over.
-func (t *tunnel) forget(h *Handed) {
+func (t *tunnel) forget(h *Handover) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.handed, h.number)
 }
 
-func (t *tunnel) find(number uint32) *Handed {
+func (t *tunnel) find(number uint32) *Handover {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.handed[number]
@@ -317,7 +317,7 @@
 func (t *tunnel) close() {
 	t.mu.Lock()
 	broken := t.handed
-	t.handed, t.closed = map[uint32]*Handed{}, true
+	t.handed, t.closed = map[uint32]*Handover{}, true
 	t.mu.Unlock()
 	_ = t.conn.Close()
 	t.wake()
@@ -353,8 +353,8 @@
 	}
 }
 
-// Handed is a request that another gateway serves.
-type Handed struct {
+// Handover is a request that another gateway serves.
+type Handover struct {
 	Peer string
 
 	s      *Service
@@ -374,25 +374,25 @@
 }
 
 // Done returns a channel that is closed when the answer is over.
-func (h *Handed) Done() <-chan struct{} { return h.done }
+func (h *Handover) Done() <-chan struct{} { return h.done }
 
 // Result returns, after Done, how many bytes the caller was sent, and whether that is all of
 // the answer.
-func (h *Handed) Result() (bytes int64, whole bool) {
+func (h *Handover) Result() (bytes int64, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.bytes, h.whole && !h.gone
 }
 
 // Cancel gives the request up: the caller has left, or its time is over.
-func (h *Handed) Cancel() {
+func (h *Handover) Cancel() {
 	h.tunnel.forget(h)
 	_ = h.tunnel.signal(kindCancel, h.number) // where that fails the connection is closed
 	h.end(false)
 }
 
 // pass gives the caller a piece of the answer.
-func (h *Handed) pass(piece []byte) {
+func (h *Handover) pass(piece []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.gone || h.over {
@@ -412,7 +412,7 @@
 	h.gone = err != nil
 }
 
-func (h *Handed) write(b []byte) (int, error) {
+func (h *Handover) write(b []byte) (int, error) {
 	if h.bytes+int64(len(b)) > freeBytes {
 		h.timed = true
 		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(pieceTime)); err != nil {
@@ -424,14 +424,14 @@
 	return n, err
 }
 
-func (h *Handed) keep(b []byte) {
+func (h *Handover) keep(b []byte) {
 	if h.kept = append(h.kept, b...); len(h.kept) > maxKept {
 		h.gone = true
 	}
 }
 
 // writeKept writes what was kept until nothing is left.
-func (h *Handed) writeKept() {
+func (h *Handover) writeKept() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.kept) > 0 && !h.gone {
@@ -454,7 +454,7 @@
 }
 
 // end notes that the answer is over.
-func (h *Handed) end(whole bool) {
+func (h *Handover) end(whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.over {
@@ -467,7 +467,7 @@
 }
 
 // finish wakes whoever waits for the end; the lock is held.
-func (h *Handed) finish() {
+func (h *Handover) finish() {
 	if h.timed && h.caller.SetWriteDeadline(time.Time{}) != nil {
 		h.gone = true
 	}
