--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -189,7 +189,7 @@
 	case memberIn:
 		l.member(now, e.event)
 	case recordIn:
-		l.records.Tell(now, e.record, "")
+		l.records.Share(now, e.record, "")
 	case vmsIn:
 		l.takeVMs(now, e.vms)
 	case indexIn:
@@ -291,7 +291,7 @@
 		case member.IncarnationEnded:
 			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
 			l.schedule(now, sched.EntryGone{ID: a.ID})
-			l.records.Gone(a.ID)
+			l.records.Forget(a.ID)
 		}
 	}
 }
@@ -313,7 +313,7 @@
 		l.takeHeartbeat(now, peer, hb)
 	}
 	if len(f.RequestRecords) > 0 || f.RequestRecordsAsk {
-		l.records.Take(now, peer, f)
+		l.records.Receive(now, peer, f)
 	}
 	for _, ev := range schedulerEvents(peer, f) {
 		l.schedule(now, ev)
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -231,7 +231,7 @@
 	case memberIn:
 		l.member(now, e.event)
 	case recordIn:
-		l.records.Tell(now, e.record, "")
+		l.records.Share(now, e.record, "")
 	case worldIn:
 		l.index, l.targets = e.index, e.targets
 		l.relayout(now)
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -29,7 +29,7 @@
 				l.schedule(now, key, s, cell.EntryGone{Entry: a.ID})
 			}
 			l.enter(now, entry.PeerRestarted{ID: a.ID})
-			l.records.Gone(a.ID)
+			l.records.Forget(a.ID)
 			if l.opts.OnIncarnationEnd != nil {
 				l.opts.OnIncarnationEnd(a.ID)
 			}
@@ -58,7 +58,7 @@
 	}
 	l.enter(now, entry.PeerHeard{ID: peer})
 	if len(f.RequestRecords) > 0 || f.RequestRecordsAsk {
-		l.records.Take(now, peer, f)
+		l.records.Receive(now, peer, f)
 	}
 	for _, p := range f.EngineProgress {
 		if ev := progressEvent(peer, p); ev != nil {
--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -48,9 +48,9 @@
 	return &Records{self: self, requests: requests, members: members, out: out, sent: map[string]recordsSent{}}
 }
 
-// Tell tells peers of a request under which targets have ended: all of them where several
+// Share tells peers of a request under which targets have ended: all of them where several
 // have, a few that are to count where one has.
-func (x *Records) Tell(now time.Time, r core.Record, except string) {
+func (x *Records) Share(now time.Time, r core.Record, except string) {
 	for _, id := range core.Recipients(r, x.members.Nodes(), x.members.GossipPeers(now)) {
 		if id != except && id != x.self {
 			f := x.out.Frame(now, id, false)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Take takes what a peer tells of requests, and tells on what is new.
-func (x *Records) Take(now time.Time, peer string, f *wire.Frame) {
+// Receive takes what a peer tells of requests, and tells on what is new.
+func (x *Records) Receive(now time.Time, peer string, f *wire.Frame) {
 	var records []core.Record
 	for _, r := range f.RequestRecords {
 		if record, ok := recordFromWire(now, r); ok {
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, r := range x.requests.Merge(peer, records, x.keepsFirst) {
-		x.Tell(now, r, peer)
+		x.Share(now, r, peer)
 	}
 	if f.RequestRecordsAsk {
 		x.send(now, peer, false)
@@ -99,8 +99,8 @@
 	x.send(now, peer, true)
 }
 
-// Gone forgets what a peer was sent that has ended or begun a new life.
-func (x *Records) Gone(peer string) { delete(x.sent, peer) }
+// Forget forgets what a peer was sent that has ended or begun a new life.
+func (x *Records) Forget(peer string) { delete(x.sent, peer) }
 
 // Tick forgets records that are over.
 func (x *Records) Tick(now time.Time) {
--- a/services/peerwire/records_test.go
+++ b/services/peerwire/records_test.go
@@ -35,7 +35,7 @@
 
 func newNode(id string, c *clock.Fake, others ...string) *node {
 	n := &node{id: id, clock: c, out: NewOutbox(0), members: member.New(member.DefaultConfig(), member.Record{ID: id, Incarnation: 1, Address: "a"})}
-	n.service = quarantine.New(log.New("quarantine"), quarantine.Options{Clock: c, Figures: "test", Tell: func(r core.Record) { n.records.Tell(c.Now(), r, "") }})
+	n.service = quarantine.New(log.New("quarantine"), quarantine.Options{Clock: c, Figures: "test", Tell: func(r core.Record) { n.records.Share(c.Now(), r, "") }})
 	n.records = NewRecords(id, n.service, n.members, n.out)
 	for _, other := range others {
 		n.members.Step(c.Now(), member.HeartbeatSeen{From: member.Record{ID: other, Incarnation: 1, State: member.StateAlive, Address: "a"}})
@@ -69,7 +69,7 @@
 				for _, n := range nodes {
 					if n.id == to {
 						moved = true
-						n.records.Take(n.clock.Now(), from.id, f)
+						n.records.Receive(n.clock.Now(), from.id, f)
 					}
 				}
 			})
@@ -138,7 +138,7 @@
 			return
 		}
 		n := newNode("a", clock.NewFake(), "b")
-		n.records.Take(now, "b", frame)
+		n.records.Receive(now, "b", frame)
 		n.records.Compare(now, "b", 1)
 		n.records.Tick(now)
 		n.out.Flush(now, func(string, *wire.Frame) {})
