--- a/router/router.go
+++ b/router/router.go
@@ -147,7 +147,7 @@
 		PollHead: s.Platform.PollHead.Duration, Timeout: s.Platform.Timeout.Duration, OnAdopt: r.adopt,
 	})
 	r.requests = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
-		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.TellRecord(record) },
+		Clock: r.clock, Figures: "madderway", Tell: func(record core.Record) { r.loop.ShareRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, Figures: "madderway"})
 	r.engine.OnRest = func(target string, rest retryafter.Result) { r.notices.WantsRest(target, "", rest) }
@@ -193,8 +193,8 @@
 		Scheduler: sched.Options{
 			Self: reporter, TallyInterval: c.TallyInterval.Duration, TallyBudget: c.TallyBudget,
 		},
-		ReserveShare: c.ReserveShare, Versions: r.config, DialTimeout: r.settings.Peer.DialTimeout.Duration, Ring: r.settings.Peer.Ring,
-		Requests: r.requests,
+		ReserveShare: c.ReserveShare, Versions: r.config, DialTimeout: r.settings.Peer.DialTimeout.Duration, LinkQueueSize: r.settings.Peer.Ring,
+		Quarantine: r.requests,
 	}
 }
 
--- a/services/control/api.go
+++ b/services/control/api.go
@@ -28,8 +28,8 @@
 // SetVMs takes the platform's list.
 func (l *Loop) SetVMs(vms []vm.VM) { l.put(vmsIn{vms}) }
 
-// TellRecord tells other routers of a request under which targets have ended.
-func (l *Loop) TellRecord(r quarantine.Record) { l.put(recordIn{r}) }
+// ShareRecord tells other routers of a request under which targets have ended.
+func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
 
 // Leave tells the other members that this one is leaving.
 func (l *Loop) Leave() { l.put(memberIn{member.Leave{}}) }
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -61,19 +61,19 @@
 
 // Options are the parts of a Loop.
 type Options struct {
-	Self         member.Record
-	Clock        clock.Clock
-	Auth         *peernet.Auth
-	Meter        *peernet.Meter
-	Dispatcher   admit.Dispatcher
-	Member       member.Config
-	Scheduler    sched.Options
-	ReserveShare float64
-	Versions     Versions
-	DialTimeout  time.Duration
-	Ring         int
-	// Requests are those under which targets ended.
-	Requests *quarantine.Service
+	Self          member.Record
+	Clock         clock.Clock
+	Auth          *peernet.Auth
+	Meter         *peernet.Meter
+	Dispatcher    admit.Dispatcher
+	Member        member.Config
+	Scheduler     sched.Options
+	ReserveShare  float64
+	Versions      Versions
+	DialTimeout   time.Duration
+	LinkQueueSize int
+	// Quarantine are those under which targets ended.
+	Quarantine *quarantine.Service
 }
 
 // Loop is the goroutine that owns the machines.
@@ -115,7 +115,7 @@
 		out:     peerwire.NewOutbox(lazyDelay),
 		blocked: map[string]bool{},
 	}
-	l.records = peerwire.NewRecords(o.Self.ID, o.Requests, l.members, l.out)
+	l.records = peerwire.NewRecords(o.Self.ID, o.Quarantine, l.members, l.out)
 	l.owned.Store(&[]*conf.Target{})
 	l.view.Store(&[]member.Record{})
 	t.Go(l.run)
--- a/services/control/outbox.go
+++ b/services/control/outbox.go
@@ -39,7 +39,7 @@
 	}
 	link = peernet.NewLink(l.t, peernet.LinkOptions{
 		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: record.Address,
-		DialTimeout: l.opts.DialTimeout, QueueSize: l.opts.Ring,
+		DialTimeout: l.opts.DialTimeout, QueueSize: l.opts.LinkQueueSize,
 	})
 	if l.blocked[id] {
 		link.Block(true)
