--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -138,7 +138,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
 	defer cancel()
 	handed, err := c.server.relay.Send(ctx, buffer[:size], c.counted, c.hasLeft)
-	if errors.Is(err, relay.ErrCallerLeft) {
+	if errors.Is(err, relay.ErrCallerDisconnected) {
 		c.gone = true
 		return nil, err
 	}
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -163,7 +163,7 @@
 				return h, nil
 			}
 		}
-		if errors.Is(err, ErrCallerLeft) {
+		if errors.Is(err, ErrCallerDisconnected) {
 			s.ended(p.ID)
 			return nil, err
 		}
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -404,7 +404,7 @@
 		t.Error(err)
 	}
 	<-asked
-	if err := <-leaves; !errors.Is(err, ErrCallerLeft) {
+	if err := <-leaves; !errors.Is(err, ErrCallerDisconnected) {
 		t.Errorf("a request whose caller has left: %v", err)
 	}
 }
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -37,8 +37,8 @@
 	keptTime = 10 * time.Second
 )
 
-// ErrCallerLeft tells that a request was not handed over since its caller had left.
-var ErrCallerLeft = errors.New("the caller has left")
+// ErrCallerDisconnected tells that a request was not handed over since its caller had left.
+var ErrCallerDisconnected = errors.New("the caller has left")
 
 // ErrCongested tells that a request was not sent since others wait for the connection for too long.
 var ErrCongested = errors.New("requests wait for too long for the gateway")
@@ -217,7 +217,7 @@
 		return err
 	}
 	if o.left() {
-		return ErrCallerLeft
+		return ErrCallerDisconnected
 	}
 	if t.clock.Now().Sub(o.since) > maxWait {
 		return ErrCongested
