--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -52,7 +52,7 @@
 func (l *Loop) Alone() bool { return l.Members() == 1 }
 
 // Registrar implements discover.Peers.
-func (l *Loop) Registrar() bool { return l.register.Load() }
+func (l *Loop) Registrar() bool { return l.registrar.Load() }
 
 // Knows implements discover.Peers.
 func (l *Loop) Knows(id string) bool {
@@ -66,11 +66,11 @@
 func (l *Loop) Call(addresses []string) {
 	l.Inspect(func() {
 		for _, address := range addresses {
-			if address == l.opts.Self.Address || slices.Contains(l.seedsAt, address) {
+			if address == l.opts.Self.Address || slices.Contains(l.seedAddresses, address) {
 				continue
 			}
-			l.seedsAt = append(l.seedsAt, address)
-			l.learned = append(l.learned, l.newLink("", address))
+			l.seedAddresses = append(l.seedAddresses, address)
+			l.discovered = append(l.discovered, l.newLink("", address))
 		}
 		l.nextSeed = time.Time{}
 		l.callSeeds(l.opts.Clock.Now())
--- a/services/mesh/kept.go
+++ b/services/mesh/kept.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// askKeptAtOnce bounds the targets that are asked at the same time what they
+	// cachedQueryWorkers bounds the targets that are asked at the same time what they
 	// keep, askKeptTime how long one may take.
-	askKeptAtOnce = 4
-	askKeptTime   = time.Second
-	// askKeptAgain is how long after a cell was taken over its targets are not
+	cachedQueryWorkers = 4
+	cachedQueryTimeout = time.Second
+	// cachedQueryInterval is how long after a cell was taken over its targets are not
 	// asked once more.
-	askKeptAgain = 5 * time.Second
+	cachedQueryInterval = 5 * time.Second
 )
 
 // keptIn is what a target of a cell says it keeps.
@@ -36,12 +36,12 @@
 // read again what the one before it had let them read. A gateway that stands in
 // for a moment, or knows no other one yet, asks nobody; targets that take no work are
 // not asked, since an operator wants nothing sent to them.
-func (l *Loop) askKept(now time.Time, key cell.Key, s *scheduled) {
+func (l *Loop) askKept(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
-	if l.opts.FetchCachedParts == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.keptAt) < askKeptAgain {
+	if l.opts.FetchCachedParts == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.cachedQueriedAt) < cachedQueryInterval {
 		return
 	}
-	s.keptAt = now
+	s.cachedQueriedAt = now
 	targets := make(chan *routing.Target, len(g.Targets))
 	for _, t := range g.Targets {
 		if t.AcceptsWork() {
@@ -49,7 +49,7 @@
 		}
 	}
 	close(targets)
-	for range min(askKeptAtOnce, len(g.Targets)) {
+	for range min(cachedQueryWorkers, len(g.Targets)) {
 		l.t.Go(func() error {
 			for t := range targets {
 				l.askOneKept(key, t)
@@ -66,7 +66,7 @@
 		l.log.Info("Target not asked what it keeps.", "cell", key, "target", t.ID, "listed", now != nil, "rests", closed)
 		return
 	}
-	ctx, cancel := context.WithTimeout(l.t.Context(context.Background()), askKeptTime)
+	ctx, cancel := context.WithTimeout(l.t.Context(context.Background()), cachedQueryTimeout)
 	defer cancel()
 	start := l.opts.Clock.Now()
 	parts, err := l.opts.FetchCachedParts(ctx, t)
--- a/services/mesh/lag.go
+++ b/services/mesh/lag.go
@@ -5,9 +5,9 @@
 
 import "time"
 
-// tickSlack is how late a tick may come without a word: timers fire slightly
+// tickTolerance is how late a tick may come without a word: timers fire slightly
 // late.
-const tickSlack = 2 * time.Millisecond
+const tickTolerance = 2 * time.Millisecond
 
 // expectTick notes when the next tick should come; work that has just come up
 // can only bring that forward.
@@ -23,5 +23,5 @@
 	if l.tickDue.IsZero() {
 		return 0
 	}
-	return max(now.Sub(l.tickDue)-tickSlack, 0)
+	return max(now.Sub(l.tickDue)-tickTolerance, 0)
 }
--- a/services/mesh/layout.go
+++ b/services/mesh/layout.go
@@ -33,10 +33,10 @@
 	l.membersChanged = false
 	nodes := l.members.Nodes()
 	l.log.Info("Members changed.", "alive", len(nodes))
-	l.size.Store(int64(max(len(nodes), 1)))
-	l.known.Store(int64(l.members.Count() + 1))
-	l.watches.Store(slices.Contains(place.Top(nodes, watchKey, watch.Watchers), l.opts.Self.ID))
-	l.register.Store(slices.Contains(place.Top(nodes, registerKey, discover.Registrars), l.opts.Self.ID))
+	l.memberCount.Store(int64(max(len(nodes), 1)))
+	l.knownCount.Store(int64(l.members.Count() + 1))
+	l.watcher.Store(slices.Contains(place.Top(nodes, watcherKey, watch.Watchers), l.opts.Self.ID))
+	l.registrar.Store(slices.Contains(place.Top(nodes, registrarKey, discover.Registrars), l.opts.Self.ID))
 	if l.opts.OnMembers != nil {
 		l.opts.OnMembers(l.members.Others())
 	}
@@ -51,16 +51,16 @@
 // each tells its own, so that the fleet hears within a few steps.
 func (l *Loop) announce(now time.Time) {
 	v := l.opts.Follow.Versions()
-	if v.Configuration == l.told.Configuration && v.Targets == l.told.Targets && v.Evacuations == l.told.Evacuations && v.Leaving == l.told.Leaving {
+	if v.Configuration == l.announced.Configuration && v.Targets == l.announced.Targets && v.Evacuations == l.announced.Evacuations && v.Leaving == l.announced.Leaving {
 		return
 	}
-	l.told = v
+	l.announced = v
 	for _, id := range l.members.GossipPeers(now) {
 		l.out.Frame(now, id, true).Versions = versionsToWire(v)
 	}
 }
 
-func (l *Loop) setTargets(now time.Time, key cell.Key, s *scheduled) {
+func (l *Loop) setTargets(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
 		l.schedule(now, key, s, cell.TargetsSeen{})
@@ -90,7 +90,7 @@
 
 // paceCold tells a cell how much its cold targets may get, where members that came or
 // went have changed that.
-func (l *Loop) paceCold(now time.Time, key cell.Key, s *scheduled) {
+func (l *Loop) paceCold(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
 		return
@@ -102,14 +102,14 @@
 }
 
 // cellOf returns the scheduler of a cell, which begins when it is first asked.
-func (l *Loop) cellOf(now time.Time, key cell.Key) *scheduled {
+func (l *Loop) cellOf(now time.Time, key cell.Key) *cellScheduler {
 	s := l.cells[key]
 	if s == nil {
-		s = &scheduled{cell: cell.New(), life: ident.Incarnation(now.Unix())}
+		s = &cellScheduler{cell: cell.New(), incarnation: ident.Incarnation(now.Unix())}
 		l.cells[key] = s
 		l.log.Info("Scheduler taken over.", "cell", key)
 		l.setTargets(now, key, s)
 	}
-	s.askedAt = now
+	s.lastUsed = now
 	return s
 }
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -30,25 +30,25 @@
 )
 
 const (
-	inputRing  = 8192
-	linkRing   = 128
-	tickBusy   = 10 * time.Millisecond
-	tickIdle   = 100 * time.Millisecond
-	batchLimit = 256 // inputs taken before the frames go out
-	lazyDelay  = 15 * time.Millisecond
-	seedEvery  = 500 * time.Millisecond
-	// seedCalm is the least time between calls to seeds once members are known,
+	inputQueueSize = 8192
+	linkQueueSize  = 128
+	tickBusy       = 10 * time.Millisecond
+	tickIdle       = 100 * time.Millisecond
+	batchLimit     = 256 // inputs taken before the frames go out
+	lazyFrameDelay = 15 * time.Millisecond
+	seedInterval   = 500 * time.Millisecond
+	// minSeedInterval is the least time between calls to seeds once members are known,
 	// seedShare what each of these adds to it.
-	seedCalm  = 5 * time.Second
-	seedShare = 100 * time.Millisecond
-	dialTime  = 500 * time.Millisecond
-	// linkIdle is how long a connection to another gateway stays open unused. An entry
+	minSeedInterval       = 5 * time.Second
+	seedIntervalPerMember = 100 * time.Millisecond
+	dialTimeout           = 500 * time.Millisecond
+	// linkIdleTimeout is how long a connection to another gateway stays open unused. An entry
 	// of a large fleet asks each scheduler every few seconds.
-	linkIdle = 10 * time.Second
-	watchKey = "watch"
-	// registerKey draws the gateways that register.
-	registerKey = "register"
-	cellIdle    = 30 * time.Second // a cell that nobody has asked for so long is dropped
+	linkIdleTimeout = 10 * time.Second
+	watcherKey      = "watch"
+	// registrarKey draws the gateways that register.
+	registrarKey    = "register"
+	cellIdleTimeout = 30 * time.Second // a cell that nobody has asked for so long is dropped
 )
 
 // Decision is what became of a submitted request.
@@ -83,14 +83,14 @@
 	FetchCachedParts func(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error)
 }
 
-type scheduled struct {
-	cell    *cell.Cell
-	askedAt time.Time
-	keptAt  time.Time // keptAt is when the targets were last asked what they keep.
-	second  lastSecond
+type cellScheduler struct {
+	cell            *cell.Cell
+	lastUsed        time.Time
+	cachedQueriedAt time.Time // keptAt is when the targets were last asked what they keep.
+	lastStats       statsSample
 	// coldShare is the part of what cold targets bear that the cell may place there.
-	coldShare float64
-	life      uint64 // life tells this hold of the cell from others.
+	coldShare   float64
+	incarnation uint64 // life tells this hold of the cell from others.
 }
 
 // Loop is the goroutine that owns the machines.
@@ -101,49 +101,49 @@
 	inputs  *ring.Ring[input]
 	members *member.List
 	entry   *entry.Machine
-	cells   map[cell.Key]*scheduled
+	cells   map[cell.Key]*cellScheduler
 	// undecided are the cells that have taken events since they decided last.
-	undecided map[cell.Key]*scheduled
-	given     map[string]given // given is what the cells here gave, by service.
-	layout    *cell.Layout
-	index     *routing.Index
-	targets   *routing.TargetSet
-	answers   map[cell.RequestID]chan Decision
-	links     map[string]*peernet.Link
-	seeds     []*peernet.Link
-	seedsAt   []string        // seedsAt are the addresses of the seeds.
-	learned   []*peernet.Link // learned are gateways to call while no other one is known.
-	out       *peerwire.Outbox
-	traffic   traffic
+	undecided     map[cell.Key]*cellScheduler
+	served        map[string]serviceTotals // given is what the cells here gave, by service.
+	layout        *cell.Layout
+	index         *routing.Index
+	targets       *routing.TargetSet
+	answers       map[cell.RequestID]chan Decision
+	links         map[string]*peernet.Link
+	seeds         []*peernet.Link
+	seedAddresses []string        // seedsAt are the addresses of the seeds.
+	discovered    []*peernet.Link // learned are gateways to call while no other one is known.
+	out           *peerwire.Outbox
+	traffic       traffic
 	nextSeed,
 	nextTally,
 	nextTick,
 	tickDue time.Time // tickDue is when the next tick comes at the latest, unless this process is late.
-	told    follow.Versions
-	records *peerwire.Records
+	announced follow.Versions
+	records   *peerwire.Records
 	// membersChanged tells that changes of the members are not in force yet.
 	membersChanged bool
 
-	size     atomic.Int64
-	known    atomic.Int64 // known counts the gateways that were ever heard of, the dead included.
-	watches  atomic.Bool
-	register atomic.Bool // register tells that this gateway keeps its address in the register.
-	busy     atomic.Int64
-	requests atomic.Uint64
+	memberCount atomic.Int64
+	knownCount  atomic.Int64 // known counts the gateways that were ever heard of, the dead included.
+	watcher     atomic.Bool
+	registrar   atomic.Bool // register tells that this gateway keeps its address in the register.
+	busy        atomic.Int64
+	requests    atomic.Uint64
 }
 
 // NewLoop starts the loop; it ends with the tomb.
 func NewLoop(t *tomb.Tomb, logger log.Logger, o Options) *Loop {
 	l := &Loop{
-		t: t, log: logger, opts: o, inputs: ring.New[input]("mesh", inputRing), members: member.New(o.Member, o.Self),
-		entry: entry.New(o.Self.ID), cells: map[cell.Key]*scheduled{}, undecided: map[cell.Key]*scheduled{}, given: map[string]given{}, layout: &cell.Layout{},
-		answers: map[cell.RequestID]chan Decision{}, links: map[string]*peernet.Link{}, out: peerwire.NewOutbox(lazyDelay), traffic: newTraffic(),
+		t: t, log: logger, opts: o, inputs: ring.New[input]("mesh", inputQueueSize), members: member.New(o.Member, o.Self),
+		entry: entry.New(o.Self.ID), cells: map[cell.Key]*cellScheduler{}, undecided: map[cell.Key]*cellScheduler{}, served: map[string]serviceTotals{}, layout: &cell.Layout{},
+		answers: map[cell.RequestID]chan Decision{}, links: map[string]*peernet.Link{}, out: peerwire.NewOutbox(lazyFrameDelay), traffic: newTraffic(),
 	}
 	l.records = peerwire.NewRecords(o.Self.ID, o.Quarantine, l.members, l.out)
 	l.requests.Store(firstID(o.Self.Incarnation))
-	l.size.Store(1)
-	l.known.Store(1)
-	l.watches.Store(true)
+	l.memberCount.Store(1)
+	l.knownCount.Store(1)
+	l.watcher.Store(true)
 	l.setSeeds(o.Seeds)
 	t.Go(l.run)
 	return l
@@ -158,7 +158,7 @@
 
 func (l *Loop) newLink(id, address string) *peernet.Link {
 	return peernet.NewLink(l.t, peernet.LinkOptions{
-		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTime, QueueSize: linkRing, IdleTimeout: linkIdle,
+		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTimeout, QueueSize: linkQueueSize, IdleTimeout: linkIdleTimeout,
 	})
 }
 
@@ -255,10 +255,10 @@
 	l.records.Tick(now)
 	for key, s := range l.cells {
 		l.schedule(now, key, s, cell.Tick{})
-		if s.keptAt.IsZero() {
+		if s.cachedQueriedAt.IsZero() {
 			l.askKept(now, key, s)
 		}
-		if s.cell.Idle() && now.Sub(s.askedAt) > cellIdle {
+		if s.cell.Idle() && now.Sub(s.lastUsed) > cellIdleTimeout {
 			delete(l.cells, key)
 		}
 	}
@@ -270,14 +270,14 @@
 }
 
 // Members returns how many gateways are thought to be there, this one included.
-func (l *Loop) Members() int { return int(l.size.Load()) }
+func (l *Loop) Members() int { return int(l.memberCount.Load()) }
 
 // Known returns how many gateways there may be: those that are not heard of any more
 // may only be cut off.
-func (l *Loop) Known() int { return int(l.known.Load()) }
+func (l *Loop) Known() int { return int(l.knownCount.Load()) }
 
 // Watches tells whether this gateway is one of those that ask the store for all.
-func (l *Loop) Watches() bool { return l.watches.Load() }
+func (l *Loop) Watches() bool { return l.watcher.Load() }
 
 // Busy returns the time spent on control.
 func (l *Loop) Busy() time.Duration { return time.Duration(l.busy.Load()) }
--- a/services/mesh/second.go
+++ b/services/mesh/second.go
@@ -9,11 +9,11 @@
 	"madderway/core/cell"
 )
 
-// secondEvery is how often a scheduler writes what its cells have done.
-const secondEvery = time.Second
+// statsInterval is how often a scheduler writes what its cells have done.
+const statsInterval = time.Second
 
-// lastSecond is what was written of a cell the last time.
-type lastSecond struct {
+// statsSample is what was written of a cell the last time.
+type statsSample struct {
 	at     time.Time
 	counts cell.Counts
 }
@@ -23,23 +23,23 @@
 // much of their time that took.
 func (l *Loop) tellSeconds(now time.Time) {
 	for key, s := range l.cells {
-		if now.Sub(s.second.at) < secondEvery {
+		if now.Sub(s.lastStats.at) < statsInterval {
 			continue
 		}
-		before := s.second
-		s.second = lastSecond{now, s.cell.Counts(now)}
+		before := s.lastStats
+		s.lastStats = statsSample{now, s.cell.Counts(now)}
 		if !before.at.IsZero() {
 			l.tellSecond(key, before, s, s.cell.Load(now))
 		}
 	}
 }
 
-func (l *Loop) tellSecond(key cell.Key, before lastSecond, s *scheduled, load cell.Load) {
-	a, b := before.counts, s.second.counts
+func (l *Loop) tellSecond(key cell.Key, before statsSample, s *cellScheduler, load cell.Load) {
+	a, b := before.counts, s.lastStats.counts
 	if a.Asked == b.Asked {
 		return // nothing to do, or another gateway has taken the cell over
 	}
-	span := s.second.at.Sub(before.at)
+	span := s.lastStats.at.Sub(before.at)
 	share := 0.0
 	if load.Targets > 0 {
 		share = max(float64(b.Reading-a.Reading)/float64(load.Targets)/float64(span), 0)
--- a/services/mesh/seeds.go
+++ b/services/mesh/seeds.go
@@ -14,10 +14,10 @@
 // setSeeds adds links to seeds that are new; links to old ones stay, idle.
 func (l *Loop) setSeeds(addresses []string) {
 	for _, address := range addresses {
-		if address == l.opts.Self.Address || slices.Contains(l.seedsAt, address) {
+		if address == l.opts.Self.Address || slices.Contains(l.seedAddresses, address) {
 			continue
 		}
-		l.seedsAt = append(l.seedsAt, address)
+		l.seedAddresses = append(l.seedAddresses, address)
 		l.seeds = append(l.seeds, l.newLink("", address))
 	}
 }
@@ -30,10 +30,10 @@
 		return
 	}
 	alone := l.members.Count() == 0
-	l.nextSeed = now.Add(seedPause(l.members.Count()))
+	l.nextSeed = now.Add(seedDelay(l.members.Count()))
 	call := l.seeds
 	if alone {
-		call = slices.Concat(l.seeds, l.learned)
+		call = slices.Concat(l.seeds, l.discovered)
 	}
 	hello := &wire.Frame{}
 	l.addHeartbeat(hello, member.SendHeartbeat{From: l.members.Self()})
@@ -42,11 +42,11 @@
 	}
 }
 
-// seedPause returns how long after a call to the seeds the next one follows. All
+// seedDelay returns how long after a call to the seeds the next one follows. All
 // gateways together call as often as a small fleet does.
-func seedPause(others int) time.Duration {
+func seedDelay(others int) time.Duration {
 	if others == 0 {
-		return seedEvery
+		return seedInterval
 	}
-	return max(seedCalm, time.Duration(others)*seedShare)
+	return max(minSeedInterval, time.Duration(others)*seedIntervalPerMember)
 }
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -156,7 +156,7 @@
 	l.schedule(now, key, l.cellOf(now, key), ev)
 }
 
-func (l *Loop) schedule(now time.Time, key cell.Key, s *scheduled, ev cell.Event) {
+func (l *Loop) schedule(now time.Time, key cell.Key, s *cellScheduler, ev cell.Event) {
 	s.cell.Apply(now, ev)
 	l.undecided[key] = s
 }
--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -12,44 +12,44 @@
 	"madderway/modules/wire"
 )
 
-// tallyEvery is how often the schedulers of a service tell each other what they gave to
-// whom, tallyCells the number of cells up to which they do so that often: each tells
+// tallyInterval is how often the schedulers of a service tell each other what they gave to
+// whom, cellsPerTallyInterval the number of cells up to which they do so that often: each tells
 // each other one, so that beyond it what one sends would grow with their number.
 const (
-	tallyEvery = 500 * time.Millisecond
-	tallyCells = 32
+	tallyInterval         = 500 * time.Millisecond
+	cellsPerTallyInterval = 32
 )
 
-// tallyPause returns how long schedulers wait between tallies where a service has so
+// tallyDelay returns how long schedulers wait between tallies where a service has so
 // many cells.
-func tallyPause(cells int) time.Duration {
-	return tallyEvery * time.Duration(max(cells, tallyCells)) / tallyCells
+func tallyDelay(cells int) time.Duration {
+	return tallyInterval * time.Duration(max(cells, cellsPerTallyInterval)) / cellsPerTallyInterval
 }
 
-// given sums what this gateway gave to each account of a service, in all cells that it
+// serviceTotals sums what this gateway gave to each account of a service, in all cells that it
 // has scheduled in its life.
-type given map[string]*sum
+type serviceTotals map[string]*accountTotal
 
-// sum is what one account was given, and how much of that other gateways were told.
-type sum struct{ service, told float64 }
+// accountTotal is what one account was given, and how much of that other gateways were told.
+type accountTotal struct{ service, sent float64 }
 
 // add takes what one cell gave since it was last asked.
-func (g given) add(rows []cell.TallyRow) {
+func (g serviceTotals) add(rows []cell.TallyRow) {
 	for _, row := range rows {
 		if g[row.Account] == nil {
-			g[row.Account] = &sum{}
+			g[row.Account] = &accountTotal{}
 		}
 		g[row.Account].service += row.Service
 	}
 }
 
-// rows returns the sums that have grown since they were told, sorted by account.
-func (g given) rows() []*wire.EngineTallyRow {
+// grownRows returns the sums that have grown since they were told, sorted by account.
+func (g serviceTotals) grownRows() []*wire.EngineTallyRow {
 	var out []*wire.EngineTallyRow
 	for account, s := range g {
-		if s.service > s.told {
-			out = append(out, &wire.EngineTallyRow{Account: account, Service: s.service, Before: s.told})
-			s.told = s.service
+		if s.service > s.sent {
+			out = append(out, &wire.EngineTallyRow{Account: account, Service: s.service, Before: s.sent})
+			s.sent = s.service
 		}
 	}
 	slices.SortFunc(out, func(a, b *wire.EngineTallyRow) int { return strings.Compare(a.Account, b.Account) })
@@ -62,7 +62,7 @@
 	if now.Before(l.nextTally) {
 		return
 	}
-	l.nextTally = now.Add(tallyPause(len(l.layout.Groups())))
+	l.nextTally = now.Add(tallyDelay(len(l.layout.Groups())))
 	for key, s := range l.cells {
 		g := l.layout.Group(key)
 		if g == nil {
@@ -72,18 +72,18 @@
 		if len(rows) == 0 {
 			continue
 		}
-		if l.given[g.Service] == nil {
-			l.given[g.Service] = given{}
+		if l.served[g.Service] == nil {
+			l.served[g.Service] = serviceTotals{}
 		}
-		l.given[g.Service].add(rows)
+		l.served[g.Service].add(rows)
 		for _, other := range l.layout.Siblings(g) {
 			if sibling := l.cells[other.Key]; sibling != nil {
 				l.schedule(now, other.Key, sibling, cell.SiblingTallySeen{Rows: rows})
 			}
 		}
 	}
-	for service, sums := range l.given {
-		if rows := sums.rows(); len(rows) > 0 {
+	for service, sums := range l.served {
+		if rows := sums.grownRows(); len(rows) > 0 {
 			l.spread(now, service, &wire.EngineTally{Service: service, Incarnation: l.opts.Self.Incarnation, Rows: rows})
 		}
 	}
--- a/services/mesh/tally_test.go
+++ b/services/mesh/tally_test.go
@@ -12,18 +12,18 @@
 // What the cells of one gateway gave goes to others in one row an account, as a sum, and
 // only where it has grown.
 func TestCellsOfAGatewayTellTogether(t *testing.T) {
-	g := given{}
+	g := serviceTotals{}
 	g.add([]cell.TallyRow{{Account: "b", Service: 5}, {Account: "a", Service: 2}})
 	g.add([]cell.TallyRow{{Account: "b", Service: 7}})
-	rows := g.rows()
+	rows := g.grownRows()
 	if len(rows) != 2 || rows[0].Account != "a" || rows[1].Service != 12 || rows[1].Before != 0 {
 		t.Fatalf("%v", rows)
 	}
-	if rows := g.rows(); len(rows) != 0 {
+	if rows := g.grownRows(); len(rows) != 0 {
 		t.Errorf("told again: %v", rows)
 	}
 	g.add([]cell.TallyRow{{Account: "b", Service: 1}})
-	if rows := g.rows(); len(rows) != 1 || rows[0].Service != 13 || rows[0].Before != 12 {
+	if rows := g.grownRows(); len(rows) != 1 || rows[0].Service != 13 || rows[0].Before != 12 {
 		t.Errorf("%v", rows)
 	}
 }
--- a/services/mesh/traffic.go
+++ b/services/mesh/traffic.go
@@ -13,9 +13,9 @@
 	"madderway/modules/wire"
 )
 
-// sizedOneIn is the share of frames whose parts are measured: it costs about as much
+// frameSampling is the share of frames whose parts are measured: it costs about as much
 // as encoding them.
-const sizedOneIn = 16
+const frameSampling = 16
 
 // Directions of messages between gateways.
 const (
@@ -35,7 +35,7 @@
 // note counts a frame.
 func (t *traffic) note(direction string, f *wire.Frame) {
 	t.frames++
-	if t.frames%sizedOneIn != 0 {
+	if t.frames%frameSampling != 0 {
 		return
 	}
 	add := func(kind string, size int) {
@@ -43,7 +43,7 @@
 			return
 		}
 		name := fmt.Sprintf("madderway_gateway_peer_message_bytes_total{kind=%q,direction=%q}", kind, direction)
-		t.set.GetOrCreateCounter(name).Add(size * sizedOneIn)
+		t.set.GetOrCreateCounter(name).Add(size * frameSampling)
 	}
 	add("heartbeat", sizeOf(f.Heartbeat != nil, f.Heartbeat))
 	add("versions", sizeOf(f.Versions != nil, f.Versions))
--- a/services/mesh/traffic_test.go
+++ b/services/mesh/traffic_test.go
@@ -15,7 +15,7 @@
 func TestTrafficIsToldByKind(t *testing.T) {
 	tr := newTraffic()
 	f := &wire.Frame{EngineAsks: []*wire.EngineAsk{{Cell: "s/0", Id: 1}}, Versions: &wire.Versions{Configuration: 1}}
-	for range 10 * sizedOneIn {
+	for range 10 * frameSampling {
 		tr.note(sentToPeers, f)
 	}
 	tr.noteState(true, 1000)
