--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -36,12 +36,12 @@
 	if err != nil {
 		return &wire.Reply{Error: err.Error()}
 	}
-	l.traffic.noteState(fetch.StateFetch.Targets, len(content))
+	l.traffic.countState(fetch.StateFetch.Targets, len(content))
 	return &wire.Reply{Ok: true, Content: content}
 }
 
 // SetRouting puts a configuration and a list of targets in force.
-func (l *Loop) SetRouting(x *routing.Index, targets *routing.TargetSet) { l.put(worldIn{x, targets}) }
+func (l *Loop) SetRouting(x *routing.Index, targets *routing.TargetSet) { l.put(routingIn{x, targets}) }
 
 // SetSeeds adds gateways to begin with.
 func (l *Loop) SetSeeds(addresses []string) {
@@ -112,7 +112,7 @@
 // place is given up.
 func (l *Loop) abandon(id cell.RequestID, answer chan Decision) {
 	l.put(entryIn{entry.Withdrawn{ID: id}})
-	l.Inspect(func() { delete(l.answers, id) })
+	l.Inspect(func() { delete(l.decisions, id) })
 	select {
 	case d := <-answer:
 		if d.Target != "" {
--- a/services/mesh/input.go
+++ b/services/mesh/input.go
@@ -20,16 +20,16 @@
 }
 
 type submitIn struct {
-	event  entry.Submitted
-	answer chan Decision
+	event    entry.Submitted
+	decision chan Decision
 }
 
 type entryIn struct{ event entry.Event }
 
 type memberIn struct{ event member.Event }
 
-// worldIn replaces configuration and targets.
-type worldIn struct {
+// routingIn replaces configuration and targets.
+type routingIn struct {
 	index   *routing.Index
 	targets *routing.TargetSet
 }
@@ -44,7 +44,7 @@
 func (submitIn) isInput()  {}
 func (entryIn) isInput()   {}
 func (memberIn) isInput()  {}
-func (worldIn) isInput()   {}
+func (routingIn) isInput() {}
 func (inspectIn) isInput() {}
 
 // RequestID is the entry gateway's number of a request.
--- a/services/mesh/kept.go
+++ b/services/mesh/kept.go
@@ -21,22 +21,22 @@
 	cachedQueryInterval = 5 * time.Second
 )
 
-// keptIn is what a target of a cell says it keeps.
-type keptIn struct {
+// cachedPartsIn is what a target of a cell says it keeps.
+type cachedPartsIn struct {
 	key    cell.Key
 	target string
 	at     time.Time
 	parts  []routing.PromptPart
 }
 
-func (keptIn) isInput() {}
+func (cachedPartsIn) isInput() {}
 
-// askKept asks the targets of a cell that this gateway schedules which parts of
+// queryCachedParts asks the targets of a cell that this gateway schedules which parts of
 // prompts they keep. Without that one that has just taken over would let them
 // read again what the one before it had let them read. A gateway that stands in
 // for a moment, or knows no other one yet, asks nobody; targets that take no work are
 // not asked, since an operator wants nothing sent to them.
-func (l *Loop) askKept(now time.Time, key cell.Key, s *cellScheduler) {
+func (l *Loop) queryCachedParts(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if l.opts.FetchCachedParts == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.cachedQueriedAt) < cachedQueryInterval {
 		return
@@ -52,14 +52,14 @@
 	for range min(cachedQueryWorkers, len(g.Targets)) {
 		l.t.Go(func() error {
 			for t := range targets {
-				l.askOneKept(key, t)
+				l.queryTarget(key, t)
 			}
 			return nil
 		})
 	}
 }
 
-func (l *Loop) askOneKept(key cell.Key, t *routing.Target) {
+func (l *Loop) queryTarget(key cell.Key, t *routing.Target) {
 	// It may have said so while others were asked: each may take a second.
 	now := l.opts.Follow.Targets().Find(t.ID)
 	if _, closed := l.opts.Notices.Closed(t.ID); closed || now == nil || !now.AcceptsWork() {
@@ -76,5 +76,5 @@
 		return
 	}
 	l.log.Debug("Target said what it keeps.", "cell", key, "target", t.ID, "parts", len(parts), "took", took)
-	l.put(keptIn{key, t.ID, start, parts})
+	l.put(cachedPartsIn{key, t.ID, start, parts})
 }
--- a/services/mesh/lag.go
+++ b/services/mesh/lag.go
@@ -12,14 +12,14 @@
 // expectTick notes when the next tick should come; work that has just come up
 // can only bring that forward.
 func (l *Loop) expectTick(now time.Time) {
-	if due := now.Add(l.tickAfter()); due.Before(l.tickDue) {
+	if due := now.Add(l.tickInterval()); due.Before(l.tickDue) {
 		l.tickDue = due
 	}
 }
 
-// lag returns how late a tick is: a process that was not given the processor
+// tickLag returns how late a tick is: a process that was not given the processor
 // has not read what it was sent either.
-func (l *Loop) lag(now time.Time) time.Duration {
+func (l *Loop) tickLag(now time.Time) time.Duration {
 	if l.tickDue.IsZero() {
 		return 0
 	}
--- a/services/mesh/layout.go
+++ b/services/mesh/layout.go
@@ -16,17 +16,17 @@
 	"madderway/services/discover"
 )
 
-// relayout divides the targets into cells anew.
-func (l *Loop) relayout(now time.Time) {
+// rebuildLayout divides the targets into cells anew.
+func (l *Loop) rebuildLayout(now time.Time) {
 	l.layout = cell.NewLayout(l.index, l.targets, l.members.Nodes())
 	for key, s := range l.cells {
 		l.setTargets(now, key, s)
 	}
-	l.enter(now, entry.LayoutSeen{Layout: l.layout})
+	l.stepEntry(now, entry.LayoutSeen{Layout: l.layout})
 }
 
-// takeMembers puts changes of the members in force, once for all of a batch.
-func (l *Loop) takeMembers(now time.Time) {
+// applyMembers puts changes of the members in force, once for all of a batch.
+func (l *Loop) applyMembers(now time.Time) {
 	if !l.membersChanged {
 		return
 	}
@@ -42,9 +42,9 @@
 	}
 	l.layout = l.layout.WithNodes(nodes)
 	for key, s := range l.cells {
-		l.paceCold(now, key, s)
+		l.updateColdShare(now, key, s)
 	}
-	l.enter(now, entry.LayoutSeen{Layout: l.layout})
+	l.stepEntry(now, entry.LayoutSeen{Layout: l.layout})
 }
 
 // announce tells its neighbours at once that this gateway knows something newer;
@@ -63,7 +63,7 @@
 func (l *Loop) setTargets(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
-		l.schedule(now, key, s, cell.TargetsSeen{})
+		l.applyToCell(now, key, s, cell.TargetsSeen{})
 		return
 	}
 	service := l.index.Service(g.Service)
@@ -79,7 +79,7 @@
 	if n := len(l.targets.ByService(g.Service)); n > 0 {
 		ev.TokensPerSecond = l.index.Configuration.Limits.TokensPerSecond / float64(n)
 	}
-	l.schedule(now, key, s, ev)
+	l.applyToCell(now, key, s, ev)
 }
 
 // coldShare returns the part of what cold targets bear that this gateway may place on
@@ -88,21 +88,21 @@
 	return cold.SchedulerShare(slices.Index(g.Schedulers(), l.opts.Self.ID), l.Members(), l.Known())
 }
 
-// paceCold tells a cell how much its cold targets may get, where members that came or
+// updateColdShare tells a cell how much its cold targets may get, where members that came or
 // went have changed that.
-func (l *Loop) paceCold(now time.Time, key cell.Key, s *cellScheduler) {
+func (l *Loop) updateColdShare(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
 		return
 	}
 	if share := l.coldShare(g); share != s.coldShare {
 		s.coldShare = share
-		l.schedule(now, key, s, cell.ColdShareSeen{Share: share})
+		l.applyToCell(now, key, s, cell.ColdShareSeen{Share: share})
 	}
 }
 
-// cellOf returns the scheduler of a cell, which begins when it is first asked.
-func (l *Loop) cellOf(now time.Time, key cell.Key) *cellScheduler {
+// schedulerOf returns the scheduler of a cell, which begins when it is first asked.
+func (l *Loop) schedulerOf(now time.Time, key cell.Key) *cellScheduler {
 	s := l.cells[key]
 	if s == nil {
 		s = &cellScheduler{cell: cell.New(), incarnation: ident.Incarnation(now.Unix())}
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -108,7 +108,7 @@
 	layout        *cell.Layout
 	index         *routing.Index
 	targets       *routing.TargetSet
-	answers       map[cell.RequestID]chan Decision
+	decisions     map[cell.RequestID]chan Decision
 	links         map[string]*peernet.Link
 	seeds         []*peernet.Link
 	seedAddresses []string        // seedsAt are the addresses of the seeds.
@@ -137,7 +137,7 @@
 	l := &Loop{
 		t: t, log: logger, opts: o, inputs: ring.New[input]("mesh", inputQueueSize), members: member.New(o.Member, o.Self),
 		entry: entry.New(o.Self.ID), cells: map[cell.Key]*cellScheduler{}, undecided: map[cell.Key]*cellScheduler{}, served: map[string]serviceTotals{}, layout: &cell.Layout{},
-		answers: map[cell.RequestID]chan Decision{}, links: map[string]*peernet.Link{}, out: peerwire.NewOutbox(lazyFrameDelay), traffic: newTraffic(),
+		decisions: map[cell.RequestID]chan Decision{}, links: map[string]*peernet.Link{}, out: peerwire.NewOutbox(lazyFrameDelay), traffic: newTraffic(),
 	}
 	l.records = peerwire.NewRecords(o.Self.ID, o.Quarantine, l.members, l.out)
 	l.requests.Store(firstID(o.Self.Incarnation))
@@ -170,21 +170,21 @@
 		case <-l.t.Dying():
 			return nil
 		case in := <-l.inputs.Out():
-			l.timed(func() { l.batch(in) })
+			l.runTimed(func() { l.runBatch(in) })
 		case <-timer.C:
-			l.timed(l.tick)
+			l.runTimed(l.tick)
 		}
-		timer.Reset(l.tickAfter())
+		timer.Reset(l.tickInterval())
 	}
 }
 
-func (l *Loop) timed(work func()) {
+func (l *Loop) runTimed(work func()) {
 	start := l.opts.Clock.Now()
 	work()
 	l.busy.Add(int64(l.opts.Clock.Now().Sub(start)))
 }
 
-func (l *Loop) tickAfter() time.Duration {
+func (l *Loop) tickInterval() time.Duration {
 	if l.entry.Pending() > 0 || l.out.Pending() {
 		return tickBusy
 	}
@@ -196,20 +196,20 @@
 	return tickIdle
 }
 
-// batch takes what is there, so that messages to the same peer share a frame.
-func (l *Loop) batch(first input) {
-	l.take(first)
+// runBatch takes what is there, so that messages to the same peer share a frame.
+func (l *Loop) runBatch(first input) {
+	l.handleInput(first)
 	for range batchLimit {
 		select {
 		case in := <-l.inputs.Out():
-			l.take(in)
+			l.handleInput(in)
 			continue
 		default:
 		}
 		break
 	}
 	now := l.opts.Clock.Now()
-	l.takeMembers(now)
+	l.applyMembers(now)
 	if now.After(l.nextTick) {
 		l.tick()
 		return
@@ -218,27 +218,27 @@
 	l.expectTick(now)
 }
 
-func (l *Loop) take(in input) {
+func (l *Loop) handleInput(in input) {
 	now := l.opts.Clock.Now()
 	switch e := in.(type) {
 	case frameIn:
-		l.frame(now, e.peer, e.frame)
+		l.handleFrame(now, e.peer, e.frame)
 	case submitIn:
-		l.answers[e.event.Ask.ID] = e.answer
-		l.enter(now, e.event)
+		l.decisions[e.event.Ask.ID] = e.decision
+		l.stepEntry(now, e.event)
 	case entryIn:
-		l.enter(now, e.event)
+		l.stepEntry(now, e.event)
 	case memberIn:
-		l.member(now, e.event)
+		l.stepMembers(now, e.event)
 	case recordIn:
 		l.records.Share(now, e.record, "")
-	case worldIn:
+	case routingIn:
 		l.index, l.targets = e.index, e.targets
-		l.relayout(now)
+		l.rebuildLayout(now)
 		l.announce(now)
-	case keptIn:
+	case cachedPartsIn:
 		if s := l.cells[e.key]; s != nil {
-			l.schedule(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
+			l.applyToCell(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
 		}
 	case inspectIn:
 		e.run()
@@ -249,24 +249,24 @@
 func (l *Loop) tick() {
 	now := l.opts.Clock.Now()
 	l.nextTick = now.Add(tickBusy)
-	l.member(now, member.Tick{})
-	l.takeMembers(now)
+	l.stepMembers(now, member.Tick{})
+	l.applyMembers(now)
 	l.callSeeds(now)
 	l.records.Tick(now)
 	for key, s := range l.cells {
-		l.schedule(now, key, s, cell.Tick{})
+		l.applyToCell(now, key, s, cell.Tick{})
 		if s.cachedQueriedAt.IsZero() {
-			l.askKept(now, key, s)
+			l.queryCachedParts(now, key, s)
 		}
 		if s.cell.Idle() && now.Sub(s.lastUsed) > cellIdleTimeout {
 			delete(l.cells, key)
 		}
 	}
-	l.tellTallies(now)
-	l.tellSeconds(now)
-	l.enter(now, entry.Tick{Lag: l.lag(now)})
+	l.sendTallies(now)
+	l.logCellStats(now)
+	l.stepEntry(now, entry.Tick{Lag: l.tickLag(now)})
 	l.flush(now)
-	l.tickDue = now.Add(l.tickAfter())
+	l.tickDue = now.Add(l.tickInterval())
 }
 
 // Members returns how many gateways are thought to be there, this one included.
--- a/services/mesh/loop_test.go
+++ b/services/mesh/loop_test.go
@@ -17,7 +17,7 @@
 // A process that is killed and started again within a second numbers its
 // requests anew; a scheduler that still knows the old ones must not mistake
 // them.
-func TestLivesDoNotShareNumbers(t *testing.T) {
+func TestRequestIDsDifferBetweenIncarnations(t *testing.T) {
 	const perLife = 100_000
 	seen := map[uint64]uint64{}
 	for life := uint64(1_860_956_372_910_583); life < 1_860_956_372_910_583+2000; life++ {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	v := follow.Versions{Configuration: 3, Targets: 9, ConfigurationAge: 1_000_000, TargetsAge: 5_000_000_000}
 	if got := versionsFromWire(versionsToWire(v)); got != v {
 		t.Errorf("%+v became %+v", v, got)
--- a/services/mesh/outbox.go
+++ b/services/mesh/outbox.go
@@ -18,7 +18,7 @@
 
 func (l *Loop) send(to string, f *wire.Frame) {
 	if link := l.link(to); link != nil {
-		l.traffic.note(sentToPeers, f)
+		l.traffic.countFrame(sentToPeers, f)
 		link.Send(f)
 	}
 }
--- a/services/mesh/second.go
+++ b/services/mesh/second.go
@@ -18,10 +18,10 @@
 	counts cell.Counts
 }
 
-// tellSeconds writes a line for each cell that did anything in the last second:
+// logCellStats writes a line for each cell that did anything in the last second:
 // what was asked for, placed and refused, what engines read and read again, and how
 // much of their time that took.
-func (l *Loop) tellSeconds(now time.Time) {
+func (l *Loop) logCellStats(now time.Time) {
 	for key, s := range l.cells {
 		if now.Sub(s.lastStats.at) < statsInterval {
 			continue
@@ -29,12 +29,12 @@
 		before := s.lastStats
 		s.lastStats = statsSample{now, s.cell.Counts(now)}
 		if !before.at.IsZero() {
-			l.tellSecond(key, before, s, s.cell.Load(now))
+			l.logCell(key, before, s, s.cell.Load(now))
 		}
 	}
 }
 
-func (l *Loop) tellSecond(key cell.Key, before statsSample, s *cellScheduler, load cell.Load) {
+func (l *Loop) logCell(key cell.Key, before statsSample, s *cellScheduler, load cell.Load) {
 	a, b := before.counts, s.lastStats.counts
 	if a.Asked == b.Asked {
 		return // nothing to do, or another gateway has taken the cell over
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -13,7 +13,7 @@
 	"madderway/services/peerwire"
 )
 
-func (l *Loop) member(now time.Time, ev member.Event) {
+func (l *Loop) stepMembers(now time.Time, ev member.Event) {
 	for _, a := range l.members.Step(now, ev) {
 		switch a := a.(type) {
 		case member.SendHeartbeat:
@@ -26,9 +26,9 @@
 				link.Reconnect()
 			}
 			for key, s := range l.cells {
-				l.schedule(now, key, s, cell.EntryGone{Entry: a.ID})
+				l.applyToCell(now, key, s, cell.EntryGone{Entry: a.ID})
 			}
-			l.enter(now, entry.PeerRestarted{ID: a.ID})
+			l.stepEntry(now, entry.PeerRestarted{ID: a.ID})
 			l.records.Forget(a.ID)
 			if l.opts.OnIncarnationEnd != nil {
 				l.opts.OnIncarnationEnd(a.ID)
@@ -43,60 +43,60 @@
 	hb.RequestDigest = l.records.Digest()
 }
 
-// frame takes what a peer sent. Inventories come before asks, so that a new
+// handleFrame takes what a peer sent. Inventories come before asks, so that a new
 // scheduler knows the load before it places anything.
-func (l *Loop) frame(now time.Time, peer string, f *wire.Frame) {
-	l.traffic.note(receivedFromPeers, f)
+func (l *Loop) handleFrame(now time.Time, peer string, f *wire.Frame) {
+	l.traffic.countFrame(receivedFromPeers, f)
 	if link := l.links[peer]; link != nil {
 		link.ResetBackoff()
 	}
 	if f.Heartbeat != nil {
-		l.takeHeartbeat(now, peer, f.Heartbeat)
+		l.handleHeartbeat(now, peer, f.Heartbeat)
 	}
 	if f.Versions != nil {
 		l.opts.Follow.PeerVersions(peer, versionsFromWire(f.Versions))
 	}
-	l.enter(now, entry.PeerHeard{ID: peer})
+	l.stepEntry(now, entry.PeerHeard{ID: peer})
 	if len(f.RequestRecords) > 0 || f.RequestRecordsAsk {
 		l.records.Receive(now, peer, f)
 	}
 	for _, p := range f.EngineProgress {
 		if ev := progressEvent(peer, p); ev != nil {
-			l.toCell(now, cell.Key(p.Cell), ev)
+			l.routeToCell(now, cell.Key(p.Cell), ev)
 		}
 	}
 	for _, t := range f.EngineTallies {
-		l.takeTally(now, peer, t)
+		l.handleTally(now, peer, t)
 	}
 	for _, inv := range f.EngineInventories {
-		l.toCell(now, cell.Key(inv.Cell), inventoryFromWire(peer, inv))
+		l.routeToCell(now, cell.Key(inv.Cell), inventoryFromWire(peer, inv))
 	}
 	for _, a := range f.EngineAsks {
-		l.toCell(now, cell.Key(a.Cell), cell.AskSeen{Entry: peer, Ask: askFromWire(a)})
+		l.routeToCell(now, cell.Key(a.Cell), cell.AskSeen{Entry: peer, Ask: askFromWire(a)})
 	}
 	for _, p := range f.EnginePlacements {
-		l.enter(now, entry.PlacementSeen{From: peer, Cell: cell.Key(p.Cell), ID: cell.RequestID(p.Id), Target: p.Target, Source: p.Source})
+		l.stepEntry(now, entry.PlacementSeen{From: peer, Cell: cell.Key(p.Cell), ID: cell.RequestID(p.Id), Target: p.Target, Source: p.Source})
 	}
 	for _, w := range f.EngineWaits {
-		l.enter(now, entry.WaitSeen{From: peer, ID: cell.RequestID(w.Id)})
+		l.stepEntry(now, entry.WaitSeen{From: peer, ID: cell.RequestID(w.Id)})
 	}
 	for _, r := range f.EngineRefusals {
-		l.enter(now, entry.RefusalSeen{From: peer, ID: cell.RequestID(r.Id), RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond, Elsewhere: r.Elsewhere})
+		l.stepEntry(now, entry.RefusalSeen{From: peer, ID: cell.RequestID(r.Id), RetryAfter: time.Duration(r.RetryAfterMs) * time.Millisecond, Elsewhere: r.Elsewhere})
 	}
 }
 
-func (l *Loop) takeHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
+func (l *Loop) handleHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
 	seen, ok := peerwire.HeartbeatFromWire(peer, hb)
 	if !ok {
 		l.log.Warn("Dropped a heartbeat that is not the sender's own.", "peer", peer)
 		return
 	}
-	l.member(now, seen)
+	l.stepMembers(now, seen)
 	l.opts.Follow.PeerVersions(peer, versionsFromWire(hb.Versions))
 	l.records.Compare(now, peer, hb.RequestDigest)
 }
 
-func (l *Loop) enter(now time.Time, ev entry.Event) {
+func (l *Loop) stepEntry(now time.Time, ev entry.Event) {
 	for _, a := range l.entry.Step(now, ev) {
 		l.entryAction(now, a)
 	}
@@ -107,7 +107,7 @@
 	switch a := a.(type) {
 	case entry.AskOut:
 		if a.To == self {
-			l.toCell(now, a.Cell, cell.AskSeen{Entry: self, Ask: a.Ask})
+			l.routeToCell(now, a.Cell, cell.AskSeen{Entry: self, Ask: a.Ask})
 			return
 		}
 		f := l.out.Frame(now, a.To, false)
@@ -115,14 +115,14 @@
 	case entry.ProgressOut:
 		p := &wire.EngineProgress{Cell: string(a.Cell), Id: uint64(a.ID), Step: wire.EngineStep(a.Step), Outcome: uint32(a.Outcome)}
 		if a.To == self {
-			l.toCell(now, a.Cell, progressEvent(self, p))
+			l.routeToCell(now, a.Cell, progressEvent(self, p))
 			return
 		}
 		f := l.out.Frame(now, a.To, false)
 		f.EngineProgress = append(f.EngineProgress, p)
 	case entry.InventoryOut:
 		if a.To == self {
-			l.toCell(now, a.Cell, cell.InventorySeen{Entry: self, Held: a.Held})
+			l.routeToCell(now, a.Cell, cell.InventorySeen{Entry: self, Held: a.Held})
 			return
 		}
 		inv := &wire.EngineInventory{Cell: string(a.Cell)}
@@ -132,31 +132,31 @@
 		f := l.out.Frame(now, a.To, true)
 		f.EngineInventories = append(f.EngineInventories, inv)
 	case entry.Start:
-		l.decide(a.ID, Decision{Target: a.Target, Source: a.Source, Scheduler: a.Scheduler, Waited: a.Waited})
+		l.deliver(a.ID, Decision{Target: a.Target, Source: a.Source, Scheduler: a.Scheduler, Waited: a.Waited})
 	case entry.Refuse:
-		l.decide(a.ID, Decision{Scheduler: a.Scheduler, RetryAfter: a.RetryAfter})
+		l.deliver(a.ID, Decision{Scheduler: a.Scheduler, RetryAfter: a.RetryAfter})
 	case entry.Suspect:
 		l.log.Warn("Scheduler silent.", "id", a.ID, "cell", a.Cell, "passed over for", a.For)
 	}
 }
 
-func (l *Loop) decide(id cell.RequestID, d Decision) {
-	ch := l.answers[id]
+func (l *Loop) deliver(id cell.RequestID, d Decision) {
+	ch := l.decisions[id]
 	if ch == nil {
 		return
 	}
-	delete(l.answers, id)
+	delete(l.decisions, id)
 	ch <- d
 }
 
-func (l *Loop) toCell(now time.Time, key cell.Key, ev cell.Event) {
+func (l *Loop) routeToCell(now time.Time, key cell.Key, ev cell.Event) {
 	if l.layout.Group(key) == nil && l.cells[key] == nil {
 		return // this gateway does not know the cell yet; the asker goes on elsewhere
 	}
-	l.schedule(now, key, l.cellOf(now, key), ev)
+	l.applyToCell(now, key, l.schedulerOf(now, key), ev)
 }
 
-func (l *Loop) schedule(now time.Time, key cell.Key, s *cellScheduler, ev cell.Event) {
+func (l *Loop) applyToCell(now time.Time, key cell.Key, s *cellScheduler, ev cell.Event) {
 	s.cell.Apply(now, ev)
 	l.undecided[key] = s
 }
@@ -183,7 +183,7 @@
 				"subject", a.Affinity, "target", a.Target, "tokens", a.RereadTokens, "why", a.Reason, "waited", a.Waited)
 		}
 		if a.Entry == self {
-			l.enter(now, entry.PlacementSeen{From: self, Cell: key, ID: a.ID, Target: a.Target, Source: a.Source})
+			l.stepEntry(now, entry.PlacementSeen{From: self, Cell: key, ID: a.ID, Target: a.Target, Source: a.Source})
 			return
 		}
 		f := l.out.Frame(now, a.Entry, false)
@@ -199,7 +199,7 @@
 		l.log.Request("Request refused.", "cell", key, "entry", a.Entry, "number", a.ID, "account", a.Account, "waited", a.Waited,
 			"ahead", int64(a.Ahead), "booked", a.Booked, "waiting", a.Waiting, "retry_after", a.RetryAfter, "elsewhere", a.Elsewhere)
 		if a.Entry == self {
-			l.enter(now, entry.RefusalSeen{From: self, ID: a.ID, RetryAfter: a.RetryAfter, Elsewhere: a.Elsewhere})
+			l.stepEntry(now, entry.RefusalSeen{From: self, ID: a.ID, RetryAfter: a.RetryAfter, Elsewhere: a.Elsewhere})
 			return
 		}
 		f := l.out.Frame(now, a.Entry, false)
--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -56,9 +56,9 @@
 	return out
 }
 
-// tellTallies tells the schedulers of a service's other cells what the cells here have
+// sendTallies tells the schedulers of a service's other cells what the cells here have
 // given, all of them together: cells that one gateway schedules hear of each other here.
-func (l *Loop) tellTallies(now time.Time) {
+func (l *Loop) sendTallies(now time.Time) {
 	if now.Before(l.nextTally) {
 		return
 	}
@@ -78,19 +78,19 @@
 		l.served[g.Service].add(rows)
 		for _, other := range l.layout.Siblings(g) {
 			if sibling := l.cells[other.Key]; sibling != nil {
-				l.schedule(now, other.Key, sibling, cell.SiblingTallySeen{Rows: rows})
+				l.applyToCell(now, other.Key, sibling, cell.SiblingTallySeen{Rows: rows})
 			}
 		}
 	}
 	for service, sums := range l.served {
 		if rows := sums.grownRows(); len(rows) > 0 {
-			l.spread(now, service, &wire.EngineTally{Service: service, Incarnation: l.opts.Self.Incarnation, Rows: rows})
+			l.broadcastTally(now, service, &wire.EngineTally{Service: service, Incarnation: l.opts.Self.Incarnation, Rows: rows})
 		}
 	}
 }
 
-// spread sends a tally once to each other gateway that schedules a cell of the service.
-func (l *Loop) spread(now time.Time, service string, t *wire.EngineTally) {
+// broadcastTally sends a tally once to each other gateway that schedules a cell of the service.
+func (l *Loop) broadcastTally(now time.Time, service string, t *wire.EngineTally) {
 	told := map[string]bool{l.opts.Self.ID: true}
 	for _, g := range l.layout.GroupsOf(service) {
 		if len(g.Schedulers()) == 0 || told[g.Schedulers()[0]] {
@@ -103,15 +103,15 @@
 	}
 }
 
-// takeTally gives a tally to all cells of its service that are scheduled here.
-func (l *Loop) takeTally(now time.Time, from string, t *wire.EngineTally) {
+// handleTally gives a tally to all cells of its service that are scheduled here.
+func (l *Loop) handleTally(now time.Time, from string, t *wire.EngineTally) {
 	ev := cell.TallySeen{Source: from, Incarnation: t.Incarnation}
 	for _, row := range t.Rows {
 		ev.Rows = append(ev.Rows, cell.TallyRow{Account: row.Account, Service: row.Service, Before: row.Before})
 	}
 	for _, g := range l.layout.GroupsOf(t.Service) {
 		if s := l.cells[g.Key]; s != nil {
-			l.schedule(now, g.Key, s, ev)
+			l.applyToCell(now, g.Key, s, ev)
 		}
 	}
 }
--- a/services/mesh/tally_test.go
+++ b/services/mesh/tally_test.go
@@ -11,7 +11,7 @@
 
 // What the cells of one gateway gave goes to others in one row an account, as a sum, and
 // only where it has grown.
-func TestCellsOfAGatewayTellTogether(t *testing.T) {
+func TestServiceTotalsSendOnlyGrownRows(t *testing.T) {
 	g := serviceTotals{}
 	g.add([]cell.TallyRow{{Account: "b", Service: 5}, {Account: "a", Service: 2}})
 	g.add([]cell.TallyRow{{Account: "b", Service: 7}})
--- a/services/mesh/traffic.go
+++ b/services/mesh/traffic.go
@@ -32,8 +32,8 @@
 
 func newTraffic() traffic { return traffic{set: metrics.NewSet()} }
 
-// note counts a frame.
-func (t *traffic) note(direction string, f *wire.Frame) {
+// countFrame counts a frame.
+func (t *traffic) countFrame(direction string, f *wire.Frame) {
 	t.frames++
 	if t.frames%frameSampling != 0 {
 		return
@@ -57,8 +57,8 @@
 	add("request_record", sizeOfAll(f.RequestRecords))
 }
 
-// noteState counts a configuration or list of targets that a peer was given.
-func (t *traffic) noteState(targets bool, size int) {
+// countState counts a configuration or list of targets that a peer was given.
+func (t *traffic) countState(targets bool, size int) {
 	kind := "configuration"
 	if targets {
 		kind = "targets"
--- a/services/mesh/traffic_test.go
+++ b/services/mesh/traffic_test.go
@@ -12,13 +12,13 @@
 )
 
 // Of a run of equal frames as many bytes are told as were sent.
-func TestTrafficIsToldByKind(t *testing.T) {
+func TestTrafficIsCountedByKind(t *testing.T) {
 	tr := newTraffic()
 	f := &wire.Frame{EngineAsks: []*wire.EngineAsk{{Cell: "s/0", Id: 1}}, Versions: &wire.Versions{Configuration: 1}}
 	for range 10 * frameSampling {
-		tr.note(sentToPeers, f)
+		tr.countFrame(sentToPeers, f)
 	}
-	tr.noteState(true, 1000)
+	tr.countState(true, 1000)
 	var out bytes.Buffer
 	tr.set.WritePrometheus(&out)
 	for _, line := range []string{
