--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -27,18 +27,18 @@
 )
 
 const (
-	// dialTime is how long a gateway of the same hall may take to answer: the request that
+	// dialTimeout is how long a gateway of the same hall may take to answer: the request that
 	// is to be handed over waits meanwhile. Who hands over is late itself.
-	dialTime = time.Second
-	// idleAfter is how long a connection stays open unused: floods come in waves of seconds.
-	idleAfter = 10 * time.Second
-	// probeEvery is how often the other gateway must say something while it has requests of
+	dialTimeout = time.Second
+	// idleTimeout is how long a connection stays open unused: floods come in waves of seconds.
+	idleTimeout = 10 * time.Second
+	// probeInterval is how often the other gateway must say something while it has requests of
 	// this one. Silence at silentProbes probes in a row ends the connection: it can go silent
 	// while the heartbeats, which have one of their own, still come.
-	probeEvery   = time.Second
-	silentProbes = 3
-	// tries is how many gateways are tried for one request.
-	tries = 2
+	probeInterval   = time.Second
+	maxMissedProbes = 3
+	// maxAttempts is how many gateways are tried for one request.
+	maxAttempts = 2
 )
 
 // ErrNoPeer tells that there is no gateway to hand a request over to.
@@ -151,7 +151,7 @@
 // request is written, which may be long after Send is called.
 func (s *Service) Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*Handover, error) {
 	err := error(ErrNoPeer)
-	for range tries {
+	for range maxAttempts {
 		p := s.choose()
 		if p == nil {
 			return nil, err
@@ -202,10 +202,10 @@
 	if p.gone || !s.t.Alive() {
 		return nil, ErrNoPeer
 	}
-	ctx, cancel := context.WithTimeout(ctx, dialTime)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := peernet.DialRelay(ctx, peernet.RelayOptions{
-		Auth: s.opts.Auth, Meter: s.opts.Meter, Address: p.Address, DialTimeout: dialTime,
+		Auth: s.opts.Auth, Meter: s.opts.Meter, Address: p.Address, DialTimeout: dialTimeout,
 	})
 	if err != nil {
 		return nil, err
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -281,12 +281,12 @@
 				over = true
 			default:
 				if c.PendingTimers() > 0 {
-					c.Advance(probeEvery)
+					c.Advance(probeInterval)
 					probes++
 				}
 			}
 		}
-		if want := map[bool]int{true: silentProbes, false: int(idleAfter / probeEvery)}[used]; probes < want || probes > want+2 {
+		if want := map[bool]int{true: maxMissedProbes, false: int(idleTimeout / probeInterval)}[used]; probes < want || probes > want+2 {
 			t.Errorf("used %v: ended after %d probes", used, probes)
 		}
 		if used {
@@ -300,13 +300,13 @@
 	f.Add([]byte("some bytes"), []byte("of two frames"), uint8(3))
 	f.Add([]byte{}, []byte{0}, uint8(0))
 	f.Fuzz(func(t *testing.T, first, second []byte, size uint8) {
-		if len(first) > maxFrame || len(second) > maxFrame {
+		if len(first) > maxFrameSize || len(second) > maxFrameSize {
 			return
 		}
 		var sent []byte
 		for i, b := range [][]byte{first, second} {
 			var head [HeaderSize]byte
-			putHead(head[:], kindPart+kind(i), uint32(i), len(b))
+			putHeader(head[:], kindData+kind(i), uint32(i), len(b))
 			sent = append(append(sent, head[:]...), b...)
 		}
 		var d decoder
@@ -314,7 +314,7 @@
 		for len(sent) > 0 {
 			n := min(int(size)+1, len(sent))
 			err := d.feed(sent[:n], func(fr frame, piece []byte, last bool) {
-				if fr.kind != kindPart+kind(fr.number) {
+				if fr.kind != kindData+kind(fr.number) {
 					t.Fatalf("frame %+v", fr)
 				}
 				got[fr.number] += string(piece)
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -130,7 +130,7 @@
 	t.next++
 	h.number = t.next
 	t.handed[h.number] = h
-	putHead(o.frame, kindEnd, h.number, len(o.frame)-HeaderSize)
+	putHeader(o.frame, kindEnd, h.number, len(o.frame)-HeaderSize)
 	t.queue = append(t.queue, o)
 	if t.first.IsZero() {
 		t.first = o.since
@@ -254,7 +254,7 @@
 // signal sends a frame without bytes.
 func (t *tunnel) signal(k kind, number uint32) error {
 	var b [HeaderSize]byte
-	putHead(b[:], k, number, 0)
+	putHeader(b[:], k, number, 0)
 	t.mu.Lock()
 	closed := t.closed
 	t.signals = append(t.signals, b[:]...)
@@ -306,7 +306,7 @@
 	if len(piece) > 0 {
 		h.pass(piece)
 	}
-	if !last || f.kind == kindPart {
+	if !last || f.kind == kindData {
 		return
 	}
 	t.forget(h)
@@ -331,7 +331,7 @@
 func (t *tunnel) probe(c clock.Clock) {
 	silent, unused := 0, time.Duration(0)
 	for {
-		<-c.After(probeEvery)
+		<-c.After(probeInterval)
 		t.mu.Lock()
 		closed, used := t.closed, len(t.handed) > 0
 		t.mu.Unlock()
@@ -342,11 +342,11 @@
 		if t.heard.Swap(false) || !used {
 			silent = 0
 		}
-		unused += probeEvery
+		unused += probeInterval
 		if used {
 			unused = 0
 		}
-		if silent >= silentProbes || unused >= idleAfter || used && t.signal(kindProbe, 0) != nil {
+		if silent >= maxMissedProbes || unused >= idleTimeout || used && t.signal(kindProbe, 0) != nil {
 			t.close()
 			return
 		}
