--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -74,7 +74,7 @@
 type peer struct {
 	Peer
 	mu     sync.Mutex // mu is held while the connection is opened.
-	gone   bool
+	closed bool
 	tunnel atomic.Pointer[tunnel] // tunnel is nil where none was opened.
 }
 
@@ -86,7 +86,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, p := range s.peers {
-			go p.end()
+			go p.close()
 		}
 		return nil
 	})
@@ -106,7 +106,7 @@
 			continue
 		}
 		if known != nil {
-			go known.end()
+			go known.close()
 		}
 		s.peers[p.ID] = &peer{Peer: p}
 	}
@@ -119,7 +119,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.peers[id]; p != nil {
-		go p.end()
+		go p.close()
 		delete(s.peers, id)
 	}
 }
@@ -139,7 +139,7 @@
 	longest := time.Duration(0)
 	for _, p := range s.peers {
 		if t := p.tunnel.Load(); t != nil {
-			longest = max(longest, t.waiting(now))
+			longest = max(longest, t.oldestWait(now))
 		}
 	}
 	return longest
@@ -164,11 +164,11 @@
 			}
 		}
 		if errors.Is(err, ErrCallerDisconnected) {
-			s.ended(p.ID)
+			s.finished(p.ID)
 			return nil, err
 		}
 		if errors.Is(err, ErrCongested) {
-			s.ended(p.ID)
+			s.finished(p.ID)
 			continue
 		}
 		s.failed(p, err)
@@ -199,7 +199,7 @@
 	if t := p.tunnel.Load(); t != nil && !t.isClosed() {
 		return t, nil
 	}
-	if p.gone || !s.t.Alive() {
+	if p.closed || !s.t.Alive() {
 		return nil, ErrNoPeer
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -213,8 +213,8 @@
 	t := newTunnel(conn, s.opts.Clock)
 	p.tunnel.Store(t)
 	s.log.Info("Hands requests over.", "peer", p.ID, "address", p.Address)
-	go t.read()
-	go t.probe(s.opts.Clock)
+	go t.readLoop()
+	go t.probeLoop(s.opts.Clock)
 	return t, nil
 }
 
@@ -230,17 +230,17 @@
 	}
 }
 
-func (s *Service) ended(id string) {
+func (s *Service) finished(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooser.Ended(id)
 }
 
-// end closes the connection to a gateway for good.
-func (p *peer) end() {
+// close closes the connection to a gateway for good.
+func (p *peer) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gone = true
+	p.closed = true
 	if t := p.tunnel.Load(); t != nil {
 		t.close()
 	}
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -25,22 +25,22 @@
 
 const key = "a key of the test"
 
-// far is another gateway. It answers with the path of what it is asked for, and "/wait" when
+// remoteGateway is another gateway. It answers with the path of what it is asked for, and "/wait" when
 // it is told to.
-type far struct {
+type remoteGateway struct {
 	Peer
 	t       *tomb.Tomb
-	waiting chan struct{} // waiting gets a value for each request that waits.
+	blocked chan struct{} // waiting gets a value for each request that waits.
 	release chan struct{}
 }
 
-func (*far) HandleFrame(string, *wire.Frame) {}
+func (*remoteGateway) HandleFrame(string, *wire.Frame) {}
 
-func (*far) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{} }
+func (*remoteGateway) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{} }
 
-func (f *far) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *remoteGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/wait" {
-		f.waiting <- struct{}{}
+		f.blocked <- struct{}{}
 		select {
 		case <-f.release:
 		case <-r.Context().Done():
@@ -48,35 +48,35 @@
 		}
 	}
 	if r.URL.Path == "/long" {
-		_, _ = io.WriteString(w, strings.Repeat("x", longAnswer))
+		_, _ = io.WriteString(w, strings.Repeat("x", longAnswerSize))
 	}
 	_, _ = io.WriteString(w, r.URL.Path)
 }
 
-// longAnswer is more than the buffers of a connection take that are made small.
-const longAnswer = 300 << 10
+// longAnswerSize is more than the buffers of a connection take that are made small.
+const longAnswerSize = 300 << 10
 
-func newFar(t *testing.T, id string) *far {
+func newRemoteGateway(t *testing.T, id string) *remoteGateway {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &far{
+	f := &remoteGateway{
 		Peer: Peer{ID: id, Incarnation: 1, Address: l.Addr().String(), Strength: 0.2}, t: &tomb.Tomb{},
-		waiting: make(chan struct{}, 8), release: make(chan struct{}),
+		blocked: make(chan struct{}, 8), release: make(chan struct{}),
 	}
 	peernet.NewRelayServer(f.t, log.New("far"), peernet.NewSharedKey(id, key), &peernet.Meter{}, l, f, NewServer(log.New("far"), f))
 	t.Cleanup(f.stop)
 	return f
 }
 
-func (f *far) stop() {
+func (f *remoteGateway) stop() {
 	f.t.Kill(nil)
 	_ = f.t.Wait()
 }
 
-func newNear(t *testing.T, key string, c clock.Clock) *Service {
+func newService(t *testing.T, key string, c clock.Clock) *Service {
 	t.Helper()
 	var owner tomb.Tomb
 	s := New(&owner, log.New("relay"), Options{Auth: peernet.NewSharedKey("near", key), Meter: &peernet.Meter{}, Clock: c})
@@ -87,8 +87,8 @@
 	return s
 }
 
-// connection returns both ends of a connection with small buffers.
-func connection(t *testing.T) (near, caller net.Conn) {
+// connectionPair returns both ends of a connectionPair with small buffers.
+func connectionPair(t *testing.T) (near, caller net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -101,25 +101,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const small = 2 * freeBytes
+	const small = 2 * untimedBytes
 	_, _ = caller.(*net.TCPConn).SetReadBuffer(small), near.(*net.TCPConn).SetWriteBuffer(small)
 	t.Cleanup(func() { _ = caller.Close() })
 	return near, caller
 }
 
-// ask hands a request for a path over; the caller's end of its connection is returned.
-func ask(t *testing.T, s *Service, path string) (*Handover, net.Conn, error) {
+// sendRequest hands a request for a path over; the caller's end of its connection is returned.
+func sendRequest(t *testing.T, s *Service, path string) (*Handover, net.Conn, error) {
 	t.Helper()
-	near, caller := connection(t)
-	h, err := s.Send(t.Context(), append(make([]byte, HeaderSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, stays)
+	near, caller := connectionPair(t)
+	h, err := s.Send(t.Context(), append(make([]byte, HeaderSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, connected)
 	return h, caller, err
 }
 
-// stays is a caller who does not leave.
-func stays() bool { return false }
+// connected is a caller who does not leave.
+func connected() bool { return false }
 
-// answered reads the answer of a request and waits for its end.
-func answered(t *testing.T, h *Handover, caller net.Conn, want string) {
+// checkAnswer reads the answer of a request and waits for its end.
+func checkAnswer(t *testing.T, h *Handover, caller net.Conn, want string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || !strings.HasSuffix(string(body), want) || want == "/long" && len(body) != longAnswer+len(want) {
+	if err != nil || !strings.HasSuffix(string(body), want) || want == "/long" && len(body) != longAnswerSize+len(want) {
 		t.Fatalf("%d bytes, %v", len(body), err)
 	}
 	<-h.Done()
@@ -139,56 +139,56 @@
 // Requests under way at the same time get their own answers, in any order, over one
 // connection.
 func TestAnswersFindTheirCallers(t *testing.T) {
-	s, f := newNear(t, key, clock.System{}), newFar(t, "far")
+	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	slow, slowCaller, err := ask(t, s, "/wait")
+	slow, slowCaller, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-f.waiting
+	<-f.blocked
 	for _, path := range []string{"/a", "/b", "/c"} {
-		h, caller, err := ask(t, s, path)
+		h, caller, err := sendRequest(t, s, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answered(t, h, caller, path)
+		checkAnswer(t, h, caller, path)
 	}
 	close(f.release)
-	answered(t, slow, slowCaller, "/wait")
+	checkAnswer(t, slow, slowCaller, "/wait")
 }
 
 // A caller that does not read holds nobody else up, and gets all of its answer in the end.
 func TestSlowCallerHoldsNobodyUp(t *testing.T) {
-	s, f := newNear(t, key, clock.System{}), newFar(t, "far")
+	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	slow, slowCaller, err := ask(t, s, "/long")
+	slow, slowCaller, err := sendRequest(t, s, "/long")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, caller, err := ask(t, s, "/other")
+	h, caller, err := sendRequest(t, s, "/other")
 	if err != nil {
 		t.Fatal(err)
 	}
-	answered(t, h, caller, "/other")
-	answered(t, slow, slowCaller, "/long")
+	checkAnswer(t, h, caller, "/other")
+	checkAnswer(t, slow, slowCaller, "/long")
 }
 
 // What is given up ends at the other gateway, and what is under way ends where that is gone.
 func TestEndsOnBothSides(t *testing.T) {
-	s, f := newNear(t, key, clock.System{}), newFar(t, "far")
+	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	given, _, err := ask(t, s, "/wait")
+	given, _, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-f.waiting
+	<-f.blocked
 	given.Cancel()
 	<-given.Done()
-	lost, _, err := ask(t, s, "/wait")
+	lost, _, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-f.waiting
+	<-f.blocked
 	s.Disconnect("far")
 	<-lost.Done()
 	for _, h := range []*Handover{given, lost} {
@@ -197,7 +197,7 @@
 		}
 	}
 	s.SetPeers(nil)
-	if _, _, err := ask(t, s, "/a"); !errors.Is(err, ErrNoPeer) || s.Available() {
+	if _, _, err := sendRequest(t, s, "/a"); !errors.Is(err, ErrNoPeer) || s.Available() {
 		t.Errorf("handed one more over: %v", err)
 	}
 }
@@ -205,18 +205,18 @@
 // A gateway that refuses the connection is left out for a while; another one is taken.
 func TestUnreachableGatewayIsLeftOut(t *testing.T) {
 	c := clock.NewFake()
-	s, f, gone := newNear(t, key, c), newFar(t, "far"), newFar(t, "gone")
+	s, f, gone := newService(t, key, c), newRemoteGateway(t, "far"), newRemoteGateway(t, "gone")
 	gone.stop()
 	s.SetPeers([]Peer{f.Peer, gone.Peer})
 	for range 20 {
-		h, caller, err := ask(t, s, "/a")
+		h, caller, err := sendRequest(t, s, "/a")
 		if err != nil {
 			t.Fatal(err)
 		}
-		answered(t, h, caller, "/a")
+		checkAnswer(t, h, caller, "/a")
 	}
 	s.SetPeers([]Peer{gone.Peer})
-	if _, _, err := ask(t, s, "/a"); err == nil || s.Available() {
+	if _, _, err := sendRequest(t, s, "/a"); err == nil || s.Available() {
 		t.Errorf("handed over to nobody: %v", err)
 	}
 	c.Advance(5 * time.Second)
@@ -227,9 +227,9 @@
 
 // A gateway with another key is not served.
 func TestStrangersAreNotServed(t *testing.T) {
-	s, f := newNear(t, "another key", clock.System{}), newFar(t, "far")
+	s, f := newService(t, "another key", clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	h, _, err := ask(t, s, "/a")
+	h, _, err := sendRequest(t, s, "/a")
 	if err != nil {
 		return // the connection was closed before the request was written
 	}
@@ -260,19 +260,19 @@
 // carries nothing ends only after a while.
 func TestSilentConnectionEnds(t *testing.T) {
 	c := clock.NewFake()
-	s := newNear(t, key, c)
-	near, _ := connection(t)
+	s := newService(t, key, c)
+	near, _ := connectionPair(t)
 	for _, used := range []bool{true, false} {
 		tunnel := newTunnel(&silentConn{closed: make(chan struct{})}, clock.System{})
 		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		if used {
-			if err := tunnel.send(h, make([]byte, HeaderSize+1), stays); err != nil {
+			if err := tunnel.send(h, make([]byte, HeaderSize+1), connected); err != nil {
 				t.Fatal(err)
 			}
 		}
 		ended, probes := make(chan struct{}), 0
 		go func() {
-			tunnel.probe(c)
+			tunnel.probeLoop(c)
 			close(ended)
 		}()
 		for over := false; !over; {
@@ -343,20 +343,20 @@
 	}
 }
 
-// stuckConn takes nothing until it is told to.
-type stuckConn struct {
+// blockingConn takes nothing until it is told to.
+type blockingConn struct {
 	net.Conn
-	writes chan int      // writes gets the size of each write.
-	goOn   chan struct{} // goOn lets one write return.
+	writes  chan int      // writes gets the size of each write.
+	release chan struct{} // goOn lets one write return.
 }
 
-func (c *stuckConn) Write(b []byte) (int, error) {
+func (c *blockingConn) Write(b []byte) (int, error) {
 	c.writes <- len(b)
-	<-c.goOn
+	<-c.release
 	return len(b), nil
 }
-func (c *stuckConn) SetWriteDeadline(time.Time) error { return nil }
-func (c *stuckConn) Close() error                     { return nil }
+func (c *blockingConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *blockingConn) Close() error                     { return nil }
 
 // A gateway that had no time came to its connections to others each 100 to 350 ms: requests
 // waited for up to five seconds until they were written, and the word that a caller had left
@@ -364,9 +364,9 @@
 // and 82 of 105 runs went on for nobody. What is written is asked for right before, and that a
 // caller has left goes first.
 func TestNothingIsWrittenForThoseWhoHaveLeft(t *testing.T) {
-	s := newNear(t, key, clock.System{})
-	near, _ := connection(t)
-	conn := &stuckConn{writes: make(chan int), goOn: make(chan struct{})}
+	s := newService(t, key, clock.System{})
+	near, _ := connectionPair(t)
+	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
 	const size = 16 << 10
 	send := func(left func() bool) (*Handover, chan error) {
@@ -375,7 +375,7 @@
 		go func() { sent <- tunnel.send(h, make([]byte, size), left) }()
 		return h, sent
 	}
-	_, first := send(stays)
+	_, first := send(connected)
 	if n := <-conn.writes; n != size {
 		t.Fatalf("%d bytes of the first request are written", n)
 	}
@@ -384,18 +384,18 @@
 		close(asked)
 		return true
 	})
-	canceled, _ := send(stays)
+	canceled, _ := send(connected)
 	for waiting := false; !waiting; runtime.Gosched() {
 		tunnel.mu.Lock()
-		waiting = len(tunnel.handed) == 3
+		waiting = len(tunnel.inFlight) == 3
 		tunnel.mu.Unlock()
 	}
 	canceled.Cancel() // returns though the connection takes nothing
-	conn.goOn <- struct{}{}
+	conn.release <- struct{}{}
 	if n := <-conn.writes; n != HeaderSize {
 		t.Errorf("%d bytes are written before the word that a caller has left", n)
 	}
-	close(conn.goOn)
+	close(conn.release)
 	go func() {
 		for range conn.writes {
 		}
@@ -416,27 +416,27 @@
 // the other gateway read them 0 to 3 ms later; meanwhile their callers left (397 were sent on for
 // nobody). One goroutine writes all that waits, without others having to run in between.
 func TestWhatWaitsIsWrittenByOneGoroutine(t *testing.T) {
-	s := newNear(t, key, clock.System{})
-	conn := &stuckConn{writes: make(chan int), goOn: make(chan struct{})}
+	s := newService(t, key, clock.System{})
+	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
 	var mu sync.Mutex
 	writers := map[string]int{}
 	asks := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		writers[goroutine()]++
+		writers[goroutineID()]++
 		return false
 	}
 	const requests = 20
 	sent := make(chan error, requests)
 	for range requests {
-		near, _ := connection(t)
+		near, _ := connectionPair(t)
 		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), asks) }()
 	}
 	for range requests {
 		<-conn.writes
-		conn.goOn <- struct{}{}
+		conn.release <- struct{}{}
 	}
 	for range requests {
 		if err := <-sent; err != nil {
@@ -448,8 +448,8 @@
 	}
 }
 
-// goroutine returns the number of the goroutine that asks.
-func goroutine() string {
+// goroutineID returns the number of the goroutineID that asks.
+func goroutineID() string {
 	var b [64]byte
 	fields := strings.Fields(string(b[:runtime.Stack(b[:], false)]))
 	return fields[1]
@@ -458,15 +458,15 @@
 // A request that waits for longer than a caller wants to wait is given back unsent, and how long
 // the first one waits is told meanwhile.
 func TestWhatWaitsTooLongIsNotWritten(t *testing.T) {
-	s := newNear(t, key, clock.System{})
-	near, _ := connection(t)
-	conn := &stuckConn{writes: make(chan int), goOn: make(chan struct{})}
+	s := newService(t, key, clock.System{})
+	near, _ := connectionPair(t)
+	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	c := clock.NewFake()
 	tunnel := newTunnel(conn, c)
 	send := func() chan error {
 		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		sent := make(chan error, 1)
-		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), stays) }()
+		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), connected) }()
 		return sent
 	}
 	first := send()
@@ -478,17 +478,17 @@
 		tunnel.mu.Unlock()
 	}
 	c.Advance(maxWait + time.Millisecond)
-	if w := tunnel.waiting(c.Now()); w <= maxWait {
+	if w := tunnel.oldestWait(c.Now()); w <= maxWait {
 		t.Errorf("the first request waits for %v", w)
 	}
-	conn.goOn <- struct{}{}
+	conn.release <- struct{}{}
 	if err := <-first; err != nil {
 		t.Error(err)
 	}
 	if err := <-late; !errors.Is(err, ErrCongested) {
 		t.Errorf("a request that waited for too long: %v", err)
 	}
-	if w := tunnel.waiting(c.Now()); w != 0 {
+	if w := tunnel.oldestWait(c.Now()); w != 0 {
 		t.Errorf("nothing waits, but for %v", w)
 	}
 }
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -50,7 +50,7 @@
 	defer cancel()
 	f := &serverConn{s: s, ctx: ctx, conn: conn, requests: map[uint32]*incomingRequest{}}
 	defer conn.Close()
-	buffer := make([]byte, readSize)
+	buffer := make([]byte, readBufferSize)
 	var d decoder
 	for {
 		n, err := conn.Read(buffer)
@@ -168,7 +168,7 @@
 func (f *serverConn) write(b []byte) error {
 	f.writeMu.Lock()
 	defer f.writeMu.Unlock()
-	err := f.conn.SetWriteDeadline(netopt.DeadlineIn(frameTime))
+	err := f.conn.SetWriteDeadline(netopt.DeadlineIn(frameTimeout))
 	if err == nil {
 		_, err = f.conn.Write(b)
 	}
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// readSize is how much is read of a connection at once: the events of many answers.
-	readSize = 64 << 10
-	// frameTime is how long the other gateway may take to read a frame.
-	frameTime = 3 * time.Second
-	// pieceTime is how long a caller may take to read a piece of an answer before the rest
+	// readBufferSize is how much is read of a connection at once: the events of many answers.
+	readBufferSize = 64 << 10
+	// frameTimeout is how long the other gateway may take to read a frame.
+	frameTimeout = 3 * time.Second
+	// chunkTimeout is how long a caller may take to read a piece of an answer before the rest
 	// is kept for it: other callers' answers come on the same connection.
-	pieceTime = 20 * time.Millisecond
-	// freeBytes is how much of an answer is written without that limit: the least buffer that
+	chunkTimeout = 20 * time.Millisecond
+	// untimedBytes is how much of an answer is written without that limit: the least buffer that
 	// the system has for a connection takes more. Most answers are shorter, and a limit for
 	// each piece took 8 % of the time of a gateway that hands a thousand requests a second
 	// over.
-	freeBytes = 8 << 10
+	untimedBytes = 8 << 10
 	// maxQueue is how many requests may wait for a connection, maxWait for how long: by then
 	// little is left of the time in which most callers want the first part of an answer.
 	maxQueue = 256
 	maxWait  = 500 * time.Millisecond
-	// maxKept is the most that is kept for a caller that reads slowly, keptTime how long it
+	// maxBuffered is the most that is kept for a caller that reads slowly, keptTime how long it
 	// may take to read it.
-	maxKept  = 1 << 20
-	keptTime = 10 * time.Second
+	maxBuffered     = 1 << 20
+	bufferedTimeout = 10 * time.Second
 )
 
 // ErrCallerDisconnected tells that a request was not handed over since its caller had left.
@@ -58,34 +58,34 @@
 	return errors.As(err, &e)
 }
 
-// longAgo is a deadline that is over.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that is over.
+var pastDeadline = time.Unix(1, 0)
 
 // tunnel is the near end of a connection to another gateway.
 type tunnel struct {
-	conn  net.Conn
-	clock clock.Clock
-	heard atomic.Bool // heard tells that something has come since the last probe.
+	conn     net.Conn
+	clock    clock.Clock
+	received atomic.Bool // heard tells that something has come since the last probe.
 
 	// queue holds requests that the writer has not taken yet, work tells it that there are some
 	// or signals.
-	queue []*outgoing
-	work  chan struct{}
-	first time.Time // first is when the first was enqueued that is not written; zero where none waits.
-
-	mu     sync.Mutex
-	next   uint32
-	handed map[uint32]*Handover // handed are the requests whose answers are not over.
-	closed bool
-	// signals are frames without bytes that go out before the next request: the message that a
+	queue  []*queuedRequest
+	wakeup chan struct{}
+	oldest time.Time // first is when the first was enqueued that is not written; zero where none waits.
+
+	mu         sync.Mutex
+	lastNumber uint32
+	inFlight   map[uint32]*Handover // handed are the requests whose answers are not over.
+	closed     bool
+	// control are frames without bytes that go out before the next request: the message that a
 	// caller has left does not wait behind the requests of others.
-	signals []byte
+	control []byte
 }
 
 // newTunnel starts a tunnel's writer, which ends when the tunnel is closed.
 func newTunnel(conn net.Conn, c clock.Clock) *tunnel {
-	t := &tunnel{conn: conn, clock: c, handed: map[uint32]*Handover{}, work: make(chan struct{}, 1)}
-	go t.write()
+	t := &tunnel{conn: conn, clock: c, inFlight: map[uint32]*Handover{}, wakeup: make(chan struct{}, 1)}
+	go t.writeLoop()
 	return t
 }
 
@@ -95,30 +95,30 @@
 	return t.closed
 }
 
-// outgoing is a request that waits for being written.
-type outgoing struct {
-	frame []byte
-	since time.Time   // since is when it was enqueued.
-	left  func() bool // left tells whether the caller has left.
-	done  chan error  // done gets what came of it.
+// queuedRequest is a request that waits for being written.
+type queuedRequest struct {
+	frame        []byte
+	enqueuedAt   time.Time   // since is when it was enqueued.
+	disconnected func() bool // left tells whether the caller has left.
+	result       chan error  // done gets what came of it.
 }
 
 // send sends a request, unless the caller has left when its turn comes; its head is written
 // into the buffer.
 func (t *tunnel) send(h *Handover, buffer []byte, left func() bool) error {
-	o := &outgoing{frame: buffer, since: t.clock.Now(), left: left, done: make(chan error, 1)}
+	o := &queuedRequest{frame: buffer, enqueuedAt: t.clock.Now(), disconnected: left, result: make(chan error, 1)}
 	if err := t.enqueue(h, o); err != nil {
 		return err
 	}
 	t.wake()
-	err := <-o.done
+	err := <-o.result
 	if err != nil {
-		t.forget(h)
+		t.remove(h)
 	}
 	return err
 }
 
-func (t *tunnel) enqueue(h *Handover, o *outgoing) error {
+func (t *tunnel) enqueue(h *Handover, o *queuedRequest) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
@@ -127,13 +127,13 @@
 	case len(t.queue) >= maxQueue:
 		return ErrCongested
 	}
-	t.next++
-	h.number = t.next
-	t.handed[h.number] = h
+	t.lastNumber++
+	h.number = t.lastNumber
+	t.inFlight[h.number] = h
 	putHeader(o.frame, kindEnd, h.number, len(o.frame)-HeaderSize)
 	t.queue = append(t.queue, o)
-	if t.first.IsZero() {
-		t.first = o.since
+	if t.oldest.IsZero() {
+		t.oldest = o.enqueuedAt
 	}
 	return nil
 }
@@ -141,107 +141,107 @@
 // wake has the writer look for work.
 func (t *tunnel) wake() {
 	select {
-	case t.work <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// write writes what waits until the connection is closed. It is the only goroutine that does: if
-// each request were written by its own, under a lock, a process that is short of time would write
+// writeLoop writes what waits until the connection is closed. It is the only goroutine that does: if
+// each request were written by its own, under a lock, a process that is short of time would writeLoop
 // one whenever the next goroutine in the line comes to run, and requests would wait for an idle
 // connection until their callers leave.
-func (t *tunnel) write() {
-	for range t.work {
+func (t *tunnel) writeLoop() {
+	for range t.wakeup {
 		queue, closed := t.takeQueue()
 		for i, o := range queue {
 			err := t.writeRequest(o)
-			t.setFirst(queue[i+1:])
-			o.done <- err
+			t.updateOldest(queue[i+1:])
+			o.result <- err
 		}
 		if !closed {
-			closed = t.writeSignals() != nil
+			closed = t.writeControl() != nil
 		}
 		if closed {
 			t.close()
-			t.endQueue()
+			t.failQueue()
 			return
 		}
 	}
 }
 
-// waiting returns for how long the first of the requests waits that are not written yet.
-func (t *tunnel) waiting(now time.Time) time.Duration {
+// oldestWait returns for how long the first of the requests waits that are not written yet.
+func (t *tunnel) oldestWait(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.closed || t.first.IsZero() {
+	if t.closed || t.oldest.IsZero() {
 		return 0
 	}
-	return now.Sub(t.first)
+	return now.Sub(t.oldest)
 }
 
-func (t *tunnel) takeQueue() (queue []*outgoing, closed bool) {
+func (t *tunnel) takeQueue() (queue []*queuedRequest, closed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	queue, t.queue = t.queue, nil
 	return queue, t.closed
 }
 
-// setFirst notes since when the next request waits: one of these that the writer has taken, or
+// updateOldest notes since when the next request waits: one of these that the writer has taken, or
 // the first in the queue.
-func (t *tunnel) setFirst(taken []*outgoing) {
+func (t *tunnel) updateOldest(taken []*queuedRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(taken) == 0 {
 		taken = t.queue
 	}
-	t.first = time.Time{}
+	t.oldest = time.Time{}
 	if len(taken) > 0 {
-		t.first = taken[0].since
+		t.oldest = taken[0].enqueuedAt
 	}
 }
 
-// endQueue gives up what was enqueued before the connection was closed.
-func (t *tunnel) endQueue() {
+// failQueue gives up what was enqueued before the connection was closed.
+func (t *tunnel) failQueue() {
 	queue, _ := t.takeQueue()
 	for _, o := range queue {
-		o.done <- net.ErrClosed
+		o.result <- net.ErrClosed
 	}
 }
 
 // writeRequest writes a request, unless its caller has left, and the signals that have come.
-func (t *tunnel) writeRequest(o *outgoing) error {
+func (t *tunnel) writeRequest(o *queuedRequest) error {
 	if t.isClosed() {
 		return net.ErrClosed
 	}
-	if err := t.writeSignals(); err != nil {
+	if err := t.writeControl(); err != nil {
 		return err
 	}
-	if o.left() {
+	if o.disconnected() {
 		return ErrCallerDisconnected
 	}
-	if t.clock.Now().Sub(o.since) > maxWait {
+	if t.clock.Now().Sub(o.enqueuedAt) > maxWait {
 		return ErrCongested
 	}
-	if err := t.writeNow(o.frame); err != nil {
+	if err := t.writeFrames(o.frame); err != nil {
 		return ErrMaybeSent{err}
 	}
 	return nil
 }
 
-// writeSignals writes the signals that wait.
-func (t *tunnel) writeSignals() error {
+// writeControl writes the signals that wait.
+func (t *tunnel) writeControl() error {
 	t.mu.Lock()
-	b := t.signals
-	t.signals = nil
+	b := t.control
+	t.control = nil
 	t.mu.Unlock()
 	if len(b) == 0 {
 		return nil
 	}
-	return t.writeNow(b)
+	return t.writeFrames(b)
 }
 
-func (t *tunnel) writeNow(b []byte) error {
-	err := t.conn.SetWriteDeadline(netopt.DeadlineIn(frameTime))
+func (t *tunnel) writeFrames(b []byte) error {
+	err := t.conn.SetWriteDeadline(netopt.DeadlineIn(frameTimeout))
 	if err == nil {
 		_, err = t.conn.Write(b)
 	}
@@ -251,13 +251,13 @@
 	return err
 }
 
-// signal sends a frame without bytes.
-func (t *tunnel) signal(k kind, number uint32) error {
+// sendControl sends a frame without bytes.
+func (t *tunnel) sendControl(k kind, number uint32) error {
 	var b [HeaderSize]byte
 	putHeader(b[:], k, number, 0)
 	t.mu.Lock()
 	closed := t.closed
-	t.signals = append(t.signals, b[:]...)
+	t.control = append(t.control, b[:]...)
 	t.mu.Unlock()
 	if closed {
 		return net.ErrClosed
@@ -266,28 +266,28 @@
 	return nil
 }
 
-// forget drops a request; what still comes of its answer is passed over.
-func (t *tunnel) forget(h *Handover) {
+// remove drops a request; what still comes of its answer is passed over.
+func (t *tunnel) remove(h *Handover) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.handed, h.number)
+	delete(t.inFlight, h.number)
 }
 
 func (t *tunnel) find(number uint32) *Handover {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.handed[number]
+	return t.inFlight[number]
 }
 
-// read passes answers on until the connection ends; those that are not over then are broken.
-func (t *tunnel) read() {
-	buffer := make([]byte, readSize)
+// readLoop passes answers on until the connection ends; those that are not over then are broken.
+func (t *tunnel) readLoop() {
+	buffer := make([]byte, readBufferSize)
 	var d decoder
 	for {
 		n, err := t.conn.Read(buffer)
 		if n > 0 {
-			t.heard.Store(true)
-			if wrong := d.feed(buffer[:n], t.take); wrong != nil {
+			t.received.Store(true)
+			if wrong := d.feed(buffer[:n], t.handleFrame); wrong != nil {
 				err = wrong
 			}
 		}
@@ -298,26 +298,26 @@
 	}
 }
 
-func (t *tunnel) take(f frame, piece []byte, last bool) {
+func (t *tunnel) handleFrame(f frame, piece []byte, last bool) {
 	h := t.find(f.number)
 	if h == nil {
 		return
 	}
 	if len(piece) > 0 {
-		h.pass(piece)
+		h.deliver(piece)
 	}
 	if !last || f.kind == kindData {
 		return
 	}
-	t.forget(h)
+	t.remove(h)
 	h.end(f.kind == kindEnd)
 }
 
 // close ends the connection and all that is under way on it.
 func (t *tunnel) close() {
 	t.mu.Lock()
-	broken := t.handed
-	t.handed, t.closed = map[uint32]*Handover{}, true
+	broken := t.inFlight
+	t.inFlight, t.closed = map[uint32]*Handover{}, true
 	t.mu.Unlock()
 	_ = t.conn.Close()
 	t.wake()
@@ -326,27 +326,27 @@
 	}
 }
 
-// probe ends the connection where the other gateway is silent, or nothing is handed over for
+// probeLoop ends the connection where the other gateway is silent, or nothing is handed over for
 // long.
-func (t *tunnel) probe(c clock.Clock) {
+func (t *tunnel) probeLoop(c clock.Clock) {
 	silent, unused := 0, time.Duration(0)
 	for {
 		<-c.After(probeInterval)
 		t.mu.Lock()
-		closed, used := t.closed, len(t.handed) > 0
+		closed, used := t.closed, len(t.inFlight) > 0
 		t.mu.Unlock()
 		if closed {
 			return
 		}
 		silent++
-		if t.heard.Swap(false) || !used {
+		if t.received.Swap(false) || !used {
 			silent = 0
 		}
 		unused += probeInterval
 		if used {
 			unused = 0
 		}
-		if silent >= maxMissedProbes || unused >= idleTimeout || used && t.signal(kindProbe, 0) != nil {
+		if silent >= maxMissedProbes || unused >= idleTimeout || used && t.sendControl(kindProbe, 0) != nil {
 			t.close()
 			return
 		}
@@ -363,14 +363,14 @@
 	caller net.Conn
 	done   chan struct{}
 
-	mu    sync.Mutex
-	kept  []byte // kept is what the caller has not read yet, written by a goroutine of its own.
-	slow  bool   // slow tells that there is such a goroutine.
-	timed bool   // timed tells that writes to the caller have a deadline.
-	over  bool   // over tells that nothing more comes.
-	whole bool
-	gone  bool // gone tells that the caller does not take the answer.
-	bytes int64
+	mu          sync.Mutex
+	buffered    []byte // kept is what the caller has not read yet, written by a goroutine of its own.
+	buffering   bool   // slow tells that there is such a goroutine.
+	hasDeadline bool   // timed tells that writes to the caller have a deadline.
+	ended       bool   // over tells that nothing more comes.
+	complete    bool
+	failed      bool // gone tells that the caller does not take the answer.
+	bytes       int64
 }
 
 // Done returns a channel that is closed when the answer is over.
@@ -381,41 +381,41 @@
 func (h *Handover) Result() (bytes int64, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.bytes, h.whole && !h.gone
+	return h.bytes, h.complete && !h.failed
 }
 
 // Cancel gives the request up: the caller has left, or its time is over.
 func (h *Handover) Cancel() {
-	h.tunnel.forget(h)
-	_ = h.tunnel.signal(kindCancel, h.number) // where that fails the connection is closed
+	h.tunnel.remove(h)
+	_ = h.tunnel.sendControl(kindCancel, h.number) // where that fails the connection is closed
 	h.end(false)
 }
 
-// pass gives the caller a piece of the answer.
-func (h *Handover) pass(piece []byte) {
+// deliver gives the caller a piece of the answer.
+func (h *Handover) deliver(piece []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.gone || h.over {
+	if h.failed || h.ended {
 		return
 	}
-	if h.slow {
-		h.keep(piece)
+	if h.buffering {
+		h.buffer(piece)
 		return
 	}
 	n, err := h.write(piece)
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		h.slow = true
-		h.keep(piece[n:])
-		go h.writeKept()
+		h.buffering = true
+		h.buffer(piece[n:])
+		go h.writeBuffered()
 		return
 	}
-	h.gone = err != nil
+	h.failed = err != nil
 }
 
 func (h *Handover) write(b []byte) (int, error) {
-	if h.bytes+int64(len(b)) > freeBytes {
-		h.timed = true
-		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(pieceTime)); err != nil {
+	if h.bytes+int64(len(b)) > untimedBytes {
+		h.hasDeadline = true
+		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(chunkTimeout)); err != nil {
 			return 0, err
 		}
 	}
@@ -424,31 +424,31 @@
 	return n, err
 }
 
-func (h *Handover) keep(b []byte) {
-	if h.kept = append(h.kept, b...); len(h.kept) > maxKept {
-		h.gone = true
+func (h *Handover) buffer(b []byte) {
+	if h.buffered = append(h.buffered, b...); len(h.buffered) > maxBuffered {
+		h.failed = true
 	}
 }
 
-// writeKept writes what was kept until nothing is left.
-func (h *Handover) writeKept() {
+// writeBuffered writes what was kept until nothing is left.
+func (h *Handover) writeBuffered() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for len(h.kept) > 0 && !h.gone {
-		b := h.kept
-		h.kept = nil
+	for len(h.buffered) > 0 && !h.failed {
+		b := h.buffered
+		h.buffered = nil
 		h.mu.Unlock()
-		err := h.caller.SetWriteDeadline(netopt.DeadlineIn(keptTime))
+		err := h.caller.SetWriteDeadline(netopt.DeadlineIn(bufferedTimeout))
 		n := 0
 		if err == nil {
 			n, err = h.caller.Write(b)
 		}
 		h.mu.Lock()
 		h.bytes += int64(n)
-		h.gone = h.gone || err != nil
+		h.failed = h.failed || err != nil
 	}
-	h.slow = false
-	if h.over {
+	h.buffering = false
+	if h.ended {
 		h.finish()
 	}
 }
@@ -457,21 +457,21 @@
 func (h *Handover) end(whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over {
+	if h.ended {
 		return
 	}
-	h.over, h.whole = true, whole
-	if !h.slow {
+	h.ended, h.complete = true, whole
+	if !h.buffering {
 		h.finish()
 	}
 }
 
 // finish wakes whoever waits for the end; the lock is held.
 func (h *Handover) finish() {
-	if h.timed && h.caller.SetWriteDeadline(time.Time{}) != nil {
-		h.gone = true
+	if h.hasDeadline && h.caller.SetWriteDeadline(time.Time{}) != nil {
+		h.failed = true
 	}
 	close(h.done)
-	_ = h.caller.SetReadDeadline(longAgo) // where that fails nobody reads
-	h.s.ended(h.Peer)
+	_ = h.caller.SetReadDeadline(pastDeadline) // where that fails nobody reads
+	h.s.finished(h.Peer)
 }
