--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -138,7 +138,7 @@
 
 // Requests under way at the same time get their own answers, in any order, over one
 // connection.
-func TestAnswersFindTheirCallers(t *testing.T) {
+func TestConcurrentAnswersReachTheirCallers(t *testing.T) {
 	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
 	slow, slowCaller, err := sendRequest(t, s, "/wait")
@@ -158,7 +158,7 @@
 }
 
 // A caller that does not read holds nobody else up, and gets all of its answer in the end.
-func TestSlowCallerHoldsNobodyUp(t *testing.T) {
+func TestSlowCallerDoesNotBlockOthers(t *testing.T) {
 	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
 	slow, slowCaller, err := sendRequest(t, s, "/long")
@@ -174,7 +174,7 @@
 }
 
 // What is given up ends at the other gateway, and what is under way ends where that is gone.
-func TestEndsOnBothSides(t *testing.T) {
+func TestCancelAndDisconnectEndRequests(t *testing.T) {
 	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
 	given, _, err := sendRequest(t, s, "/wait")
@@ -203,7 +203,7 @@
 }
 
 // A gateway that refuses the connection is left out for a while; another one is taken.
-func TestUnreachableGatewayIsLeftOut(t *testing.T) {
+func TestUnreachableGatewayIsSkipped(t *testing.T) {
 	c := clock.NewFake()
 	s, f, gone := newService(t, key, c), newRemoteGateway(t, "far"), newRemoteGateway(t, "gone")
 	gone.stop()
@@ -226,7 +226,7 @@
 }
 
 // A gateway with another key is not served.
-func TestStrangersAreNotServed(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	s, f := newService(t, "another key", clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
 	h, _, err := sendRequest(t, s, "/a")
@@ -334,7 +334,7 @@
 }
 
 // What is no frame ends the connection.
-func TestNoFrame(t *testing.T) {
+func TestDecoderRejectsMalformedFrames(t *testing.T) {
 	for _, b := range []string{"GET / HTTP/1.1\r\n", "\x00\x00\x00\x00\x00\x00\x00\x00\x00", "\x01\x00\x00\x00\x00\xff\xff\xff\xff"} {
 		var d decoder
 		if err := d.feed([]byte(b), func(frame, []byte, bool) {}); err == nil {
@@ -363,7 +363,7 @@
 // waited behind them. In half a second 91 requests were sent on after their callers had left,
 // and 82 of 105 runs went on for nobody. What is written is asked for right before, and that a
 // caller has left goes first.
-func TestNothingIsWrittenForThoseWhoHaveLeft(t *testing.T) {
+func TestDisconnectedCallersRequestsAreNotWritten(t *testing.T) {
 	s := newService(t, key, clock.System{})
 	near, _ := connectionPair(t)
 	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
@@ -415,7 +415,7 @@
 // half waited for 0.63 s for their turn and a hundredth for 5 s, while writing took a median of 0 ms and
 // the other gateway read them 0 to 3 ms later; meanwhile their callers left (397 were sent on for
 // nobody). One goroutine writes all that waits, without others having to run in between.
-func TestWhatWaitsIsWrittenByOneGoroutine(t *testing.T) {
+func TestOneGoroutineWritesAllRequests(t *testing.T) {
 	s := newService(t, key, clock.System{})
 	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
@@ -457,7 +457,7 @@
 
 // A request that waits for longer than a caller wants to wait is given back unsent, and how long
 // the first one waits is told meanwhile.
-func TestWhatWaitsTooLongIsNotWritten(t *testing.T) {
+func TestRequestsThatWaitTooLongAreNotWritten(t *testing.T) {
 	s := newService(t, key, clock.System{})
 	near, _ := connectionPair(t)
 	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
