--- a/services/peerwire/outbox.go
+++ b/services/peerwire/outbox.go
@@ -12,7 +12,7 @@
 	"madderway/modules/wire"
 )
 
-type parcel struct {
+type pendingFrame struct {
 	frame *wire.Frame
 	due   time.Time
 }
@@ -21,12 +21,12 @@
 // concurrent use.
 type Outbox struct {
 	delay   time.Duration
-	parcels map[string]*parcel
+	pending map[string]*pendingFrame
 }
 
 // NewOutbox returns an empty box whose lazy messages wait so long for others.
 func NewOutbox(delay time.Duration) *Outbox {
-	return &Outbox{delay: delay, parcels: map[string]*parcel{}}
+	return &Outbox{delay: delay, pending: map[string]*pendingFrame{}}
 }
 
 // Frame returns the frame that will go to the peer. A lazy message may wait a
@@ -36,10 +36,10 @@
 	if lazy {
 		due = now.Add(o.delay)
 	}
-	p := o.parcels[to]
+	p := o.pending[to]
 	if p == nil {
-		p = &parcel{frame: &wire.Frame{}, due: due}
-		o.parcels[to] = p
+		p = &pendingFrame{frame: &wire.Frame{}, due: due}
+		o.pending[to] = p
 	}
 	if due.Before(p.due) {
 		p.due = due
@@ -48,15 +48,15 @@
 }
 
 // Pending tells whether anything waits.
-func (o *Outbox) Pending() bool { return len(o.parcels) > 0 }
+func (o *Outbox) Pending() bool { return len(o.pending) > 0 }
 
 // Flush sends the frames that are due.
 func (o *Outbox) Flush(now time.Time, send func(to string, f *wire.Frame)) {
-	for to, p := range o.parcels {
+	for to, p := range o.pending {
 		if p.due.After(now) {
 			continue
 		}
-		delete(o.parcels, to)
+		delete(o.pending, to)
 		send(to, p.frame)
 	}
 }
--- a/services/peerwire/peerwire_test.go
+++ b/services/peerwire/peerwire_test.go
@@ -11,7 +11,7 @@
 	"madderway/modules/wire"
 )
 
-func TestLazyMessagesWaitForOthers(t *testing.T) {
+func TestLazyMessagesShareAFrame(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	box := NewOutbox(20 * time.Millisecond)
 	sent := map[string]int{}
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestRecordsSurviveTheWire(t *testing.T) {
+func TestMemberRecordsRoundTrip(t *testing.T) {
 	r := member.Record{ID: "g", Incarnation: 7, Epoch: 2, State: member.StateSuspect, Address: "a", DataHall: "h", Region: "r"}
 	if got, ok := MemberFromWire(MemberToWire(r)); !ok || got != r {
 		t.Errorf("%+v became %+v", r, got)
@@ -52,7 +52,7 @@
 
 // A greeting that waits in the outbox must not be replaced by the next heartbeat to
 // the same member.
-func TestHeartbeatsToOneMemberAreJoined(t *testing.T) {
+func TestPendingHeartbeatsAreMerged(t *testing.T) {
 	r := member.Record{ID: "g", Incarnation: 1, State: member.StateAlive}
 	other := member.Record{ID: "h", Incarnation: 1, State: member.StateAlive}
 	f := &wire.Frame{}
--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// recordsSettled is how long a table must not have changed before another digest is a
+	// recordsSettleTime is how long a table must not have changed before another digest is a
 	// reason to send it: records that are on their way make digests differ. It is also the
 	// least time between two tables to the same peer.
-	recordsSettled = time.Second
-	// recordsAgain is how long the same tables are not sent once more to a peer whose digest
+	recordsSettleTime = time.Second
+	// recordsResendInterval is how long the same tables are not sent once more to a peer whose digest
 	// still differs.
-	recordsAgain = 15 * time.Second
-	// recordsExpire is how often what is over is looked for; records are kept for minutes.
-	recordsExpire = 10 * time.Second
+	recordsResendInterval = 15 * time.Second
+	// recordsExpiryInterval is how often what is over is looked for; records are kept for minutes.
+	recordsExpiryInterval = 10 * time.Second
 )
 
 // Records exchanges records of requests under which targets ended with peers, for the loop
 // that owns members and outbox. It is not safe for concurrent use.
 type Records struct {
-	self     string
-	requests *quarantine.Service
-	members  *member.List
-	out      *Outbox
-	sent     map[string]recordsSent // sent is what each peer was last sent of all records.
-	expired  time.Time
+	self       string
+	requests   *quarantine.Service
+	members    *member.List
+	out        *Outbox
+	sent       map[string]sentRecords // sent is what each peer was last sent of all records.
+	lastExpiry time.Time
 }
 
-// recordsSent is what a peer was sent last.
-type recordsSent struct {
-	at           time.Time
-	mine, theirs uint64 // the digests at that time
+// sentRecords is what a peer was sent last.
+type sentRecords struct {
+	at            time.Time
+	local, remote uint64 // the digests at that time
 }
 
 // NewRecords returns the exchange of the process with this ID.
 func NewRecords(self string, requests *quarantine.Service, members *member.List, out *Outbox) *Records {
-	return &Records{self: self, requests: requests, members: members, out: out, sent: map[string]recordsSent{}}
+	return &Records{self: self, requests: requests, members: members, out: out, sent: map[string]sentRecords{}}
 }
 
 // Share tells peers of a request under which targets have ended: all of them where several
@@ -67,11 +67,11 @@
 			records = append(records, record)
 		}
 	}
-	for _, r := range x.requests.Merge(peer, records, x.keepsFirst) {
+	for _, r := range x.requests.Merge(peer, records, x.ownsRecord) {
 		x.Share(now, r, peer)
 	}
 	if f.RequestRecordsAsk {
-		x.send(now, peer, false)
+		x.sendAll(now, peer, false)
 	}
 }
 
@@ -85,18 +85,18 @@
 // off, learns in one exchange what the others know.
 func (x *Records) Compare(now time.Time, peer string, theirs uint64) {
 	mine, age := x.requests.Digest()
-	if mine == theirs || mine != 0 && age < recordsSettled {
+	if mine == theirs || mine != 0 && age < recordsSettleTime {
 		return
 	}
-	last, pause := x.sent[peer], recordsSettled
-	if last.mine == mine && last.theirs == theirs {
-		pause = recordsAgain
+	last, pause := x.sent[peer], recordsSettleTime
+	if last.local == mine && last.remote == theirs {
+		pause = recordsResendInterval
 	}
 	if now.Sub(last.at) < pause {
 		return
 	}
-	x.sent[peer] = recordsSent{now, mine, theirs}
-	x.send(now, peer, true)
+	x.sent[peer] = sentRecords{now, mine, theirs}
+	x.sendAll(now, peer, true)
 }
 
 // Forget forgets what a peer was sent that has ended or begun a new life.
@@ -104,19 +104,19 @@
 
 // Tick forgets records that are over.
 func (x *Records) Tick(now time.Time) {
-	if now.Sub(x.expired) < recordsExpire {
+	if now.Sub(x.lastExpiry) < recordsExpiryInterval {
 		return
 	}
-	x.expired = now
-	x.requests.Expire(x.keepsFirst)
+	x.lastExpiry = now
+	x.requests.Expire(x.ownsRecord)
 }
 
-// keepsFirst tells whether this process is the first to keep a record of a request.
-func (x *Records) keepsFirst(f core.Fingerprint) bool {
+// ownsRecord tells whether this process is the first to keep a record of a request.
+func (x *Records) ownsRecord(f core.Fingerprint) bool {
 	return slices.Contains(place.Top(x.members.Nodes(), string(f[:]), 1), x.self)
 }
 
-func (x *Records) send(now time.Time, to string, ask bool) {
+func (x *Records) sendAll(now time.Time, to string, ask bool) {
 	records := x.requests.Shared()
 	if len(records) == 0 && !ask {
 		return
--- a/services/peerwire/records_test.go
+++ b/services/peerwire/records_test.go
@@ -23,8 +23,8 @@
 	m.Run()
 }
 
-// node is one process that exchanges records, without the connections between processes.
-type node struct {
+// testNode is one process that exchanges records, without the connections between processes.
+type testNode struct {
 	id      string
 	clock   *clock.Fake
 	members *member.List
@@ -33,8 +33,8 @@
 	service *quarantine.Service
 }
 
-func newNode(id string, c *clock.Fake, others ...string) *node {
-	n := &node{id: id, clock: c, out: NewOutbox(0), members: member.New(member.DefaultConfig(), member.Record{ID: id, Incarnation: 1, Address: "a"})}
+func newNode(id string, c *clock.Fake, others ...string) *testNode {
+	n := &testNode{id: id, clock: c, out: NewOutbox(0), members: member.New(member.DefaultConfig(), member.Record{ID: id, Incarnation: 1, Address: "a"})}
 	n.service = quarantine.New(log.New("quarantine"), quarantine.Options{Clock: c, Figures: "test", Tell: func(r core.Record) { n.records.Share(c.Now(), r, "") }})
 	n.records = NewRecords(id, n.service, n.members, n.out)
 	for _, other := range others {
@@ -43,25 +43,25 @@
 	return n
 }
 
-func bad() core.Identity {
+func badRequest() core.Identity {
 	return core.Identity{Account: "a", Method: "POST", URI: "/p", Body: []byte("x")}
 }
 
-// end lets targets end under a request as one process sees it.
-func (n *node) end(targets ...string) {
+// endTargets lets targets endTargets under a request as one process sees it.
+func (n *testNode) endTargets(targets ...string) {
 	for _, target := range targets {
 		n.clock.Advance(2 * time.Second)
-		n.service.Ended(bad(), target, n.clock.Now().Add(-time.Second))
+		n.service.Ended(badRequest(), target, n.clock.Now().Add(-time.Second))
 	}
 }
 
-func (n *node) standing() core.Standing {
-	s, _ := n.service.Judge(bad().Fingerprint())
+func (n *testNode) standing() core.Standing {
+	s, _ := n.service.Judge(badRequest().Fingerprint())
 	return s
 }
 
 // deliver takes what each process has for the others until nothing is left.
-func deliver(nodes ...*node) {
+func deliver(nodes ...*testNode) {
 	for moved := true; moved; {
 		moved = false
 		for _, from := range nodes {
@@ -79,23 +79,23 @@
 
 // Ends that three processes have seen add up at all of them; one that starts anew, or was cut
 // off, learns of them from the first digest that it hears, and tells what it knows itself.
-func TestRecordsReachAll(t *testing.T) {
+func TestRecordsReachAllProcesses(t *testing.T) {
 	c := clock.NewFake()
 	a, b, d := newNode("a", c, "b", "d"), newNode("b", c, "a", "d"), newNode("d", c, "a", "b")
-	a.end("t1")
+	a.endTargets("t1")
 	deliver(a, b, d)
-	b.end("t2")
+	b.endTargets("t2")
 	deliver(a, b, d)
-	d.end("t3")
+	d.endTargets("t3")
 	deliver(a, b, d)
-	for _, n := range []*node{a, b, d} {
+	for _, n := range []*testNode{a, b, d} {
 		if got := n.standing(); got != core.Quarantined {
 			t.Errorf("%s takes the request for %v", n.id, got)
 		}
 	}
 	late := newNode("e", c, "a")
 	a.members.Step(c.Now(), member.HeartbeatSeen{From: member.Record{ID: "e", Incarnation: 1, State: member.StateAlive, Address: "a"}})
-	c.Advance(2 * recordsSettled)
+	c.Advance(2 * recordsSettleTime)
 	a.records.Compare(c.Now(), "e", late.records.Digest())
 	deliver(a, late)
 	if got := late.standing(); got != core.Quarantined || late.records.Digest() != a.records.Digest() {
@@ -104,18 +104,18 @@
 }
 
 // Tables whose digests stay different are not sent to a peer again and again.
-func TestDifferentTablesAreSentSeldom(t *testing.T) {
+func TestDifferingTablesAreResentRarely(t *testing.T) {
 	c := clock.NewFake()
 	a := newNode("a", c, "b")
-	a.end("t1", "t2")
+	a.endTargets("t1", "t2")
 	a.out.Flush(c.Now(), func(string, *wire.Frame) {})
 	sent := 0
 	for range 60 {
-		c.Advance(recordsSettled)
+		c.Advance(recordsSettleTime)
 		a.records.Compare(c.Now(), "b", 7)
 		a.out.Flush(c.Now(), func(string, *wire.Frame) { sent++ })
 	}
-	if most := int(60*recordsSettled/recordsAgain) + 1; sent == 0 || sent > most {
+	if most := int(60*recordsSettleTime/recordsResendInterval) + 1; sent == 0 || sent > most {
 		t.Errorf("sent %d times in a minute, %d at most are wanted", sent, most)
 	}
 }
@@ -124,7 +124,7 @@
 // within its bounds.
 func FuzzRecords(f *testing.F) {
 	now := time.Unix(1_700_000_000, 0)
-	request := bad().Fingerprint()
+	request := badRequest().Fingerprint()
 	seed, err := proto.Marshal(&wire.Frame{RequestRecords: []*wire.RequestRecord{{
 		Request: request[:], Outline: 7, Account: "a", Deaths: []*wire.TargetDeath{{Target: "t", AgeMs: 5}, {Target: "t", AgeMs: 5000, Forgiven: true}},
 	}}, RequestRecordsAsk: true})
