--- a/services/control/api.go
+++ b/services/control/api.go
@@ -67,7 +67,7 @@
 // same moment, its slot is given back.
 func (l *Loop) abandon(id admit.RequestID, answer chan Decision) {
 	l.put(admitIn{admit.Canceled{ID: id}})
-	l.Inspect(func() { delete(l.waiting, id) })
+	l.Inspect(func() { delete(l.decisions, id) })
 	select {
 	case d := <-answer:
 		if d.Refused == 0 {
@@ -101,7 +101,7 @@
 func (l *Loop) Owned() []*conf.Target { return *l.owned.Load() }
 
 // Members returns the other members as last published.
-func (l *Loop) Members() []member.Record { return *l.view.Load() }
+func (l *Loop) Members() []member.Record { return *l.memberView.Load() }
 
 // Busy returns the time spent on control.
 func (l *Loop) Busy() time.Duration { return time.Duration(l.busy.Load()) }
--- a/services/control/input.go
+++ b/services/control/input.go
@@ -22,8 +22,8 @@
 }
 
 type submitIn struct {
-	request admit.Request
-	answer  chan Decision
+	request  admit.Request
+	decision chan Decision
 }
 
 type admitIn struct{ event admit.Event }
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -30,14 +30,14 @@
 )
 
 const (
-	inputRing     = 4096
-	tickBusy      = 10 * time.Millisecond
-	tickIdle      = 100 * time.Millisecond
-	lazyDelay     = 20 * time.Millisecond
-	batchLimit    = 256 // inputs taken before the outbox is flushed
-	rerouteDelay  = 50 * time.Millisecond
-	debtOfBounds  = 4 // the debt limit is so many fairness bounds
-	defaultWeight = 1
+	inputQueueSize  = 4096
+	tickBusy        = 10 * time.Millisecond
+	tickIdle        = 100 * time.Millisecond
+	lazyFrameDelay  = 20 * time.Millisecond
+	batchLimit      = 256 // inputs taken before the outbox is flushed
+	routeDelay      = 50 * time.Millisecond
+	debtLimitBounds = 4 // the debt limit is so many fairness bounds
+	defaultWeight   = 1
 )
 
 // Decision is what became of a submitted request.
@@ -78,46 +78,46 @@
 
 // Loop is the goroutine that owns the machines.
 type Loop struct {
-	t        *tomb.Tomb
-	log      log.Logger
-	opts     Options
-	inputs   *ring.Ring[input]
-	members  *member.List
-	sched    *sched.Scheduler
-	disp     admit.Dispatcher
-	index    *conf.Index
-	leaving  map[string]bool // leaving holds the targets that the platform's list says are leaving.
-	waiting  map[admit.RequestID]chan Decision
-	links    map[string]*peernet.Link
-	out      *peerwire.Outbox
-	records  *peerwire.Records
-	reroute  time.Time // reroute is when the routes are to be computed anew, zero for not.
-	nextTick time.Time
-	blocked  map[string]bool
+	t          *tomb.Tomb
+	log        log.Logger
+	opts       Options
+	inputs     *ring.Ring[input]
+	members    *member.List
+	sched      *sched.Scheduler
+	dispatcher admit.Dispatcher
+	index      *conf.Index
+	leaving    map[string]bool // leaving holds the targets that the platform's list says are leaving.
+	decisions  map[admit.RequestID]chan Decision
+	links      map[string]*peernet.Link
+	out        *peerwire.Outbox
+	records    *peerwire.Records
+	rerouteAt  time.Time // reroute is when the routes are to be computed anew, zero for not.
+	nextTick   time.Time
+	blocked    map[string]bool
 
-	owned    atomic.Pointer[[]*conf.Target] // owned are the targets scheduled here.
-	view     atomic.Pointer[[]member.Record]
-	busy     atomic.Int64 // busy counts the nanoseconds spent on control.
-	requests atomic.Uint64
+	owned      atomic.Pointer[[]*conf.Target] // owned are the targets scheduled here.
+	memberView atomic.Pointer[[]member.Record]
+	busy       atomic.Int64 // busy counts the nanoseconds spent on control.
+	requests   atomic.Uint64
 }
 
 // NewLoop starts the loop; it ends with the tomb.
 func NewLoop(t *tomb.Tomb, logger log.Logger, o Options) *Loop {
 	l := &Loop{
 		t: t, log: logger, opts: o,
-		inputs:  ring.New[input]("control", inputRing),
-		members: member.New(o.Member, o.Self),
-		sched:   sched.New(o.Scheduler),
-		disp:    o.Dispatcher,
-		leaving: map[string]bool{},
-		waiting: map[admit.RequestID]chan Decision{},
-		links:   map[string]*peernet.Link{},
-		out:     peerwire.NewOutbox(lazyDelay),
-		blocked: map[string]bool{},
+		inputs:     ring.New[input]("control", inputQueueSize),
+		members:    member.New(o.Member, o.Self),
+		sched:      sched.New(o.Scheduler),
+		dispatcher: o.Dispatcher,
+		leaving:    map[string]bool{},
+		decisions:  map[admit.RequestID]chan Decision{},
+		links:      map[string]*peernet.Link{},
+		out:        peerwire.NewOutbox(lazyFrameDelay),
+		blocked:    map[string]bool{},
 	}
 	l.records = peerwire.NewRecords(o.Self.ID, o.Quarantine, l.members, l.out)
 	l.owned.Store(&[]*conf.Target{})
-	l.view.Store(&[]member.Record{})
+	l.memberView.Store(&[]member.Record{})
 	t.Go(l.run)
 	return l
 }
@@ -130,36 +130,36 @@
 		case <-l.t.Dying():
 			return nil
 		case in := <-l.inputs.Out():
-			l.batch(in)
-			timer.Reset(l.tickAfter())
+			l.runBatch(in)
+			timer.Reset(l.tickInterval())
 		case <-timer.C:
-			l.timed(l.tick)
-			timer.Reset(l.tickAfter())
+			l.runTimed(l.tick)
+			timer.Reset(l.tickInterval())
 		}
 	}
 }
 
-func (l *Loop) timed(work func()) {
+func (l *Loop) runTimed(work func()) {
 	start := l.opts.Clock.Now()
 	work()
 	l.busy.Add(int64(l.opts.Clock.Now().Sub(start)))
 }
 
-func (l *Loop) tickAfter() time.Duration {
-	if l.disp.Queued() > 0 || l.out.Pending() {
+func (l *Loop) tickInterval() time.Duration {
+	if l.dispatcher.Queued() > 0 || l.out.Pending() {
 		return tickBusy
 	}
 	return tickIdle
 }
 
-// batch takes what is there, so that messages to the same peer share a frame.
-func (l *Loop) batch(first input) {
-	l.timed(func() {
-		l.take(first)
+// runBatch takes what is there, so that messages to the same peer share a frame.
+func (l *Loop) runBatch(first input) {
+	l.runTimed(func() {
+		l.handleInput(first)
 		for range batchLimit {
 			select {
 			case in := <-l.inputs.Out():
-				l.take(in)
+				l.handleInput(in)
 				continue
 			default:
 			}
@@ -174,30 +174,30 @@
 	})
 }
 
-func (l *Loop) take(in input) {
+func (l *Loop) handleInput(in input) {
 	now := l.opts.Clock.Now()
 	switch e := in.(type) {
 	case frameIn:
-		l.frame(now, e.peer, e.frame)
+		l.handleFrame(now, e.peer, e.frame)
 	case submitIn:
-		l.waiting[e.request.ID] = e.answer
-		l.admit(now, admit.Arrived{Request: e.request})
+		l.decisions[e.request.ID] = e.decision
+		l.stepAdmission(now, admit.Arrived{Request: e.request})
 	case admitIn:
-		l.admit(now, e.event)
+		l.stepAdmission(now, e.event)
 	case schedIn:
-		l.schedule(now, e.event)
+		l.stepScheduler(now, e.event)
 	case memberIn:
-		l.member(now, e.event)
+		l.stepMembers(now, e.event)
 	case recordIn:
 		l.records.Share(now, e.record, "")
 	case vmsIn:
-		l.takeVMs(now, e.vms)
+		l.handleVMs(now, e.vms)
 	case indexIn:
 		l.index = e.index
-		l.route(now)
+		l.updateRoutes(now)
 	case loadIn:
-		l.schedule(now, sched.LoadSeen{Target: e.target, Running: e.running, Healthy: e.healthy, Leaving: e.leaving})
-		l.admit(now, admit.LoadSeen{Target: e.target, Running: e.running, Slots: e.slots})
+		l.stepScheduler(now, sched.LoadSeen{Target: e.target, Running: e.running, Healthy: e.healthy, Leaving: e.leaving})
+		l.stepAdmission(now, admit.LoadSeen{Target: e.target, Running: e.running, Slots: e.slots})
 	case inspectIn:
 		e.run()
 		close(e.done)
@@ -207,18 +207,18 @@
 func (l *Loop) tick() {
 	now := l.opts.Clock.Now()
 	l.nextTick = now.Add(tickBusy)
-	l.member(now, member.Tick{})
+	l.stepMembers(now, member.Tick{})
 	l.records.Tick(now)
-	if !l.reroute.IsZero() && !now.Before(l.reroute) {
-		l.route(now)
+	if !l.rerouteAt.IsZero() && !now.Before(l.rerouteAt) {
+		l.updateRoutes(now)
 	}
-	l.schedule(now, sched.Tick{})
-	l.admit(now, admit.Tick{})
+	l.stepScheduler(now, sched.Tick{})
+	l.stepAdmission(now, admit.Tick{})
 	l.flush(now, true)
 }
 
-func (l *Loop) admit(now time.Time, ev admit.Event) {
-	for _, a := range l.disp.Step(now, ev) {
+func (l *Loop) stepAdmission(now time.Time, ev admit.Event) {
+	for _, a := range l.dispatcher.Step(now, ev) {
 		l.admitAction(now, a)
 	}
 }
@@ -227,46 +227,46 @@
 	switch a := a.(type) {
 	case admit.DemandOut:
 		if a.To == l.opts.Self.ID {
-			l.schedule(now, sched.DemandSeen{From: a.To, Demand: a.Demand})
+			l.stepScheduler(now, sched.DemandSeen{From: a.To, Demand: a.Demand})
 			return
 		}
 		l.out.Frame(now, a.To, a.Lazy).Demands = append(l.out.Frame(now, a.To, a.Lazy).Demands, demandToWire(a.Demand))
 	case admit.ReportOut:
 		if a.To == l.opts.Self.ID {
-			l.schedule(now, sched.ReportSeen{From: a.To, Report: a.Report})
+			l.stepScheduler(now, sched.ReportSeen{From: a.To, Report: a.Report})
 			return
 		}
 		f := l.out.Frame(now, a.To, a.Lazy)
 		f.Reports = append(f.Reports, reportToWire(a.Report))
 	case admit.InventoryOut:
 		if a.To == l.opts.Self.ID {
-			l.schedule(now, sched.InventorySeen{From: a.To, Inventory: a.Inventory})
+			l.stepScheduler(now, sched.InventorySeen{From: a.To, Inventory: a.Inventory})
 			return
 		}
 		f := l.out.Frame(now, a.To, true)
 		f.Inventories = append(f.Inventories, inventoryToWire(a.Inventory))
 	case admit.Start:
-		l.decide(a.ID, Decision{Target: a.Target, Scheduler: a.Scheduler, Grant: uint64(a.Grant), Waited: a.Waited})
+		l.deliver(a.ID, Decision{Target: a.Target, Scheduler: a.Scheduler, Grant: uint64(a.Grant), Waited: a.Waited})
 	case admit.Refuse:
-		l.decide(a.ID, Decision{Refused: a.Code, RetryAfter: a.RetryAfter})
+		l.deliver(a.ID, Decision{Refused: a.Code, RetryAfter: a.RetryAfter})
 	}
 }
 
-func (l *Loop) decide(id admit.RequestID, d Decision) {
-	ch, ok := l.waiting[id]
+func (l *Loop) deliver(id admit.RequestID, d Decision) {
+	ch, ok := l.decisions[id]
 	if !ok {
 		return
 	}
-	delete(l.waiting, id)
+	delete(l.decisions, id)
 	ch <- d
 }
 
-func (l *Loop) schedule(now time.Time, ev sched.Event) {
+func (l *Loop) stepScheduler(now time.Time, ev sched.Event) {
 	for _, a := range l.sched.Step(now, ev) {
 		switch a := a.(type) {
 		case sched.GrantOut:
 			if a.To == l.opts.Self.ID {
-				l.admit(now, admit.GrantSeen{From: a.To, Grant: a.Grant})
+				l.stepAdmission(now, admit.GrantSeen{From: a.To, Grant: a.Grant})
 				continue
 			}
 			f := l.out.Frame(now, a.To, false)
@@ -278,19 +278,19 @@
 	}
 }
 
-func (l *Loop) member(now time.Time, ev member.Event) {
+func (l *Loop) stepMembers(now time.Time, ev member.Event) {
 	for _, a := range l.members.Step(now, ev) {
 		switch a := a.(type) {
 		case member.SendHeartbeat:
 			l.addHeartbeat(l.out.Frame(now, a.To, true), a)
 		case member.MembersChanged:
-			l.publish()
-			if l.reroute.IsZero() {
-				l.reroute = now.Add(rerouteDelay)
+			l.publishMembers()
+			if l.rerouteAt.IsZero() {
+				l.rerouteAt = now.Add(routeDelay)
 			}
 		case member.IncarnationEnded:
 			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
-			l.schedule(now, sched.EntryGone{ID: a.ID})
+			l.stepScheduler(now, sched.EntryGone{ID: a.ID})
 			l.records.Forget(a.ID)
 		}
 	}
@@ -303,23 +303,23 @@
 	hb.RequestDigest = l.records.Digest()
 }
 
-func (l *Loop) publish() {
+func (l *Loop) publishMembers() {
 	others := l.members.Others()
-	l.view.Store(&others)
+	l.memberView.Store(&others)
 }
 
-func (l *Loop) frame(now time.Time, peer string, f *wire.Frame) {
+func (l *Loop) handleFrame(now time.Time, peer string, f *wire.Frame) {
 	if hb := f.Heartbeat; hb != nil {
-		l.takeHeartbeat(now, peer, hb)
+		l.handleHeartbeat(now, peer, hb)
 	}
 	if len(f.RequestRecords) > 0 || f.RequestRecordsAsk {
 		l.records.Receive(now, peer, f)
 	}
 	for _, ev := range schedulerEvents(peer, f) {
-		l.schedule(now, ev)
+		l.stepScheduler(now, ev)
 	}
 	for _, g := range f.Grants {
-		l.admit(now, admit.GrantSeen{From: peer, Grant: grantFromWire(g)})
+		l.stepAdmission(now, admit.GrantSeen{From: peer, Grant: grantFromWire(g)})
 	}
 }
 
@@ -344,18 +344,18 @@
 	return events
 }
 
-func (l *Loop) takeHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
+func (l *Loop) handleHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
 	seen, ok := peerwire.HeartbeatFromWire(peer, hb)
 	if !ok {
 		l.log.Warn("Dropped a heartbeat that is not the sender's own.", "peer", peer)
 		return
 	}
-	l.member(now, seen)
+	l.stepMembers(now, seen)
 	l.records.Compare(now, peer, hb.RequestDigest)
 	l.opts.Versions.PeerVersion(peer, head.Version{Number: hb.ConfigVersion, Hash: hb.ConfigHash})
 }
 
-func (l *Loop) takeVMs(now time.Time, vms []vm.VM) {
+func (l *Loop) handleVMs(now time.Time, vms []vm.VM) {
 	var listed []member.ListedVM
 	leaving := map[string]bool{}
 	for _, v := range vms {
@@ -372,9 +372,9 @@
 	}
 	if !equalSets(leaving, l.leaving) {
 		l.leaving = leaving
-		l.reroute = now
+		l.rerouteAt = now
 	}
-	l.member(now, member.ListSeen{VMs: listed})
+	l.stepMembers(now, member.ListSeen{VMs: listed})
 }
 
 func equalSets(a, b map[string]bool) bool {
--- a/services/control/route.go
+++ b/services/control/route.go
@@ -14,9 +14,9 @@
 	"madderway/models/conf"
 )
 
-// route computes who schedules which target, and tells both machines.
-func (l *Loop) route(now time.Time) {
-	l.reroute = time.Time{}
+// updateRoutes computes who schedules which target, and tells both machines.
+func (l *Loop) updateRoutes(now time.Time) {
+	l.rerouteAt = time.Time{}
 	if l.index == nil {
 		return
 	}
@@ -37,8 +37,8 @@
 		}
 	}
 	l.owned.Store(&owned)
-	l.schedule(now, sched.Configured{Pools: pools, Targets: specs, Weights: l.weights(), EntryDataHalls: l.halls()})
-	l.admit(now, admit.Routed{Pools: routes})
+	l.stepScheduler(now, sched.Configured{Pools: pools, Targets: specs, Weights: l.weights(), EntryDataHalls: l.dataHalls()})
+	l.stepAdmission(now, admit.Routed{Pools: routes})
 }
 
 func (l *Loop) routePool(nodes []place.Node, pool string) (routes []admit.Route, owned []*conf.Target) {
@@ -85,7 +85,7 @@
 	}
 	return sched.PoolSpec{
 		Name: p.Name, HeadStart: p.HeadStart, Quantum: p.Quantum, ReserveShare: l.opts.ReserveShare,
-		MaxDebt: debtOfBounds * float64(slots+1) * p.MaxCost, Peers: peers,
+		MaxDebt: debtLimitBounds * float64(slots+1) * p.MaxCost, Peers: peers,
 	}
 }
 
@@ -99,7 +99,7 @@
 	return weights
 }
 
-func (l *Loop) halls() map[string]string {
+func (l *Loop) dataHalls() map[string]string {
 	halls := map[string]string{l.opts.Self.ID: l.opts.Self.DataHall}
 	for _, m := range l.members.Others() {
 		halls[m.ID] = m.DataHall
--- a/services/control/state.go
+++ b/services/control/state.go
@@ -37,13 +37,13 @@
 func (l *Loop) State() State {
 	st := State{Members: []MemberState{}, Rings: []ring.State{}}
 	l.Inspect(func() {
-		st.Self = stateOf(l.members.Self())
+		st.Self = memberState(l.members.Self())
 		for _, m := range l.members.Others() {
-			st.Members = append(st.Members, stateOf(m))
+			st.Members = append(st.Members, memberState(m))
 		}
 		st.Scheduler = l.sched.State(l.opts.Clock.Now())
-		st.Admission = l.disp.State()
-		st.Waiting = len(l.waiting)
+		st.Admission = l.dispatcher.State()
+		st.Waiting = len(l.decisions)
 		st.Rings = append(st.Rings, l.inputs.State())
 		for _, link := range l.links {
 			st.Rings = append(st.Rings, link.State())
@@ -54,6 +54,6 @@
 	return st
 }
 
-func stateOf(r member.Record) MemberState {
+func memberState(r member.Record) MemberState {
 	return MemberState{r.ID, r.Incarnation, r.State.String(), r.Address, r.DataHall, r.Region}
 }
--- a/services/control/translate_test.go
+++ b/services/control/translate_test.go
@@ -17,7 +17,7 @@
 	"madderway/services/peerwire"
 )
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	d := message.Demand{Account: "a", Pool: "p", Count: 3, Interactive: 1, Cost: 8, Deny: []string{"t"}, Prefix: "x"}
 	if got := demandFromWire(demandToWire(d)); !reflect.DeepEqual(got, d) {
 		t.Errorf("%+v", got)
@@ -45,7 +45,7 @@
 
 // A request that ended within the same frame was taken for lost, so its charge
 // stayed at the estimate.
-func TestReportsComeBeforeInventories(t *testing.T) {
+func TestReportsPrecedeInventories(t *testing.T) {
 	sc := sched.New(sched.Options{Self: fair.Reporter{ID: "s", Incarnation: 1}})
 	now := time.Unix(1_700_000_000, 0)
 	sc.Step(now, sched.Configured{Pools: []sched.PoolSpec{{Name: "p"}}, Targets: []sched.TargetSpec{{Name: "t", Pool: "p", Slots: 1}}})
