--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -26,7 +26,7 @@
 	mu     sync.RWMutex
 	loop   *control.Loop
 	config *config.Service
-	book   *trace.Book
+	traces *trace.Book
 	ready  chan struct{}
 }
 
@@ -37,7 +37,7 @@
 func (s *Service) Attach(l *control.Loop, c *config.Service, b *trace.Book) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loop, s.config, s.book = l, c, b
+	s.loop, s.config, s.traces = l, c, b
 	close(s.ready)
 }
 
@@ -52,26 +52,26 @@
 	<-s.ready
 	switch body := c.Body.(type) {
 	case *wire.Call_ConfigNotify:
-		return s.notified(peer, body.ConfigNotify)
+		return s.handleNotify(peer, body.ConfigNotify)
 	case *wire.Call_ChunkFetch:
 		content, ok := s.config.Chunk(body.ChunkFetch.Hash)
 		return &wire.Reply{Ok: ok, Content: content}
 	case *wire.Call_TraceFetch:
-		return s.traced(body.TraceFetch.RequestId)
+		return s.handleTraceFetch(body.TraceFetch.RequestId)
 	default:
 		return &wire.Reply{Error: "unknown call"}
 	}
 }
 
-func (s *Service) notified(peer string, n *wire.ConfigNotify) *wire.Reply {
+func (s *Service) handleNotify(peer string, n *wire.ConfigNotify) *wire.Reply {
 	s.config.Notified(peer, head.Version{Number: n.Version, Hash: n.Hash})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(n.WaitMs)*time.Millisecond)
 	defer cancel()
 	return &wire.Reply{Ok: true, ConfigVersion: s.config.Await(ctx, n.Version), Admitting: s.config.Admits()}
 }
 
-func (s *Service) traced(id string) *wire.Reply {
-	record, ok := s.book.Find(id)
+func (s *Service) handleTraceFetch(id string) *wire.Reply {
+	record, ok := s.traces.Find(id)
 	if !ok {
 		return &wire.Reply{}
 	}
@@ -147,7 +147,7 @@
 		wg      sync.WaitGroup
 		records []trace.Record
 	)
-	if r, ok := s.book.Find(id); ok {
+	if r, ok := s.traces.Find(id); ok {
 		records = append(records, r)
 	}
 	for _, m := range s.Members() {
