--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -18,7 +18,7 @@
 	"madderway/services/follow"
 )
 
-// ErrStopped tells that the gateway has stopped.
+// ErrStopped is returned once the gateway has stopped.
 var ErrStopped = errors.New("the gateway has stopped")
 
 func (l *Loop) put(in input) bool { return l.inputs.Put(l.t.Dying(), in) }
@@ -40,10 +40,10 @@
 	return &wire.Reply{Ok: true, Content: content}
 }
 
-// SetRouting puts a configuration and a list of targets in force.
+// SetRouting replaces the configuration and the targets.
 func (l *Loop) SetRouting(x *routing.Index, targets *routing.TargetSet) { l.put(routingIn{x, targets}) }
 
-// SetSeeds adds gateways to begin with.
+// SetSeeds adds addresses of gateways to contact at the start.
 func (l *Loop) SetSeeds(addresses []string) {
 	l.Inspect(func() { l.setSeeds(addresses) })
 }
@@ -61,8 +61,8 @@
 	return known
 }
 
-// Call implements discover.Peers: gateways at these addresses are greeted at once,
-// and again while no other gateway is known.
+// Call implements discover.Peers. It sends a heartbeat to the gateways at these addresses at once
+// and repeats it as long as no other gateway is known.
 func (l *Loop) Call(addresses []string) {
 	l.Inspect(func() {
 		for _, address := range addresses {
@@ -80,18 +80,18 @@
 // Leave tells the other gateways that this one is leaving.
 func (l *Loop) Leave() { l.put(memberIn{member.Leave{}}) }
 
-// SetStrength tells the other gateways what this one has to give to scheduling, in
-// percent of a core; strained tells that its link is full, so that answers come late here.
-func (l *Loop) SetStrength(percent uint32, strained bool) {
+// SetStrength announces this gateway's processor headroom, in percent of a core. If saturated, its
+// network link is saturated and answers arrive late.
+func (l *Loop) SetStrength(percent uint32, saturated bool) {
 	l.put(memberIn{member.StrengthSeen{Percent: percent}})
-	l.put(entryIn{entry.LinkStateSeen{Saturated: strained}})
+	l.put(entryIn{entry.LinkStateSeen{Saturated: saturated}})
 }
 
 // NextID returns an ID for a request to submit.
 func (l *Loop) NextID() cell.RequestID { return cell.RequestID(l.requests.Add(1)) }
 
-// Submit asks for a target and waits for the decision. Where the context ends
-// first, the request is taken back.
+// Submit requests a target and waits for the decision. If the context ends first, the request is
+// withdrawn.
 func (l *Loop) Submit(ctx context.Context, service string, a cell.Ask) (Decision, error) {
 	answer := make(chan Decision, 1)
 	if !l.put(submitIn{entry.Submitted{Service: service, Ask: a}, answer}) {
@@ -108,8 +108,7 @@
 	}
 }
 
-// abandon takes a request back; where it was placed in the same moment, its
-// place is given up.
+// abandon withdraws a request. If it was placed in the meantime, its place is released.
 func (l *Loop) abandon(id cell.RequestID, answer chan Decision) {
 	l.put(entryIn{entry.Withdrawn{ID: id}})
 	l.Inspect(func() { delete(l.decisions, id) })
@@ -122,15 +121,15 @@
 	}
 }
 
-// Began tells that the first event of an answer came.
+// Began records the first event of an answer.
 func (l *Loop) Began(id cell.RequestID) { l.put(entryIn{entry.Began{ID: id}}) }
 
-// Ended tells that a request is no longer at its target.
+// Ended records that a request has left its target.
 func (l *Loop) Ended(id cell.RequestID, o batch.Outcome) {
 	l.put(entryIn{entry.Ended{ID: id, Outcome: o}})
 }
 
-// Inspect runs a function between two steps of the loop and waits for it.
+// Inspect runs a function on the loop's goroutine, between two inputs, and waits for it.
 func (l *Loop) Inspect(run func()) {
 	done := make(chan struct{})
 	if !l.put(inspectIn{run, done}) {
--- a/services/mesh/input.go
+++ b/services/mesh/input.go
@@ -11,7 +11,7 @@
 	"madderway/modules/wire"
 )
 
-// input is something that the loop reacts to.
+// input is an event for the loop.
 type input interface{ isInput() }
 
 type frameIn struct {
@@ -28,13 +28,11 @@
 
 type memberIn struct{ event member.Event }
 
-// routingIn replaces configuration and targets.
 type routingIn struct {
 	index   *routing.Index
 	targets *routing.TargetSet
 }
 
-// inspectIn runs a function between two steps.
 type inspectIn struct {
 	run  func()
 	done chan struct{}
@@ -47,5 +45,5 @@
 func (routingIn) isInput() {}
 func (inspectIn) isInput() {}
 
-// RequestID is the entry gateway's number of a request.
+// RequestID numbers a request at its entry gateway.
 type RequestID = cell.RequestID
--- a/services/mesh/kept.go
+++ b/services/mesh/kept.go
@@ -12,16 +12,14 @@
 )
 
 const (
-	// cachedQueryWorkers bounds the targets that are asked at the same time what they
-	// keep, askKeptTime how long one may take.
+	// Bounds concurrent queries of a cell's targets.
 	cachedQueryWorkers = 4
 	cachedQueryTimeout = time.Second
-	// cachedQueryInterval is how long after a cell was taken over its targets are not
-	// asked once more.
+	// Least time between two queries of a cell's targets.
 	cachedQueryInterval = 5 * time.Second
 )
 
-// cachedPartsIn is what a target of a cell says it keeps.
+// cachedPartsIn reports the prompt parts that a target has in its cache.
 type cachedPartsIn struct {
 	key    cell.Key
 	target string
@@ -31,11 +29,10 @@
 
 func (cachedPartsIn) isInput() {}
 
-// queryCachedParts asks the targets of a cell that this gateway schedules which parts of
-// prompts they keep. Without that one that has just taken over would let them
-// read again what the one before it had let them read. A gateway that stands in
-// for a moment, or knows no other one yet, asks nobody; targets that take no work are
-// not asked, since an operator wants nothing sent to them.
+// queryCachedParts asks the targets of a cell for the prompt parts in their caches. A new scheduler
+// that does not know them would have the parts read again. Only the cell's first scheduler asks, and
+// only if the cell has others. Targets that accept no work are not asked: an operator wants no
+// traffic there.
 func (l *Loop) queryCachedParts(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if l.opts.FetchCachedParts == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.cachedQueriedAt) < cachedQueryInterval {
@@ -60,10 +57,10 @@
 }
 
 func (l *Loop) queryTarget(key cell.Key, t *routing.Target) {
-	// It may have said so while others were asked: each may take a second.
+	// The target may have closed while others were queried.
 	now := l.opts.Follow.Targets().Find(t.ID)
 	if _, closed := l.opts.Notices.Closed(t.ID); closed || now == nil || !now.AcceptsWork() {
-		l.log.Info("Target not asked what it keeps.", "cell", key, "target", t.ID, "listed", now != nil, "rests", closed)
+		l.log.Info("Target not queried for cached parts.", "cell", key, "target", t.ID, "listed", now != nil, "closed", closed)
 		return
 	}
 	ctx, cancel := context.WithTimeout(l.t.Context(context.Background()), cachedQueryTimeout)
@@ -72,9 +69,9 @@
 	parts, err := l.opts.FetchCachedParts(ctx, t)
 	took := l.opts.Clock.Now().Sub(start)
 	if err != nil {
-		l.log.Info("Target did not say what it keeps.", "cell", key, "target", t.ID, "took", took, "error", err)
+		l.log.Info("Query for cached parts failed.", "cell", key, "target", t.ID, "took", took, "error", err)
 		return
 	}
-	l.log.Debug("Target said what it keeps.", "cell", key, "target", t.ID, "parts", len(parts), "took", took)
+	l.log.Debug("Target reported cached parts.", "cell", key, "target", t.ID, "parts", len(parts), "took", took)
 	l.put(cachedPartsIn{key, t.ID, start, parts})
 }
--- a/services/mesh/lag.go
+++ b/services/mesh/lag.go
@@ -5,20 +5,18 @@
 
 import "time"
 
-// tickTolerance is how late a tick may come without a word: timers fire slightly
-// late.
+// tickTolerance is the delay of a tick that does not count as lag: timers fire slightly late.
 const tickTolerance = 2 * time.Millisecond
 
-// expectTick notes when the next tick should come; work that has just come up
-// can only bring that forward.
+// expectTick sets the latest time of the next tick. New work can only make it earlier.
 func (l *Loop) expectTick(now time.Time) {
 	if due := now.Add(l.tickInterval()); due.Before(l.tickDue) {
 		l.tickDue = due
 	}
 }
 
-// tickLag returns how late a tick is: a process that was not given the processor
-// has not read what it was sent either.
+// tickLag returns the delay of the current tick. A process that was not scheduled by the system has
+// not read its messages either.
 func (l *Loop) tickLag(now time.Time) time.Duration {
 	if l.tickDue.IsZero() {
 		return 0
--- a/services/mesh/layout.go
+++ b/services/mesh/layout.go
@@ -16,7 +16,7 @@
 	"madderway/services/discover"
 )
 
-// rebuildLayout divides the targets into cells anew.
+// rebuildLayout divides the targets into cells.
 func (l *Loop) rebuildLayout(now time.Time) {
 	l.layout = cell.NewLayout(l.index, l.targets, l.members.Nodes())
 	for key, s := range l.cells {
@@ -25,7 +25,7 @@
 	l.stepEntry(now, entry.LayoutSeen{Layout: l.layout})
 }
 
-// applyMembers puts changes of the members in force, once for all of a batch.
+// applyMembers applies membership changes, once per batch of inputs.
 func (l *Loop) applyMembers(now time.Time) {
 	if !l.membersChanged {
 		return
@@ -47,8 +47,8 @@
 	l.stepEntry(now, entry.LayoutSeen{Layout: l.layout})
 }
 
-// announce tells its neighbours at once that this gateway knows something newer;
-// each tells its own, so that the fleet hears within a few steps.
+// announce gossips new versions to some peers at once. These announce them in turn, so that all
+// gateways learn of them within a few hops.
 func (l *Loop) announce(now time.Time) {
 	v := l.opts.Follow.Versions()
 	if v.Configuration == l.announced.Configuration && v.Targets == l.announced.Targets && v.Evacuations == l.announced.Evacuations && v.Leaving == l.announced.Leaving {
@@ -82,14 +82,12 @@
 	l.applyToCell(now, key, s, ev)
 }
 
-// coldShare returns the part of what cold targets bear that this gateway may place on
-// those of a cell.
+// coldShare returns the part of the load on a cell's cold targets that this gateway may place.
 func (l *Loop) coldShare(g *cell.Group) float64 {
 	return cold.SchedulerShare(slices.Index(g.Schedulers(), l.opts.Self.ID), l.Members(), l.Known())
 }
 
-// updateColdShare tells a cell how much its cold targets may get, where members that came or
-// went have changed that.
+// updateColdShare updates a cell's share of the load on cold targets after a membership change.
 func (l *Loop) updateColdShare(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
@@ -101,7 +99,7 @@
 	}
 }
 
-// schedulerOf returns the scheduler of a cell, which begins when it is first asked.
+// schedulerOf returns the scheduler of a cell and creates it on first use.
 func (l *Loop) schedulerOf(now time.Time, key cell.Key) *cellScheduler {
 	s := l.cells[key]
 	if s == nil {
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package mesh runs the pure machines by which gateways act together:
-// membership, the entry side of scheduling and the schedulers of cells. One
-// goroutine steps them all; sockets and timers stand round it.
+// Package mesh runs the state machines that gateways share work with: membership, the entry side
+// of scheduling and the schedulers of cells. One goroutine owns them all and feeds them messages,
+// timers and calls. Methods of Loop are safe for concurrent use.
 package mesh
 
 import (
@@ -34,66 +34,65 @@
 	linkQueueSize  = 128
 	tickBusy       = 10 * time.Millisecond
 	tickIdle       = 100 * time.Millisecond
-	batchLimit     = 256 // inputs taken before the frames go out
+	batchLimit     = 256 // inputs handled before frames are sent
 	lazyFrameDelay = 15 * time.Millisecond
 	seedInterval   = 500 * time.Millisecond
-	// minSeedInterval is the least time between calls to seeds once members are known,
-	// seedShare what each of these adds to it.
+	// Least time between contacts to the seeds if others are known; seedIntervalPerMember is added
+	// for each of them.
 	minSeedInterval       = 5 * time.Second
 	seedIntervalPerMember = 100 * time.Millisecond
 	dialTimeout           = 500 * time.Millisecond
-	// linkIdleTimeout is how long a connection to another gateway stays open unused. An entry
-	// of a large fleet asks each scheduler every few seconds.
+	// Longer than the few seconds between requests of one entry to each scheduler in a large fleet.
 	linkIdleTimeout = 10 * time.Second
 	watcherKey      = "watch"
-	// registrarKey draws the gateways that register.
+	// Hashed to select the gateways that register their address.
 	registrarKey    = "register"
-	cellIdleTimeout = 30 * time.Second // a cell that nobody has asked for so long is dropped
+	cellIdleTimeout = 30 * time.Second // idle schedulers are dropped after this time
 )
 
-// Decision is what became of a submitted request.
+// Decision is the result of a submitted request.
 type Decision struct {
-	Target     string // Target is empty where the request is refused.
-	Source     string // Source is the target to copy the beginning of the prompt from, or empty.
+	Target     string // empty if the request is refused
+	Source     string // target to transfer the prompt's prefix from, or empty
 	Scheduler  string
 	Waited     time.Duration
 	RetryAfter time.Duration
 }
 
-// Options are the parts of a Loop.
+// Options configures a Loop.
 type Options struct {
 	Self   member.Record
-	Seeds  []string // Seeds are peers' addresses to begin with.
+	Seeds  []string // addresses of gateways to contact at the start
 	Clock  clock.Clock
 	Auth   *peernet.Auth
 	Meter  *peernet.Meter
 	Member member.Config
 	Follow *follow.Service
-	// Quarantine are those under which targets ended.
+	// Quarantine holds records of requests under which targets ended.
 	Quarantine *quarantine.Service
-	// Notices are what targets have said of themselves.
+	// Notices holds the states that targets announced.
 	Notices *notice.Service
-	// FairWindow is the span over which client accounts are compared.
+	// FairWindow is the time span over which accounts' service is compared.
 	FairWindow time.Duration
-	// OnMembers is told of the members after each change, OnGone that one is dead or has
-	// begun a new life; nil where nobody asks. They must not wait.
+	// OnMembers is called after each membership change, OnIncarnationEnd when a member has died or
+	// restarted. Both may be nil and must not block.
 	OnMembers        func(others []member.Record)
 	OnIncarnationEnd func(id string)
-	// FetchCachedParts asks a target which parts of prompts it keeps; nil where none tell.
+	// FetchCachedParts queries a target for the prompt parts in its cache. It may be nil.
 	FetchCachedParts func(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error)
 }
 
 type cellScheduler struct {
 	cell            *cell.Cell
 	lastUsed        time.Time
-	cachedQueriedAt time.Time // keptAt is when the targets were last asked what they keep.
+	cachedQueriedAt time.Time // zero if the targets were never queried
 	lastStats       statsSample
-	// coldShare is the part of what cold targets bear that the cell may place there.
+	// Part of the load on cold targets that may be placed in this cell.
 	coldShare   float64
-	incarnation uint64 // life tells this hold of the cell from others.
+	incarnation uint64 // differs each time this gateway takes the cell over
 }
 
-// Loop is the goroutine that owns the machines.
+// Loop owns the state machines and the links to other gateways.
 type Loop struct {
 	t       *tomb.Tomb
 	log     log.Logger
@@ -102,37 +101,37 @@
 	members *member.List
 	entry   *entry.Machine
 	cells   map[cell.Key]*cellScheduler
-	// undecided are the cells that have taken events since they decided last.
+	// Schedulers with events since their last decision.
 	undecided     map[cell.Key]*cellScheduler
-	served        map[string]serviceTotals // given is what the cells here gave, by service.
+	served        map[string]serviceTotals // by service
 	layout        *cell.Layout
 	index         *routing.Index
 	targets       *routing.TargetSet
 	decisions     map[cell.RequestID]chan Decision
 	links         map[string]*peernet.Link
 	seeds         []*peernet.Link
-	seedAddresses []string        // seedsAt are the addresses of the seeds.
-	discovered    []*peernet.Link // learned are gateways to call while no other one is known.
+	seedAddresses []string        // addresses of seeds and discovered gateways
+	discovered    []*peernet.Link // contacted while no other gateway is known
 	out           *peerwire.Outbox
 	traffic       traffic
 	nextSeed,
 	nextTally,
 	nextTick,
-	tickDue time.Time // tickDue is when the next tick comes at the latest, unless this process is late.
+	tickDue time.Time // later ticks count as lag of this process
 	announced follow.Versions
 	records   *peerwire.Records
-	// membersChanged tells that changes of the members are not in force yet.
+	// Membership changes wait for the end of the batch.
 	membersChanged bool
 
 	memberCount atomic.Int64
-	knownCount  atomic.Int64 // known counts the gateways that were ever heard of, the dead included.
+	knownCount  atomic.Int64 // members of any state, including dead ones
 	watcher     atomic.Bool
-	registrar   atomic.Bool // register tells that this gateway keeps its address in the register.
+	registrar   atomic.Bool // whether this gateway keeps its address in the register
 	busy        atomic.Int64
 	requests    atomic.Uint64
 }
 
-// NewLoop starts the loop; it ends with the tomb.
+// NewLoop starts a loop that runs until the tomb dies.
 func NewLoop(t *tomb.Tomb, logger log.Logger, o Options) *Loop {
 	l := &Loop{
 		t: t, log: logger, opts: o, inputs: ring.New[input]("mesh", inputQueueSize), members: member.New(o.Member, o.Self),
@@ -149,8 +148,8 @@
 	return l
 }
 
-// firstID returns where the numbers of a life's requests begin. Schedulers may
-// still know requests of the life before; theirs must not come again.
+// firstID returns the number before an incarnation's first request ID. Schedulers may still know
+// requests of the previous incarnation, so the ranges must differ.
 func firstID(incarnation uint64) uint64 {
 	const room, lives = 20, 1 << 24
 	return incarnation * 0x9E3779B97F4A7C15 >> 40 % lives << room
@@ -196,7 +195,7 @@
 	return tickIdle
 }
 
-// runBatch takes what is there, so that messages to the same peer share a frame.
+// runBatch handles queued inputs together, so that messages to one peer share a frame.
 func (l *Loop) runBatch(first input) {
 	l.handleInput(first)
 	for range batchLimit {
@@ -269,17 +268,16 @@
 	l.tickDue = now.Add(l.tickInterval())
 }
 
-// Members returns how many gateways are thought to be there, this one included.
+// Members returns the number of live gateways, including this one.
 func (l *Loop) Members() int { return int(l.memberCount.Load()) }
 
-// Known returns how many gateways there may be: those that are not heard of any more
-// may only be cut off.
+// Known returns the number of gateways including dead ones, which may only be partitioned.
 func (l *Loop) Known() int { return int(l.knownCount.Load()) }
 
-// Watches tells whether this gateway is one of those that ask the store for all.
+// Watches reports whether this gateway is one of those that poll the store for all others.
 func (l *Loop) Watches() bool { return l.watcher.Load() }
 
-// Busy returns the time spent on control.
+// Busy returns the time spent in the loop.
 func (l *Loop) Busy() time.Duration { return time.Duration(l.busy.Load()) }
 
 // FetchState implements follow.Peers.
--- a/services/mesh/loop_test.go
+++ b/services/mesh/loop_test.go
@@ -14,39 +14,38 @@
 	"madderway/services/follow"
 )
 
-// A process that is killed and started again within a second numbers its
-// requests anew; a scheduler that still knows the old ones must not mistake
-// them.
+// A scheduler must not mistake requests of a restarted gateway for those of its previous
+// incarnation.
 func TestRequestIDsDifferBetweenIncarnations(t *testing.T) {
-	const perLife = 100_000
+	const perIncarnation = 100_000
 	seen := map[uint64]uint64{}
-	for life := uint64(1_860_956_372_910_583); life < 1_860_956_372_910_583+2000; life++ {
-		first := firstID(life)
-		for other, begins := range seen {
-			if first < begins+perLife && begins < first+perLife && first != begins {
-				t.Fatalf("lives %d and %d overlap: %d and %d", life, other, first, begins)
+	for incarnation := uint64(1_860_956_372_910_583); incarnation < 1_860_956_372_910_583+2000; incarnation++ {
+		first := firstID(incarnation)
+		for other, otherFirst := range seen {
+			if first < otherFirst+perIncarnation && otherFirst < first+perIncarnation && first != otherFirst {
+				t.Fatalf("incarnations %d and %d overlap: first IDs %d and %d", incarnation, other, first, otherFirst)
 			}
 		}
 		if len(seen) < 50 {
-			seen[life] = first
+			seen[incarnation] = first
 		}
 	}
 	if firstID(1) == firstID(2) {
-		t.Error("two lives begin at the same number")
+		t.Error("two incarnations have the same first ID")
 	}
 }
 
 func TestMessagesRoundTrip(t *testing.T) {
 	v := follow.Versions{Configuration: 3, Targets: 9, ConfigurationAge: 1_000_000, TargetsAge: 5_000_000_000}
 	if got := versionsFromWire(versionsToWire(v)); got != v {
-		t.Errorf("%+v became %+v", v, got)
+		t.Errorf("versions = %+v after a round trip, want %+v", got, v)
 	}
 	if progressEvent("g", &wire.EngineProgress{Step: 99}) != nil {
-		t.Error("an unknown step became an event")
+		t.Error("progressEvent returned an event for an unknown step")
 	}
 }
 
-// Whatever a peer sends, a frame is taken or dropped; nothing ends.
+// No frame from a peer may cause a panic.
 func FuzzMesh(f *testing.F) {
 	ask := &wire.Frame{EngineAsks: []*wire.EngineAsk{{Cell: "s/0", Id: 1, Account: "a", Prompt: &wire.Prompt{Tokens: 5, Output: 2, Parts: []*wire.PromptPart{{Id: 1, Tokens: 5}}}, HoldMs: 100}}}
 	inventory := &wire.Frame{EngineInventories: []*wire.EngineInventory{{Cell: "s/0", Held: []*wire.EngineHeld{{Id: 1, Target: "t"}}}}, EngineProgress: []*wire.EngineProgress{{Cell: "s/0", Id: 1, Step: 2, Outcome: 200}}}
--- a/services/mesh/outbox.go
+++ b/services/mesh/outbox.go
@@ -10,7 +10,7 @@
 	"madderway/modules/wire"
 )
 
-// flush decides what is open and sends the frames that are due.
+// flush runs pending decisions and sends the frames that are due.
 func (l *Loop) flush(now time.Time) {
 	l.decideCells(now)
 	l.out.Flush(now, l.send)
--- a/services/mesh/quarantine.go
+++ b/services/mesh/quarantine.go
@@ -5,10 +5,9 @@
 
 import "madderway/core/quarantine"
 
-// recordIn is a record of a request to tell other gateways of.
 type recordIn struct{ record quarantine.Record }
 
 func (recordIn) isInput() {}
 
-// ShareRecord tells other gateways of a request under which targets have ended.
+// ShareRecord sends other gateways a record of a request under which targets ended.
 func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
--- a/services/mesh/second.go
+++ b/services/mesh/second.go
@@ -9,18 +9,17 @@
 	"madderway/core/cell"
 )
 
-// statsInterval is how often a scheduler writes what its cells have done.
+// statsInterval is the interval of the log lines about cells.
 const statsInterval = time.Second
 
-// statsSample is what was written of a cell the last time.
+// statsSample holds a cell's counters as of its last log line.
 type statsSample struct {
 	at     time.Time
 	counts cell.Counts
 }
 
-// logCellStats writes a line for each cell that did anything in the last second:
-// what was asked for, placed and refused, what engines read and read again, and how
-// much of their time that took.
+// logCellStats logs for each active cell the requests and tokens since its last line and the load of
+// its targets.
 func (l *Loop) logCellStats(now time.Time) {
 	for key, s := range l.cells {
 		if now.Sub(s.lastStats.at) < statsInterval {
@@ -37,7 +36,7 @@
 func (l *Loop) logCell(key cell.Key, before statsSample, s *cellScheduler, load cell.Load) {
 	a, b := before.counts, s.lastStats.counts
 	if a.Asked == b.Asked {
-		return // nothing to do, or another gateway has taken the cell over
+		return // idle, or taken over by another gateway
 	}
 	span := s.lastStats.at.Sub(before.at)
 	share := 0.0
--- a/services/mesh/seeds.go
+++ b/services/mesh/seeds.go
@@ -11,7 +11,7 @@
 	"madderway/modules/wire"
 )
 
-// setSeeds adds links to seeds that are new; links to old ones stay, idle.
+// setSeeds adds links to new seeds. Links to earlier seeds stay.
 func (l *Loop) setSeeds(addresses []string) {
 	for _, address := range addresses {
 		if address == l.opts.Self.Address || slices.Contains(l.seedAddresses, address) {
@@ -22,9 +22,8 @@
 	}
 }
 
-// callSeeds makes this gateway known to the seeds, often until any member is
-// known. Later it only says that it is there: a seed that does not know it answers
-// with all that it knows.
+// callSeeds sends the seeds a heartbeat. A seed that does not know this gateway replies with all
+// members that it knows.
 func (l *Loop) callSeeds(now time.Time) {
 	if now.Before(l.nextSeed) {
 		return
@@ -42,8 +41,8 @@
 	}
 }
 
-// seedDelay returns how long after a call to the seeds the next one follows. All
-// gateways together call as often as a small fleet does.
+// seedDelay returns the time until the next contact. It grows with the fleet, so that the seeds'
+// load does not.
 func seedDelay(others int) time.Duration {
 	if others == 0 {
 		return seedInterval
--- a/services/mesh/state.go
+++ b/services/mesh/state.go
@@ -10,7 +10,7 @@
 	"madderway/services/follow"
 )
 
-// State is what a dump shows of a loop.
+// State is the loop's part of a state dump.
 type State struct {
 	Self       string            `json:"self"`
 	Members    []MemberState     `json:"members"`
@@ -23,14 +23,14 @@
 	Busy       time.Duration     `json:"busy_ns"`
 }
 
-// MemberState is one other gateway.
+// MemberState is another gateway in a state dump.
 type MemberState struct {
 	ID       string `json:"id"`
 	State    string `json:"state"`
 	DataHall string `json:"data_hall"`
 }
 
-// State returns the state between two steps.
+// State returns the current state.
 func (l *Loop) State() State {
 	st := State{Self: l.opts.Self.ID, Watches: l.Watches(), Versions: l.opts.Follow.Versions(), Busy: l.Busy()}
 	l.Inspect(func() {
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -21,7 +21,7 @@
 		case member.MembersChanged:
 			l.membersChanged = true
 		case member.IncarnationEnded:
-			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
+			l.log.Warn("Incarnation of a member ended.", "id", a.ID, "incarnation", a.Incarnation)
 			if link := l.links[a.ID]; link != nil {
 				link.Reconnect()
 			}
@@ -43,8 +43,8 @@
 	hb.RequestDigest = l.records.Digest()
 }
 
-// handleFrame takes what a peer sent. Inventories come before asks, so that a new
-// scheduler knows the load before it places anything.
+// handleFrame handles the messages of a frame. Inventories come before asks, so that a new
+// scheduler knows the load before it places requests.
 func (l *Loop) handleFrame(now time.Time, peer string, f *wire.Frame) {
 	l.traffic.countFrame(receivedFromPeers, f)
 	if link := l.links[peer]; link != nil {
@@ -88,7 +88,7 @@
 func (l *Loop) handleHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
 	seen, ok := peerwire.HeartbeatFromWire(peer, hb)
 	if !ok {
-		l.log.Warn("Dropped a heartbeat that is not the sender's own.", "peer", peer)
+		l.log.Warn("Dropped a heartbeat with a wrong sender ID.", "peer", peer)
 		return
 	}
 	l.stepMembers(now, seen)
@@ -136,7 +136,7 @@
 	case entry.Refuse:
 		l.deliver(a.ID, Decision{Scheduler: a.Scheduler, RetryAfter: a.RetryAfter})
 	case entry.Suspect:
-		l.log.Warn("Scheduler silent.", "id", a.ID, "cell", a.Cell, "passed over for", a.For)
+		l.log.Warn("Scheduler silent.", "id", a.ID, "cell", a.Cell, "skip_for", a.For)
 	}
 }
 
@@ -151,7 +151,7 @@
 
 func (l *Loop) routeToCell(now time.Time, key cell.Key, ev cell.Event) {
 	if l.layout.Group(key) == nil && l.cells[key] == nil {
-		return // this gateway does not know the cell yet; the asker goes on elsewhere
+		return // the cell is unknown here; the entry tries another scheduler
 	}
 	l.applyToCell(now, key, l.schedulerOf(now, key), ev)
 }
@@ -161,8 +161,8 @@
 	l.undecided[key] = s
 }
 
-// decideCells decides in all cells that have taken events; what comes of it may
-// be an event for another one.
+// decideCells runs the decisions of all cells with new events. Their actions may be events for
+// other cells.
 func (l *Loop) decideCells(now time.Time) {
 	for len(l.undecided) > 0 {
 		for key, s := range l.undecided {
@@ -180,7 +180,7 @@
 	case cell.Place:
 		if a.RereadTokens > 0 {
 			l.log.Request("Shared part read again.", "cell", key, "entry", a.Entry, "number", a.ID, "account", a.Account,
-				"subject", a.Affinity, "target", a.Target, "tokens", a.RereadTokens, "why", a.Reason, "waited", a.Waited)
+				"subject", a.Affinity, "target", a.Target, "tokens", a.RereadTokens, "reason", a.Reason, "waited", a.Waited)
 		}
 		if a.Entry == self {
 			l.stepEntry(now, entry.PlacementSeen{From: self, Cell: key, ID: a.ID, Target: a.Target, Source: a.Source})
@@ -192,7 +192,7 @@
 		if a.Entry == self {
 			return
 		}
-		// Where a place follows soon, one frame carries both.
+		// A placement that follows soon shares the frame.
 		f := l.out.Frame(now, a.Entry, true)
 		f.EngineWaits = append(f.EngineWaits, &wire.EngineWait{Id: uint64(a.ID)})
 	case cell.Refuse:
--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -12,28 +12,26 @@
 	"madderway/modules/wire"
 )
 
-// tallyInterval is how often the schedulers of a service tell each other what they gave to
-// whom, cellsPerTallyInterval the number of cells up to which they do so that often: each tells
-// each other one, so that beyond it what one sends would grow with their number.
+// Schedulers of a service send each other the service they gave to accounts every tallyInterval.
+// Beyond cellsPerTallyInterval cells the interval grows with their number, since each scheduler
+// sends to all others.
 const (
 	tallyInterval         = 500 * time.Millisecond
 	cellsPerTallyInterval = 32
 )
 
-// tallyDelay returns how long schedulers wait between tallies where a service has so
-// many cells.
+// tallyDelay returns the time between tallies for a number of cells.
 func tallyDelay(cells int) time.Duration {
 	return tallyInterval * time.Duration(max(cells, cellsPerTallyInterval)) / cellsPerTallyInterval
 }
 
-// serviceTotals sums what this gateway gave to each account of a service, in all cells that it
-// has scheduled in its life.
+// serviceTotals sums the service given to each account in all cells that this gateway has scheduled.
 type serviceTotals map[string]*accountTotal
 
-// accountTotal is what one account was given, and how much of that other gateways were told.
+// accountTotal holds the service given to an account and the part already sent to other gateways.
 type accountTotal struct{ service, sent float64 }
 
-// add takes what one cell gave since it was last asked.
+// add adds the service that one cell gave since its last tally.
 func (g serviceTotals) add(rows []cell.TallyRow) {
 	for _, row := range rows {
 		if g[row.Account] == nil {
@@ -43,7 +41,7 @@
 	}
 }
 
-// grownRows returns the sums that have grown since they were told, sorted by account.
+// grownRows returns the totals that have grown since they were last sent, sorted by account.
 func (g serviceTotals) grownRows() []*wire.EngineTallyRow {
 	var out []*wire.EngineTallyRow
 	for account, s := range g {
@@ -56,8 +54,8 @@
 	return out
 }
 
-// sendTallies tells the schedulers of a service's other cells what the cells here have
-// given, all of them together: cells that one gateway schedules hear of each other here.
+// sendTallies sends the totals to the schedulers of each service's other cells. Cells that are
+// scheduled here get the rows directly.
 func (l *Loop) sendTallies(now time.Time) {
 	if now.Before(l.nextTally) {
 		return
@@ -89,7 +87,7 @@
 	}
 }
 
-// broadcastTally sends a tally once to each other gateway that schedules a cell of the service.
+// broadcastTally sends a tally to each other gateway that schedules a cell of the service.
 func (l *Loop) broadcastTally(now time.Time, service string, t *wire.EngineTally) {
 	told := map[string]bool{l.opts.Self.ID: true}
 	for _, g := range l.layout.GroupsOf(service) {
@@ -103,7 +101,7 @@
 	}
 }
 
-// handleTally gives a tally to all cells of its service that are scheduled here.
+// handleTally passes a tally to all cells of its service that are scheduled here.
 func (l *Loop) handleTally(now time.Time, from string, t *wire.EngineTally) {
 	ev := cell.TallySeen{Source: from, Incarnation: t.Incarnation}
 	for _, row := range t.Rows {
--- a/services/mesh/traffic.go
+++ b/services/mesh/traffic.go
@@ -13,8 +13,7 @@
 	"madderway/modules/wire"
 )
 
-// frameSampling is the share of frames whose parts are measured: it costs about as much
-// as encoding them.
+// frameSampling is the number of frames per measured frame: sizes cost about as much as encoding.
 const frameSampling = 16
 
 // Directions of messages between gateways.
@@ -23,8 +22,8 @@
 	receivedFromPeers = "received"
 )
 
-// traffic counts the bytes of messages between gateways by their kind, estimated from
-// a sample. The headers of packets and streams are not in it. It belongs to the loop.
+// traffic estimates the bytes of messages between gateways by kind, from a sample of frames and
+// without headers. Only the loop's goroutine counts frames.
 type traffic struct {
 	set    *metrics.Set
 	frames int
@@ -32,7 +31,6 @@
 
 func newTraffic() traffic { return traffic{set: metrics.NewSet()} }
 
-// countFrame counts a frame.
 func (t *traffic) countFrame(direction string, f *wire.Frame) {
 	t.frames++
 	if t.frames%frameSampling != 0 {
@@ -57,7 +55,7 @@
 	add("request_record", sizeOfAll(f.RequestRecords))
 }
 
-// countState counts a configuration or list of targets that a peer was given.
+// countState counts a configuration or target list sent to a peer.
 func (t *traffic) countState(targets bool, size int) {
 	kind := "configuration"
 	if targets {
@@ -81,5 +79,5 @@
 	return size
 }
 
-// WriteMetrics writes the bytes between gateways by the kind of message.
+// WriteMetrics writes the byte counters.
 func (l *Loop) WriteMetrics(w io.Writer) { l.traffic.set.WritePrometheus(w) }
--- a/services/mesh/traffic_test.go
+++ b/services/mesh/traffic_test.go
@@ -11,7 +11,7 @@
 	"madderway/modules/wire"
 )
 
-// Of a run of equal frames as many bytes are told as were sent.
+// For equal frames the estimate from the sample is exact.
 func TestTrafficIsCountedByKind(t *testing.T) {
 	tr := newTraffic()
 	f := &wire.Frame{EngineAsks: []*wire.EngineAsk{{Cell: "s/0", Id: 1}}, Versions: &wire.Versions{Configuration: 1}}
@@ -27,7 +27,7 @@
 		`madderway_gateway_peer_message_bytes_total{kind="targets",direction="sent"} 1000`,
 	} {
 		if !strings.Contains(out.String(), line+"\n") {
-			t.Errorf("no line %s in\n%s", line, out.String())
+			t.Errorf("metrics lack %s:\n%s", line, out.String())
 		}
 	}
 }
--- a/services/mesh/translate.go
+++ b/services/mesh/translate.go
@@ -58,7 +58,7 @@
 	return out
 }
 
-// progressEvent returns what a progress message means to a cell, or nil.
+// progressEvent converts a progress message to an event of a cell, or nil if its step is unknown.
 func progressEvent(peer string, p *wire.EngineProgress) cell.Event {
 	id := cell.RequestID(p.Id)
 	switch p.Step {
