--- a/lab/seconds/seconds.go
+++ b/lab/seconds/seconds.go
@@ -18,7 +18,7 @@
 
 // Messages of the lines, as the mesh and forward services write them.
 const (
-	cellMessage    = "Second of a cell."
+	cellMessage    = "Cell statistics."
 	gatewayMessage = "Second of a gateway."
 	timeLayout     = "0102 15:04:05.999999"
 )
@@ -107,7 +107,7 @@
 	}
 	for name, sum := range map[string]*int{
 		"asked": &s.Asked, "placed": &s.Placed, "refused": &s.Refused, "with_room": &s.WithRoom, "waiting": &s.Waiting,
-		"asked_tokens": &s.AskedTokens, "placed_tokens": &s.PlacedTokens, "read": &s.Read, "anew": &s.Anew,
+		"asked_tokens": &s.AskedTokens, "placed_tokens": &s.PlacedTokens, "read": &s.Read, "reread": &s.Anew,
 		"copies": &s.Copies, "copied": &s.Copied, "targets": &s.Targets, "streams": &s.Streams,
 	} {
 		*sum += number(name)
