--- a/services/relay/frame.go
+++ b/services/relay/frame.go
@@ -8,58 +8,56 @@
 	"errors"
 )
 
-// kind is what a frame carries.
+// kind is the type of a frame.
 type kind uint8
 
-// The kinds of frames. Those of a request and its answer name it by a number that the
-// gateway which hands it over has drawn; a probe's is 0.
+// Frames of a request and its answer carry the number that the sending gateway gave the request;
+// probes carry 0.
 const (
-	kindData    kind = iota + 1 // bytes of a request or an answer, more follow
-	kindEnd                     // the last bytes
-	kindAborted                 // the answer ends here and is not whole
-	kindCancel                  // the caller has left
-	kindProbe                   // is answered by the same
+	kindData    kind = iota + 1 // bytes of a request or an answer, more frames follow
+	kindEnd                     // last bytes
+	kindAborted                 // the answer ends incomplete
+	kindCancel                  // the caller has disconnected
+	kindProbe                   // keep-alive; the receiver returns it
 )
 
 const (
-	// HeaderSize is the size of what stands before the bytes of a frame: kind, number, length.
-	HeaderSize = 1 + 4 + 4
-	// maxFrameSize is the most bytes that a frame has.
+	// HeaderSize is the size of a frame's header: kind, request number, length.
+	HeaderSize   = 1 + 4 + 4
 	maxFrameSize = 1 << 20
 )
 
-// errMalformedFrame tells that a peer sends something else than frames.
-var errMalformedFrame = errors.New("not a frame")
+var errMalformedFrame = errors.New("malformed frame")
 
-// frame is what is known of the frame that is being read.
+// frame is the header of the frame being read.
 type frame struct {
 	kind      kind
 	number    uint32
-	remaining int // left is how much of it is still to come.
+	remaining int // payload bytes still to be read
 }
 
-// putHeader writes the head of a frame with so many bytes.
+// putHeader writes the header of a frame with a payload of length bytes.
 func putHeader(b []byte, k kind, number uint32, length int) {
 	b[0] = byte(k)
 	binary.BigEndian.PutUint32(b[1:], number)
 	binary.BigEndian.PutUint32(b[5:], uint32(length))
 }
 
-// decoder divides what is read into frames. Bytes are passed on as they come, in pieces that
-// end with their frame or with what was read.
+// decoder splits the bytes read from a connection into frames. It passes payloads on in pieces, as
+// they arrive, without collecting whole frames.
 type decoder struct {
 	frame
 	header    [HeaderSize]byte
-	headerLen int // held is how much of a head has come.
+	headerLen int // bytes of header that have been read
 }
 
-// feed calls take for each piece; last tells that it ends its frame.
-func (d *decoder) feed(b []byte, take func(f frame, piece []byte, last bool)) error {
+// feed calls emit for each piece of payload; last is set on the final piece of a frame.
+func (d *decoder) feed(b []byte, emit func(f frame, piece []byte, last bool)) error {
 	for len(b) > 0 {
 		if d.remaining > 0 {
 			n := min(d.remaining, len(b))
 			d.remaining -= n
-			take(d.frame, b[:n], d.remaining == 0)
+			emit(d.frame, b[:n], d.remaining == 0)
 			b = b[n:]
 			continue
 		}
@@ -74,7 +72,7 @@
 			return errMalformedFrame
 		}
 		if d.remaining == 0 {
-			take(d.frame, nil, true)
+			emit(d.frame, nil, true)
 		}
 	}
 	return nil
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -1,11 +1,10 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package relay hands requests of callers over to other gateways of the data
-// hall, and serves those that others hand over. One connection to a gateway
-// carries all of them. The gateway that hands over passes the bytes of request
-// and answer on without looking at them, and without a goroutine for each answer:
-// it has no processor time to spare.
+// Package relay hands requests over to other gateways of the data hall and serves requests that they
+// hand over. One connection per gateway carries all of them. An overloaded gateway has no processor
+// time to spare: it forwards the bytes of requests and answers without parsing them and without a
+// goroutine per answer.
 package relay
 
 import (
@@ -27,39 +26,37 @@
 )
 
 const (
-	// dialTimeout is how long a gateway of the same hall may take to answer: the request that
-	// is to be handed over waits meanwhile. Who hands over is late itself.
+	// The request waits while the connection is opened, and this gateway is late already.
 	dialTimeout = time.Second
-	// idleTimeout is how long a connection stays open unused: floods come in waves of seconds.
+	// Load peaks come seconds apart; the connection should outlast the pause.
 	idleTimeout = 10 * time.Second
-	// probeInterval is how often the other gateway must say something while it has requests of
-	// this one. Silence at silentProbes probes in a row ends the connection: it can go silent
-	// while the heartbeats, which have one of their own, still come.
+	// The connection is closed if the other gateway sends nothing for maxMissedProbes probes in a row
+	// while it serves requests of this one. Heartbeats use another connection and may still arrive.
 	probeInterval   = time.Second
 	maxMissedProbes = 3
-	// maxAttempts is how many gateways are tried for one request.
+	// Gateways tried per request.
 	maxAttempts = 2
 )
 
-// ErrNoPeer tells that there is no gateway to hand a request over to.
-var ErrNoPeer = errors.New("no gateway of the data hall has time")
+// ErrNoPeer is returned if no gateway can take a request over.
+var ErrNoPeer = errors.New("no gateway of the data hall is available")
 
-// Peer is another gateway of the data hall that keeps up with its callers.
+// Peer is a gateway of the data hall that can take requests over.
 type Peer struct {
 	ID          string
 	Incarnation uint64
 	Address     string
-	Strength    float64 // Strength is in cores.
+	Strength    float64 // processor headroom in cores
 }
 
-// Options are the parts of a Service.
+// Options configures a Service.
 type Options struct {
 	Auth  *peernet.Auth
 	Meter *peernet.Meter
 	Clock clock.Clock
 }
 
-// Service hands requests over.
+// Service hands requests over to other gateways.
 type Service struct {
 	t    *tomb.Tomb
 	log  log.Logger
@@ -73,12 +70,12 @@
 // peer is a gateway and the connection to it.
 type peer struct {
 	Peer
-	mu     sync.Mutex // mu is held while the connection is opened.
+	mu     sync.Mutex // serializes opening and closing of the connection
 	closed bool
-	tunnel atomic.Pointer[tunnel] // tunnel is nil where none was opened.
+	tunnel atomic.Pointer[tunnel] // nil until first opened
 }
 
-// New returns a service that knows nobody; it closes its connections with the tomb.
+// New returns a service without peers. It closes its connections when the tomb dies.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
 	s := &Service{t: t, log: logger, opts: o, chooser: relay.New(), peers: map[string]*peer{}}
 	t.Go(func() error {
@@ -93,8 +90,8 @@
 	return s
 }
 
-// SetPeers replaces the gateways that may take requests over. What is under way to one
-// that has only become busy goes on; Gone ends it.
+// SetPeers replaces the gateways that may take requests over. Requests in flight at a gateway that
+// is no longer listed continue; Disconnect ends them.
 func (s *Service) SetPeers(peers []Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +110,8 @@
 	s.chooser.SetPeers(choice)
 }
 
-// Disconnect tells that a gateway is dead, or has begun a new life: what it had taken over is
-// lost. It does not wait.
+// Disconnect drops a gateway that has died or restarted and fails its requests in flight. It does
+// not block.
 func (s *Service) Disconnect(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,15 +121,14 @@
 	}
 }
 
-// Available tells whether there is a gateway to hand requests over to.
+// Available reports whether a gateway can take requests over.
 func (s *Service) Available() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.chooser.Available(s.opts.Clock.Now())
 }
 
-// Waiting returns for how long the first of the requests waits that are to be handed over and
-// not written yet.
+// Waiting returns the age of the oldest request that waits to be written to a gateway.
 func (s *Service) Waiting(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,11 +141,11 @@
 	return longest
 }
 
-// Send hands a request over. The first HeadSize bytes of the buffer are free, the request
-// follows. The answer goes to the caller; when it is over, waiting reads of the caller are
-// ended by a deadline. Left tells whether the caller has left; it is asked right before the
-// request is written, which may be long after Send is called.
-func (s *Service) Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*Handover, error) {
+// Send hands a request over. The first HeaderSize bytes of the buffer are reserved for the header;
+// the request follows. The answer is written to the caller. Once it has ended, an expired read
+// deadline interrupts pending reads of the caller. Send calls disconnected right before it writes
+// the request, which may be long after the call.
+func (s *Service) Send(ctx context.Context, buffer []byte, caller net.Conn, disconnected func() bool) (*Handover, error) {
 	err := error(ErrNoPeer)
 	for range maxAttempts {
 		p := s.choose()
@@ -159,7 +155,7 @@
 		var t *tunnel
 		if t, err = s.open(ctx, p); err == nil {
 			h := &Handover{s: s, Peer: p.ID, caller: caller, tunnel: t, done: make(chan struct{})}
-			if err = t.send(h, buffer, left); err == nil {
+			if err = t.send(h, buffer, disconnected); err == nil {
 				return h, nil
 			}
 		}
@@ -179,7 +175,7 @@
 	return nil, err
 }
 
-// choose counts a request for a gateway; it returns nil where there is none.
+// choose selects a gateway and counts a request in flight; it returns nil if none is available.
 func (s *Service) choose() *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +188,7 @@
 	return p
 }
 
-// open returns the connection to a gateway and dials where there is none.
+// open returns the connection to a gateway, dialing if necessary.
 func (s *Service) open(ctx context.Context, p *peer) (*tunnel, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,19 +208,19 @@
 	}
 	t := newTunnel(conn, s.opts.Clock)
 	p.tunnel.Store(t)
-	s.log.Info("Hands requests over.", "peer", p.ID, "address", p.Address)
+	s.log.Info("Opened a connection to hand requests over.", "peer", p.ID, "address", p.Address)
 	go t.readLoop()
 	go t.probeLoop(s.opts.Clock)
 	return t, nil
 }
 
 func (s *Service) failed(p *peer, err error) {
-	s.log.Warn("Gateway not reached, nothing handed over.", "peer", p.ID, "address", p.Address, "reason", err)
+	s.log.Warn("Could not hand over a request.", "peer", p.ID, "address", p.Address, "reason", err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooser.Ended(p.ID)
-	// No answer in time is as likely this process's own lateness, and a silent member is
-	// found dead soon.
+	// A timeout is as likely caused by this process's own overload, and the membership protocol soon
+	// finds a silent member dead.
 	if !os.IsTimeout(err) && !errors.Is(err, context.DeadlineExceeded) {
 		s.chooser.Failed(s.opts.Clock.Now(), p.ID)
 	}
@@ -236,7 +232,7 @@
 	s.chooser.Ended(id)
 }
 
-// close closes the connection to a gateway for good.
+// close closes the connection for good.
 func (p *peer) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -25,12 +25,11 @@
 
 const key = "a key of the test"
 
-// remoteGateway is another gateway. It answers with the path of what it is asked for, and "/wait" when
-// it is told to.
+// remoteGateway answers requests with their path, a request for "/wait" only after release.
 type remoteGateway struct {
 	Peer
 	t       *tomb.Tomb
-	blocked chan struct{} // waiting gets a value for each request that waits.
+	blocked chan struct{} // receives a value for each request for /wait
 	release chan struct{}
 }
 
@@ -53,7 +52,7 @@
 	_, _ = io.WriteString(w, r.URL.Path)
 }
 
-// longAnswerSize is more than the buffers of a connection take that are made small.
+// longAnswerSize exceeds the buffers of a connectionPair.
 const longAnswerSize = 300 << 10
 
 func newRemoteGateway(t *testing.T, id string) *remoteGateway {
@@ -87,7 +86,7 @@
 	return s
 }
 
-// connectionPair returns both ends of a connectionPair with small buffers.
+// connectionPair returns both ends of a connection with small buffers.
 func connectionPair(t *testing.T) (near, caller net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -107,18 +106,17 @@
 	return near, caller
 }
 
-// sendRequest hands a request for a path over; the caller's end of its connection is returned.
+// sendRequest hands a request for a path over and returns the caller's end of its connection.
 func sendRequest(t *testing.T, s *Service, path string) (*Handover, net.Conn, error) {
 	t.Helper()
 	near, caller := connectionPair(t)
-	h, err := s.Send(t.Context(), append(make([]byte, HeaderSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, connected)
+	h, err := s.Send(t.Context(), append(make([]byte, HeaderSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, neverDisconnects)
 	return h, caller, err
 }
 
-// connected is a caller who does not leave.
-func connected() bool { return false }
+func neverDisconnects() bool { return false }
 
-// checkAnswer reads the answer of a request and waits for its end.
+// checkAnswer reads the caller's answer and waits for the end of the handover.
 func checkAnswer(t *testing.T, h *Handover, caller net.Conn, want string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
@@ -128,16 +126,15 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || !strings.HasSuffix(string(body), want) || want == "/long" && len(body) != longAnswerSize+len(want) {
-		t.Fatalf("%d bytes, %v", len(body), err)
+		t.Fatalf("body of %d bytes, error %v; want one that ends with %q", len(body), err, want)
 	}
 	<-h.Done()
-	if bytes, whole := h.Result(); !whole || bytes < int64(len(body)) {
-		t.Errorf("%d of %d bytes, whole %v", bytes, len(body), whole)
+	if bytes, complete := h.Result(); !complete || bytes < int64(len(body)) {
+		t.Errorf("%d bytes delivered for a body of %d, complete %v", bytes, len(body), complete)
 	}
 }
 
-// Requests under way at the same time get their own answers, in any order, over one
-// connection.
+// Concurrent requests on one connection get their own answers, in any order.
 func TestConcurrentAnswersReachTheirCallers(t *testing.T) {
 	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
@@ -157,7 +154,7 @@
 	checkAnswer(t, slow, slowCaller, "/wait")
 }
 
-// A caller that does not read holds nobody else up, and gets all of its answer in the end.
+// A caller that reads slowly does not delay others and gets its complete answer.
 func TestSlowCallerDoesNotBlockOthers(t *testing.T) {
 	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
@@ -173,7 +170,7 @@
 	checkAnswer(t, slow, slowCaller, "/long")
 }
 
-// What is given up ends at the other gateway, and what is under way ends where that is gone.
+// Cancel and Disconnect end requests in flight, which then count as incomplete.
 func TestCancelAndDisconnectEndRequests(t *testing.T) {
 	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
@@ -192,17 +189,17 @@
 	s.Disconnect("far")
 	<-lost.Done()
 	for _, h := range []*Handover{given, lost} {
-		if bytes, whole := h.Result(); bytes != 0 || whole {
-			t.Errorf("%d bytes, whole %v", bytes, whole)
+		if bytes, complete := h.Result(); bytes != 0 || complete {
+			t.Errorf("Result() = %d bytes, complete %v; want 0, false", bytes, complete)
 		}
 	}
 	s.SetPeers(nil)
 	if _, _, err := sendRequest(t, s, "/a"); !errors.Is(err, ErrNoPeer) || s.Available() {
-		t.Errorf("handed one more over: %v", err)
+		t.Errorf("Send without peers: error %v, want ErrNoPeer", err)
 	}
 }
 
-// A gateway that refuses the connection is left out for a while; another one is taken.
+// A gateway that refuses connections is skipped for a while in favor of others.
 func TestUnreachableGatewayIsSkipped(t *testing.T) {
 	c := clock.NewFake()
 	s, f, gone := newService(t, key, c), newRemoteGateway(t, "far"), newRemoteGateway(t, "gone")
@@ -217,15 +214,15 @@
 	}
 	s.SetPeers([]Peer{gone.Peer})
 	if _, _, err := sendRequest(t, s, "/a"); err == nil || s.Available() {
-		t.Errorf("handed over to nobody: %v", err)
+		t.Errorf("unreachable gateway still available, or Send succeeded: error %v", err)
 	}
 	c.Advance(5 * time.Second)
 	if !s.Available() {
-		t.Error("left out for ever")
+		t.Error("gateway is still skipped after 5 s")
 	}
 }
 
-// A gateway with another key is not served.
+// Requests of a gateway with another key are not served.
 func TestWrongKeyIsRejected(t *testing.T) {
 	s, f := newService(t, "another key", clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
@@ -234,12 +231,12 @@
 		return // the connection was closed before the request was written
 	}
 	<-h.Done()
-	if bytes, whole := h.Result(); bytes != 0 || whole {
-		t.Errorf("%d bytes, whole %v", bytes, whole)
+	if bytes, complete := h.Result(); bytes != 0 || complete {
+		t.Errorf("Result() = %d bytes, complete %v; want 0, false", bytes, complete)
 	}
 }
 
-// silentConn takes all and says nothing.
+// silentConn accepts all writes and never sends.
 type silentConn struct {
 	net.Conn
 	closed chan struct{}
@@ -256,8 +253,8 @@
 	return nil
 }
 
-// A connection that has gone silent ends, and with it what is under way on it; one that
-// carries nothing ends only after a while.
+// A silent connection is closed and its requests end; an unused one is closed only after
+// idleTimeout.
 func TestSilentConnectionEnds(t *testing.T) {
 	c := clock.NewFake()
 	s := newService(t, key, c)
@@ -266,7 +263,7 @@
 		tunnel := newTunnel(&silentConn{closed: make(chan struct{})}, clock.System{})
 		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		if used {
-			if err := tunnel.send(h, make([]byte, HeaderSize+1), connected); err != nil {
+			if err := tunnel.send(h, make([]byte, HeaderSize+1), neverDisconnects); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -287,7 +284,7 @@
 			}
 		}
 		if want := map[bool]int{true: maxMissedProbes, false: int(idleTimeout / probeInterval)}[used]; probes < want || probes > want+2 {
-			t.Errorf("used %v: ended after %d probes", used, probes)
+			t.Errorf("used %v: closed after %d probes", used, probes)
 		}
 		if used {
 			<-h.Done()
@@ -295,7 +292,7 @@
 	}
 }
 
-// However frames are cut into reads, their bytes come out as they were sent.
+// Payloads come out of the decoder unchanged, however reads divide the frames.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("some bytes"), []byte("of two frames"), uint8(3))
 	f.Add([]byte{}, []byte{0}, uint8(0))
@@ -315,7 +312,7 @@
 			n := min(int(size)+1, len(sent))
 			err := d.feed(sent[:n], func(fr frame, piece []byte, last bool) {
 				if fr.kind != kindData+kind(fr.number) {
-					t.Fatalf("frame %+v", fr)
+					t.Fatalf("frame %+v has the wrong kind", fr)
 				}
 				got[fr.number] += string(piece)
 				if last {
@@ -328,26 +325,26 @@
 			sent = sent[n:]
 		}
 		if got[0] != string(first) || got[1] != string(second) || lasts != [2]int{1, 1} {
-			t.Fatalf("%q, ends %v", got, lasts)
+			t.Fatalf("payloads = %q, ends = %v; want the payloads sent and one end each", got, lasts)
 		}
 	})
 }
 
-// What is no frame ends the connection.
+// Unknown kinds and oversized frames are errors.
 func TestDecoderRejectsMalformedFrames(t *testing.T) {
 	for _, b := range []string{"GET / HTTP/1.1\r\n", "\x00\x00\x00\x00\x00\x00\x00\x00\x00", "\x01\x00\x00\x00\x00\xff\xff\xff\xff"} {
 		var d decoder
 		if err := d.feed([]byte(b), func(frame, []byte, bool) {}); err == nil {
-			t.Errorf("%q is taken for a frame", b)
+			t.Errorf("%q was accepted as a frame", b)
 		}
 	}
 }
 
-// blockingConn takes nothing until it is told to.
+// blockingConn blocks each write until release.
 type blockingConn struct {
 	net.Conn
-	writes  chan int      // writes gets the size of each write.
-	release chan struct{} // goOn lets one write return.
+	writes  chan int      // receives the size of each write
+	release chan struct{} // lets one write return
 }
 
 func (c *blockingConn) Write(b []byte) (int, error) {
@@ -358,42 +355,39 @@
 func (c *blockingConn) SetWriteDeadline(time.Time) error { return nil }
 func (c *blockingConn) Close() error                     { return nil }
 
-// A gateway that had no time came to its connections to others each 100 to 350 ms: requests
-// waited for up to five seconds until they were written, and the word that a caller had left
-// waited behind them. In half a second 91 requests were sent on after their callers had left,
-// and 82 of 105 runs went on for nobody. What is written is asked for right before, and that a
-// caller has left goes first.
+// An overloaded gateway must not send requests of callers that have disconnected meanwhile, and
+// cancellations must not wait behind requests.
 func TestDisconnectedCallersRequestsAreNotWritten(t *testing.T) {
 	s := newService(t, key, clock.System{})
 	near, _ := connectionPair(t)
 	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
 	const size = 16 << 10
-	send := func(left func() bool) (*Handover, chan error) {
+	send := func(disconnected func() bool) (*Handover, chan error) {
 		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		sent := make(chan error, 1)
-		go func() { sent <- tunnel.send(h, make([]byte, size), left) }()
+		go func() { sent <- tunnel.send(h, make([]byte, size), disconnected) }()
 		return h, sent
 	}
-	_, first := send(connected)
+	_, first := send(neverDisconnects)
 	if n := <-conn.writes; n != size {
-		t.Fatalf("%d bytes of the first request are written", n)
+		t.Fatalf("%d bytes of the first request were written", n)
 	}
 	asked := make(chan struct{})
-	_, leaves := send(func() bool {
+	_, gone := send(func() bool {
 		close(asked)
 		return true
 	})
-	canceled, _ := send(connected)
+	canceled, _ := send(neverDisconnects)
 	for waiting := false; !waiting; runtime.Gosched() {
 		tunnel.mu.Lock()
 		waiting = len(tunnel.inFlight) == 3
 		tunnel.mu.Unlock()
 	}
-	canceled.Cancel() // returns though the connection takes nothing
+	canceled.Cancel() // returns although writes block
 	conn.release <- struct{}{}
 	if n := <-conn.writes; n != HeaderSize {
-		t.Errorf("%d bytes are written before the word that a caller has left", n)
+		t.Errorf("%d bytes were written before the cancellation", n)
 	}
 	close(conn.release)
 	go func() {
@@ -404,24 +398,20 @@
 		t.Error(err)
 	}
 	<-asked
-	if err := <-leaves; !errors.Is(err, ErrCallerDisconnected) {
-		t.Errorf("a request whose caller has left: %v", err)
+	if err := <-gone; !errors.Is(err, ErrCallerDisconnected) {
+		t.Errorf("send for a disconnected caller: error %v, want ErrCallerDisconnected", err)
 	}
 }
 
-// A gateway of 0.19 of a core was flooded, and handed requests over to others that had time. Each
-// request was written by its own goroutine, under a lock: when one had written, the next in the line
-// had to come to run first, which took the process 0.1 to 0.5 s each time. Of 9,457 requests
-// half waited for 0.63 s for their turn and a hundredth for 5 s, while writing took a median of 0 ms and
-// the other gateway read them 0 to 3 ms later; meanwhile their callers left (397 were sent on for
-// nobody). One goroutine writes all that waits, without others having to run in between.
+// With a goroutine and a lock per request, each write of an overloaded process would wait for
+// the next goroutine to be scheduled.
 func TestOneGoroutineWritesAllRequests(t *testing.T) {
 	s := newService(t, key, clock.System{})
 	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
 	var mu sync.Mutex
 	writers := map[string]int{}
-	asks := func() bool {
+	countWriter := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		writers[goroutineID()]++
@@ -432,7 +422,7 @@
 	for range requests {
 		near, _ := connectionPair(t)
 		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
-		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), asks) }()
+		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), countWriter) }()
 	}
 	for range requests {
 		<-conn.writes
@@ -448,15 +438,15 @@
 	}
 }
 
-// goroutineID returns the number of the goroutineID that asks.
+// goroutineID returns the number of the calling goroutine.
 func goroutineID() string {
 	var b [64]byte
 	fields := strings.Fields(string(b[:runtime.Stack(b[:], false)]))
 	return fields[1]
 }
 
-// A request that waits for longer than a caller wants to wait is given back unsent, and how long
-// the first one waits is told meanwhile.
+// A request that has waited longer than maxWait is returned unsent; oldestWait reports the wait
+// meanwhile.
 func TestRequestsThatWaitTooLongAreNotWritten(t *testing.T) {
 	s := newService(t, key, clock.System{})
 	near, _ := connectionPair(t)
@@ -466,7 +456,7 @@
 	send := func() chan error {
 		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		sent := make(chan error, 1)
-		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), connected) }()
+		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), neverDisconnects) }()
 		return sent
 	}
 	first := send()
@@ -479,16 +469,16 @@
 	}
 	c.Advance(maxWait + time.Millisecond)
 	if w := tunnel.oldestWait(c.Now()); w <= maxWait {
-		t.Errorf("the first request waits for %v", w)
+		t.Errorf("oldestWait = %v, want more than maxWait", w)
 	}
 	conn.release <- struct{}{}
 	if err := <-first; err != nil {
 		t.Error(err)
 	}
 	if err := <-late; !errors.Is(err, ErrCongested) {
-		t.Errorf("a request that waited for too long: %v", err)
+		t.Errorf("send after maxWait: error %v, want ErrCongested", err)
 	}
 	if w := tunnel.oldestWait(c.Now()); w != 0 {
-		t.Errorf("nothing waits, but for %v", w)
+		t.Errorf("oldestWait = %v with an empty queue, want 0", w)
 	}
 }
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// maxRequestSize is the most bytes of a request that is handed over.
+	// Bytes of a request, including its header.
 	maxRequestSize = 512 << 10
-	// maxRequests is the most requests of one gateway that are served at once.
+	// Concurrent requests per gateway.
 	maxRequests = 4096
-	// flushSize is how much of an answer is gathered where the handler does not flush.
+	// Bytes of an answer that are buffered if the handler does not flush.
 	flushSize = 32 << 10
 )
 
@@ -33,12 +33,12 @@
 	handler http.Handler
 }
 
-// NewServer returns a server.
+// NewServer returns a server that passes requests to the handler.
 func NewServer(logger log.Logger, h http.Handler) *Server { return &Server{logger, h} }
 
 type peerKey struct{}
 
-// HandedOverBy returns the gateway that has handed a request over, or empty.
+// HandedOverBy returns the ID of the gateway that handed the request over, or "".
 func HandedOverBy(ctx context.Context) string {
 	carrier, _ := ctx.Value(peerKey{}).(string)
 	return carrier
@@ -56,7 +56,7 @@
 		n, err := conn.Read(buffer)
 		if n > 0 {
 			if wrong := d.feed(buffer[:n], f.handleFrame); wrong != nil {
-				s.log.Warn("Dropped a connection that carries requests.", "peer", peer, "reason", wrong)
+				s.log.Warn("Closed a connection with malformed frames.", "peer", peer, "reason", wrong)
 				return
 			}
 		}
@@ -66,22 +66,22 @@
 	}
 }
 
-// serverConn is the far end of a connection on which requests are handed over.
+// serverConn is the serving end of a connection.
 type serverConn struct {
 	s    *Server
 	ctx  context.Context
 	conn net.Conn
 
-	writeMu sync.Mutex // writing is held while a frame is written.
+	writeMu sync.Mutex // held while a frame is written
 
 	mu       sync.Mutex
 	requests map[uint32]*incomingRequest
 }
 
-// incomingRequest is a request, first as it comes, then under way.
+// incomingRequest is a request that is being received or served.
 type incomingRequest struct {
 	raw    []byte
-	cancel context.CancelFunc // cancel is nil until the request is whole.
+	cancel context.CancelFunc // nil until the request is complete
 }
 
 func (f *serverConn) handleFrame(fr frame, piece []byte, last bool) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// request takes bytes of a request and serves it when it is whole.
+// request appends bytes of a request and serves it once it is complete.
 func (f *serverConn) request(number uint32, piece []byte, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +141,7 @@
 	defer f.remove(number)
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 	if err != nil {
-		f.s.log.Warn("Dropped a request that was handed over.", "peer", HandedOverBy(ctx), "reason", err)
+		f.s.log.Warn("Dropped a malformed request.", "peer", HandedOverBy(ctx), "reason", err)
 		f.sendControl(kindAborted, number)
 		return
 	}
@@ -150,7 +150,7 @@
 		if p := recover(); p != nil {
 			f.sendControl(kindAborted, number)
 			if p != any(http.ErrAbortHandler) {
-				f.s.log.Error(fmt.Errorf("panic: %v", p), "A request that was handed over failed.", "peer", HandedOverBy(ctx))
+				f.s.log.Error(fmt.Errorf("panic: %v", p), "The handler of a request panicked.", "peer", HandedOverBy(ctx))
 			}
 		}
 	}()
@@ -164,7 +164,7 @@
 	f.write(b[:])
 }
 
-// write sends a frame; where that fails the connection ends.
+// write sends a frame and closes the connection on failure.
 func (f *serverConn) write(b []byte) error {
 	f.writeMu.Lock()
 	defer f.writeMu.Unlock()
@@ -178,23 +178,22 @@
 	return err
 }
 
-// responseWriter is the responseWriter to a request that was handed over, in the form in which the caller
-// gets it.
+// responseWriter sends an answer as frames whose payload is the HTTP/1.1 response for the caller.
 type responseWriter struct {
 	conn       *serverConn
 	number     uint32
 	header     http.Header
 	status     int
-	noBody     bool   // noBody tells that the request asks for the head only.
-	headerSent bool   // begun tells that the head was sent.
-	chunked    bool   // chunked tells that the length is not known from the head.
-	remaining  int64  // left is how much of the body is still to come where it is.
-	body       []byte // body is what was written since the last flush.
-	frame      []byte // out is the frame that is being made.
+	noBody     bool // the request's method is HEAD
+	headerSent bool
+	chunked    bool   // the body has no announced length
+	remaining  int64  // unwritten bytes of the announced body length
+	body       []byte // written since the last flush
+	frame      []byte // frame being built
 	err        error
 }
 
-var errTooLong = errors.New("more than the announced length was written")
+var errTooLong = errors.New("body is longer than its Content-Length")
 
 var _ http.Flusher = (*responseWriter)(nil)
 
@@ -223,7 +222,7 @@
 // Flush implements http.Flusher.
 func (a *responseWriter) Flush() { _ = a.FlushError() }
 
-// FlushError is Flush for http.ResponseController.
+// FlushError flushes for http.ResponseController.
 func (a *responseWriter) FlushError() error {
 	a.WriteHeader(http.StatusOK)
 	if a.err == nil {
@@ -251,7 +250,8 @@
 	a.sendFrame(kindEnd)
 }
 
-// startFrame writes the head; whole tells that all of the body was written.
+// startFrame begins a frame, with the response header if that was not sent. whole is set if the
+// handler has written all of the body.
 func (a *responseWriter) startFrame(whole bool) {
 	var room [HeaderSize]byte
 	a.frame = append(a.frame[:0], room[:]...)
@@ -273,12 +273,12 @@
 	}
 	head := bytes.NewBuffer(a.frame)
 	head.WriteString("HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\n")
-	_ = a.header.Write(head) // a buffer takes all
+	_ = a.header.Write(head) // a bytes.Buffer never fails
 	head.WriteString("\r\n")
 	a.frame = head.Bytes()
 }
 
-// appendBody puts what was written behind the head.
+// appendBody moves the buffered body to the frame.
 func (a *responseWriter) appendBody() {
 	body := a.body
 	a.body = a.body[:0]
@@ -297,7 +297,7 @@
 	a.frame = append(a.frame, body...)
 }
 
-// sendFrame sends the frame that was made.
+// sendFrame sends the frame, unless an intermediate one is empty.
 func (a *responseWriter) sendFrame(k kind) {
 	if a.err != nil || k == kindData && len(a.frame) <= HeaderSize {
 		return
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -15,74 +15,71 @@
 )
 
 const (
-	// readBufferSize is how much is read of a connection at once: the events of many answers.
+	// Large enough for the events of many answers.
 	readBufferSize = 64 << 10
-	// frameTimeout is how long the other gateway may take to read a frame.
+	// Longest write of a frame.
 	frameTimeout = 3 * time.Second
-	// chunkTimeout is how long a caller may take to read a piece of an answer before the rest
-	// is kept for it: other callers' answers come on the same connection.
+	// Longest write of a piece of an answer before the rest is buffered: answers to other callers
+	// arrive on the same connection.
 	chunkTimeout = 20 * time.Millisecond
-	// untimedBytes is how much of an answer is written without that limit: the least buffer that
-	// the system has for a connection takes more. Most answers are shorter, and a limit for
-	// each piece took 8 % of the time of a gateway that hands a thousand requests a second
-	// over.
+	// Bytes of an answer that are written without a deadline. They fit into the smallest socket
+	// buffer, most answers are shorter, and setting a deadline for each write is expensive.
 	untimedBytes = 8 << 10
-	// maxQueue is how many requests may wait for a connection, maxWait for how long: by then
-	// little is left of the time in which most callers want the first part of an answer.
+	// Limits of the requests that wait for a connection. After maxWait little is left of the usual
+	// time to the first token.
 	maxQueue = 256
 	maxWait  = 500 * time.Millisecond
-	// maxBuffered is the most that is kept for a caller that reads slowly, keptTime how long it
-	// may take to read it.
+	// Limits for a caller that reads slowly.
 	maxBuffered     = 1 << 20
 	bufferedTimeout = 10 * time.Second
 )
 
-// ErrCallerDisconnected tells that a request was not handed over since its caller had left.
-var ErrCallerDisconnected = errors.New("the caller has left")
+// ErrCallerDisconnected is returned if the caller disconnected before its request was written.
+var ErrCallerDisconnected = errors.New("the caller has disconnected")
 
-// ErrCongested tells that a request was not sent since others wait for the connection for too long.
-var ErrCongested = errors.New("requests wait for too long for the gateway")
+// ErrCongested is returned for an unsent request if the queue is full or the wait was too long.
+var ErrCongested = errors.New("the connection to the gateway is congested")
 
-// ErrMaybeSent tells that a request may have reached the other gateway, whose connection broke.
+// ErrMaybeSent is returned if the connection failed during the write of a request, so that the other
+// gateway may have received it.
 type ErrMaybeSent struct{ Reason error }
 
 // Error implements error.
-func (e ErrMaybeSent) Error() string { return "sent in part: " + e.Reason.Error() }
+func (e ErrMaybeSent) Error() string { return "possibly sent: " + e.Reason.Error() }
 
 // Unwrap returns the reason.
 func (e ErrMaybeSent) Unwrap() error { return e.Reason }
 
-// IsErrMaybeSent reports whether err is an ErrSent.
+// IsErrMaybeSent reports whether err is an ErrMaybeSent.
 func IsErrMaybeSent(err error) bool {
 	var e ErrMaybeSent
 	return errors.As(err, &e)
 }
 
-// pastDeadline is a deadline that is over.
+// pastDeadline ends reads and writes at once.
 var pastDeadline = time.Unix(1, 0)
 
-// tunnel is the near end of a connection to another gateway.
+// tunnel is the sending end of a connection to another gateway.
 type tunnel struct {
 	conn     net.Conn
 	clock    clock.Clock
-	received atomic.Bool // heard tells that something has come since the last probe.
+	received atomic.Bool // whether anything arrived since the last probe
 
-	// queue holds requests that the writer has not taken yet, work tells it that there are some
-	// or signals.
+	// Requests for writeLoop. wakeup signals new requests or control frames.
 	queue  []*queuedRequest
 	wakeup chan struct{}
-	oldest time.Time // first is when the first was enqueued that is not written; zero where none waits.
+	oldest time.Time // when the oldest unwritten request was enqueued; zero if none waits
 
 	mu         sync.Mutex
 	lastNumber uint32
-	inFlight   map[uint32]*Handover // handed are the requests whose answers are not over.
+	inFlight   map[uint32]*Handover // by request number
 	closed     bool
-	// control are frames without bytes that go out before the next request: the message that a
-	// caller has left does not wait behind the requests of others.
+	// Frames without payload. They are sent before the next request, so that cancellations do not
+	// wait behind requests.
 	control []byte
 }
 
-// newTunnel starts a tunnel's writer, which ends when the tunnel is closed.
+// newTunnel returns a tunnel and starts its writeLoop, which ends when the tunnel is closed.
 func newTunnel(conn net.Conn, c clock.Clock) *tunnel {
 	t := &tunnel{conn: conn, clock: c, inFlight: map[uint32]*Handover{}, wakeup: make(chan struct{}, 1)}
 	go t.writeLoop()
@@ -95,18 +92,18 @@
 	return t.closed
 }
 
-// queuedRequest is a request that waits for being written.
+// queuedRequest is a request that waits to be written.
 type queuedRequest struct {
 	frame        []byte
-	enqueuedAt   time.Time   // since is when it was enqueued.
-	disconnected func() bool // left tells whether the caller has left.
-	result       chan error  // done gets what came of it.
+	enqueuedAt   time.Time
+	disconnected func() bool // reports whether the caller has disconnected
+	result       chan error
 }
 
-// send sends a request, unless the caller has left when its turn comes; its head is written
+// send enqueues a request and waits until it is written or given up. The frame's header is written
 // into the buffer.
-func (t *tunnel) send(h *Handover, buffer []byte, left func() bool) error {
-	o := &queuedRequest{frame: buffer, enqueuedAt: t.clock.Now(), disconnected: left, result: make(chan error, 1)}
+func (t *tunnel) send(h *Handover, buffer []byte, disconnected func() bool) error {
+	o := &queuedRequest{frame: buffer, enqueuedAt: t.clock.Now(), disconnected: disconnected, result: make(chan error, 1)}
 	if err := t.enqueue(h, o); err != nil {
 		return err
 	}
@@ -138,7 +135,7 @@
 	return nil
 }
 
-// wake has the writer look for work.
+// wake makes writeLoop check for work.
 func (t *tunnel) wake() {
 	select {
 	case t.wakeup <- struct{}{}:
@@ -146,10 +143,9 @@
 	}
 }
 
-// writeLoop writes what waits until the connection is closed. It is the only goroutine that does: if
-// each request were written by its own, under a lock, a process that is short of time would writeLoop
-// one whenever the next goroutine in the line comes to run, and requests would wait for an idle
-// connection until their callers leave.
+// writeLoop writes requests and control frames until the connection is closed. A single goroutine
+// writes: with one per request and a lock, each write would wait until the scheduler of an
+// overloaded process runs the next goroutine, although the connection is idle.
 func (t *tunnel) writeLoop() {
 	for range t.wakeup {
 		queue, closed := t.takeQueue()
@@ -169,7 +165,7 @@
 	}
 }
 
-// oldestWait returns for how long the first of the requests waits that are not written yet.
+// oldestWait returns the age of the oldest unwritten request.
 func (t *tunnel) oldestWait(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,8 +182,8 @@
 	return queue, t.closed
 }
 
-// updateOldest notes since when the next request waits: one of these that the writer has taken, or
-// the first in the queue.
+// updateOldest sets oldest from the requests that writeLoop has taken or, if there are none left, from
+// the queue.
 func (t *tunnel) updateOldest(taken []*queuedRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,7 +196,7 @@
 	}
 }
 
-// failQueue gives up what was enqueued before the connection was closed.
+// failQueue fails the requests left in the queue of a closed tunnel.
 func (t *tunnel) failQueue() {
 	queue, _ := t.takeQueue()
 	for _, o := range queue {
@@ -208,7 +204,7 @@
 	}
 }
 
-// writeRequest writes a request, unless its caller has left, and the signals that have come.
+// writeRequest writes pending control frames, then the request unless it has become obsolete.
 func (t *tunnel) writeRequest(o *queuedRequest) error {
 	if t.isClosed() {
 		return net.ErrClosed
@@ -228,7 +224,7 @@
 	return nil
 }
 
-// writeControl writes the signals that wait.
+// writeControl writes the pending control frames.
 func (t *tunnel) writeControl() error {
 	t.mu.Lock()
 	b := t.control
@@ -251,7 +247,7 @@
 	return err
 }
 
-// sendControl sends a frame without bytes.
+// sendControl enqueues a frame without payload.
 func (t *tunnel) sendControl(k kind, number uint32) error {
 	var b [HeaderSize]byte
 	putHeader(b[:], k, number, 0)
@@ -266,7 +262,7 @@
 	return nil
 }
 
-// remove drops a request; what still comes of its answer is passed over.
+// remove drops a request; frames of its answer that still arrive are ignored.
 func (t *tunnel) remove(h *Handover) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -279,7 +275,7 @@
 	return t.inFlight[number]
 }
 
-// readLoop passes answers on until the connection ends; those that are not over then are broken.
+// readLoop delivers answers until the connection fails.
 func (t *tunnel) readLoop() {
 	buffer := make([]byte, readBufferSize)
 	var d decoder
@@ -313,21 +309,20 @@
 	h.end(f.kind == kindEnd)
 }
 
-// close ends the connection and all that is under way on it.
+// close closes the connection and aborts all answers in flight.
 func (t *tunnel) close() {
 	t.mu.Lock()
-	broken := t.inFlight
+	aborted := t.inFlight
 	t.inFlight, t.closed = map[uint32]*Handover{}, true
 	t.mu.Unlock()
 	_ = t.conn.Close()
 	t.wake()
-	for _, h := range broken {
+	for _, h := range aborted {
 		h.end(false)
 	}
 }
 
-// probeLoop ends the connection where the other gateway is silent, or nothing is handed over for
-// long.
+// probeLoop closes the connection if the other gateway is silent or the connection unused.
 func (t *tunnel) probeLoop(c clock.Clock) {
 	silent, unused := 0, time.Duration(0)
 	for {
@@ -364,34 +359,34 @@
 	done   chan struct{}
 
 	mu          sync.Mutex
-	buffered    []byte // kept is what the caller has not read yet, written by a goroutine of its own.
-	buffering   bool   // slow tells that there is such a goroutine.
-	hasDeadline bool   // timed tells that writes to the caller have a deadline.
-	ended       bool   // over tells that nothing more comes.
+	buffered    []byte // bytes that the caller has not read yet
+	buffering   bool   // writeBuffered is running
+	hasDeadline bool   // writes to the caller have a deadline
+	ended       bool   // no more bytes will arrive
 	complete    bool
-	failed      bool // gone tells that the caller does not take the answer.
+	failed      bool // the caller did not take the answer
 	bytes       int64
 }
 
-// Done returns a channel that is closed when the answer is over.
+// Done returns a channel that is closed when the answer has ended.
 func (h *Handover) Done() <-chan struct{} { return h.done }
 
-// Result returns, after Done, how many bytes the caller was sent, and whether that is all of
-// the answer.
-func (h *Handover) Result() (bytes int64, whole bool) {
+// Result returns, after Done, the number of bytes sent to the caller and whether the answer is
+// complete.
+func (h *Handover) Result() (bytes int64, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.bytes, h.complete && !h.failed
 }
 
-// Cancel gives the request up: the caller has left, or its time is over.
+// Cancel gives the request up: the caller has disconnected or its time is over.
 func (h *Handover) Cancel() {
 	h.tunnel.remove(h)
-	_ = h.tunnel.sendControl(kindCancel, h.number) // where that fails the connection is closed
+	_ = h.tunnel.sendControl(kindCancel, h.number) // fails only if the connection is closed
 	h.end(false)
 }
 
-// deliver gives the caller a piece of the answer.
+// deliver writes a piece of the answer to the caller, or buffers it if the caller reads slowly.
 func (h *Handover) deliver(piece []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -430,7 +425,7 @@
 	}
 }
 
-// writeBuffered writes what was kept until nothing is left.
+// writeBuffered writes to a slow caller until its buffer is empty.
 func (h *Handover) writeBuffered() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -453,7 +448,7 @@
 	}
 }
 
-// end notes that the answer is over.
+// end records that no more bytes will arrive.
 func (h *Handover) end(whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -466,12 +461,12 @@
 	}
 }
 
-// finish wakes whoever waits for the end; the lock is held.
+// finish completes the handover; h.mu is held.
 func (h *Handover) finish() {
 	if h.hasDeadline && h.caller.SetWriteDeadline(time.Time{}) != nil {
 		h.failed = true
 	}
 	close(h.done)
-	_ = h.caller.SetReadDeadline(pastDeadline) // where that fails nobody reads
+	_ = h.caller.SetReadDeadline(pastDeadline) // on failure there is no reader
 	h.s.finished(h.Peer)
 }
