--- a/services/control/api.go
+++ b/services/control/api.go
@@ -19,34 +19,34 @@
 
 func (l *Loop) put(in input) bool { return l.inputs.Put(l.t.Dying(), in) }
 
-// HandleFrame implements peernet.Handler's half for frames.
+// HandleFrame implements the part of peernet.Handler for frames.
 func (l *Loop) HandleFrame(peer string, f *wire.Frame) { l.put(frameIn{peer, f}) }
 
-// SetIndex puts a configuration in force.
+// SetIndex replaces the configuration.
 func (l *Loop) SetIndex(x *conf.Index) { l.put(indexIn{x}) }
 
-// SetVMs takes the platform's list.
+// SetVMs replaces the platform's list of VMs.
 func (l *Loop) SetVMs(vms []vm.VM) { l.put(vmsIn{vms}) }
 
-// ShareRecord tells other routers of a request under which targets have ended.
+// ShareRecord sends other routers a record of a request under which targets ended.
 func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
 
-// Leave tells the other members that this one is leaving.
+// Leave announces to the other routers that this one is leaving.
 func (l *Loop) Leave() { l.put(memberIn{member.Leave{}}) }
 
-// SetLoad takes a load report; healthy is false where the target gave none.
+// SetLoad passes on a load report; healthy is false if the target sent none.
 func (l *Loop) SetLoad(target string, running, slots int, healthy, leaving bool) {
 	l.put(loadIn{target, running, slots, healthy, leaving})
 }
 
-// SetCache takes cache events of a target.
+// SetCache passes on a target's cache events.
 func (l *Loop) SetCache(ev sched.CacheSeen) { l.put(schedIn{ev}) }
 
 // NextID returns an ID for a request to submit.
 func (l *Loop) NextID() admit.RequestID { return admit.RequestID(l.requests.Add(1)) }
 
-// Submit queues a request and waits until it may start or is refused. Where
-// the context ends first, the request is taken out.
+// Submit queues a request and waits until it may start or is refused. If the context ends first,
+// the request is canceled.
 func (l *Loop) Submit(ctx context.Context, r admit.Request) (Decision, error) {
 	answer := make(chan Decision, 1)
 	if !l.put(submitIn{r, answer}) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// abandon takes a request out whose caller has gone; if it was started in the
-// same moment, its slot is given back.
+// abandon cancels a request whose caller has disconnected. If it was started in the meantime, its
+// slot is released.
 func (l *Loop) abandon(id admit.RequestID, answer chan Decision) {
 	l.put(admitIn{admit.Canceled{ID: id}})
 	l.Inspect(func() { delete(l.decisions, id) })
@@ -77,15 +77,15 @@
 	}
 }
 
-// Progress tells what a started request has cost so far.
+// Progress records the cost of a started request so far.
 func (l *Loop) Progress(id admit.RequestID, cost float64) {
 	l.put(admitIn{admit.Progressed{ID: id, Cost: cost}})
 }
 
-// Finish tells that a started request no longer uses its target.
+// Finish records that a started request no longer uses its target.
 func (l *Loop) Finish(f admit.Finished) { l.put(admitIn{f}) }
 
-// Inspect runs a function between two steps of the loop and waits for it.
+// Inspect runs a function on the loop's goroutine, between two inputs, and waits for it.
 func (l *Loop) Inspect(run func()) {
 	done := make(chan struct{})
 	if !l.put(inspectIn{run, done}) {
@@ -100,8 +100,8 @@
 // Owned returns the targets that this router schedules.
 func (l *Loop) Owned() []*conf.Target { return *l.owned.Load() }
 
-// Members returns the other members as last published.
+// Members returns the other members as of the last change.
 func (l *Loop) Members() []member.Record { return *l.memberView.Load() }
 
-// Busy returns the time spent on control.
+// Busy returns the time spent in the loop.
 func (l *Loop) Busy() time.Duration { return time.Duration(l.busy.Load()) }
--- a/services/control/input.go
+++ b/services/control/input.go
@@ -13,7 +13,7 @@
 	"madderway/modules/wire"
 )
 
-// input is something that the loop reacts to.
+// input is an event for the loop.
 type input interface{ isInput() }
 
 type frameIn struct {
@@ -32,7 +32,6 @@
 
 type memberIn struct{ event member.Event }
 
-// recordIn is a record of a request to tell other routers of.
 type recordIn struct{ record quarantine.Record }
 
 type vmsIn struct{ vms []vm.VM }
@@ -47,7 +46,6 @@
 	leaving bool
 }
 
-// inspectIn runs a function between two steps.
 type inspectIn struct {
 	run  func()
 	done chan struct{}
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package control runs the pure machines of a router that act together with
-// those of other routers: membership, scheduler and queues. One goroutine
-// steps them all; sockets and timers stand round it.
+// Package control runs the state machines that routers share work with: membership, the scheduler and
+// the admission queues. One goroutine owns them all and feeds them messages, timers and calls.
+// Methods of Loop are safe for concurrent use.
 package control
 
 import (
@@ -34,32 +34,31 @@
 	tickBusy        = 10 * time.Millisecond
 	tickIdle        = 100 * time.Millisecond
 	lazyFrameDelay  = 20 * time.Millisecond
-	batchLimit      = 256 // inputs taken before the outbox is flushed
+	batchLimit      = 256 // inputs handled before the outbox is flushed
 	routeDelay      = 50 * time.Millisecond
-	debtLimitBounds = 4 // the debt limit is so many fairness bounds
+	debtLimitBounds = 4 // debt limit of an account, in fairness bounds
 	defaultWeight   = 1
 )
 
-// Decision is what became of a submitted request.
+// Decision is the result of a submitted request.
 type Decision struct {
 	Target     string
 	Scheduler  string
 	Grant      uint64
 	Waited     time.Duration
-	Refused    result.Code // Refused is 0 where the request may start.
+	Refused    result.Code // 0 if the request may start
 	RetryAfter time.Duration
 }
 
-// Versions tells the configuration version to put into heartbeats and takes
-// those of the peers.
+// Versions provides the configuration version for heartbeats and receives those of peers.
 type Versions interface {
-	// InForce returns the version in force at this router.
+	// InForce returns the active version of this router.
 	InForce() head.Version
-	// PeerVersion takes the version in force at a peer.
+	// PeerVersion records the active version of a peer.
 	PeerVersion(peer string, v head.Version)
 }
 
-// Options are the parts of a Loop.
+// Options configures a Loop.
 type Options struct {
 	Self          member.Record
 	Clock         clock.Clock
@@ -72,11 +71,11 @@
 	Versions      Versions
 	DialTimeout   time.Duration
 	LinkQueueSize int
-	// Quarantine are those under which targets ended.
+	// Quarantine holds records of requests under which targets ended.
 	Quarantine *quarantine.Service
 }
 
-// Loop is the goroutine that owns the machines.
+// Loop owns the state machines and the links to other routers.
 type Loop struct {
 	t          *tomb.Tomb
 	log        log.Logger
@@ -86,22 +85,22 @@
 	sched      *sched.Scheduler
 	dispatcher admit.Dispatcher
 	index      *conf.Index
-	leaving    map[string]bool // leaving holds the targets that the platform's list says are leaving.
+	leaving    map[string]bool // targets that the platform lists as leaving
 	decisions  map[admit.RequestID]chan Decision
 	links      map[string]*peernet.Link
 	out        *peerwire.Outbox
 	records    *peerwire.Records
-	rerouteAt  time.Time // reroute is when the routes are to be computed anew, zero for not.
+	rerouteAt  time.Time // when to update the routes, zero if they are current
 	nextTick   time.Time
 	blocked    map[string]bool
 
-	owned      atomic.Pointer[[]*conf.Target] // owned are the targets scheduled here.
+	owned      atomic.Pointer[[]*conf.Target] // targets scheduled here
 	memberView atomic.Pointer[[]member.Record]
-	busy       atomic.Int64 // busy counts the nanoseconds spent on control.
+	busy       atomic.Int64 // nanoseconds
 	requests   atomic.Uint64
 }
 
-// NewLoop starts the loop; it ends with the tomb.
+// NewLoop starts a loop that runs until the tomb dies.
 func NewLoop(t *tomb.Tomb, logger log.Logger, o Options) *Loop {
 	l := &Loop{
 		t: t, log: logger, opts: o,
@@ -152,7 +151,7 @@
 	return tickIdle
 }
 
-// runBatch takes what is there, so that messages to the same peer share a frame.
+// runBatch handles queued inputs together, so that messages to one peer share a frame.
 func (l *Loop) runBatch(first input) {
 	l.runTimed(func() {
 		l.handleInput(first)
@@ -289,7 +288,7 @@
 				l.rerouteAt = now.Add(routeDelay)
 			}
 		case member.IncarnationEnded:
-			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
+			l.log.Warn("Incarnation of a member ended.", "id", a.ID, "incarnation", a.Incarnation)
 			l.stepScheduler(now, sched.EntryGone{ID: a.ID})
 			l.records.Forget(a.ID)
 		}
@@ -323,10 +322,9 @@
 	}
 }
 
-// schedulerEvents returns what a frame tells the scheduler, in the order in
-// which it must be taken. Reports come before inventories: a request that has
-// just ended is in its report and no longer in the inventory, and would be
-// taken for lost otherwise.
+// schedulerEvents returns a frame's events for the scheduler, in order. Reports come before
+// inventories: a request that has just ended is missing in the inventory and would otherwise count
+// as lost.
 func schedulerEvents(peer string, f *wire.Frame) []sched.Event {
 	var events []sched.Event
 	for _, t := range f.Tallies {
@@ -347,7 +345,7 @@
 func (l *Loop) handleHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
 	seen, ok := peerwire.HeartbeatFromWire(peer, hb)
 	if !ok {
-		l.log.Warn("Dropped a heartbeat that is not the sender's own.", "peer", peer)
+		l.log.Warn("Dropped a heartbeat with a wrong sender ID.", "peer", peer)
 		return
 	}
 	l.stepMembers(now, seen)
--- a/services/control/outbox.go
+++ b/services/control/outbox.go
@@ -10,8 +10,7 @@
 	"madderway/modules/wire"
 )
 
-// flush sends the frames that are due; a late tick sends those that will be
-// due before the next one.
+// flush sends the frames that are due; a late tick also sends those due before the next tick.
 func (l *Loop) flush(now time.Time, late bool) {
 	if late {
 		now = now.Add(tickBusy)
@@ -48,15 +47,14 @@
 	return link
 }
 
-// Link returns the link to a member, or nil where it is not known.
+// Link returns the link to a member, or nil if the member is unknown.
 func (l *Loop) Link(id string) *peernet.Link {
 	var link *peernet.Link
 	l.Inspect(func() { link = l.link(id) })
 	return link
 }
 
-// Block cuts the link to a member or mends it; tests use it to partition
-// routers.
+// Block blocks or unblocks the link to a member. Tests use it to partition routers.
 func (l *Loop) Block(id string, blocked bool) {
 	l.Inspect(func() {
 		l.blocked[id] = blocked
--- a/services/control/route.go
+++ b/services/control/route.go
@@ -14,7 +14,7 @@
 	"madderway/models/conf"
 )
 
-// updateRoutes computes who schedules which target, and tells both machines.
+// updateRoutes computes the scheduler of each target and updates both state machines.
 func (l *Loop) updateRoutes(now time.Time) {
 	l.rerouteAt = time.Time{}
 	if l.index == nil {
--- a/services/control/state.go
+++ b/services/control/state.go
@@ -10,7 +10,7 @@
 	"madderway/modules/ring"
 )
 
-// MemberState is one member in a dump.
+// MemberState is a member in a state dump.
 type MemberState struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"incarnation"`
@@ -20,7 +20,7 @@
 	Region      string `json:"region"`
 }
 
-// State is what a dump shows of the loop.
+// State is the loop's part of a state dump.
 type State struct {
 	Self      MemberState   `json:"self"`
 	Members   []MemberState `json:"members"`
@@ -33,7 +33,7 @@
 	Received  uint64        `json:"peer_bytes_received"`
 }
 
-// State returns what a dump shows.
+// State returns the current state.
 func (l *Loop) State() State {
 	st := State{Members: []MemberState{}, Rings: []ring.State{}}
 	l.Inspect(func() {
--- a/services/control/translate.go
+++ b/services/control/translate.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// nonNegative keeps a damaged number from turning the service counters round.
+// nonNegative turns negative numbers and NaN into 0, so that a bad message cannot reverse service
+// counters.
 func nonNegative(f float32) float64 {
 	if !(f > 0) {
 		return 0
--- a/services/control/translate_test.go
+++ b/services/control/translate_test.go
@@ -20,31 +20,31 @@
 func TestMessagesRoundTrip(t *testing.T) {
 	d := message.Demand{Account: "a", Pool: "p", Count: 3, Interactive: 1, Cost: 8, Deny: []string{"t"}, Prefix: "x"}
 	if got := demandFromWire(demandToWire(d)); !reflect.DeepEqual(got, d) {
-		t.Errorf("%+v", got)
+		t.Errorf("demand = %+v after a round trip", got)
 	}
 	g := message.Grant{ID: 9, Account: "a", Pool: "p", Target: "t", InteractiveOnly: true, Charged: 4, Quantum: 2, Free: 1, Waiting: true}
 	if got := grantFromWire(grantToWire(g)); got != g {
-		t.Errorf("%+v", got)
+		t.Errorf("grant = %+v after a round trip", got)
 	}
 	r := message.Report{Grant: 9, Kind: message.ReportDone, Cost: 5, FirstToken: time.Millisecond, TokenGap: time.Microsecond, Failed: true}
 	if got := reportFromWire(reportToWire(r)); got != r {
-		t.Errorf("%+v", got)
+		t.Errorf("report = %+v after a round trip", got)
 	}
 	tally := message.Tally{
 		Pool: "p", Seq: 3, Waiting: true, Floor: 2, Rows: []fair.Row{{Account: "a", Service: 1, Lift: 2, Forgive: 3}},
 		Foreign: []fair.ForeignRow{{From: fair.Reporter{ID: "r", Incarnation: 4}, Seq: 5, Row: fair.Row{Account: "b"}}},
 	}
 	if got := tallyFromWire(tallyToWire(7, tally)); !reflect.DeepEqual(got, tally) {
-		t.Errorf("%+v", got)
+		t.Errorf("tally = %+v after a round trip", got)
 	}
 	inv := message.Inventory{Held: []message.GrantID{1, 2}, Adopt: []message.Adoption{{Grant: 1 << 63, Account: "a", Pool: "p", Target: "t", Charged: 1}}}
 	if got := inventoryFromWire(inventoryToWire(inv)); !reflect.DeepEqual(got, inv) {
-		t.Errorf("%+v", got)
+		t.Errorf("inventory = %+v after a round trip", got)
 	}
 }
 
-// A request that ended within the same frame was taken for lost, so its charge
-// stayed at the estimate.
+// Otherwise a request that ended within the frame would count as lost, and its charge would stay at
+// the estimate.
 func TestReportsPrecedeInventories(t *testing.T) {
 	sc := sched.New(sched.Options{Self: fair.Reporter{ID: "s", Incarnation: 1}})
 	now := time.Unix(1_700_000_000, 0)
@@ -64,8 +64,7 @@
 	}
 }
 
-// Whatever a peer sends, reading it neither panics nor lets a number turn the
-// service counters round.
+// No frame from a peer may cause a panic or a negative cost.
 func FuzzFrame(f *testing.F) {
 	whole, err := proto.Marshal(&wire.Frame{
 		Demands:     []*wire.Demand{{Account: "a", Pool: "p", Count: 1, Cost: 1}},
@@ -87,12 +86,12 @@
 		}
 		for _, d := range frame.Demands {
 			if got := demandFromWire(d); got.Cost < 0 || got.Interactive > got.Count {
-				t.Errorf("%+v", got)
+				t.Errorf("demand = %+v, want no negative cost and Interactive up to Count", got)
 			}
 		}
 		for _, r := range frame.Reports {
 			if got := reportFromWire(r); got.Cost < 0 {
-				t.Errorf("%+v", got)
+				t.Errorf("report = %+v, want no negative cost", got)
 			}
 		}
 		for _, g := range frame.Grants {
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package peer answers the calls of other routers and makes calls to them.
+// Package peer answers calls from other routers and makes calls to them. Calls from peers block until
+// Attach has set the router's parts.
 package peer
 
 import (
@@ -21,7 +22,7 @@
 
 const traceTimeout = 2 * time.Second
 
-// Service joins the router's parts to its peers.
+// Service connects the router's parts with its peers.
 type Service struct {
 	mu     sync.RWMutex
 	loop   *control.Loop
@@ -30,10 +31,10 @@
 	ready  chan struct{}
 }
 
-// New returns a service whose parts are set by Attach.
+// New returns a service without parts.
 func New() *Service { return &Service{ready: make(chan struct{})} }
 
-// Attach sets the parts; calls of peers wait for it.
+// Attach sets the router's parts and unblocks calls from peers. It must be called once.
 func (s *Service) Attach(l *control.Loop, c *config.Service, b *trace.Book) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 	return out
 }
 
-// Explain gathers what all reachable routers remember of a request.
+// Explain collects the trace records of a request from this and all reachable routers.
 func (s *Service) Explain(ctx context.Context, id string) []trace.Record {
 	ctx, cancel := context.WithTimeout(ctx, traceTimeout)
 	defer cancel()
--- a/services/peerwire/member.go
+++ b/services/peerwire/member.go
@@ -8,7 +8,7 @@
 	"madderway/modules/wire"
 )
 
-// MemberToWire returns a member's record as it goes to peers.
+// MemberToWire encodes a member's record.
 func MemberToWire(r member.Record) *wire.Member {
 	return &wire.Member{
 		Id: r.ID, Incarnation: r.Incarnation, Epoch: r.Epoch, State: uint32(r.State),
@@ -16,7 +16,7 @@
 	}
 }
 
-// MemberFromWire reads a record; it reports false where that is not whole.
+// MemberFromWire decodes a record; it returns false if the record is invalid.
 func MemberFromWire(m *wire.Member) (member.Record, bool) {
 	state := member.State(m.GetState())
 	if m.GetId() == "" || m.GetState() > uint32(member.StateDead) || state < member.StateAlive {
@@ -28,7 +28,7 @@
 	}, true
 }
 
-// MembersFromWire reads records and passes over those that are not whole.
+// MembersFromWire decodes records and skips invalid ones.
 func MembersFromWire(ms []*wire.Member) []member.Record {
 	var out []member.Record
 	for _, m := range ms {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// AddHeartbeat puts a heartbeat into the frame that will go to its receiver, and
-// returns it. Where one waits there already, nothing that it tells is lost.
+// AddHeartbeat adds a heartbeat to a pending frame and returns it. A heartbeat that is pending
+// already keeps its rumors and flags.
 func AddHeartbeat(f *wire.Frame, a member.SendHeartbeat) *wire.Heartbeat {
 	hb := f.Heartbeat
 	if hb == nil {
@@ -57,8 +57,8 @@
 	return hb
 }
 
-// HeartbeatFromWire reads a heartbeat; it reports false where it does not come from
-// the peer that sent it.
+// HeartbeatFromWire decodes a heartbeat. It returns false if its sender is not the peer that it came
+// from.
 func HeartbeatFromWire(peer string, hb *wire.Heartbeat) (member.HeartbeatSeen, bool) {
 	from, ok := MemberFromWire(hb.From)
 	if !ok || from.ID != peer {
--- a/services/peerwire/outbox.go
+++ b/services/peerwire/outbox.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package peerwire holds what all loops that talk to peers share: the box in
-// which messages wait for others to the same peer, and the records of members on
-// the wire.
+// Package peerwire holds the parts that all loops with peers share: an outbox that collects messages
+// to the same peer, the exchange of quarantine records, and the encoding of members and heartbeats.
 package peerwire
 
 import (
@@ -17,20 +16,19 @@
 	due   time.Time
 }
 
-// Outbox gathers the messages to each peer into one frame. It is not safe for
-// concurrent use.
+// Outbox collects the messages to each peer in one frame. It is not safe for concurrent use.
 type Outbox struct {
 	delay   time.Duration
 	pending map[string]*pendingFrame
 }
 
-// NewOutbox returns an empty box whose lazy messages wait so long for others.
+// NewOutbox returns an empty outbox that delays lazy messages.
 func NewOutbox(delay time.Duration) *Outbox {
 	return &Outbox{delay: delay, pending: map[string]*pendingFrame{}}
 }
 
-// Frame returns the frame that will go to the peer. A lazy message may wait a
-// little for others; one that is not takes all that waits with it.
+// Frame returns the pending frame to a peer, to add a message to. A lazy message may be delayed so
+// that others share its frame; any other makes the frame due at once.
 func (o *Outbox) Frame(now time.Time, to string, lazy bool) *wire.Frame {
 	due := now
 	if lazy {
@@ -47,7 +45,7 @@
 	return p.frame
 }
 
-// Pending tells whether anything waits.
+// Pending reports whether any frame waits.
 func (o *Outbox) Pending() bool { return len(o.pending) > 0 }
 
 // Flush sends the frames that are due.
--- a/services/peerwire/peerwire_test.go
+++ b/services/peerwire/peerwire_test.go
@@ -27,31 +27,30 @@
 	add("b", false)
 	flush(0)
 	if sent["a"] != 0 || sent["b"] != 2 || !box.Pending() {
-		t.Errorf("%v at once; a lazy message goes with one that is not", sent)
+		t.Errorf("sent %v at once, want both messages to b and none to a", sent)
 	}
 	flush(20 * time.Millisecond)
 	if sent["a"] != 1 || box.Pending() {
-		t.Errorf("%v after the delay", sent)
+		t.Errorf("sent %v after the delay, want one message to a", sent)
 	}
 }
 
 func TestMemberRecordsRoundTrip(t *testing.T) {
 	r := member.Record{ID: "g", Incarnation: 7, Epoch: 2, State: member.StateSuspect, Address: "a", DataHall: "h", Region: "r"}
 	if got, ok := MemberFromWire(MemberToWire(r)); !ok || got != r {
-		t.Errorf("%+v became %+v", r, got)
+		t.Errorf("record %+v became %+v", r, got)
 	}
 	for _, bad := range []*wire.Member{nil, {}, {Id: "g"}, {Id: "g", State: 99}, {Id: "g", State: 257}, {State: 1}} {
 		if _, ok := MemberFromWire(bad); ok {
-			t.Errorf("%v was taken for a record", bad)
+			t.Errorf("record %v was accepted", bad)
 		}
 	}
 	if got := MembersFromWire([]*wire.Member{MemberToWire(r), {}, nil}); len(got) != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("MembersFromWire = %+v, want one record", got)
 	}
 }
 
-// A greeting that waits in the outbox must not be replaced by the next heartbeat to
-// the same member.
+// A pending heartbeat must not be replaced by the next one to the same member.
 func TestPendingHeartbeatsAreMerged(t *testing.T) {
 	r := member.Record{ID: "g", Incarnation: 1, State: member.StateAlive}
 	other := member.Record{ID: "h", Incarnation: 1, State: member.StateAlive}
@@ -60,9 +59,9 @@
 	AddHeartbeat(f, member.SendHeartbeat{From: r, View: member.View{Count: 2, Digest: 9}, Probe: true})
 	got, ok := HeartbeatFromWire("g", f.Heartbeat)
 	if !ok || len(got.Rumors) != 1 || !got.RequestSync || !got.Probe || got.View.Count != 2 {
-		t.Errorf("the receiver sees %+v", got)
+		t.Errorf("merged heartbeat = %+v, want the rumor, both flags and the last view", got)
 	}
 	if _, ok := HeartbeatFromWire("h", f.Heartbeat); ok {
-		t.Error("a heartbeat of another member is taken")
+		t.Error("a heartbeat with another sender was accepted")
 	}
 }
--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -15,41 +15,39 @@
 )
 
 const (
-	// recordsSettleTime is how long a table must not have changed before another digest is a
-	// reason to send it: records that are on their way make digests differ. It is also the
-	// least time between two tables to the same peer.
+	// A table that has changed more recently is not sent when digests differ: records under way make
+	// them differ. Also the least time between two tables to a peer.
 	recordsSettleTime = time.Second
-	// recordsResendInterval is how long the same tables are not sent once more to a peer whose digest
-	// still differs.
+	// Least time before the same table is sent again to a peer whose digest still differs.
 	recordsResendInterval = 15 * time.Second
-	// recordsExpiryInterval is how often what is over is looked for; records are kept for minutes.
+	// Short compared to the minutes for which records are kept.
 	recordsExpiryInterval = 10 * time.Second
 )
 
-// Records exchanges records of requests under which targets ended with peers, for the loop
-// that owns members and outbox. It is not safe for concurrent use.
+// Records exchanges quarantine records of requests with peers, for the loop that owns members and
+// outbox. It is not safe for concurrent use.
 type Records struct {
 	self       string
 	requests   *quarantine.Service
 	members    *member.List
 	out        *Outbox
-	sent       map[string]sentRecords // sent is what each peer was last sent of all records.
+	sent       map[string]sentRecords // by peer
 	lastExpiry time.Time
 }
 
-// sentRecords is what a peer was sent last.
+// sentRecords notes when a peer was last sent all records.
 type sentRecords struct {
 	at            time.Time
-	local, remote uint64 // the digests at that time
+	local, remote uint64 // digests at that time
 }
 
-// NewRecords returns the exchange of the process with this ID.
+// NewRecords returns the record exchange of the process with ID self.
 func NewRecords(self string, requests *quarantine.Service, members *member.List, out *Outbox) *Records {
 	return &Records{self: self, requests: requests, members: members, out: out, sent: map[string]sentRecords{}}
 }
 
-// Share tells peers of a request under which targets have ended: all of them where several
-// have, a few that are to count where one has.
+// Share sends peers a record of a request under which targets ended: all peers if several targets
+// have ended, a few that keep count otherwise.
 func (x *Records) Share(now time.Time, r core.Record, except string) {
 	for _, id := range core.Recipients(r, x.members.Nodes(), x.members.GossipPeers(now)) {
 		if id != except && id != x.self {
@@ -59,7 +57,7 @@
 	}
 }
 
-// Receive takes what a peer tells of requests, and tells on what is new.
+// Receive merges the records in a peer's frame and forwards those that are new.
 func (x *Records) Receive(now time.Time, peer string, f *wire.Frame) {
 	var records []core.Record
 	for _, r := range f.RequestRecords {
@@ -75,14 +73,14 @@
 	}
 }
 
-// Digest returns the digest of the records for a heartbeat, 0 where there are none.
+// Digest returns the digest of the records, 0 if there are none.
 func (x *Records) Digest() uint64 {
 	digest, _ := x.requests.Digest()
 	return digest
 }
 
-// Compare sends a peer all records where it knows others: one that has started, or was cut
-// off, learns in one exchange what the others know.
+// Compare sends a peer all records if its digest differs. One exchange is enough for a peer that has
+// restarted or was partitioned.
 func (x *Records) Compare(now time.Time, peer string, theirs uint64) {
 	mine, age := x.requests.Digest()
 	if mine == theirs || mine != 0 && age < recordsSettleTime {
@@ -99,10 +97,10 @@
 	x.sendAll(now, peer, true)
 }
 
-// Forget forgets what a peer was sent that has ended or begun a new life.
+// Forget drops the send state of a peer whose incarnation has ended.
 func (x *Records) Forget(peer string) { delete(x.sent, peer) }
 
-// Tick forgets records that are over.
+// Tick expires old records.
 func (x *Records) Tick(now time.Time) {
 	if now.Sub(x.lastExpiry) < recordsExpiryInterval {
 		return
@@ -111,7 +109,7 @@
 	x.requests.Expire(x.ownsRecord)
 }
 
-// ownsRecord tells whether this process is the first to keep a record of a request.
+// ownsRecord reports whether this process is the first one to keep a record of a request.
 func (x *Records) ownsRecord(f core.Fingerprint) bool {
 	return slices.Contains(place.Top(x.members.Nodes(), string(f[:]), 1), x.self)
 }
@@ -137,7 +135,7 @@
 	return out
 }
 
-// recordFromWire reads a record; it reports false where that is not whole.
+// recordFromWire decodes a record; it returns false if the record is invalid.
 func recordFromWire(now time.Time, r *wire.RequestRecord) (core.Record, bool) {
 	out := core.Record{Outline: r.GetOutline(), Account: r.GetAccount()}
 	if len(r.GetRequest()) != len(out.Request) {
--- a/services/peerwire/records_test.go
+++ b/services/peerwire/records_test.go
@@ -23,7 +23,7 @@
 	m.Run()
 }
 
-// testNode is one process that exchanges records, without the connections between processes.
+// testNode is a process that exchanges records, without connections.
 type testNode struct {
 	id      string
 	clock   *clock.Fake
@@ -47,7 +47,7 @@
 	return core.Identity{Account: "a", Method: "POST", URI: "/p", Body: []byte("x")}
 }
 
-// endTargets lets targets endTargets under a request as one process sees it.
+// endTargets ends targets under the request, one every two seconds.
 func (n *testNode) endTargets(targets ...string) {
 	for _, target := range targets {
 		n.clock.Advance(2 * time.Second)
@@ -60,7 +60,7 @@
 	return s
 }
 
-// deliver takes what each process has for the others until nothing is left.
+// deliver exchanges frames until none are pending.
 func deliver(nodes ...*testNode) {
 	for moved := true; moved; {
 		moved = false
@@ -77,8 +77,8 @@
 	}
 }
 
-// Ends that three processes have seen add up at all of them; one that starts anew, or was cut
-// off, learns of them from the first digest that it hears, and tells what it knows itself.
+// Deaths seen by different processes add up everywhere, and a process that starts late learns of
+// them from the first digest.
 func TestRecordsReachAllProcesses(t *testing.T) {
 	c := clock.NewFake()
 	a, b, d := newNode("a", c, "b", "d"), newNode("b", c, "a", "d"), newNode("d", c, "a", "b")
@@ -90,7 +90,7 @@
 	deliver(a, b, d)
 	for _, n := range []*testNode{a, b, d} {
 		if got := n.standing(); got != core.Quarantined {
-			t.Errorf("%s takes the request for %v", n.id, got)
+			t.Errorf("%s judges the request as %v, want quarantined", n.id, got)
 		}
 	}
 	late := newNode("e", c, "a")
@@ -99,11 +99,11 @@
 	a.records.Compare(c.Now(), "e", late.records.Digest())
 	deliver(a, late)
 	if got := late.standing(); got != core.Quarantined || late.records.Digest() != a.records.Digest() {
-		t.Errorf("the one that starts late takes the request for %v", got)
+		t.Errorf("the late process judges the request as %v, want quarantined and the same digest", got)
 	}
 }
 
-// Tables whose digests stay different are not sent to a peer again and again.
+// Tables with differing digests are not sent at each heartbeat.
 func TestDifferingTablesAreResentRarely(t *testing.T) {
 	c := clock.NewFake()
 	a := newNode("a", c, "b")
@@ -116,12 +116,11 @@
 		a.out.Flush(c.Now(), func(string, *wire.Frame) { sent++ })
 	}
 	if most := int(60*recordsSettleTime/recordsResendInterval) + 1; sent == 0 || sent > most {
-		t.Errorf("sent %d times in a minute, %d at most are wanted", sent, most)
+		t.Errorf("sent %d times in a minute, want 1 to %d", sent, most)
 	}
 }
 
-// Whatever a peer sends, its records are taken or dropped; nothing ends, and the table stays
-// within its bounds.
+// No records from a peer may cause a panic.
 func FuzzRecords(f *testing.F) {
 	now := time.Unix(1_700_000_000, 0)
 	request := badRequest().Fingerprint()
