--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -84,96 +84,96 @@
 	cancel context.CancelFunc // nil until the request is complete
 }
 
-func (f *serverConn) handleFrame(fr frame, piece []byte, last bool) {
+func (c *serverConn) handleFrame(fr frame, piece []byte, last bool) {
 	switch fr.kind {
 	case kindProbe:
-		f.sendControl(kindProbe, 0)
+		c.sendControl(kindProbe, 0)
 	case kindCancel:
-		f.cancelRequest(fr.number)
+		c.cancelRequest(fr.number)
 	case kindData, kindEnd:
-		f.request(fr.number, piece, last && fr.kind == kindEnd)
+		c.request(fr.number, piece, last && fr.kind == kindEnd)
 	case kindAborted:
 	}
 }
 
 // request appends bytes of a request and serves it once it is complete.
-func (f *serverConn) request(number uint32, piece []byte, whole bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	r := f.requests[number]
+func (c *serverConn) request(number uint32, piece []byte, whole bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[number]
 	if r == nil {
 		r = &incomingRequest{}
-		f.requests[number] = r
+		c.requests[number] = r
 	}
 	r.raw = append(r.raw, piece...)
-	if r.cancel != nil || len(r.raw) > maxRequestSize || len(f.requests) > maxRequests {
-		delete(f.requests, number)
-		go f.sendControl(kindAborted, number)
+	if r.cancel != nil || len(r.raw) > maxRequestSize || len(c.requests) > maxRequests {
+		delete(c.requests, number)
+		go c.sendControl(kindAborted, number)
 		return
 	}
 	if !whole {
 		return
 	}
 	var ctx context.Context
-	ctx, r.cancel = context.WithCancel(f.ctx)
-	go f.serve(ctx, number, r.raw)
+	ctx, r.cancel = context.WithCancel(c.ctx)
+	go c.serve(ctx, number, r.raw)
 }
 
-func (f *serverConn) cancelRequest(number uint32) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if r := f.requests[number]; r != nil && r.cancel != nil {
+func (c *serverConn) cancelRequest(number uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[number]; r != nil && r.cancel != nil {
 		r.cancel()
 	}
 }
 
-func (f *serverConn) remove(number uint32) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if r := f.requests[number]; r != nil {
+func (c *serverConn) remove(number uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[number]; r != nil {
 		r.cancel()
-		delete(f.requests, number)
+		delete(c.requests, number)
 	}
 }
 
 // serve answers a request as an HTTP server would.
-func (f *serverConn) serve(ctx context.Context, number uint32, raw []byte) {
-	defer f.remove(number)
+func (c *serverConn) serve(ctx context.Context, number uint32, raw []byte) {
+	defer c.remove(number)
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 	if err != nil {
-		f.s.log.Warn("Dropped a malformed request.", "peer", HandedOverBy(ctx), "reason", err)
-		f.sendControl(kindAborted, number)
+		c.s.log.Warn("Dropped a malformed request.", "peer", HandedOverBy(ctx), "reason", err)
+		c.sendControl(kindAborted, number)
 		return
 	}
-	w := &responseWriter{conn: f, number: number, header: http.Header{}, noBody: r.Method == http.MethodHead}
+	w := &responseWriter{conn: c, number: number, header: http.Header{}, noBody: r.Method == http.MethodHead}
 	defer func() {
 		if p := recover(); p != nil {
-			f.sendControl(kindAborted, number)
+			c.sendControl(kindAborted, number)
 			if p != any(http.ErrAbortHandler) {
-				f.s.log.Error(fmt.Errorf("panic: %v", p), "The handler of a request panicked.", "peer", HandedOverBy(ctx))
+				c.s.log.Error(fmt.Errorf("panic: %v", p), "The handler of a request panicked.", "peer", HandedOverBy(ctx))
 			}
 		}
 	}()
-	f.s.handler.ServeHTTP(w, r.WithContext(ctx))
+	c.s.handler.ServeHTTP(w, r.WithContext(ctx))
 	w.finish()
 }
 
-func (f *serverConn) sendControl(k kind, number uint32) {
+func (c *serverConn) sendControl(k kind, number uint32) {
 	var b [HeaderSize]byte
 	putHeader(b[:], k, number, 0)
-	f.write(b[:])
+	c.write(b[:])
 }
 
 // write sends a frame and closes the connection on failure.
-func (f *serverConn) write(b []byte) error {
-	f.writeMu.Lock()
-	defer f.writeMu.Unlock()
-	err := f.conn.SetWriteDeadline(netopt.DeadlineIn(frameTimeout))
+func (c *serverConn) write(b []byte) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	err := c.conn.SetWriteDeadline(netopt.DeadlineIn(frameTimeout))
 	if err == nil {
-		_, err = f.conn.Write(b)
+		_, err = c.conn.Write(b)
 	}
 	if err != nil {
-		_ = f.conn.Close()
+		_ = c.conn.Close()
 	}
 	return err
 }
@@ -198,111 +198,111 @@
 var _ http.Flusher = (*responseWriter)(nil)
 
 // Header implements http.ResponseWriter.
-func (a *responseWriter) Header() http.Header { return a.header }
+func (w *responseWriter) Header() http.Header { return w.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *responseWriter) WriteHeader(status int) {
-	if a.status == 0 {
-		a.status = status
+func (w *responseWriter) WriteHeader(status int) {
+	if w.status == 0 {
+		w.status = status
 	}
 }
 
 // Write implements http.ResponseWriter.
-func (a *responseWriter) Write(b []byte) (int, error) {
-	a.WriteHeader(http.StatusOK)
-	if a.err != nil {
-		return 0, a.err
+func (w *responseWriter) Write(b []byte) (int, error) {
+	w.WriteHeader(http.StatusOK)
+	if w.err != nil {
+		return 0, w.err
 	}
-	if a.body = append(a.body, b...); len(a.body) >= flushSize {
-		a.Flush()
+	if w.body = append(w.body, b...); len(w.body) >= flushSize {
+		w.Flush()
 	}
-	return len(b), a.err
+	return len(b), w.err
 }
 
 // Flush implements http.Flusher.
-func (a *responseWriter) Flush() { _ = a.FlushError() }
+func (w *responseWriter) Flush() { _ = w.FlushError() }
 
 // FlushError flushes for http.ResponseController.
-func (a *responseWriter) FlushError() error {
-	a.WriteHeader(http.StatusOK)
-	if a.err == nil {
-		a.startFrame(false)
-		a.appendBody()
-		a.sendFrame(kindData)
+func (w *responseWriter) FlushError() error {
+	w.WriteHeader(http.StatusOK)
+	if w.err == nil {
+		w.startFrame(false)
+		w.appendBody()
+		w.sendFrame(kindData)
 	}
-	return a.err
+	return w.err
 }
 
 // finish ends the answer.
-func (a *responseWriter) finish() {
-	a.WriteHeader(http.StatusOK)
-	if a.err == nil {
-		a.startFrame(true)
-		a.appendBody()
+func (w *responseWriter) finish() {
+	w.WriteHeader(http.StatusOK)
+	if w.err == nil {
+		w.startFrame(true)
+		w.appendBody()
 	}
 	switch {
-	case a.err != nil, !a.chunked && a.remaining > 0 && !a.noBody:
-		a.conn.sendControl(kindAborted, a.number)
+	case w.err != nil, !w.chunked && w.remaining > 0 && !w.noBody:
+		w.conn.sendControl(kindAborted, w.number)
 		return
-	case a.chunked && !a.noBody:
-		a.frame = append(a.frame, "0\r\n\r\n"...)
+	case w.chunked && !w.noBody:
+		w.frame = append(w.frame, "0\r\n\r\n"...)
 	}
-	a.sendFrame(kindEnd)
+	w.sendFrame(kindEnd)
 }
 
 // startFrame begins a frame, with the response header if that was not sent. whole is set if the
 // handler has written all of the body.
-func (a *responseWriter) startFrame(whole bool) {
+func (w *responseWriter) startFrame(whole bool) {
 	var room [HeaderSize]byte
-	a.frame = append(a.frame[:0], room[:]...)
-	if a.headerSent {
+	w.frame = append(w.frame[:0], room[:]...)
+	if w.headerSent {
 		return
 	}
-	a.headerSent = true
-	length, err := strconv.ParseInt(a.header.Get("Content-Length"), 10, 64)
+	w.headerSent = true
+	length, err := strconv.ParseInt(w.header.Get("Content-Length"), 10, 64)
 	switch {
 	case err == nil:
-		a.remaining = length
-	case a.noBody:
+		w.remaining = length
+	case w.noBody:
 	case whole:
-		a.remaining = int64(len(a.body))
-		a.header.Set("Content-Length", strconv.Itoa(len(a.body)))
+		w.remaining = int64(len(w.body))
+		w.header.Set("Content-Length", strconv.Itoa(len(w.body)))
 	default:
-		a.chunked = true
-		a.header.Set("Transfer-Encoding", "chunked")
+		w.chunked = true
+		w.header.Set("Transfer-Encoding", "chunked")
 	}
-	head := bytes.NewBuffer(a.frame)
-	head.WriteString("HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\n")
-	_ = a.header.Write(head) // a bytes.Buffer never fails
+	head := bytes.NewBuffer(w.frame)
+	head.WriteString("HTTP/1.1 " + strconv.Itoa(w.status) + " " + http.StatusText(w.status) + "\r\n")
+	_ = w.header.Write(head) // a bytes.Buffer never fails
 	head.WriteString("\r\n")
-	a.frame = head.Bytes()
+	w.frame = head.Bytes()
 }
 
 // appendBody moves the buffered body to the frame.
-func (a *responseWriter) appendBody() {
-	body := a.body
-	a.body = a.body[:0]
-	if len(body) == 0 || a.noBody {
+func (w *responseWriter) appendBody() {
+	body := w.body
+	w.body = w.body[:0]
+	if len(body) == 0 || w.noBody {
 		return
 	}
-	if a.chunked {
-		a.frame = strconv.AppendInt(a.frame, int64(len(body)), 16)
-		a.frame = append(append(append(a.frame, "\r\n"...), body...), "\r\n"...)
+	if w.chunked {
+		w.frame = strconv.AppendInt(w.frame, int64(len(body)), 16)
+		w.frame = append(append(append(w.frame, "\r\n"...), body...), "\r\n"...)
 		return
 	}
-	if a.remaining -= int64(len(body)); a.remaining < 0 {
-		a.err = errTooLong
+	if w.remaining -= int64(len(body)); w.remaining < 0 {
+		w.err = errTooLong
 		return
 	}
-	a.frame = append(a.frame, body...)
+	w.frame = append(w.frame, body...)
 }
 
 // sendFrame sends the frame, unless an intermediate one is empty.
-func (a *responseWriter) sendFrame(k kind) {
-	if a.err != nil || k == kindData && len(a.frame) <= HeaderSize {
+func (w *responseWriter) sendFrame(k kind) {
+	if w.err != nil || k == kindData && len(w.frame) <= HeaderSize {
 		return
 	}
-	putHeader(a.frame, k, a.number, len(a.frame)-HeaderSize)
-	a.err = a.conn.write(a.frame)
-	a.frame = a.frame[:0]
+	putHeader(w.frame, k, w.number, len(w.frame)-HeaderSize)
+	w.err = w.conn.write(w.frame)
+	w.frame = w.frame[:0]
 }
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -21,7 +21,7 @@
 	frameTimeout = 3 * time.Second
 	// Longest write of a piece of an answer before the rest is buffered: answers to other callers
 	// arrive on the same connection.
-	chunkTimeout = 20 * time.Millisecond
+	pieceTimeout = 20 * time.Millisecond
 	// Bytes of an answer that are written without a deadline. They fit into the smallest socket
 	// buffer, most answers are shorter, and setting a deadline for each write is expensive.
 	untimedBytes = 8 << 10
@@ -410,7 +410,7 @@
 func (h *Handover) write(b []byte) (int, error) {
 	if h.bytes+int64(len(b)) > untimedBytes {
 		h.hasDeadline = true
-		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(chunkTimeout)); err != nil {
+		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(pieceTimeout)); err != nil {
 			return 0, err
 		}
 	}
