--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -81,19 +81,19 @@
 
 // Compare sends a peer all records if its digest differs. One exchange is enough for a peer that has
 // restarted or was partitioned.
-func (x *Records) Compare(now time.Time, peer string, theirs uint64) {
-	mine, age := x.requests.Digest()
-	if mine == theirs || mine != 0 && age < recordsSettleTime {
+func (x *Records) Compare(now time.Time, peer string, remote uint64) {
+	local, age := x.requests.Digest()
+	if local == remote || local != 0 && age < recordsSettleTime {
 		return
 	}
 	last, pause := x.sent[peer], recordsSettleTime
-	if last.local == mine && last.remote == theirs {
+	if last.local == local && last.remote == remote {
 		pause = recordsResendInterval
 	}
 	if now.Sub(last.at) < pause {
 		return
 	}
-	x.sent[peer] = sentRecords{now, mine, theirs}
+	x.sent[peer] = sentRecords{now, local, remote}
 	x.sendAll(now, peer, true)
 }
 
