--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -32,19 +32,19 @@
 type accountTotal struct{ service, sent float64 }
 
 // add adds the service that one cell gave since its last tally.
-func (g serviceTotals) add(rows []cell.TallyRow) {
+func (t serviceTotals) add(rows []cell.TallyRow) {
 	for _, row := range rows {
-		if g[row.Account] == nil {
-			g[row.Account] = &accountTotal{}
+		if t[row.Account] == nil {
+			t[row.Account] = &accountTotal{}
 		}
-		g[row.Account].service += row.Service
+		t[row.Account].service += row.Service
 	}
 }
 
 // grownRows returns the totals that have grown since they were last sent, sorted by account.
-func (g serviceTotals) grownRows() []*wire.EngineTallyRow {
+func (t serviceTotals) grownRows() []*wire.EngineTallyRow {
 	var out []*wire.EngineTallyRow
-	for account, s := range g {
+	for account, s := range t {
 		if s.service > s.sent {
 			out = append(out, &wire.EngineTallyRow{Account: account, Service: s.service, Before: s.sent})
 			s.sent = s.service
