--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -3,7 +3,7 @@
 
 // Package control runs the state machines that routers share work with: membership, the scheduler and
 // the admission queues. One goroutine owns them all and feeds them messages, timers and calls.
-// Methods of Loop are safe for concurrent use.
+// Exported methods of Loop are safe for concurrent use.
 package control
 
 import (
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -80,8 +80,8 @@
 // Leave tells the other gateways that this one is leaving.
 func (l *Loop) Leave() { l.put(memberIn{member.Leave{}}) }
 
-// SetStrength announces this gateway's processor headroom, in percent of a core. If saturated, its
-// network link is saturated and answers arrive late.
+// SetStrength announces this gateway's scheduling capacity, in percent of a core. saturated reports
+// that its network link is full, so that answers arrive late.
 func (l *Loop) SetStrength(percent uint32, saturated bool) {
 	l.put(memberIn{member.StrengthSeen{Percent: percent}})
 	l.put(entryIn{entry.LinkStateSeen{Saturated: saturated}})
--- a/services/mesh/layout.go
+++ b/services/mesh/layout.go
@@ -82,12 +82,12 @@
 	l.applyToCell(now, key, s, ev)
 }
 
-// coldShare returns the part of the load on a cell's cold targets that this gateway may place.
+// coldShare returns the part of a cell's cold targets' rate that this gateway may use.
 func (l *Loop) coldShare(g *cell.Group) float64 {
 	return cold.SchedulerShare(slices.Index(g.Schedulers(), l.opts.Self.ID), l.Members(), l.Known())
 }
 
-// updateColdShare updates a cell's share of the load on cold targets after a membership change.
+// updateColdShare updates a cell's share of its cold targets' rate after a membership change.
 func (l *Loop) updateColdShare(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -3,7 +3,7 @@
 
 // Package mesh runs the state machines that gateways share work with: membership, the entry side
 // of scheduling and the schedulers of cells. One goroutine owns them all and feeds them messages,
-// timers and calls. Methods of Loop are safe for concurrent use.
+// timers and calls. Exported methods of Loop are safe for concurrent use.
 package mesh
 
 import (
@@ -87,7 +87,7 @@
 	lastUsed        time.Time
 	cachedQueriedAt time.Time // zero if the targets were never queried
 	lastStats       statsSample
-	// Part of the load on cold targets that may be placed in this cell.
+	// Part of the cold targets' rate that this gateway may use.
 	coldShare   float64
 	incarnation uint64 // differs each time this gateway takes the cell over
 }
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -46,7 +46,7 @@
 	ID          string
 	Incarnation uint64
 	Address     string
-	Strength    float64 // processor headroom in cores
+	Strength    float64 // in processor cores
 }
 
 // Options configures a Service.
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -174,13 +174,13 @@
 func TestCancelAndDisconnectEndRequests(t *testing.T) {
 	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	given, _, err := sendRequest(t, s, "/wait")
+	canceled, _, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-f.blocked
-	given.Cancel()
-	<-given.Done()
+	canceled.Cancel()
+	<-canceled.Done()
 	lost, _, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
@@ -188,7 +188,7 @@
 	<-f.blocked
 	s.Disconnect("far")
 	<-lost.Done()
-	for _, h := range []*Handover{given, lost} {
+	for _, h := range []*Handover{canceled, lost} {
 		if bytes, complete := h.Result(); bytes != 0 || complete {
 			t.Errorf("Result() = %d bytes, complete %v; want 0, false", bytes, complete)
 		}
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -40,8 +40,8 @@
 
 // HandedOverBy returns the ID of the gateway that handed the request over, or "".
 func HandedOverBy(ctx context.Context) string {
-	carrier, _ := ctx.Value(peerKey{}).(string)
-	return carrier
+	peer, _ := ctx.Value(peerKey{}).(string)
+	return peer
 }
 
 // HandleRelay implements peernet.Carrier.
@@ -55,8 +55,8 @@
 	for {
 		n, err := conn.Read(buffer)
 		if n > 0 {
-			if wrong := d.feed(buffer[:n], f.handleFrame); wrong != nil {
-				s.log.Warn("Closed a connection with malformed frames.", "peer", peer, "reason", wrong)
+			if feedErr := d.feed(buffer[:n], f.handleFrame); feedErr != nil {
+				s.log.Warn("Closed a connection with malformed frames.", "peer", peer, "reason", feedErr)
 				return
 			}
 		}
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -283,8 +283,8 @@
 		n, err := t.conn.Read(buffer)
 		if n > 0 {
 			t.received.Store(true)
-			if wrong := d.feed(buffer[:n], t.handleFrame); wrong != nil {
-				err = wrong
+			if feedErr := d.feed(buffer[:n], t.handleFrame); feedErr != nil {
+				err = feedErr
 			}
 		}
 		if err != nil {
