--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -151,8 +151,8 @@
 // firstID returns the number before an incarnation's first request ID. Schedulers may still know
 // requests of the previous incarnation, so the ranges must differ.
 func firstID(incarnation uint64) uint64 {
-	const room, lives = 20, 1 << 24
-	return incarnation * 0x9E3779B97F4A7C15 >> 40 % lives << room
+	const idBits, ranges = 20, 1 << 24
+	return incarnation * 0x9E3779B97F4A7C15 >> 40 % ranges << idBits
 }
 
 func (l *Loop) newLink(id, address string) *peernet.Link {
--- a/services/mesh/seeds.go
+++ b/services/mesh/seeds.go
@@ -30,14 +30,14 @@
 	}
 	alone := l.members.Count() == 0
 	l.nextSeed = now.Add(seedDelay(l.members.Count()))
-	call := l.seeds
+	links := l.seeds
 	if alone {
-		call = slices.Concat(l.seeds, l.discovered)
+		links = slices.Concat(l.seeds, l.discovered)
 	}
-	hello := &wire.Frame{}
-	l.addHeartbeat(hello, member.SendHeartbeat{From: l.members.Self()})
-	for _, link := range call {
-		link.Send(hello)
+	heartbeat := &wire.Frame{}
+	l.addHeartbeat(heartbeat, member.SendHeartbeat{From: l.members.Self()})
+	for _, link := range links {
+		link.Send(heartbeat)
 	}
 }
 
--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -89,13 +89,13 @@
 
 // broadcastTally sends a tally to each other gateway that schedules a cell of the service.
 func (l *Loop) broadcastTally(now time.Time, service string, t *wire.EngineTally) {
-	told := map[string]bool{l.opts.Self.ID: true}
+	sent := map[string]bool{l.opts.Self.ID: true}
 	for _, g := range l.layout.GroupsOf(service) {
-		if len(g.Schedulers()) == 0 || told[g.Schedulers()[0]] {
+		if len(g.Schedulers()) == 0 || sent[g.Schedulers()[0]] {
 			continue
 		}
 		to := g.Schedulers()[0]
-		told[to] = true
+		sent[to] = true
 		f := l.out.Frame(now, to, true)
 		f.EngineTallies = append(f.EngineTallies, t)
 	}
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -97,7 +97,7 @@
 }
 
 // request appends bytes of a request and serves it once it is complete.
-func (c *serverConn) request(number uint32, piece []byte, whole bool) {
+func (c *serverConn) request(number uint32, piece []byte, complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.requests[number]
@@ -111,7 +111,7 @@
 		go c.sendControl(kindAborted, number)
 		return
 	}
-	if !whole {
+	if !complete {
 		return
 	}
 	var ctx context.Context
@@ -250,9 +250,9 @@
 	w.sendFrame(kindEnd)
 }
 
-// startFrame begins a frame, with the response header if that was not sent. whole is set if the
+// startFrame begins a frame, with the response header if that was not sent. complete is set if the
 // handler has written all of the body.
-func (w *responseWriter) startFrame(whole bool) {
+func (w *responseWriter) startFrame(complete bool) {
 	var room [HeaderSize]byte
 	w.frame = append(w.frame[:0], room[:]...)
 	if w.headerSent {
@@ -264,7 +264,7 @@
 	case err == nil:
 		w.remaining = length
 	case w.noBody:
-	case whole:
+	case complete:
 		w.remaining = int64(len(w.body))
 		w.header.Set("Content-Length", strconv.Itoa(len(w.body)))
 	default:
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -449,13 +449,13 @@
 }
 
 // end records that no more bytes will arrive.
-func (h *Handover) end(whole bool) {
+func (h *Handover) end(complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ended {
 		return
 	}
-	h.ended, h.complete = true, whole
+	h.ended, h.complete = true, complete
 	if !h.buffering {
 		h.finish()
 	}
