--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -33,7 +33,7 @@
 	// Send hands a request over. The first relay.HeadSize bytes of the buffer are free; the request
 	// follows. The answer is written to caller; when it ends, a pending read of caller is
 	// ended by a deadline. left reports whether the caller has closed its connection.
-	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handed, error)
+	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handover, error)
 }
 
 // HandOverResult is the outcome of a hand-over.
@@ -77,14 +77,14 @@
 	handed, err := c.send(begun, rest)
 	if err != nil {
 		res.CallerLeft = c.callerLeft
-		res.Lost = !c.callerLeft && relay.IsErrSent(err)
+		res.Lost = !c.callerLeft && relay.IsErrMaybeSent(err)
 		switch {
 		case res.Lost:
 			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have left too
 			return ended
 		case res.CallerLeft:
 			return ended
-		case errors.Is(err, relay.ErrFull):
+		case errors.Is(err, relay.ErrCongested):
 			return c.refuseBusy(decision.ID)
 		}
 		return servedHere
@@ -118,12 +118,12 @@
 
 // send reads the rest of a request and hands it over. If no gateway takes the request, its
 // bytes are buffered for the next reads.
-func (c *callerConn) send(begun []byte, rest int64) (*relay.Handed, error) {
-	size := relay.HeadSize + len(begun) + int(rest)
+func (c *callerConn) send(begun []byte, rest int64) (*relay.Handover, error) {
+	size := relay.HeaderSize + len(begun) + int(rest)
 	pooled := requestBuffers.get(size)
 	defer requestBuffers.put(pooled)
 	buffer := *pooled
-	held := relay.HeadSize + copy(buffer[relay.HeadSize:], begun)
+	held := relay.HeaderSize + copy(buffer[relay.HeaderSize:], begun)
 	if rest > 0 {
 		err := c.SetReadDeadline(netopt.DeadlineIn(headerTimeout(c.limits)))
 		if err == nil {
@@ -137,18 +137,18 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.hasLeft)
-	if errors.Is(err, relay.ErrLeft) {
+	if errors.Is(err, relay.ErrCallerDisconnected) {
 		c.callerLeft = true
 		return nil, err
 	}
-	if err != nil && !relay.IsErrSent(err) {
-		c.buffered = append([]byte(nil), buffer[relay.HeadSize:size]...)
+	if err != nil && !relay.IsErrMaybeSent(err) {
+		c.buffered = append([]byte(nil), buffer[relay.HeaderSize:size]...)
 	}
 	return handed, err
 }
 
 // awaitAnswer waits until the answer has ended, the caller has left or the time is up.
-func (c *callerConn) awaitAnswer(handed *relay.Handed, end time.Time) {
+func (c *callerConn) awaitAnswer(handed *relay.Handover, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
 		c.callerLeft = true
 		handed.Cancel()
@@ -172,7 +172,7 @@
 	handed.Cancel()
 }
 
-func isDone(handed *relay.Handed) bool {
+func isDone(handed *relay.Handover) bool {
 	select {
 	case <-handed.Done():
 		return true
@@ -181,7 +181,7 @@
 	}
 }
 
-func (c *callerConn) awaitDone(handed *relay.Handed, end time.Time) {
+func (c *callerConn) awaitDone(handed *relay.Handover, end time.Time) {
 	late := make(chan struct{})
 	timer := clock.System{}.AfterFunc(end.Sub(now()), func() { close(late) })
 	defer timer.Stop()
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -161,13 +161,13 @@
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
 	members.EnableFullSync, members.MaxRumors = true, maxRumors
 	g.quarantine = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
-		Clock: g.clock, MetricPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.TellRecord(r) },
+		Clock: g.clock, MetricPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.ShareRecord(r) },
 	})
 	client := upstream.NewClient(g.pool, platform.Dialect{}, g.notices.Answered)
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.relayMeter, Clock: g.clock})
 	g.loop = mesh.NewLoop(&g.t, log.New("mesh").With(s.ID), mesh.Options{
-		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Requests: g.quarantine, Notices: g.notices,
-		Kept: client.CachedParts, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelayPeers, OnGone: g.relay.Gone,
+		Self: g.self, Seeds: s.Seeds, Clock: g.clock, Auth: auth, Meter: g.meter, Member: members, Follow: g.follow, Quarantine: g.quarantine, Notices: g.notices,
+		FetchCachedParts: client.CachedParts, FairWindow: s.FairWindow.Duration, OnMembers: g.setRelayPeers, OnIncarnationEnd: g.relay.Disconnect,
 	})
 	g.quarantine.RunArchive(&g.t, quarantine.ArchiveOptions{Archive: platform.NewQuarantineArchive(store), IsReader: g.loop.Watches, FirstStart: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
@@ -280,7 +280,7 @@
 	targets := g.follow.Targets()
 	g.pool.Prune(targets)
 	g.forward.SetTargets(targets)
-	g.loop.SetWorld(g.follow.Index(), targets)
+	g.loop.SetRouting(g.follow.Index(), targets)
 	if index := g.follow.Index(); index != nil {
 		g.callers.SetLimits(index.Configuration.Limits)
 	}
--- a/services/control/input.go
+++ b/services/control/input.go
@@ -13,7 +13,7 @@
 	"madderway/modules/wire"
 )
 
-// input is something that the loop reacts to.
+// input is an event for the loop.
 type input interface{ isInput() }
 
 type frameIn struct {
@@ -22,8 +22,8 @@
 }
 
 type submitIn struct {
-	request admit.Request
-	answer  chan Decision
+	request  admit.Request
+	decision chan Decision
 }
 
 type admitIn struct{ event admit.Event }
@@ -32,7 +32,6 @@
 
 type memberIn struct{ event member.Event }
 
-// recordIn is a record of a request to tell other routers of.
 type recordIn struct{ record quarantine.Record }
 
 type vmsIn struct{ vms []vm.VM }
@@ -47,7 +46,6 @@
 	leaving bool
 }
 
-// inspectIn runs a function between two steps.
 type inspectIn struct {
 	run  func()
 	done chan struct{}
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package control runs the pure machines of a router that act together with
-// those of other routers: membership, scheduler and queues. One goroutine
-// steps them all; sockets and timers stand round it.
+// Package control runs the state machines that routers share work with: membership, the scheduler and
+// the admission queues. One goroutine owns them all and feeds them messages, timers and calls.
+// Exported methods of Loop are safe for concurrent use.
 package control
 
 import (
@@ -30,94 +30,93 @@
 )
 
 const (
-	inputRing     = 4096
-	tickBusy      = 10 * time.Millisecond
-	tickIdle      = 100 * time.Millisecond
-	lazyDelay     = 20 * time.Millisecond
-	batchLimit    = 256 // inputs taken before the outbox is flushed
-	rerouteDelay  = 50 * time.Millisecond
-	debtOfBounds  = 4 // the debt limit is so many fairness bounds
-	defaultWeight = 1
+	inputQueueSize  = 4096
+	tickBusy        = 10 * time.Millisecond
+	tickIdle        = 100 * time.Millisecond
+	lazyFrameDelay  = 20 * time.Millisecond
+	batchLimit      = 256 // inputs handled before the outbox is flushed
+	routeDelay      = 50 * time.Millisecond
+	debtLimitBounds = 4 // debt limit of an account, in fairness bounds
+	defaultWeight   = 1
 )
 
-// Decision is what became of a submitted request.
+// Decision is the result of a submitted request.
 type Decision struct {
 	Target     string
 	Scheduler  string
 	Grant      uint64
 	Waited     time.Duration
-	Refused    result.Code // Refused is 0 where the request may start.
+	Refused    result.Code // 0 if the request may start
 	RetryAfter time.Duration
 }
 
-// Versions tells the configuration version to put into heartbeats and takes
-// those of the peers.
+// Versions provides the configuration version for heartbeats and receives those of peers.
 type Versions interface {
-	// InForce returns the version in force at this router.
+	// InForce returns the active version of this router.
 	InForce() head.Version
-	// PeerVersion takes the version in force at a peer.
+	// PeerVersion records the active version of a peer.
 	PeerVersion(peer string, v head.Version)
 }
 
-// Options are the parts of a Loop.
+// Options configures a Loop.
 type Options struct {
-	Self         member.Record
-	Clock        clock.Clock
-	Auth         *peernet.Auth
-	Meter        *peernet.Meter
-	Dispatcher   admit.Dispatcher
-	Member       member.Config
-	Scheduler    sched.Options
-	ReserveShare float64
-	Versions     Versions
-	DialTimeout  time.Duration
-	Ring         int
-	// Requests are those under which targets ended.
-	Requests *quarantine.Service
+	Self          member.Record
+	Clock         clock.Clock
+	Auth          *peernet.Auth
+	Meter         *peernet.Meter
+	Dispatcher    admit.Dispatcher
+	Member        member.Config
+	Scheduler     sched.Options
+	ReserveShare  float64
+	Versions      Versions
+	DialTimeout   time.Duration
+	LinkQueueSize int
+	// Quarantine holds records of requests under which targets ended.
+	Quarantine *quarantine.Service
 }
 
-// Loop is the goroutine that owns the machines.
+// Loop owns the state machines and the links to other routers.
 type Loop struct {
-	t        *tomb.Tomb
-	log      log.Logger
-	opts     Options
-	inputs   *ring.Ring[input]
-	members  *member.List
-	sched    *sched.Scheduler
-	disp     admit.Dispatcher
-	index    *conf.Index
-	leaving  map[string]bool // leaving holds the targets that the platform's list says are leaving.
-	waiting  map[admit.RequestID]chan Decision
-	links    map[string]*peernet.Link
-	out      *peerwire.Outbox
-	records  *peerwire.Records
-	reroute  time.Time // reroute is when the routes are to be computed anew, zero for not.
-	nextTick time.Time
-	blocked  map[string]bool
+	t          *tomb.Tomb
+	log        log.Logger
+	opts       Options
+	inputs     *ring.Ring[input]
+	members    *member.List
+	sched      *sched.Scheduler
+	dispatcher admit.Dispatcher
+	index      *conf.Index
+	leaving    map[string]bool // targets that the platform lists as leaving
+	decisions  map[admit.RequestID]chan Decision
+	links      map[string]*peernet.Link
+	out        *peerwire.Outbox
+	records    *peerwire.Records
+	rerouteAt  time.Time // when to update the routes, zero if they are current
+	nextTick   time.Time
+	blocked    map[string]bool
 
-	owned    atomic.Pointer[[]*conf.Target] // owned are the targets scheduled here.
-	view     atomic.Pointer[[]member.Record]
-	busy     atomic.Int64 // busy counts the nanoseconds spent on control.
-	requests atomic.Uint64
+	owned      atomic.Pointer[[]*conf.Target] // targets scheduled here
+	memberView atomic.Pointer[[]member.Record]
+	busy       atomic.Int64 // nanoseconds
+	requests   atomic.Uint64
 }
 
-// NewLoop starts the loop; it ends with the tomb.
+// NewLoop starts a loop that runs until the tomb dies.
 func NewLoop(t *tomb.Tomb, logger log.Logger, o Options) *Loop {
 	l := &Loop{
 		t: t, log: logger, opts: o,
-		inputs:  ring.New[input]("control", inputRing),
-		members: member.New(o.Member, o.Self),
-		sched:   sched.New(o.Scheduler),
-		disp:    o.Dispatcher,
-		leaving: map[string]bool{},
-		waiting: map[admit.RequestID]chan Decision{},
-		links:   map[string]*peernet.Link{},
-		out:     peerwire.NewOutbox(lazyDelay),
-		blocked: map[string]bool{},
+		inputs:     ring.New[input]("control", inputQueueSize),
+		members:    member.New(o.Member, o.Self),
+		sched:      sched.New(o.Scheduler),
+		dispatcher: o.Dispatcher,
+		leaving:    map[string]bool{},
+		decisions:  map[admit.RequestID]chan Decision{},
+		links:      map[string]*peernet.Link{},
+		out:        peerwire.NewOutbox(lazyFrameDelay),
+		blocked:    map[string]bool{},
 	}
-	l.records = peerwire.NewRecords(o.Self.ID, o.Requests, l.members, l.out)
+	l.records = peerwire.NewRecords(o.Self.ID, o.Quarantine, l.members, l.out)
 	l.owned.Store(&[]*conf.Target{})
-	l.view.Store(&[]member.Record{})
+	l.memberView.Store(&[]member.Record{})
 	t.Go(l.run)
 	return l
 }
@@ -130,36 +129,36 @@
 		case <-l.t.Dying():
 			return nil
 		case in := <-l.inputs.Out():
-			l.batch(in)
-			timer.Reset(l.tickAfter())
+			l.runBatch(in)
+			timer.Reset(l.tickInterval())
 		case <-timer.C:
-			l.timed(l.tick)
-			timer.Reset(l.tickAfter())
+			l.runTimed(l.tick)
+			timer.Reset(l.tickInterval())
 		}
 	}
 }
 
-func (l *Loop) timed(work func()) {
+func (l *Loop) runTimed(work func()) {
 	start := l.opts.Clock.Now()
 	work()
 	l.busy.Add(int64(l.opts.Clock.Now().Sub(start)))
 }
 
-func (l *Loop) tickAfter() time.Duration {
-	if l.disp.Queued() > 0 || l.out.Pending() {
+func (l *Loop) tickInterval() time.Duration {
+	if l.dispatcher.Queued() > 0 || l.out.Pending() {
 		return tickBusy
 	}
 	return tickIdle
 }
 
-// batch takes what is there, so that messages to the same peer share a frame.
-func (l *Loop) batch(first input) {
-	l.timed(func() {
-		l.take(first)
+// runBatch handles queued inputs together, so that messages to one peer share a frame.
+func (l *Loop) runBatch(first input) {
+	l.runTimed(func() {
+		l.handleInput(first)
 		for range batchLimit {
 			select {
 			case in := <-l.inputs.Out():
-				l.take(in)
+				l.handleInput(in)
 				continue
 			default:
 			}
@@ -174,30 +173,30 @@
 	})
 }
 
-func (l *Loop) take(in input) {
+func (l *Loop) handleInput(in input) {
 	now := l.opts.Clock.Now()
 	switch e := in.(type) {
 	case frameIn:
-		l.frame(now, e.peer, e.frame)
+		l.handleFrame(now, e.peer, e.frame)
 	case submitIn:
-		l.waiting[e.request.ID] = e.answer
-		l.admit(now, admit.Arrived{Request: e.request})
+		l.decisions[e.request.ID] = e.decision
+		l.stepAdmission(now, admit.Arrived{Request: e.request})
 	case admitIn:
-		l.admit(now, e.event)
+		l.stepAdmission(now, e.event)
 	case schedIn:
-		l.schedule(now, e.event)
+		l.stepScheduler(now, e.event)
 	case memberIn:
-		l.member(now, e.event)
+		l.stepMembers(now, e.event)
 	case recordIn:
-		l.records.Tell(now, e.record, "")
+		l.records.Share(now, e.record, "")
 	case vmsIn:
-		l.takeVMs(now, e.vms)
+		l.handleVMs(now, e.vms)
 	case indexIn:
 		l.index = e.index
-		l.route(now)
+		l.updateRoutes(now)
 	case loadIn:
-		l.schedule(now, sched.LoadSeen{Target: e.target, Running: e.running, Healthy: e.healthy, Leaving: e.leaving})
-		l.admit(now, admit.LoadSeen{Target: e.target, Running: e.running, Slots: e.slots})
+		l.stepScheduler(now, sched.LoadSeen{Target: e.target, Running: e.running, Healthy: e.healthy, Leaving: e.leaving})
+		l.stepAdmission(now, admit.LoadSeen{Target: e.target, Running: e.running, Slots: e.slots})
 	case inspectIn:
 		e.run()
 		close(e.done)
@@ -207,18 +206,18 @@
 func (l *Loop) tick() {
 	now := l.opts.Clock.Now()
 	l.nextTick = now.Add(tickBusy)
-	l.member(now, member.Tick{})
+	l.stepMembers(now, member.Tick{})
 	l.records.Tick(now)
-	if !l.reroute.IsZero() && !now.Before(l.reroute) {
-		l.route(now)
+	if !l.rerouteAt.IsZero() && !now.Before(l.rerouteAt) {
+		l.updateRoutes(now)
 	}
-	l.schedule(now, sched.Tick{})
-	l.admit(now, admit.Tick{})
+	l.stepScheduler(now, sched.Tick{})
+	l.stepAdmission(now, admit.Tick{})
 	l.flush(now, true)
 }
 
-func (l *Loop) admit(now time.Time, ev admit.Event) {
-	for _, a := range l.disp.Step(now, ev) {
+func (l *Loop) stepAdmission(now time.Time, ev admit.Event) {
+	for _, a := range l.dispatcher.Step(now, ev) {
 		l.admitAction(now, a)
 	}
 }
@@ -227,46 +226,46 @@
 	switch a := a.(type) {
 	case admit.DemandOut:
 		if a.To == l.opts.Self.ID {
-			l.schedule(now, sched.DemandSeen{From: a.To, Demand: a.Demand})
+			l.stepScheduler(now, sched.DemandSeen{From: a.To, Demand: a.Demand})
 			return
 		}
 		l.out.Frame(now, a.To, a.Lazy).Demands = append(l.out.Frame(now, a.To, a.Lazy).Demands, demandToWire(a.Demand))
 	case admit.ReportOut:
 		if a.To == l.opts.Self.ID {
-			l.schedule(now, sched.ReportSeen{From: a.To, Report: a.Report})
+			l.stepScheduler(now, sched.ReportSeen{From: a.To, Report: a.Report})
 			return
 		}
 		f := l.out.Frame(now, a.To, a.Lazy)
 		f.Reports = append(f.Reports, reportToWire(a.Report))
 	case admit.InventoryOut:
 		if a.To == l.opts.Self.ID {
-			l.schedule(now, sched.InventorySeen{From: a.To, Inventory: a.Inventory})
+			l.stepScheduler(now, sched.InventorySeen{From: a.To, Inventory: a.Inventory})
 			return
 		}
 		f := l.out.Frame(now, a.To, true)
 		f.Inventories = append(f.Inventories, inventoryToWire(a.Inventory))
 	case admit.Start:
-		l.decide(a.ID, Decision{Target: a.Target, Scheduler: a.Scheduler, Grant: uint64(a.Grant), Waited: a.Waited})
+		l.deliver(a.ID, Decision{Target: a.Target, Scheduler: a.Scheduler, Grant: uint64(a.Grant), Waited: a.Waited})
 	case admit.Refuse:
-		l.decide(a.ID, Decision{Refused: a.Code, RetryAfter: a.RetryAfter})
+		l.deliver(a.ID, Decision{Refused: a.Code, RetryAfter: a.RetryAfter})
 	}
 }
 
-func (l *Loop) decide(id admit.RequestID, d Decision) {
-	ch, ok := l.waiting[id]
+func (l *Loop) deliver(id admit.RequestID, d Decision) {
+	ch, ok := l.decisions[id]
 	if !ok {
 		return
 	}
-	delete(l.waiting, id)
+	delete(l.decisions, id)
 	ch <- d
 }
 
-func (l *Loop) schedule(now time.Time, ev sched.Event) {
+func (l *Loop) stepScheduler(now time.Time, ev sched.Event) {
 	for _, a := range l.sched.Step(now, ev) {
 		switch a := a.(type) {
 		case sched.GrantOut:
 			if a.To == l.opts.Self.ID {
-				l.admit(now, admit.GrantSeen{From: a.To, Grant: a.Grant})
+				l.stepAdmission(now, admit.GrantSeen{From: a.To, Grant: a.Grant})
 				continue
 			}
 			f := l.out.Frame(now, a.To, false)
@@ -278,20 +277,20 @@
 	}
 }
 
-func (l *Loop) member(now time.Time, ev member.Event) {
+func (l *Loop) stepMembers(now time.Time, ev member.Event) {
 	for _, a := range l.members.Step(now, ev) {
 		switch a := a.(type) {
 		case member.SendHeartbeat:
 			l.addHeartbeat(l.out.Frame(now, a.To, true), a)
 		case member.MembersChanged:
-			l.publish()
-			if l.reroute.IsZero() {
-				l.reroute = now.Add(rerouteDelay)
+			l.publishMembers()
+			if l.rerouteAt.IsZero() {
+				l.rerouteAt = now.Add(routeDelay)
 			}
 		case member.IncarnationEnded:
-			l.log.Warn("Member gone.", "id", a.ID, "incarnation", a.Incarnation)
-			l.schedule(now, sched.EntryGone{ID: a.ID})
-			l.records.Gone(a.ID)
+			l.log.Warn("Incarnation of a member ended.", "id", a.ID, "incarnation", a.Incarnation)
+			l.stepScheduler(now, sched.EntryGone{ID: a.ID})
+			l.records.Forget(a.ID)
 		}
 	}
 }
@@ -303,30 +302,29 @@
 	hb.RequestDigest = l.records.Digest()
 }
 
-func (l *Loop) publish() {
+func (l *Loop) publishMembers() {
 	others := l.members.Others()
-	l.view.Store(&others)
+	l.memberView.Store(&others)
 }
 
-func (l *Loop) frame(now time.Time, peer string, f *wire.Frame) {
+func (l *Loop) handleFrame(now time.Time, peer string, f *wire.Frame) {
 	if hb := f.Heartbeat; hb != nil {
-		l.takeHeartbeat(now, peer, hb)
+		l.handleHeartbeat(now, peer, hb)
 	}
 	if len(f.RequestRecords) > 0 || f.RequestRecordsAsk {
-		l.records.Take(now, peer, f)
+		l.records.Receive(now, peer, f)
 	}
 	for _, ev := range schedulerEvents(peer, f) {
-		l.schedule(now, ev)
+		l.stepScheduler(now, ev)
 	}
 	for _, g := range f.Grants {
-		l.admit(now, admit.GrantSeen{From: peer, Grant: grantFromWire(g)})
+		l.stepAdmission(now, admit.GrantSeen{From: peer, Grant: grantFromWire(g)})
 	}
 }
 
-// schedulerEvents returns what a frame tells the scheduler, in the order in
-// which it must be taken. Reports come before inventories: a request that has
-// just ended is in its report and no longer in the inventory, and would be
-// taken for lost otherwise.
+// schedulerEvents returns a frame's events for the scheduler, in order. Reports come before
+// inventories: a request that has just ended is missing in the inventory and would otherwise count
+// as lost.
 func schedulerEvents(peer string, f *wire.Frame) []sched.Event {
 	var events []sched.Event
 	for _, t := range f.Tallies {
@@ -344,18 +342,18 @@
 	return events
 }
 
-func (l *Loop) takeHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
+func (l *Loop) handleHeartbeat(now time.Time, peer string, hb *wire.Heartbeat) {
 	seen, ok := peerwire.HeartbeatFromWire(peer, hb)
 	if !ok {
-		l.log.Warn("Dropped a heartbeat that is not the sender's own.", "peer", peer)
+		l.log.Warn("Dropped a heartbeat with a wrong sender ID.", "peer", peer)
 		return
 	}
-	l.member(now, seen)
+	l.stepMembers(now, seen)
 	l.records.Compare(now, peer, hb.RequestDigest)
 	l.opts.Versions.PeerVersion(peer, head.Version{Number: hb.ConfigVersion, Hash: hb.ConfigHash})
 }
 
-func (l *Loop) takeVMs(now time.Time, vms []vm.VM) {
+func (l *Loop) handleVMs(now time.Time, vms []vm.VM) {
 	var listed []member.ListedVM
 	leaving := map[string]bool{}
 	for _, v := range vms {
@@ -372,9 +370,9 @@
 	}
 	if !equalSets(leaving, l.leaving) {
 		l.leaving = leaving
-		l.reroute = now
+		l.rerouteAt = now
 	}
-	l.member(now, member.ListSeen{VMs: listed})
+	l.stepMembers(now, member.ListSeen{VMs: listed})
 }
 
 func equalSets(a, b map[string]bool) bool {
--- a/services/control/state.go
+++ b/services/control/state.go
@@ -10,7 +10,7 @@
 	"madderway/modules/ring"
 )
 
-// MemberState is one member in a dump.
+// MemberState is a member in a state dump.
 type MemberState struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"incarnation"`
@@ -20,7 +20,7 @@
 	Region      string `json:"region"`
 }
 
-// State is what a dump shows of the loop.
+// State is the loop's part of a state dump.
 type State struct {
 	Self      MemberState   `json:"self"`
 	Members   []MemberState `json:"members"`
@@ -33,17 +33,17 @@
 	Received  uint64        `json:"peer_bytes_received"`
 }
 
-// State returns what a dump shows.
+// State returns the current state.
 func (l *Loop) State() State {
 	st := State{Members: []MemberState{}, Rings: []ring.State{}}
 	l.Inspect(func() {
-		st.Self = stateOf(l.members.Self())
+		st.Self = memberState(l.members.Self())
 		for _, m := range l.members.Others() {
-			st.Members = append(st.Members, stateOf(m))
+			st.Members = append(st.Members, memberState(m))
 		}
 		st.Scheduler = l.sched.State(l.opts.Clock.Now())
-		st.Admission = l.disp.State()
-		st.Waiting = len(l.waiting)
+		st.Admission = l.dispatcher.State()
+		st.Waiting = len(l.decisions)
 		st.Rings = append(st.Rings, l.inputs.State())
 		for _, link := range l.links {
 			st.Rings = append(st.Rings, link.State())
@@ -54,6 +54,6 @@
 	return st
 }
 
-func stateOf(r member.Record) MemberState {
+func memberState(r member.Record) MemberState {
 	return MemberState{r.ID, r.Incarnation, r.State.String(), r.Address, r.DataHall, r.Region}
 }
--- a/services/mesh/input.go
+++ b/services/mesh/input.go
@@ -11,7 +11,7 @@
 	"madderway/modules/wire"
 )
 
-// input is something that the loop reacts to.
+// input is an event for the loop.
 type input interface{ isInput() }
 
 type frameIn struct {
@@ -20,21 +20,19 @@
 }
 
 type submitIn struct {
-	event  entry.Submitted
-	answer chan Decision
+	event    entry.Submitted
+	decision chan Decision
 }
 
 type entryIn struct{ event entry.Event }
 
 type memberIn struct{ event member.Event }
 
-// worldIn replaces configuration and targets.
-type worldIn struct {
+type routingIn struct {
 	index   *routing.Index
 	targets *routing.TargetSet
 }
 
-// inspectIn runs a function between two steps.
 type inspectIn struct {
 	run  func()
 	done chan struct{}
@@ -44,8 +42,8 @@
 func (submitIn) isInput()  {}
 func (entryIn) isInput()   {}
 func (memberIn) isInput()  {}
-func (worldIn) isInput()   {}
+func (routingIn) isInput() {}
 func (inspectIn) isInput() {}
 
-// RequestID is the entry gateway's number of a request.
+// RequestID numbers a request at its entry gateway.
 type RequestID = cell.RequestID
--- a/services/mesh/kept.go
+++ b/services/mesh/kept.go
@@ -12,36 +12,33 @@
 )
 
 const (
-	// askKeptAtOnce bounds the targets that are asked at the same time what they
-	// keep, askKeptTime how long one may take.
-	askKeptAtOnce = 4
-	askKeptTime   = time.Second
-	// askKeptAgain is how long after a cell was taken over its targets are not
-	// asked once more.
-	askKeptAgain = 5 * time.Second
+	// Bounds concurrent queries of a cell's targets.
+	cachedQueryWorkers = 4
+	cachedQueryTimeout = time.Second
+	// Least time between two queries of a cell's targets.
+	cachedQueryInterval = 5 * time.Second
 )
 
-// keptIn is what a target of a cell says it keeps.
-type keptIn struct {
+// cachedPartsIn reports the prompt parts that a target has in its cache.
+type cachedPartsIn struct {
 	key    cell.Key
 	target string
 	at     time.Time
 	parts  []routing.PromptPart
 }
 
-func (keptIn) isInput() {}
+func (cachedPartsIn) isInput() {}
 
-// askKept asks the targets of a cell that this gateway schedules which parts of
-// prompts they keep. Without that one that has just taken over would let them
-// read again what the one before it had let them read. A gateway that stands in
-// for a moment, or knows no other one yet, asks nobody; targets that take no work are
-// not asked, since an operator wants nothing sent to them.
-func (l *Loop) askKept(now time.Time, key cell.Key, s *scheduled) {
+// queryCachedParts asks the targets of a cell for the prompt parts in their caches. A new scheduler
+// that does not know them would have the parts read again. Only the cell's first scheduler asks, and
+// only if the cell has others. Targets that accept no work are not asked: an operator wants no
+// traffic there.
+func (l *Loop) queryCachedParts(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
-	if l.opts.Kept == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.keptAt) < askKeptAgain {
+	if l.opts.FetchCachedParts == nil || g == nil || len(g.Schedulers()) < 2 || g.Schedulers()[0] != l.opts.Self.ID || now.Sub(s.cachedQueriedAt) < cachedQueryInterval {
 		return
 	}
-	s.keptAt = now
+	s.cachedQueriedAt = now
 	targets := make(chan *routing.Target, len(g.Targets))
 	for _, t := range g.Targets {
 		if t.AcceptsWork() {
@@ -49,32 +46,32 @@
 		}
 	}
 	close(targets)
-	for range min(askKeptAtOnce, len(g.Targets)) {
+	for range min(cachedQueryWorkers, len(g.Targets)) {
 		l.t.Go(func() error {
 			for t := range targets {
-				l.askOneKept(key, t)
+				l.queryTarget(key, t)
 			}
 			return nil
 		})
 	}
 }
 
-func (l *Loop) askOneKept(key cell.Key, t *routing.Target) {
-	// It may have said so while others were asked: each may take a second.
+func (l *Loop) queryTarget(key cell.Key, t *routing.Target) {
+	// The target may have closed while others were queried.
 	now := l.opts.Follow.Targets().Find(t.ID)
 	if _, closed := l.opts.Notices.Blocked(t.ID); closed || now == nil || !now.AcceptsWork() {
-		l.log.Info("Target not asked what it keeps.", "cell", key, "target", t.ID, "listed", now != nil, "rests", closed)
+		l.log.Info("Target not queried for cached parts.", "cell", key, "target", t.ID, "listed", now != nil, "closed", closed)
 		return
 	}
-	ctx, cancel := context.WithTimeout(l.t.Context(context.Background()), askKeptTime)
+	ctx, cancel := context.WithTimeout(l.t.Context(context.Background()), cachedQueryTimeout)
 	defer cancel()
 	start := l.opts.Clock.Now()
-	parts, err := l.opts.Kept(ctx, t)
+	parts, err := l.opts.FetchCachedParts(ctx, t)
 	took := l.opts.Clock.Now().Sub(start)
 	if err != nil {
-		l.log.Info("Target did not say what it keeps.", "cell", key, "target", t.ID, "took", took, "error", err)
+		l.log.Info("Query for cached parts failed.", "cell", key, "target", t.ID, "took", took, "error", err)
 		return
 	}
-	l.log.Debug("Target said what it keeps.", "cell", key, "target", t.ID, "parts", len(parts), "took", took)
-	l.put(keptIn{key, t.ID, start, parts})
+	l.log.Debug("Target reported cached parts.", "cell", key, "target", t.ID, "parts", len(parts), "took", took)
+	l.put(cachedPartsIn{key, t.ID, start, parts})
 }
--- a/services/mesh/layout.go
+++ b/services/mesh/layout.go
@@ -16,54 +16,54 @@
 	"madderway/services/discover"
 )
 
-// relayout divides the targets into cells anew.
-func (l *Loop) relayout(now time.Time) {
+// rebuildLayout divides the targets into cells.
+func (l *Loop) rebuildLayout(now time.Time) {
 	l.layout = cell.NewLayout(l.index, l.targets, l.members.Nodes())
 	for key, s := range l.cells {
 		l.setTargets(now, key, s)
 	}
-	l.enter(now, entry.LayoutSeen{Layout: l.layout})
+	l.stepEntry(now, entry.LayoutSeen{Layout: l.layout})
 }
 
-// takeMembers puts changes of the members in force, once for all of a batch.
-func (l *Loop) takeMembers(now time.Time) {
+// applyMembers applies membership changes, once per batch of inputs.
+func (l *Loop) applyMembers(now time.Time) {
 	if !l.membersChanged {
 		return
 	}
 	l.membersChanged = false
 	nodes := l.members.Nodes()
 	l.log.Info("Members changed.", "alive", len(nodes))
-	l.size.Store(int64(max(len(nodes), 1)))
-	l.known.Store(int64(l.members.Count() + 1))
-	l.watches.Store(slices.Contains(place.Top(nodes, watchKey, watch.Watchers), l.opts.Self.ID))
-	l.register.Store(slices.Contains(place.Top(nodes, registerKey, discover.Registrars), l.opts.Self.ID))
+	l.memberCount.Store(int64(max(len(nodes), 1)))
+	l.knownCount.Store(int64(l.members.Count() + 1))
+	l.watcher.Store(slices.Contains(place.Top(nodes, watcherKey, watch.Watchers), l.opts.Self.ID))
+	l.registrar.Store(slices.Contains(place.Top(nodes, registrarKey, discover.Registrars), l.opts.Self.ID))
 	if l.opts.OnMembers != nil {
 		l.opts.OnMembers(l.members.Others())
 	}
 	l.layout = l.layout.WithNodes(nodes)
 	for key, s := range l.cells {
-		l.paceCold(now, key, s)
+		l.updateColdShare(now, key, s)
 	}
-	l.enter(now, entry.LayoutSeen{Layout: l.layout})
+	l.stepEntry(now, entry.LayoutSeen{Layout: l.layout})
 }
 
-// announce tells its neighbours at once that this gateway knows something newer;
-// each tells its own, so that the fleet hears within a few steps.
+// announce gossips new versions to some peers at once. These announce them in turn, so that all
+// gateways learn of them within a few hops.
 func (l *Loop) announce(now time.Time) {
 	v := l.opts.Follow.Versions()
-	if v.Configuration == l.told.Configuration && v.Targets == l.told.Targets && v.Evacuations == l.told.Evacuations && v.Leaving == l.told.Leaving {
+	if v.Configuration == l.announced.Configuration && v.Targets == l.announced.Targets && v.Evacuations == l.announced.Evacuations && v.Leaving == l.announced.Leaving {
 		return
 	}
-	l.told = v
+	l.announced = v
 	for _, id := range l.members.GossipPeers(now) {
 		l.out.Frame(now, id, true).Versions = versionsToWire(v)
 	}
 }
 
-func (l *Loop) setTargets(now time.Time, key cell.Key, s *scheduled) {
+func (l *Loop) setTargets(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
-		l.schedule(now, key, s, cell.TargetsSeen{})
+		l.applyToCell(now, key, s, cell.TargetsSeen{})
 		return
 	}
 	service := l.index.Service(g.Service)
@@ -79,37 +79,35 @@
 	if n := len(l.targets.ByService(g.Service)); n > 0 {
 		ev.TokensPerSecond = l.index.Configuration.Limits.TokensPerSecond / float64(n)
 	}
-	l.schedule(now, key, s, ev)
+	l.applyToCell(now, key, s, ev)
 }
 
-// coldShare returns the part of what cold targets bear that this gateway may place on
-// those of a cell.
+// coldShare returns the part of a cell's cold targets' rate that this gateway may use.
 func (l *Loop) coldShare(g *cell.Group) float64 {
 	return cold.SchedulerShare(slices.Index(g.Schedulers(), l.opts.Self.ID), l.Members(), l.Known())
 }
 
-// paceCold tells a cell how much its cold targets may get, where members that came or
-// went have changed that.
-func (l *Loop) paceCold(now time.Time, key cell.Key, s *scheduled) {
+// updateColdShare updates a cell's share of its cold targets' rate after a membership change.
+func (l *Loop) updateColdShare(now time.Time, key cell.Key, s *cellScheduler) {
 	g := l.layout.Group(key)
 	if g == nil {
 		return
 	}
 	if share := l.coldShare(g); share != s.coldShare {
 		s.coldShare = share
-		l.schedule(now, key, s, cell.ColdShareSeen{Share: share})
+		l.applyToCell(now, key, s, cell.ColdShareSeen{Share: share})
 	}
 }
 
-// cellOf returns the scheduler of a cell, which begins when it is first asked.
-func (l *Loop) cellOf(now time.Time, key cell.Key) *scheduled {
+// schedulerOf returns the scheduler of a cell and creates it on first use.
+func (l *Loop) schedulerOf(now time.Time, key cell.Key) *cellScheduler {
 	s := l.cells[key]
 	if s == nil {
-		s = &scheduled{cell: cell.New(), life: ident.Incarnation(now.Unix())}
+		s = &cellScheduler{cell: cell.New(), incarnation: ident.Incarnation(now.Unix())}
 		l.cells[key] = s
 		l.log.Info("Scheduler taken over.", "cell", key)
 		l.setTargets(now, key, s)
 	}
-	s.askedAt = now
+	s.lastUsed = now
 	return s
 }
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package mesh runs the pure machines by which gateways act together:
-// membership, the entry side of scheduling and the schedulers of cells. One
-// goroutine steps them all; sockets and timers stand round it.
+// Package mesh runs the state machines that gateways share work with: membership, the entry side
+// of scheduling and the schedulers of cells. One goroutine owns them all and feeds them messages,
+// timers and calls. Exported methods of Loop are safe for concurrent use.
 package mesh
 
 import (
@@ -30,70 +30,69 @@
 )
 
 const (
-	inputRing  = 8192
-	linkRing   = 128
-	tickBusy   = 10 * time.Millisecond
-	tickIdle   = 100 * time.Millisecond
-	batchLimit = 256 // inputs taken before the frames go out
-	lazyDelay  = 15 * time.Millisecond
-	seedEvery  = 500 * time.Millisecond
-	// seedCalm is the least time between calls to seeds once members are known,
-	// seedShare what each of these adds to it.
-	seedCalm  = 5 * time.Second
-	seedShare = 100 * time.Millisecond
-	dialTime  = 500 * time.Millisecond
-	// linkIdle is how long a connection to another gateway stays open unused. An entry
-	// of a large fleet asks each scheduler every few seconds.
-	linkIdle = 10 * time.Second
-	watchKey = "watch"
-	// registerKey draws the gateways that register.
-	registerKey = "register"
-	cellIdle    = 30 * time.Second // a cell that nobody has asked for so long is dropped
+	inputQueueSize = 8192
+	linkQueueSize  = 128
+	tickBusy       = 10 * time.Millisecond
+	tickIdle       = 100 * time.Millisecond
+	batchLimit     = 256 // inputs handled before frames are sent
+	lazyFrameDelay = 15 * time.Millisecond
+	seedInterval   = 500 * time.Millisecond
+	// Least time between contacts to the seeds if others are known; seedIntervalPerMember is added
+	// for each of them.
+	minSeedInterval       = 5 * time.Second
+	seedIntervalPerMember = 100 * time.Millisecond
+	dialTimeout           = 500 * time.Millisecond
+	// Longer than the few seconds between requests of one entry to each scheduler in a large fleet.
+	linkIdleTimeout = 10 * time.Second
+	watcherKey      = "watch"
+	// Hashed to select the gateways that register their address.
+	registrarKey    = "register"
+	cellIdleTimeout = 30 * time.Second // idle schedulers are dropped after this time
 )
 
-// Decision is what became of a submitted request.
+// Decision is the result of a submitted request.
 type Decision struct {
-	Target     string // Target is empty where the request is refused.
-	Source     string // Source is the target to copy the beginning of the prompt from, or empty.
+	Target     string // empty if the request is refused
+	Source     string // target to transfer the prompt's prefix from, or empty
 	Scheduler  string
 	Waited     time.Duration
 	RetryAfter time.Duration
 }
 
-// Options are the parts of a Loop.
+// Options configures a Loop.
 type Options struct {
 	Self   member.Record
-	Seeds  []string // Seeds are peers' addresses to begin with.
+	Seeds  []string // addresses of gateways to contact at the start
 	Clock  clock.Clock
 	Auth   *peernet.Auth
 	Meter  *peernet.Meter
 	Member member.Config
 	Follow *follow.Service
-	// Requests are those under which targets ended.
-	Requests *quarantine.Service
-	// Notices are what targets have said of themselves.
+	// Quarantine holds records of requests under which targets ended.
+	Quarantine *quarantine.Service
+	// Notices holds the states that targets announced.
 	Notices *notice.Service
-	// FairWindow is the span over which client accounts are compared.
+	// FairWindow is the time span over which accounts' service is compared.
 	FairWindow time.Duration
-	// OnMembers is told of the members after each change, OnGone that one is dead or has
-	// begun a new life; nil where nobody asks. They must not wait.
-	OnMembers func(others []member.Record)
-	OnGone    func(id string)
-	// Kept asks a target which parts of prompts it keeps; nil where none tell.
-	Kept func(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error)
+	// OnMembers is called after each membership change, OnIncarnationEnd when a member has died or
+	// restarted. Both may be nil and must not block.
+	OnMembers        func(others []member.Record)
+	OnIncarnationEnd func(id string)
+	// FetchCachedParts queries a target for the prompt parts in its cache. It may be nil.
+	FetchCachedParts func(ctx context.Context, t *routing.Target) ([]routing.PromptPart, error)
 }
 
-type scheduled struct {
-	cell    *cell.Cell
-	askedAt time.Time
-	keptAt  time.Time // keptAt is when the targets were last asked what they keep.
-	second  lastSecond
-	// coldShare is the part of what cold targets bear that the cell may place there.
-	coldShare float64
-	life      uint64 // life tells this hold of the cell from others.
+type cellScheduler struct {
+	cell            *cell.Cell
+	lastUsed        time.Time
+	cachedQueriedAt time.Time // zero if the targets were never queried
+	lastStats       statsSample
+	// Part of the cold targets' rate that this gateway may use.
+	coldShare   float64
+	incarnation uint64 // differs each time this gateway takes the cell over
 }
 
-// Loop is the goroutine that owns the machines.
+// Loop owns the state machines and the links to other gateways.
 type Loop struct {
 	t       *tomb.Tomb
 	log     log.Logger
@@ -101,64 +100,64 @@
 	inputs  *ring.Ring[input]
 	members *member.List
 	entry   *entry.Machine
-	cells   map[cell.Key]*scheduled
-	// undecided are the cells that have taken events since they decided last.
-	undecided map[cell.Key]*scheduled
-	given     map[string]given // given is what the cells here gave, by service.
-	layout    *cell.Layout
-	index     *routing.Index
-	targets   *routing.TargetSet
-	answers   map[cell.RequestID]chan Decision
-	links     map[string]*peernet.Link
-	seeds     []*peernet.Link
-	seedsAt   []string        // seedsAt are the addresses of the seeds.
-	learned   []*peernet.Link // learned are gateways to call while no other one is known.
-	out       *peerwire.Outbox
-	traffic   traffic
+	cells   map[cell.Key]*cellScheduler
+	// Schedulers with events since their last decision.
+	undecided     map[cell.Key]*cellScheduler
+	served        map[string]serviceTotals // by service
+	layout        *cell.Layout
+	index         *routing.Index
+	targets       *routing.TargetSet
+	decisions     map[cell.RequestID]chan Decision
+	links         map[string]*peernet.Link
+	seeds         []*peernet.Link
+	seedAddresses []string        // addresses of seeds and discovered gateways
+	discovered    []*peernet.Link // contacted while no other gateway is known
+	out           *peerwire.Outbox
+	traffic       traffic
 	nextSeed,
 	nextTally,
 	nextTick,
-	tickDue time.Time // tickDue is when the next tick comes at the latest, unless this process is late.
-	told    follow.Versions
-	records *peerwire.Records
-	// membersChanged tells that changes of the members are not in force yet.
+	tickDue time.Time // later ticks count as lag of this process
+	announced follow.Versions
+	records   *peerwire.Records
+	// Membership changes wait for the end of the batch.
 	membersChanged bool
 
-	size     atomic.Int64
-	known    atomic.Int64 // known counts the gateways that were ever heard of, the dead included.
-	watches  atomic.Bool
-	register atomic.Bool // register tells that this gateway keeps its address in the register.
-	busy     atomic.Int64
-	requests atomic.Uint64
+	memberCount atomic.Int64
+	knownCount  atomic.Int64 // members of any state, including dead ones
+	watcher     atomic.Bool
+	registrar   atomic.Bool // whether this gateway keeps its address in the register
+	busy        atomic.Int64
+	requests    atomic.Uint64
 }
 
-// NewLoop starts the loop; it ends with the tomb.
+// NewLoop starts a loop that runs until the tomb dies.
 func NewLoop(t *tomb.Tomb, logger log.Logger, o Options) *Loop {
 	l := &Loop{
-		t: t, log: logger, opts: o, inputs: ring.New[input]("mesh", inputRing), members: member.New(o.Member, o.Self),
-		entry: entry.New(o.Self.ID), cells: map[cell.Key]*scheduled{}, undecided: map[cell.Key]*scheduled{}, given: map[string]given{}, layout: &cell.Layout{},
-		answers: map[cell.RequestID]chan Decision{}, links: map[string]*peernet.Link{}, out: peerwire.NewOutbox(lazyDelay), traffic: newTraffic(),
+		t: t, log: logger, opts: o, inputs: ring.New[input]("mesh", inputQueueSize), members: member.New(o.Member, o.Self),
+		entry: entry.New(o.Self.ID), cells: map[cell.Key]*cellScheduler{}, undecided: map[cell.Key]*cellScheduler{}, served: map[string]serviceTotals{}, layout: &cell.Layout{},
+		decisions: map[cell.RequestID]chan Decision{}, links: map[string]*peernet.Link{}, out: peerwire.NewOutbox(lazyFrameDelay), traffic: newTraffic(),
 	}
-	l.records = peerwire.NewRecords(o.Self.ID, o.Requests, l.members, l.out)
+	l.records = peerwire.NewRecords(o.Self.ID, o.Quarantine, l.members, l.out)
 	l.requests.Store(firstID(o.Self.Incarnation))
-	l.size.Store(1)
-	l.known.Store(1)
-	l.watches.Store(true)
+	l.memberCount.Store(1)
+	l.knownCount.Store(1)
+	l.watcher.Store(true)
 	l.setSeeds(o.Seeds)
 	t.Go(l.run)
 	return l
 }
 
-// firstID returns where the numbers of a life's requests begin. Schedulers may
-// still know requests of the life before; theirs must not come again.
+// firstID returns the number before an incarnation's first request ID. Schedulers may still know
+// requests of the previous incarnation, so the ranges must differ.
 func firstID(incarnation uint64) uint64 {
-	const room, lives = 20, 1 << 24
-	return incarnation * 0x9E3779B97F4A7C15 >> 40 % lives << room
+	const idBits, ranges = 20, 1 << 24
+	return incarnation * 0x9E3779B97F4A7C15 >> 40 % ranges << idBits
 }
 
 func (l *Loop) newLink(id, address string) *peernet.Link {
 	return peernet.NewLink(l.t, peernet.LinkOptions{
-		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTime, QueueSize: linkRing, IdleTimeout: linkIdle,
+		Auth: l.opts.Auth, Meter: l.opts.Meter, PeerID: id, Address: address, DialTimeout: dialTimeout, QueueSize: linkQueueSize, IdleTimeout: linkIdleTimeout,
 	})
 }
 
@@ -170,21 +169,21 @@
 		case <-l.t.Dying():
 			return nil
 		case in := <-l.inputs.Out():
-			l.timed(func() { l.batch(in) })
+			l.runTimed(func() { l.runBatch(in) })
 		case <-timer.C:
-			l.timed(l.tick)
+			l.runTimed(l.tick)
 		}
-		timer.Reset(l.tickAfter())
+		timer.Reset(l.tickInterval())
 	}
 }
 
-func (l *Loop) timed(work func()) {
+func (l *Loop) runTimed(work func()) {
 	start := l.opts.Clock.Now()
 	work()
 	l.busy.Add(int64(l.opts.Clock.Now().Sub(start)))
 }
 
-func (l *Loop) tickAfter() time.Duration {
+func (l *Loop) tickInterval() time.Duration {
 	if l.entry.Pending() > 0 || l.out.Pending() {
 		return tickBusy
 	}
@@ -196,20 +195,20 @@
 	return tickIdle
 }
 
-// batch takes what is there, so that messages to the same peer share a frame.
-func (l *Loop) batch(first input) {
-	l.take(first)
+// runBatch handles queued inputs together, so that messages to one peer share a frame.
+func (l *Loop) runBatch(first input) {
+	l.handleInput(first)
 	for range batchLimit {
 		select {
 		case in := <-l.inputs.Out():
-			l.take(in)
+			l.handleInput(in)
 			continue
 		default:
 		}
 		break
 	}
 	now := l.opts.Clock.Now()
-	l.takeMembers(now)
+	l.applyMembers(now)
 	if now.After(l.nextTick) {
 		l.tick()
 		return
@@ -218,27 +217,27 @@
 	l.expectTick(now)
 }
 
-func (l *Loop) take(in input) {
+func (l *Loop) handleInput(in input) {
 	now := l.opts.Clock.Now()
 	switch e := in.(type) {
 	case frameIn:
-		l.frame(now, e.peer, e.frame)
+		l.handleFrame(now, e.peer, e.frame)
 	case submitIn:
-		l.answers[e.event.Ask.ID] = e.answer
-		l.enter(now, e.event)
+		l.decisions[e.event.Ask.ID] = e.decision
+		l.stepEntry(now, e.event)
 	case entryIn:
-		l.enter(now, e.event)
+		l.stepEntry(now, e.event)
 	case memberIn:
-		l.member(now, e.event)
+		l.stepMembers(now, e.event)
 	case recordIn:
-		l.records.Tell(now, e.record, "")
-	case worldIn:
+		l.records.Share(now, e.record, "")
+	case routingIn:
 		l.index, l.targets = e.index, e.targets
-		l.relayout(now)
+		l.rebuildLayout(now)
 		l.announce(now)
-	case keptIn:
+	case cachedPartsIn:
 		if s := l.cells[e.key]; s != nil {
-			l.schedule(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
+			l.applyToCell(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
 		}
 	case inspectIn:
 		e.run()
@@ -249,37 +248,36 @@
 func (l *Loop) tick() {
 	now := l.opts.Clock.Now()
 	l.nextTick = now.Add(tickBusy)
-	l.member(now, member.Tick{})
-	l.takeMembers(now)
+	l.stepMembers(now, member.Tick{})
+	l.applyMembers(now)
 	l.callSeeds(now)
 	l.records.Tick(now)
 	for key, s := range l.cells {
-		l.schedule(now, key, s, cell.Tick{})
-		if s.keptAt.IsZero() {
-			l.askKept(now, key, s)
+		l.applyToCell(now, key, s, cell.Tick{})
+		if s.cachedQueriedAt.IsZero() {
+			l.queryCachedParts(now, key, s)
 		}
-		if s.cell.Idle() && now.Sub(s.askedAt) > cellIdle {
+		if s.cell.Idle() && now.Sub(s.lastUsed) > cellIdleTimeout {
 			delete(l.cells, key)
 		}
 	}
-	l.tellTallies(now)
-	l.tellSeconds(now)
-	l.enter(now, entry.Tick{Lag: l.lag(now)})
+	l.sendTallies(now)
+	l.logCellStats(now)
+	l.stepEntry(now, entry.Tick{Lag: l.tickLag(now)})
 	l.flush(now)
-	l.tickDue = now.Add(l.tickAfter())
+	l.tickDue = now.Add(l.tickInterval())
 }
 
-// Members returns how many gateways are thought to be there, this one included.
-func (l *Loop) Members() int { return int(l.size.Load()) }
+// Members returns the number of live gateways, including this one.
+func (l *Loop) Members() int { return int(l.memberCount.Load()) }
 
-// Known returns how many gateways there may be: those that are not heard of any more
-// may only be cut off.
-func (l *Loop) Known() int { return int(l.known.Load()) }
+// Known returns the number of gateways including dead ones, which may only be partitioned.
+func (l *Loop) Known() int { return int(l.knownCount.Load()) }
 
-// Watches tells whether this gateway is one of those that ask the store for all.
-func (l *Loop) Watches() bool { return l.watches.Load() }
+// Watches reports whether this gateway is one of those that poll the store for all others.
+func (l *Loop) Watches() bool { return l.watcher.Load() }
 
-// Busy returns the time spent on control.
+// Busy returns the time spent in the loop.
 func (l *Loop) Busy() time.Duration { return time.Duration(l.busy.Load()) }
 
 // FetchState implements follow.Peers.
--- a/services/mesh/outbox.go
+++ b/services/mesh/outbox.go
@@ -10,7 +10,7 @@
 	"madderway/modules/wire"
 )
 
-// flush decides what is open and sends the frames that are due.
+// flush runs pending decisions and sends the frames that are due.
 func (l *Loop) flush(now time.Time) {
 	l.decideCells(now)
 	l.out.Flush(now, l.send)
@@ -18,7 +18,7 @@
 
 func (l *Loop) send(to string, f *wire.Frame) {
 	if link := l.link(to); link != nil {
-		l.traffic.note(sentToPeers, f)
+		l.traffic.countFrame(sentToPeers, f)
 		link.Send(f)
 	}
 }
--- a/services/mesh/quarantine.go
+++ b/services/mesh/quarantine.go
@@ -5,10 +5,9 @@
 
 import "madderway/core/quarantine"
 
-// recordIn is a record of a request to tell other gateways of.
 type recordIn struct{ record quarantine.Record }
 
 func (recordIn) isInput() {}
 
-// TellRecord tells other gateways of a request under which targets have ended.
-func (l *Loop) TellRecord(r quarantine.Record) { l.put(recordIn{r}) }
+// ShareRecord sends other gateways a record of a request under which targets ended.
+func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
--- a/services/mesh/seeds.go
+++ b/services/mesh/seeds.go
@@ -11,42 +11,41 @@
 	"madderway/modules/wire"
 )
 
-// setSeeds adds links to seeds that are new; links to old ones stay, idle.
+// setSeeds adds links to new seeds. Links to earlier seeds stay.
 func (l *Loop) setSeeds(addresses []string) {
 	for _, address := range addresses {
-		if address == l.opts.Self.Address || slices.Contains(l.seedsAt, address) {
+		if address == l.opts.Self.Address || slices.Contains(l.seedAddresses, address) {
 			continue
 		}
-		l.seedsAt = append(l.seedsAt, address)
+		l.seedAddresses = append(l.seedAddresses, address)
 		l.seeds = append(l.seeds, l.newLink("", address))
 	}
 }
 
-// callSeeds makes this gateway known to the seeds, often until any member is
-// known. Later it only says that it is there: a seed that does not know it answers
-// with all that it knows.
+// callSeeds sends the seeds a heartbeat. A seed that does not know this gateway replies with all
+// members that it knows.
 func (l *Loop) callSeeds(now time.Time) {
 	if now.Before(l.nextSeed) {
 		return
 	}
 	alone := l.members.Count() == 0
-	l.nextSeed = now.Add(seedPause(l.members.Count()))
-	call := l.seeds
+	l.nextSeed = now.Add(seedDelay(l.members.Count()))
+	links := l.seeds
 	if alone {
-		call = slices.Concat(l.seeds, l.learned)
+		links = slices.Concat(l.seeds, l.discovered)
 	}
-	hello := &wire.Frame{}
-	l.addHeartbeat(hello, member.SendHeartbeat{From: l.members.Self()})
-	for _, link := range call {
-		link.Send(hello)
+	heartbeat := &wire.Frame{}
+	l.addHeartbeat(heartbeat, member.SendHeartbeat{From: l.members.Self()})
+	for _, link := range links {
+		link.Send(heartbeat)
 	}
 }
 
-// seedPause returns how long after a call to the seeds the next one follows. All
-// gateways together call as often as a small fleet does.
-func seedPause(others int) time.Duration {
+// seedDelay returns the time until the next contact. It grows with the fleet, so that the seeds'
+// load does not.
+func seedDelay(others int) time.Duration {
 	if others == 0 {
-		return seedEvery
+		return seedInterval
 	}
-	return max(seedCalm, time.Duration(others)*seedShare)
+	return max(minSeedInterval, time.Duration(others)*seedIntervalPerMember)
 }
--- a/services/mesh/state.go
+++ b/services/mesh/state.go
@@ -10,27 +10,27 @@
 	"madderway/services/follow"
 )
 
-// State is what a dump shows of a loop.
+// State is the loop's part of a state dump.
 type State struct {
-	Self     string            `json:"self"`
-	Members  []MemberState     `json:"members"`
-	Watches  bool              `json:"watches_store"`
-	Versions follow.Versions   `json:"versions"`
-	Pending  int               `json:"pending"`
-	Running  int               `json:"running"`
-	Cells    []cell.State      `json:"cells_scheduled_here"`
-	Seats    map[string]string `json:"schedulers_in_use"`
-	Busy     time.Duration     `json:"busy_ns"`
+	Self       string            `json:"self"`
+	Members    []MemberState     `json:"members"`
+	Watches    bool              `json:"watches_store"`
+	Versions   follow.Versions   `json:"versions"`
+	Pending    int               `json:"pending"`
+	Running    int               `json:"running"`
+	Cells      []cell.State      `json:"cells_scheduled_here"`
+	Schedulers map[string]string `json:"schedulers_in_use"`
+	Busy       time.Duration     `json:"busy_ns"`
 }
 
-// MemberState is one other gateway.
+// MemberState is another gateway in a state dump.
 type MemberState struct {
 	ID       string `json:"id"`
 	State    string `json:"state"`
 	DataHall string `json:"data_hall"`
 }
 
-// State returns the state between two steps.
+// State returns the current state.
 func (l *Loop) State() State {
 	st := State{Self: l.opts.Self.ID, Watches: l.Watches(), Versions: l.opts.Follow.Versions(), Busy: l.Busy()}
 	l.Inspect(func() {
@@ -39,7 +39,7 @@
 			st.Members = append(st.Members, MemberState{ID: m.ID, State: m.State.String(), DataHall: m.DataHall})
 		}
 		st.Pending, st.Running = l.entry.Pending(), l.entry.Running()
-		st.Seats = l.entry.Schedulers()
+		st.Schedulers = l.entry.Schedulers()
 		for key, s := range l.cells {
 			state := s.cell.State(now)
 			state.Key = key
--- a/services/mesh/tally.go
+++ b/services/mesh/tally.go
@@ -12,57 +12,55 @@
 	"madderway/modules/wire"
 )
 
-// tallyEvery is how often the schedulers of a service tell each other what they gave to
-// whom, tallyCells the number of cells up to which they do so that often: each tells
-// each other one, so that beyond it what one sends would grow with their number.
+// Schedulers of a service send each other the service they gave to accounts every tallyInterval.
+// Beyond cellsPerTallyInterval cells the interval grows with their number, since each scheduler
+// sends to all others.
 const (
-	tallyEvery = 500 * time.Millisecond
-	tallyCells = 32
+	tallyInterval         = 500 * time.Millisecond
+	cellsPerTallyInterval = 32
 )
 
-// tallyPause returns how long schedulers wait between tallies where a service has so
-// many cells.
-func tallyPause(cells int) time.Duration {
-	return tallyEvery * time.Duration(max(cells, tallyCells)) / tallyCells
+// tallyDelay returns the time between tallies for a number of cells.
+func tallyDelay(cells int) time.Duration {
+	return tallyInterval * time.Duration(max(cells, cellsPerTallyInterval)) / cellsPerTallyInterval
 }
 
-// given sums what this gateway gave to each account of a service, in all cells that it
-// has scheduled in its life.
-type given map[string]*sum
+// serviceTotals sums the service given to each account in all cells that this gateway has scheduled.
+type serviceTotals map[string]*accountTotal
 
-// sum is what one account was given, and how much of that other gateways were told.
-type sum struct{ service, told float64 }
+// accountTotal holds the service given to an account and the part already sent to other gateways.
+type accountTotal struct{ service, sent float64 }
 
-// add takes what one cell gave since it was last asked.
-func (g given) add(rows []cell.TallyRow) {
+// add adds the service that one cell gave since its last tally.
+func (t serviceTotals) add(rows []cell.TallyRow) {
 	for _, row := range rows {
-		if g[row.Account] == nil {
-			g[row.Account] = &sum{}
+		if t[row.Account] == nil {
+			t[row.Account] = &accountTotal{}
 		}
-		g[row.Account].service += row.Service
+		t[row.Account].service += row.Service
 	}
 }
 
-// rows returns the sums that have grown since they were told, sorted by account.
-func (g given) rows() []*wire.EngineTallyRow {
+// grownRows returns the totals that have grown since they were last sent, sorted by account.
+func (t serviceTotals) grownRows() []*wire.EngineTallyRow {
 	var out []*wire.EngineTallyRow
-	for account, s := range g {
-		if s.service > s.told {
-			out = append(out, &wire.EngineTallyRow{Account: account, Service: s.service, Before: s.told})
-			s.told = s.service
+	for account, s := range t {
+		if s.service > s.sent {
+			out = append(out, &wire.EngineTallyRow{Account: account, Service: s.service, Before: s.sent})
+			s.sent = s.service
 		}
 	}
 	slices.SortFunc(out, func(a, b *wire.EngineTallyRow) int { return strings.Compare(a.Account, b.Account) })
 	return out
 }
 
-// tellTallies tells the schedulers of a service's other cells what the cells here have
-// given, all of them together: cells that one gateway schedules hear of each other here.
-func (l *Loop) tellTallies(now time.Time) {
+// sendTallies sends the totals to the schedulers of each service's other cells. Cells that are
+// scheduled here get the rows directly.
+func (l *Loop) sendTallies(now time.Time) {
 	if now.Before(l.nextTally) {
 		return
 	}
-	l.nextTally = now.Add(tallyPause(len(l.layout.Groups())))
+	l.nextTally = now.Add(tallyDelay(len(l.layout.Groups())))
 	for key, s := range l.cells {
 		g := l.layout.Group(key)
 		if g == nil {
@@ -72,46 +70,46 @@
 		if len(rows) == 0 {
 			continue
 		}
-		if l.given[g.Service] == nil {
-			l.given[g.Service] = given{}
+		if l.served[g.Service] == nil {
+			l.served[g.Service] = serviceTotals{}
 		}
-		l.given[g.Service].add(rows)
+		l.served[g.Service].add(rows)
 		for _, other := range l.layout.Siblings(g) {
 			if sibling := l.cells[other.Key]; sibling != nil {
-				l.schedule(now, other.Key, sibling, cell.SiblingTallySeen{Rows: rows})
+				l.applyToCell(now, other.Key, sibling, cell.SiblingTallySeen{Rows: rows})
 			}
 		}
 	}
-	for service, sums := range l.given {
-		if rows := sums.rows(); len(rows) > 0 {
-			l.spread(now, service, &wire.EngineTally{Service: service, Incarnation: l.opts.Self.Incarnation, Rows: rows})
+	for service, sums := range l.served {
+		if rows := sums.grownRows(); len(rows) > 0 {
+			l.broadcastTally(now, service, &wire.EngineTally{Service: service, Incarnation: l.opts.Self.Incarnation, Rows: rows})
 		}
 	}
 }
 
-// spread sends a tally once to each other gateway that schedules a cell of the service.
-func (l *Loop) spread(now time.Time, service string, t *wire.EngineTally) {
-	told := map[string]bool{l.opts.Self.ID: true}
+// broadcastTally sends a tally to each other gateway that schedules a cell of the service.
+func (l *Loop) broadcastTally(now time.Time, service string, t *wire.EngineTally) {
+	sent := map[string]bool{l.opts.Self.ID: true}
 	for _, g := range l.layout.GroupsOf(service) {
-		if len(g.Schedulers()) == 0 || told[g.Schedulers()[0]] {
+		if len(g.Schedulers()) == 0 || sent[g.Schedulers()[0]] {
 			continue
 		}
 		to := g.Schedulers()[0]
-		told[to] = true
+		sent[to] = true
 		f := l.out.Frame(now, to, true)
 		f.EngineTallies = append(f.EngineTallies, t)
 	}
 }
 
-// takeTally gives a tally to all cells of its service that are scheduled here.
-func (l *Loop) takeTally(now time.Time, from string, t *wire.EngineTally) {
+// handleTally passes a tally to all cells of its service that are scheduled here.
+func (l *Loop) handleTally(now time.Time, from string, t *wire.EngineTally) {
 	ev := cell.TallySeen{Source: from, Incarnation: t.Incarnation}
 	for _, row := range t.Rows {
 		ev.Rows = append(ev.Rows, cell.TallyRow{Account: row.Account, Service: row.Service, Before: row.Before})
 	}
 	for _, g := range l.layout.GroupsOf(t.Service) {
 		if s := l.cells[g.Key]; s != nil {
-			l.schedule(now, g.Key, s, ev)
+			l.applyToCell(now, g.Key, s, ev)
 		}
 	}
 }
--- a/services/mesh/traffic.go
+++ b/services/mesh/traffic.go
@@ -13,9 +13,8 @@
 	"madderway/modules/wire"
 )
 
-// sizedOneIn is the share of frames whose parts are measured: it costs about as much
-// as encoding them.
-const sizedOneIn = 16
+// frameSampling is the number of frames per measured frame: sizes cost about as much as encoding.
+const frameSampling = 16
 
 // Directions of messages between gateways.
 const (
@@ -23,8 +22,8 @@
 	receivedFromPeers = "received"
 )
 
-// traffic counts the bytes of messages between gateways by their kind, estimated from
-// a sample. The headers of packets and streams are not in it. It belongs to the loop.
+// traffic estimates the bytes of messages between gateways by kind, from a sample of frames and
+// without headers. Only the loop's goroutine counts frames.
 type traffic struct {
 	set    *metrics.Set
 	frames int
@@ -32,10 +31,9 @@
 
 func newTraffic() traffic { return traffic{set: metrics.NewSet()} }
 
-// note counts a frame.
-func (t *traffic) note(direction string, f *wire.Frame) {
+func (t *traffic) countFrame(direction string, f *wire.Frame) {
 	t.frames++
-	if t.frames%sizedOneIn != 0 {
+	if t.frames%frameSampling != 0 {
 		return
 	}
 	add := func(kind string, size int) {
@@ -43,7 +41,7 @@
 			return
 		}
 		name := fmt.Sprintf("madderway_gateway_peer_message_bytes_total{kind=%q,direction=%q}", kind, direction)
-		t.set.GetOrCreateCounter(name).Add(size * sizedOneIn)
+		t.set.GetOrCreateCounter(name).Add(size * frameSampling)
 	}
 	add("heartbeat", sizeOf(f.Heartbeat != nil, f.Heartbeat))
 	add("versions", sizeOf(f.Versions != nil, f.Versions))
@@ -57,8 +55,8 @@
 	add("request_record", sizeOfAll(f.RequestRecords))
 }
 
-// noteState counts a configuration or list of targets that a peer was given.
-func (t *traffic) noteState(targets bool, size int) {
+// countState counts a configuration or target list sent to a peer.
+func (t *traffic) countState(targets bool, size int) {
 	kind := "configuration"
 	if targets {
 		kind = "targets"
@@ -81,5 +79,5 @@
 	return size
 }
 
-// WriteMetrics writes the bytes between gateways by the kind of message.
+// WriteMetrics writes the byte counters.
 func (l *Loop) WriteMetrics(w io.Writer) { l.traffic.set.WritePrometheus(w) }
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package peer answers the calls of other routers and makes calls to them.
+// Package peer answers calls from other routers and makes calls to them. Calls from peers block until
+// Attach has set the router's parts.
 package peer
 
 import (
@@ -21,23 +22,23 @@
 
 const traceTimeout = 2 * time.Second
 
-// Service joins the router's parts to its peers.
+// Service connects the router's parts with its peers.
 type Service struct {
 	mu     sync.RWMutex
 	loop   *control.Loop
 	config *config.Service
-	book   *trace.Recorder
+	traces *trace.Recorder
 	ready  chan struct{}
 }
 
-// New returns a service whose parts are set by Attach.
+// New returns a service without parts.
 func New() *Service { return &Service{ready: make(chan struct{})} }
 
-// Attach sets the parts; calls of peers wait for it.
+// Attach sets the router's parts and unblocks calls from peers. It must be called once.
 func (s *Service) Attach(l *control.Loop, c *config.Service, b *trace.Recorder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loop, s.config, s.book = l, c, b
+	s.loop, s.config, s.traces = l, c, b
 	close(s.ready)
 }
 
@@ -52,26 +53,26 @@
 	<-s.ready
 	switch body := c.Body.(type) {
 	case *wire.Call_ConfigNotify:
-		return s.notified(peer, body.ConfigNotify)
+		return s.handleNotify(peer, body.ConfigNotify)
 	case *wire.Call_ChunkFetch:
 		content, ok := s.config.Chunk(body.ChunkFetch.Hash)
 		return &wire.Reply{Ok: ok, Content: content}
 	case *wire.Call_TraceFetch:
-		return s.traced(body.TraceFetch.RequestId)
+		return s.handleTraceFetch(body.TraceFetch.RequestId)
 	default:
 		return &wire.Reply{Error: "unknown call"}
 	}
 }
 
-func (s *Service) notified(peer string, n *wire.ConfigNotify) *wire.Reply {
+func (s *Service) handleNotify(peer string, n *wire.ConfigNotify) *wire.Reply {
 	s.config.HandleNotify(peer, head.Version{Number: n.Version, Hash: n.Hash})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(n.WaitMs)*time.Millisecond)
 	defer cancel()
 	return &wire.Reply{Ok: true, ConfigVersion: s.config.Await(ctx, n.Version), Admitting: s.config.Admits()}
 }
 
-func (s *Service) traced(id string) *wire.Reply {
-	record, ok := s.book.Find(id)
+func (s *Service) handleTraceFetch(id string) *wire.Reply {
+	record, ok := s.traces.Find(id)
 	if !ok {
 		return &wire.Reply{}
 	}
@@ -138,7 +139,7 @@
 	return out
 }
 
-// Explain gathers what all reachable routers remember of a request.
+// Explain collects the trace records of a request from this and all reachable routers.
 func (s *Service) Explain(ctx context.Context, id string) []trace.Record {
 	ctx, cancel := context.WithTimeout(ctx, traceTimeout)
 	defer cancel()
@@ -147,7 +148,7 @@
 		wg      sync.WaitGroup
 		records []trace.Record
 	)
-	if r, ok := s.book.Find(id); ok {
+	if r, ok := s.traces.Find(id); ok {
 		records = append(records, r)
 	}
 	for _, m := range s.Members() {
--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -15,42 +15,40 @@
 )
 
 const (
-	// recordsSettled is how long a table must not have changed before another digest is a
-	// reason to send it: records that are on their way make digests differ. It is also the
-	// least time between two tables to the same peer.
-	recordsSettled = time.Second
-	// recordsAgain is how long the same tables are not sent once more to a peer whose digest
-	// still differs.
-	recordsAgain = 15 * time.Second
-	// recordsExpire is how often what is over is looked for; records are kept for minutes.
-	recordsExpire = 10 * time.Second
+	// A table that has changed more recently is not sent when digests differ: records under way make
+	// them differ. Also the least time between two tables to a peer.
+	recordsSettleTime = time.Second
+	// Least time before the same table is sent again to a peer whose digest still differs.
+	recordsResendInterval = 15 * time.Second
+	// Short compared to the minutes for which records are kept.
+	recordsExpiryInterval = 10 * time.Second
 )
 
-// Records exchanges records of requests under which targets ended with peers, for the loop
-// that owns members and outbox. It is not safe for concurrent use.
+// Records exchanges quarantine records of requests with peers, for the loop that owns members and
+// outbox. It is not safe for concurrent use.
 type Records struct {
-	self     string
-	requests *quarantine.Service
-	members  *member.List
-	out      *Outbox
-	sent     map[string]recordsSent // sent is what each peer was last sent of all records.
-	expired  time.Time
+	self       string
+	requests   *quarantine.Service
+	members    *member.List
+	out        *Outbox
+	sent       map[string]sentRecords // by peer
+	lastExpiry time.Time
 }
 
-// recordsSent is what a peer was sent last.
-type recordsSent struct {
-	at           time.Time
-	mine, theirs uint64 // the digests at that time
+// sentRecords notes when a peer was last sent all records.
+type sentRecords struct {
+	at            time.Time
+	local, remote uint64 // digests at that time
 }
 
-// NewRecords returns the exchange of the process with this ID.
+// NewRecords returns the record exchange of the process with ID self.
 func NewRecords(self string, requests *quarantine.Service, members *member.List, out *Outbox) *Records {
-	return &Records{self: self, requests: requests, members: members, out: out, sent: map[string]recordsSent{}}
+	return &Records{self: self, requests: requests, members: members, out: out, sent: map[string]sentRecords{}}
 }
 
-// Tell tells peers of a request under which targets have ended: all of them where several
-// have, a few that are to count where one has.
-func (x *Records) Tell(now time.Time, r core.Record, except string) {
+// Share sends peers a record of a request under which targets ended: all peers if several targets
+// have ended, a few that keep count otherwise.
+func (x *Records) Share(now time.Time, r core.Record, except string) {
 	for _, id := range core.Recipients(r, x.members.Nodes(), x.members.GossipPeers(now)) {
 		if id != except && id != x.self {
 			f := x.out.Frame(now, id, false)
@@ -59,64 +57,64 @@
 	}
 }
 
-// Take takes what a peer tells of requests, and tells on what is new.
-func (x *Records) Take(now time.Time, peer string, f *wire.Frame) {
+// Receive merges the records in a peer's frame and forwards those that are new.
+func (x *Records) Receive(now time.Time, peer string, f *wire.Frame) {
 	var records []core.Record
 	for _, r := range f.RequestRecords {
 		if record, ok := recordFromWire(now, r); ok {
 			records = append(records, record)
 		}
 	}
-	for _, r := range x.requests.Merge(peer, records, x.keepsFirst) {
-		x.Tell(now, r, peer)
+	for _, r := range x.requests.Merge(peer, records, x.ownsRecord) {
+		x.Share(now, r, peer)
 	}
 	if f.RequestRecordsAsk {
-		x.send(now, peer, false)
+		x.sendAll(now, peer, false)
 	}
 }
 
-// Digest returns the digest of the records for a heartbeat, 0 where there are none.
+// Digest returns the digest of the records, 0 if there are none.
 func (x *Records) Digest() uint64 {
 	digest, _ := x.requests.Digest()
 	return digest
 }
 
-// Compare sends a peer all records where it knows others: one that has started, or was cut
-// off, learns in one exchange what the others know.
-func (x *Records) Compare(now time.Time, peer string, theirs uint64) {
-	mine, age := x.requests.Digest()
-	if mine == theirs || mine != 0 && age < recordsSettled {
+// Compare sends a peer all records if its digest differs. One exchange is enough for a peer that has
+// restarted or was partitioned.
+func (x *Records) Compare(now time.Time, peer string, remote uint64) {
+	local, age := x.requests.Digest()
+	if local == remote || local != 0 && age < recordsSettleTime {
 		return
 	}
-	last, pause := x.sent[peer], recordsSettled
-	if last.mine == mine && last.theirs == theirs {
-		pause = recordsAgain
+	last, pause := x.sent[peer], recordsSettleTime
+	if last.local == local && last.remote == remote {
+		pause = recordsResendInterval
 	}
 	if now.Sub(last.at) < pause {
 		return
 	}
-	x.sent[peer] = recordsSent{now, mine, theirs}
-	x.send(now, peer, true)
+	x.sent[peer] = sentRecords{now, local, remote}
+	x.sendAll(now, peer, true)
 }
 
-// Gone forgets what a peer was sent that has ended or begun a new life.
-func (x *Records) Gone(peer string) { delete(x.sent, peer) }
+// Forget drops the send state of a peer whose incarnation has ended.
+func (x *Records) Forget(peer string) { delete(x.sent, peer) }
 
-// Tick forgets records that are over.
+// Tick expires old records.
 func (x *Records) Tick(now time.Time) {
-	if now.Sub(x.expired) < recordsExpire {
+	if now.Sub(x.lastExpiry) < recordsExpiryInterval {
 		return
 	}
-	x.expired = now
-	x.requests.Expire(x.keepsFirst)
+	x.lastExpiry = now
+	x.requests.Expire(x.ownsRecord)
 }
 
-// keepsFirst tells whether this process is the first to keep a record of a request.
-func (x *Records) keepsFirst(f core.Fingerprint) bool {
+// ownsRecord reports whether this process is the first one to keep a record of a request.
+func (x *Records) ownsRecord(f core.Fingerprint) bool {
 	return slices.Contains(place.Top(x.members.Nodes(), string(f[:]), 1), x.self)
 }
 
-func (x *Records) send(now time.Time, to string, ask bool) {
+func (x *Records) sendAll(now time.Time, to string, ask bool) {
 	records := x.requests.Shared()
 	if len(records) == 0 && !ask {
 		return
@@ -137,7 +135,7 @@
 	return out
 }
 
-// recordFromWire reads a record; it reports false where that is not whole.
+// recordFromWire decodes a record; it returns false if the record is invalid.
 func recordFromWire(now time.Time, r *wire.RequestRecord) (core.Record, bool) {
 	out := core.Record{Outline: r.GetOutline(), Account: r.GetAccount()}
 	if len(r.GetRequest()) != len(out.Request) {
--- a/services/peerwire/records_test.go
+++ b/services/peerwire/records_test.go
@@ -23,8 +23,8 @@
 	m.Run()
 }
 
-// node is one process that exchanges records, without the connections between processes.
-type node struct {
+// testNode is a process that exchanges records, without connections.
+type testNode struct {
 	id      string
 	clock   *clock.Fake
 	members *member.List
@@ -33,9 +33,9 @@
 	service *quarantine.Service
 }
 
-func newNode(id string, c *clock.Fake, others ...string) *node {
-	n := &node{id: id, clock: c, out: NewOutbox(0), members: member.New(member.DefaultConfig(), member.Record{ID: id, Incarnation: 1, Address: "a"})}
-	n.service = quarantine.New(log.New("quarantine"), quarantine.Options{Clock: c, MetricPrefix: "test", Share: func(r core.Record) { n.records.Tell(c.Now(), r, "") }})
+func newNode(id string, c *clock.Fake, others ...string) *testNode {
+	n := &testNode{id: id, clock: c, out: NewOutbox(0), members: member.New(member.DefaultConfig(), member.Record{ID: id, Incarnation: 1, Address: "a"})}
+	n.service = quarantine.New(log.New("quarantine"), quarantine.Options{Clock: c, MetricPrefix: "test", Share: func(r core.Record) { n.records.Share(c.Now(), r, "") }})
 	n.records = NewRecords(id, n.service, n.members, n.out)
 	for _, other := range others {
 		n.members.Step(c.Now(), member.HeartbeatSeen{From: member.Record{ID: other, Incarnation: 1, State: member.StateAlive, Address: "a"}})
@@ -43,25 +43,25 @@
 	return n
 }
 
-func bad() core.Identity {
+func badRequest() core.Identity {
 	return core.Identity{Account: "a", Method: "POST", URI: "/p", Body: []byte("x")}
 }
 
-// end lets targets end under a request as one process sees it.
-func (n *node) end(targets ...string) {
+// endTargets ends targets under the request, one every two seconds.
+func (n *testNode) endTargets(targets ...string) {
 	for _, target := range targets {
 		n.clock.Advance(2 * time.Second)
-		n.service.TargetDied(bad(), target, n.clock.Now().Add(-time.Second))
+		n.service.TargetDied(badRequest(), target, n.clock.Now().Add(-time.Second))
 	}
 }
 
-func (n *node) standing() core.Standing {
-	s, _ := n.service.Standing(bad().Fingerprint())
+func (n *testNode) standing() core.Standing {
+	s, _ := n.service.Standing(badRequest().Fingerprint())
 	return s
 }
 
-// deliver takes what each process has for the others until nothing is left.
-func deliver(nodes ...*node) {
+// deliver exchanges frames until none are pending.
+func deliver(nodes ...*testNode) {
 	for moved := true; moved; {
 		moved = false
 		for _, from := range nodes {
@@ -69,7 +69,7 @@
 				for _, n := range nodes {
 					if n.id == to {
 						moved = true
-						n.records.Take(n.clock.Now(), from.id, f)
+						n.records.Receive(n.clock.Now(), from.id, f)
 					}
 				}
 			})
@@ -77,54 +77,53 @@
 	}
 }
 
-// Ends that three processes have seen add up at all of them; one that starts anew, or was cut
-// off, learns of them from the first digest that it hears, and tells what it knows itself.
-func TestRecordsReachAll(t *testing.T) {
+// Deaths seen by different processes add up everywhere, and a process that starts late learns of
+// them from the first digest.
+func TestRecordsReachAllProcesses(t *testing.T) {
 	c := clock.NewFake()
 	a, b, d := newNode("a", c, "b", "d"), newNode("b", c, "a", "d"), newNode("d", c, "a", "b")
-	a.end("t1")
+	a.endTargets("t1")
 	deliver(a, b, d)
-	b.end("t2")
+	b.endTargets("t2")
 	deliver(a, b, d)
-	d.end("t3")
+	d.endTargets("t3")
 	deliver(a, b, d)
-	for _, n := range []*node{a, b, d} {
+	for _, n := range []*testNode{a, b, d} {
 		if got := n.standing(); got != core.Quarantined {
-			t.Errorf("%s takes the request for %v", n.id, got)
+			t.Errorf("%s judges the request as %v, want quarantined", n.id, got)
 		}
 	}
 	late := newNode("e", c, "a")
 	a.members.Step(c.Now(), member.HeartbeatSeen{From: member.Record{ID: "e", Incarnation: 1, State: member.StateAlive, Address: "a"}})
-	c.Advance(2 * recordsSettled)
+	c.Advance(2 * recordsSettleTime)
 	a.records.Compare(c.Now(), "e", late.records.Digest())
 	deliver(a, late)
 	if got := late.standing(); got != core.Quarantined || late.records.Digest() != a.records.Digest() {
-		t.Errorf("the one that starts late takes the request for %v", got)
+		t.Errorf("the late process judges the request as %v, want quarantined and the same digest", got)
 	}
 }
 
-// Tables whose digests stay different are not sent to a peer again and again.
-func TestDifferentTablesAreSentSeldom(t *testing.T) {
+// Tables with differing digests are not sent at each heartbeat.
+func TestDifferingTablesAreResentRarely(t *testing.T) {
 	c := clock.NewFake()
 	a := newNode("a", c, "b")
-	a.end("t1", "t2")
+	a.endTargets("t1", "t2")
 	a.out.Flush(c.Now(), func(string, *wire.Frame) {})
 	sent := 0
 	for range 60 {
-		c.Advance(recordsSettled)
+		c.Advance(recordsSettleTime)
 		a.records.Compare(c.Now(), "b", 7)
 		a.out.Flush(c.Now(), func(string, *wire.Frame) { sent++ })
 	}
-	if most := int(60*recordsSettled/recordsAgain) + 1; sent == 0 || sent > most {
-		t.Errorf("sent %d times in a minute, %d at most are wanted", sent, most)
+	if most := int(60*recordsSettleTime/recordsResendInterval) + 1; sent == 0 || sent > most {
+		t.Errorf("sent %d times in a minute, want 1 to %d", sent, most)
 	}
 }
 
-// Whatever a peer sends, its records are taken or dropped; nothing ends, and the table stays
-// within its bounds.
+// No records from a peer may cause a panic.
 func FuzzRecords(f *testing.F) {
 	now := time.Unix(1_700_000_000, 0)
-	request := bad().Fingerprint()
+	request := badRequest().Fingerprint()
 	seed, err := proto.Marshal(&wire.Frame{RequestRecords: []*wire.RequestRecord{{
 		Request: request[:], Outline: 7, Account: "a", Deaths: []*wire.TargetDeath{{Target: "t", AgeMs: 5}, {Target: "t", AgeMs: 5000, Forgiven: true}},
 	}}, RequestRecordsAsk: true})
@@ -138,7 +137,7 @@
 			return
 		}
 		n := newNode("a", clock.NewFake(), "b")
-		n.records.Take(now, "b", frame)
+		n.records.Receive(now, "b", frame)
 		n.records.Compare(now, "b", 1)
 		n.records.Tick(now)
 		n.out.Flush(now, func(string, *wire.Frame) {})
--- a/services/relay/frame.go
+++ b/services/relay/frame.go
@@ -8,73 +8,71 @@
 	"errors"
 )
 
-// kind is what a frame carries.
+// kind is the type of a frame.
 type kind uint8
 
-// The kinds of frames. Those of a request and its answer name it by a number that the
-// gateway which hands it over has drawn; a probe's is 0.
+// Frames of a request and its answer carry the number that the sending gateway gave the request;
+// probes carry 0.
 const (
-	kindPart   kind = iota + 1 // bytes of a request or an answer, more follow
-	kindEnd                    // the last bytes
-	kindBroken                 // the answer ends here and is not whole
-	kindCancel                 // the caller has left
-	kindProbe                  // is answered by the same
+	kindData    kind = iota + 1 // bytes of a request or an answer, more frames follow
+	kindEnd                     // last bytes
+	kindAborted                 // the answer ends incomplete
+	kindCancel                  // the caller has disconnected
+	kindProbe                   // keep-alive; the receiver returns it
 )
 
 const (
-	// HeadSize is the size of what stands before the bytes of a frame: kind, number, length.
-	HeadSize = 1 + 4 + 4
-	// maxFrame is the most bytes that a frame has.
-	maxFrame = 1 << 20
+	// HeaderSize is the size of a frame's header: kind, request number, length.
+	HeaderSize   = 1 + 4 + 4
+	maxFrameSize = 1 << 20
 )
 
-// errFrame tells that a peer sends something else than frames.
-var errFrame = errors.New("not a frame")
+var errMalformedFrame = errors.New("malformed frame")
 
-// frame is what is known of the frame that is being read.
+// frame is the header of the frame being read.
 type frame struct {
-	kind   kind
-	number uint32
-	left   int // left is how much of it is still to come.
+	kind      kind
+	number    uint32
+	remaining int // payload bytes still to be read
 }
 
-// putHead writes the head of a frame with so many bytes.
-func putHead(b []byte, k kind, number uint32, length int) {
+// putHeader writes the header of a frame with a payload of length bytes.
+func putHeader(b []byte, k kind, number uint32, length int) {
 	b[0] = byte(k)
 	binary.BigEndian.PutUint32(b[1:], number)
 	binary.BigEndian.PutUint32(b[5:], uint32(length))
 }
 
-// decoder divides what is read into frames. Bytes are passed on as they come, in pieces that
-// end with their frame or with what was read.
+// decoder splits the bytes read from a connection into frames. It passes payloads on in pieces, as
+// they arrive, without collecting whole frames.
 type decoder struct {
 	frame
-	head [HeadSize]byte
-	held int // held is how much of a head has come.
+	header    [HeaderSize]byte
+	headerLen int // bytes of header that have been read
 }
 
-// feed calls take for each piece; last tells that it ends its frame.
-func (d *decoder) feed(b []byte, take func(f frame, piece []byte, last bool)) error {
+// feed calls emit for each piece of payload; last is set on the final piece of a frame.
+func (d *decoder) feed(b []byte, emit func(f frame, piece []byte, last bool)) error {
 	for len(b) > 0 {
-		if d.left > 0 {
-			n := min(d.left, len(b))
-			d.left -= n
-			take(d.frame, b[:n], d.left == 0)
+		if d.remaining > 0 {
+			n := min(d.remaining, len(b))
+			d.remaining -= n
+			emit(d.frame, b[:n], d.remaining == 0)
 			b = b[n:]
 			continue
 		}
-		n := copy(d.head[d.held:], b)
-		d.held, b = d.held+n, b[n:]
-		if d.held < HeadSize {
+		n := copy(d.header[d.headerLen:], b)
+		d.headerLen, b = d.headerLen+n, b[n:]
+		if d.headerLen < HeaderSize {
 			return nil
 		}
-		d.held = 0
-		d.frame = frame{kind(d.head[0]), binary.BigEndian.Uint32(d.head[1:]), int(binary.BigEndian.Uint32(d.head[5:]))}
-		if d.kind < kindPart || d.kind > kindProbe || d.left > maxFrame {
-			return errFrame
+		d.headerLen = 0
+		d.frame = frame{kind(d.header[0]), binary.BigEndian.Uint32(d.header[1:]), int(binary.BigEndian.Uint32(d.header[5:]))}
+		if d.kind < kindData || d.kind > kindProbe || d.remaining > maxFrameSize {
+			return errMalformedFrame
 		}
-		if d.left == 0 {
-			take(d.frame, nil, true)
+		if d.remaining == 0 {
+			emit(d.frame, nil, true)
 		}
 	}
 	return nil
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -25,22 +25,21 @@
 
 const key = "a key of the test"
 
-// far is another gateway. It answers with the path of what it is asked for, and "/wait" when
-// it is told to.
-type far struct {
+// remoteGateway answers requests with their path, a request for "/wait" only after release.
+type remoteGateway struct {
 	Peer
 	t       *tomb.Tomb
-	waiting chan struct{} // waiting gets a value for each request that waits.
+	blocked chan struct{} // receives a value for each request for /wait
 	release chan struct{}
 }
 
-func (*far) HandleFrame(string, *wire.Frame) {}
+func (*remoteGateway) HandleFrame(string, *wire.Frame) {}
 
-func (*far) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{} }
+func (*remoteGateway) HandleCall(string, *wire.Call) *wire.Reply { return &wire.Reply{} }
 
-func (f *far) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *remoteGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/wait" {
-		f.waiting <- struct{}{}
+		f.blocked <- struct{}{}
 		select {
 		case <-f.release:
 		case <-r.Context().Done():
@@ -48,35 +47,35 @@
 		}
 	}
 	if r.URL.Path == "/long" {
-		_, _ = io.WriteString(w, strings.Repeat("x", longAnswer))
+		_, _ = io.WriteString(w, strings.Repeat("x", longAnswerSize))
 	}
 	_, _ = io.WriteString(w, r.URL.Path)
 }
 
-// longAnswer is more than the buffers of a connection take that are made small.
-const longAnswer = 300 << 10
+// longAnswerSize exceeds the buffers of a connectionPair.
+const longAnswerSize = 300 << 10
 
-func newFar(t *testing.T, id string) *far {
+func newRemoteGateway(t *testing.T, id string) *remoteGateway {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &far{
+	f := &remoteGateway{
 		Peer: Peer{ID: id, Incarnation: 1, Address: l.Addr().String(), Strength: 0.2}, t: &tomb.Tomb{},
-		waiting: make(chan struct{}, 8), release: make(chan struct{}),
+		blocked: make(chan struct{}, 8), release: make(chan struct{}),
 	}
 	peernet.NewRelayServer(f.t, log.New("far"), peernet.NewSharedKey(id, key), &peernet.Meter{}, l, f, NewServer(log.New("far"), f))
 	t.Cleanup(f.stop)
 	return f
 }
 
-func (f *far) stop() {
+func (f *remoteGateway) stop() {
 	f.t.Kill(nil)
 	_ = f.t.Wait()
 }
 
-func newNear(t *testing.T, key string, c clock.Clock) *Service {
+func newService(t *testing.T, key string, c clock.Clock) *Service {
 	t.Helper()
 	var owner tomb.Tomb
 	s := New(&owner, log.New("relay"), Options{Auth: peernet.NewSharedKey("near", key), Meter: &peernet.Meter{}, Clock: c})
@@ -87,8 +86,8 @@
 	return s
 }
 
-// connection returns both ends of a connection with small buffers.
-func connection(t *testing.T) (near, caller net.Conn) {
+// connectionPair returns both ends of a connection with small buffers.
+func connectionPair(t *testing.T) (near, caller net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -101,25 +100,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const small = 2 * freeBytes
+	const small = 2 * untimedBytes
 	_, _ = caller.(*net.TCPConn).SetReadBuffer(small), near.(*net.TCPConn).SetWriteBuffer(small)
 	t.Cleanup(func() { _ = caller.Close() })
 	return near, caller
 }
 
-// ask hands a request for a path over; the caller's end of its connection is returned.
-func ask(t *testing.T, s *Service, path string) (*Handed, net.Conn, error) {
+// sendRequest hands a request for a path over and returns the caller's end of its connection.
+func sendRequest(t *testing.T, s *Service, path string) (*Handover, net.Conn, error) {
 	t.Helper()
-	near, caller := connection(t)
-	h, err := s.Send(t.Context(), append(make([]byte, HeadSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, stays)
+	near, caller := connectionPair(t)
+	h, err := s.Send(t.Context(), append(make([]byte, HeaderSize), "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"...), near, neverDisconnects)
 	return h, caller, err
 }
 
-// stays is a caller who does not leave.
-func stays() bool { return false }
+func neverDisconnects() bool { return false }
 
-// answered reads the answer of a request and waits for its end.
-func answered(t *testing.T, h *Handed, caller net.Conn, want string) {
+// checkAnswer reads the caller's answer and waits for the end of the handover.
+func checkAnswer(t *testing.T, h *Handover, caller net.Conn, want string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 	if err != nil {
@@ -127,119 +125,118 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || !strings.HasSuffix(string(body), want) || want == "/long" && len(body) != longAnswer+len(want) {
-		t.Fatalf("%d bytes, %v", len(body), err)
+	if err != nil || !strings.HasSuffix(string(body), want) || want == "/long" && len(body) != longAnswerSize+len(want) {
+		t.Fatalf("wrong body of %d bytes, error %v", len(body), err)
 	}
 	<-h.Done()
-	if bytes, whole := h.Result(); !whole || bytes < int64(len(body)) {
-		t.Errorf("%d of %d bytes, whole %v", bytes, len(body), whole)
+	if bytes, complete := h.Result(); !complete || bytes < int64(len(body)) {
+		t.Errorf("%d bytes delivered for a body of %d, complete %v", bytes, len(body), complete)
 	}
 }
 
-// Requests under way at the same time get their own answers, in any order, over one
-// connection.
-func TestAnswersFindTheirCallers(t *testing.T) {
-	s, f := newNear(t, key, clock.System{}), newFar(t, "far")
+// Concurrent requests on one connection get their own answers, in any order.
+func TestConcurrentAnswersReachTheirCallers(t *testing.T) {
+	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	slow, slowCaller, err := ask(t, s, "/wait")
+	slow, slowCaller, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-f.waiting
+	<-f.blocked
 	for _, path := range []string{"/a", "/b", "/c"} {
-		h, caller, err := ask(t, s, path)
+		h, caller, err := sendRequest(t, s, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answered(t, h, caller, path)
+		checkAnswer(t, h, caller, path)
 	}
 	close(f.release)
-	answered(t, slow, slowCaller, "/wait")
+	checkAnswer(t, slow, slowCaller, "/wait")
 }
 
-// A caller that does not read holds nobody else up, and gets all of its answer in the end.
-func TestSlowCallerHoldsNobodyUp(t *testing.T) {
-	s, f := newNear(t, key, clock.System{}), newFar(t, "far")
+// A caller that reads slowly does not delay others and gets its complete answer.
+func TestSlowCallerDoesNotBlockOthers(t *testing.T) {
+	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	slow, slowCaller, err := ask(t, s, "/long")
+	slow, slowCaller, err := sendRequest(t, s, "/long")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, caller, err := ask(t, s, "/other")
+	h, caller, err := sendRequest(t, s, "/other")
 	if err != nil {
 		t.Fatal(err)
 	}
-	answered(t, h, caller, "/other")
-	answered(t, slow, slowCaller, "/long")
+	checkAnswer(t, h, caller, "/other")
+	checkAnswer(t, slow, slowCaller, "/long")
 }
 
-// What is given up ends at the other gateway, and what is under way ends where that is gone.
-func TestEndsOnBothSides(t *testing.T) {
-	s, f := newNear(t, key, clock.System{}), newFar(t, "far")
+// Cancel and Disconnect end requests in flight, which then count as incomplete.
+func TestCancelAndDisconnectEndRequests(t *testing.T) {
+	s, f := newService(t, key, clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	given, _, err := ask(t, s, "/wait")
+	canceled, _, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-f.waiting
-	given.Cancel()
-	<-given.Done()
-	lost, _, err := ask(t, s, "/wait")
+	<-f.blocked
+	canceled.Cancel()
+	<-canceled.Done()
+	lost, _, err := sendRequest(t, s, "/wait")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-f.waiting
-	s.Gone("far")
+	<-f.blocked
+	s.Disconnect("far")
 	<-lost.Done()
-	for _, h := range []*Handed{given, lost} {
-		if bytes, whole := h.Result(); bytes != 0 || whole {
-			t.Errorf("%d bytes, whole %v", bytes, whole)
+	for _, h := range []*Handover{canceled, lost} {
+		if bytes, complete := h.Result(); bytes != 0 || complete {
+			t.Errorf("Result() = %d bytes, complete %v; want 0, false", bytes, complete)
 		}
 	}
 	s.SetPeers(nil)
-	if _, _, err := ask(t, s, "/a"); !errors.Is(err, ErrNobody) || s.Available() {
-		t.Errorf("handed one more over: %v", err)
+	if _, _, err := sendRequest(t, s, "/a"); !errors.Is(err, ErrNoPeer) || s.Available() {
+		t.Errorf("Send without peers: error %v, want ErrNoPeer", err)
 	}
 }
 
-// A gateway that refuses the connection is left out for a while; another one is taken.
-func TestUnreachableGatewayIsLeftOut(t *testing.T) {
+// A gateway that refuses connections is skipped for a while in favor of others.
+func TestUnreachableGatewayIsSkipped(t *testing.T) {
 	c := clock.NewFake()
-	s, f, gone := newNear(t, key, c), newFar(t, "far"), newFar(t, "gone")
+	s, f, gone := newService(t, key, c), newRemoteGateway(t, "far"), newRemoteGateway(t, "gone")
 	gone.stop()
 	s.SetPeers([]Peer{f.Peer, gone.Peer})
 	for range 20 {
-		h, caller, err := ask(t, s, "/a")
+		h, caller, err := sendRequest(t, s, "/a")
 		if err != nil {
 			t.Fatal(err)
 		}
-		answered(t, h, caller, "/a")
+		checkAnswer(t, h, caller, "/a")
 	}
 	s.SetPeers([]Peer{gone.Peer})
-	if _, _, err := ask(t, s, "/a"); err == nil || s.Available() {
-		t.Errorf("handed over to nobody: %v", err)
+	if _, _, err := sendRequest(t, s, "/a"); err == nil || s.Available() {
+		t.Errorf("unreachable gateway still available, or Send succeeded: error %v", err)
 	}
 	c.Advance(5 * time.Second)
 	if !s.Available() {
-		t.Error("left out for ever")
+		t.Error("gateway is still skipped after 5 s")
 	}
 }
 
-// A gateway with another key is not served.
-func TestStrangersAreNotServed(t *testing.T) {
-	s, f := newNear(t, "another key", clock.System{}), newFar(t, "far")
+// Requests of a gateway with another key are not served.
+func TestWrongKeyIsRejected(t *testing.T) {
+	s, f := newService(t, "another key", clock.System{}), newRemoteGateway(t, "far")
 	s.SetPeers([]Peer{f.Peer})
-	h, _, err := ask(t, s, "/a")
+	h, _, err := sendRequest(t, s, "/a")
 	if err != nil {
 		return // the connection was closed before the request was written
 	}
 	<-h.Done()
-	if bytes, whole := h.Result(); bytes != 0 || whole {
-		t.Errorf("%d bytes, whole %v", bytes, whole)
+	if bytes, complete := h.Result(); bytes != 0 || complete {
+		t.Errorf("Result() = %d bytes, complete %v; want 0, false", bytes, complete)
 	}
 }
 
-// silentConn takes all and says nothing.
+// silentConn accepts all writes and never sends.
 type silentConn struct {
 	net.Conn
 	closed chan struct{}
@@ -256,23 +253,23 @@
 	return nil
 }
 
-// A connection that has gone silent ends, and with it what is under way on it; one that
-// carries nothing ends only after a while.
+// A silent connection is closed and its requests end; an unused one is closed only after
+// idleTimeout.
 func TestSilentConnectionEnds(t *testing.T) {
 	c := clock.NewFake()
-	s := newNear(t, key, c)
-	near, _ := connection(t)
+	s := newService(t, key, c)
+	near, _ := connectionPair(t)
 	for _, used := range []bool{true, false} {
 		tunnel := newTunnel(&silentConn{closed: make(chan struct{})}, clock.System{})
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		if used {
-			if err := tunnel.send(h, make([]byte, HeadSize+1), stays); err != nil {
+			if err := tunnel.send(h, make([]byte, HeaderSize+1), neverDisconnects); err != nil {
 				t.Fatal(err)
 			}
 		}
 		ended, probes := make(chan struct{}), 0
 		go func() {
-			tunnel.probe(c)
+			tunnel.probeLoop(c)
 			close(ended)
 		}()
 		for over := false; !over; {
@@ -281,13 +278,13 @@
 				over = true
 			default:
 				if c.PendingTimers() > 0 {
-					c.Advance(probeEvery)
+					c.Advance(probeInterval)
 					probes++
 				}
 			}
 		}
-		if want := map[bool]int{true: silentProbes, false: int(idleAfter / probeEvery)}[used]; probes < want || probes > want+2 {
-			t.Errorf("used %v: ended after %d probes", used, probes)
+		if want := map[bool]int{true: maxMissedProbes, false: int(idleTimeout / probeInterval)}[used]; probes < want || probes > want+2 {
+			t.Errorf("used %v: closed after %d probes", used, probes)
 		}
 		if used {
 			<-h.Done()
@@ -295,18 +292,18 @@
 	}
 }
 
-// However frames are cut into reads, their bytes come out as they were sent.
+// Payloads come out of the decoder unchanged, however reads divide the frames.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("some bytes"), []byte("of two frames"), uint8(3))
 	f.Add([]byte{}, []byte{0}, uint8(0))
 	f.Fuzz(func(t *testing.T, first, second []byte, size uint8) {
-		if len(first) > maxFrame || len(second) > maxFrame {
+		if len(first) > maxFrameSize || len(second) > maxFrameSize {
 			return
 		}
 		var sent []byte
 		for i, b := range [][]byte{first, second} {
-			var head [HeadSize]byte
-			putHead(head[:], kindPart+kind(i), uint32(i), len(b))
+			var head [HeaderSize]byte
+			putHeader(head[:], kindData+kind(i), uint32(i), len(b))
 			sent = append(append(sent, head[:]...), b...)
 		}
 		var d decoder
@@ -314,8 +311,8 @@
 		for len(sent) > 0 {
 			n := min(int(size)+1, len(sent))
 			err := d.feed(sent[:n], func(fr frame, piece []byte, last bool) {
-				if fr.kind != kindPart+kind(fr.number) {
-					t.Fatalf("frame %+v", fr)
+				if fr.kind != kindData+kind(fr.number) {
+					t.Fatalf("frame %+v has the wrong kind", fr)
 				}
 				got[fr.number] += string(piece)
 				if last {
@@ -328,74 +325,71 @@
 			sent = sent[n:]
 		}
 		if got[0] != string(first) || got[1] != string(second) || lasts != [2]int{1, 1} {
-			t.Fatalf("%q, ends %v", got, lasts)
+			t.Fatalf("payloads = %q, ends = %v; want the payloads sent and one end each", got, lasts)
 		}
 	})
 }
 
-// What is no frame ends the connection.
-func TestNoFrame(t *testing.T) {
+// Unknown kinds and oversized frames are errors.
+func TestDecoderRejectsMalformedFrames(t *testing.T) {
 	for _, b := range []string{"GET / HTTP/1.1\r\n", "\x00\x00\x00\x00\x00\x00\x00\x00\x00", "\x01\x00\x00\x00\x00\xff\xff\xff\xff"} {
 		var d decoder
 		if err := d.feed([]byte(b), func(frame, []byte, bool) {}); err == nil {
-			t.Errorf("%q is taken for a frame", b)
+			t.Errorf("%q was accepted as a frame", b)
 		}
 	}
 }
 
-// stuckConn takes nothing until it is told to.
-type stuckConn struct {
+// blockingConn blocks each write until release.
+type blockingConn struct {
 	net.Conn
-	writes chan int      // writes gets the size of each write.
-	goOn   chan struct{} // goOn lets one write return.
+	writes  chan int      // receives the size of each write
+	release chan struct{} // lets one write return
 }
 
-func (c *stuckConn) Write(b []byte) (int, error) {
+func (c *blockingConn) Write(b []byte) (int, error) {
 	c.writes <- len(b)
-	<-c.goOn
+	<-c.release
 	return len(b), nil
 }
-func (c *stuckConn) SetWriteDeadline(time.Time) error { return nil }
-func (c *stuckConn) Close() error                     { return nil }
-
-// A gateway that had no time came to its connections to others each 100 to 350 ms: requests
-// waited for up to five seconds until they were written, and the word that a caller had left
-// waited behind them. In half a second 91 requests were sent on after their callers had left,
-// and 82 of 105 runs went on for nobody. What is written is asked for right before, and that a
-// caller has left goes first.
-func TestNothingIsWrittenForThoseWhoHaveLeft(t *testing.T) {
-	s := newNear(t, key, clock.System{})
-	near, _ := connection(t)
-	conn := &stuckConn{writes: make(chan int), goOn: make(chan struct{})}
+func (c *blockingConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *blockingConn) Close() error                     { return nil }
+
+// An overloaded gateway must not send requests of callers that have disconnected meanwhile, and
+// cancellations must not wait behind requests.
+func TestDisconnectedCallersRequestsAreNotWritten(t *testing.T) {
+	s := newService(t, key, clock.System{})
+	near, _ := connectionPair(t)
+	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
 	const size = 16 << 10
-	send := func(left func() bool) (*Handed, chan error) {
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+	send := func(disconnected func() bool) (*Handover, chan error) {
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		sent := make(chan error, 1)
-		go func() { sent <- tunnel.send(h, make([]byte, size), left) }()
+		go func() { sent <- tunnel.send(h, make([]byte, size), disconnected) }()
 		return h, sent
 	}
-	_, first := send(stays)
+	_, first := send(neverDisconnects)
 	if n := <-conn.writes; n != size {
-		t.Fatalf("%d bytes of the first request are written", n)
+		t.Fatalf("%d bytes of the first request were written", n)
 	}
 	asked := make(chan struct{})
-	_, leaves := send(func() bool {
+	_, gone := send(func() bool {
 		close(asked)
 		return true
 	})
-	canceled, _ := send(stays)
+	canceled, _ := send(neverDisconnects)
 	for waiting := false; !waiting; runtime.Gosched() {
 		tunnel.mu.Lock()
-		waiting = len(tunnel.handed) == 3
+		waiting = len(tunnel.inFlight) == 3
 		tunnel.mu.Unlock()
 	}
-	canceled.Cancel() // returns though the connection takes nothing
-	conn.goOn <- struct{}{}
-	if n := <-conn.writes; n != HeadSize {
-		t.Errorf("%d bytes are written before the word that a caller has left", n)
+	canceled.Cancel() // returns although writes block
+	conn.release <- struct{}{}
+	if n := <-conn.writes; n != HeaderSize {
+		t.Errorf("%d bytes were written before the cancellation", n)
 	}
-	close(conn.goOn)
+	close(conn.release)
 	go func() {
 		for range conn.writes {
 		}
@@ -404,39 +398,35 @@
 		t.Error(err)
 	}
 	<-asked
-	if err := <-leaves; !errors.Is(err, ErrLeft) {
-		t.Errorf("a request whose caller has left: %v", err)
+	if err := <-gone; !errors.Is(err, ErrCallerDisconnected) {
+		t.Errorf("send for a disconnected caller: error %v, want ErrCallerDisconnected", err)
 	}
 }
 
-// A gateway of 0.19 of a core was flooded, and handed requests over to others that had time. Each
-// request was written by its own goroutine, under a lock: when one had written, the next in the line
-// had to come to run first, which took the process 0.1 to 0.5 s each time. Of 9,457 requests
-// half waited for 0.63 s for their turn and a hundredth for 5 s, while writing took a median of 0 ms and
-// the other gateway read them 0 to 3 ms later; meanwhile their callers left (397 were sent on for
-// nobody). One goroutine writes all that waits, without others having to run in between.
-func TestWhatWaitsIsWrittenByOneGoroutine(t *testing.T) {
-	s := newNear(t, key, clock.System{})
-	conn := &stuckConn{writes: make(chan int), goOn: make(chan struct{})}
+// With a goroutine and a lock per request, each write of an overloaded process would wait for
+// the next goroutine to be scheduled.
+func TestOneGoroutineWritesAllRequests(t *testing.T) {
+	s := newService(t, key, clock.System{})
+	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	tunnel := newTunnel(conn, clock.System{})
 	var mu sync.Mutex
 	writers := map[string]int{}
-	asks := func() bool {
+	countWriter := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		writers[goroutine()]++
+		writers[goroutineID()]++
 		return false
 	}
 	const requests = 20
 	sent := make(chan error, requests)
 	for range requests {
-		near, _ := connection(t)
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
-		go func() { sent <- tunnel.send(h, make([]byte, HeadSize), asks) }()
+		near, _ := connectionPair(t)
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), countWriter) }()
 	}
 	for range requests {
 		<-conn.writes
-		conn.goOn <- struct{}{}
+		conn.release <- struct{}{}
 	}
 	for range requests {
 		if err := <-sent; err != nil {
@@ -448,25 +438,25 @@
 	}
 }
 
-// goroutine returns the number of the goroutine that asks.
-func goroutine() string {
+// goroutineID returns the number of the calling goroutine.
+func goroutineID() string {
 	var b [64]byte
 	fields := strings.Fields(string(b[:runtime.Stack(b[:], false)]))
 	return fields[1]
 }
 
-// A request that waits for longer than a caller wants to wait is given back unsent, and how long
-// the first one waits is told meanwhile.
-func TestWhatWaitsTooLongIsNotWritten(t *testing.T) {
-	s := newNear(t, key, clock.System{})
-	near, _ := connection(t)
-	conn := &stuckConn{writes: make(chan int), goOn: make(chan struct{})}
+// A request that has waited longer than maxWait is returned unsent; oldestWait reports the wait
+// meanwhile.
+func TestRequestsThatWaitTooLongAreNotWritten(t *testing.T) {
+	s := newService(t, key, clock.System{})
+	near, _ := connectionPair(t)
+	conn := &blockingConn{writes: make(chan int), release: make(chan struct{})}
 	c := clock.NewFake()
 	tunnel := newTunnel(conn, c)
 	send := func() chan error {
-		h := &Handed{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
+		h := &Handover{s: s, Peer: "far", caller: near, tunnel: tunnel, done: make(chan struct{})}
 		sent := make(chan error, 1)
-		go func() { sent <- tunnel.send(h, make([]byte, HeadSize), stays) }()
+		go func() { sent <- tunnel.send(h, make([]byte, HeaderSize), neverDisconnects) }()
 		return sent
 	}
 	first := send()
@@ -478,17 +468,17 @@
 		tunnel.mu.Unlock()
 	}
 	c.Advance(maxWait + time.Millisecond)
-	if w := tunnel.waiting(c.Now()); w <= maxWait {
-		t.Errorf("the first request waits for %v", w)
+	if w := tunnel.oldestWait(c.Now()); w <= maxWait {
+		t.Errorf("oldestWait = %v, want more than maxWait", w)
 	}
-	conn.goOn <- struct{}{}
+	conn.release <- struct{}{}
 	if err := <-first; err != nil {
 		t.Error(err)
 	}
-	if err := <-late; !errors.Is(err, ErrFull) {
-		t.Errorf("a request that waited for too long: %v", err)
+	if err := <-late; !errors.Is(err, ErrCongested) {
+		t.Errorf("send after maxWait: error %v, want ErrCongested", err)
 	}
-	if w := tunnel.waiting(c.Now()); w != 0 {
-		t.Errorf("nothing waits, but for %v", w)
+	if w := tunnel.oldestWait(c.Now()); w != 0 {
+		t.Errorf("oldestWait = %v with an empty queue, want 0", w)
 	}
 }
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// maxRequest is the most bytes of a request that is handed over.
-	maxRequest = 512 << 10
-	// maxServed is the most requests of one gateway that are served at once.
-	maxServed = 4096
-	// pieceSize is how much of an answer is gathered where the handler does not flush.
-	pieceSize = 32 << 10
+	// Bytes of a request, including its header.
+	maxRequestSize = 512 << 10
+	// Concurrent requests per gateway.
+	maxRequests = 4096
+	// Bytes of an answer that are buffered if the handler does not flush.
+	flushSize = 32 << 10
 )
 
 // Server serves requests that other gateways hand over.
@@ -33,30 +33,30 @@
 	handler http.Handler
 }
 
-// NewServer returns a server.
+// NewServer returns a server that passes requests to the handler.
 func NewServer(logger log.Logger, h http.Handler) *Server { return &Server{logger, h} }
 
-type carrierKey struct{}
+type peerKey struct{}
 
-// CarrierOf returns the gateway that has handed a request over, or empty.
-func CarrierOf(ctx context.Context) string {
-	carrier, _ := ctx.Value(carrierKey{}).(string)
-	return carrier
+// HandedOverBy returns the ID of the gateway that handed the request over, or "".
+func HandedOverBy(ctx context.Context) string {
+	peer, _ := ctx.Value(peerKey{}).(string)
+	return peer
 }
 
 // HandleRelay implements peernet.Carrier.
 func (s *Server) HandleRelay(peer string, conn net.Conn) {
-	ctx, cancel := context.WithCancel(context.WithValue(context.Background(), carrierKey{}, peer))
+	ctx, cancel := context.WithCancel(context.WithValue(context.Background(), peerKey{}, peer))
 	defer cancel()
-	f := &farEnd{s: s, ctx: ctx, conn: conn, requests: map[uint32]*served{}}
+	f := &serverConn{s: s, ctx: ctx, conn: conn, requests: map[uint32]*incomingRequest{}}
 	defer conn.Close()
-	buffer := make([]byte, readSize)
+	buffer := make([]byte, readBufferSize)
 	var d decoder
 	for {
 		n, err := conn.Read(buffer)
 		if n > 0 {
-			if wrong := d.feed(buffer[:n], f.take); wrong != nil {
-				s.log.Warn("Dropped a connection that carries requests.", "peer", peer, "reason", wrong)
+			if feedErr := d.feed(buffer[:n], f.handleFrame); feedErr != nil {
+				s.log.Warn("Closed a connection with malformed frames.", "peer", peer, "reason", feedErr)
 				return
 			}
 		}
@@ -66,243 +66,243 @@
 	}
 }
 
-// farEnd is the far end of a connection on which requests are handed over.
-type farEnd struct {
+// serverConn is the serving end of a connection.
+type serverConn struct {
 	s    *Server
 	ctx  context.Context
 	conn net.Conn
 
-	writing sync.Mutex // writing is held while a frame is written.
+	writeMu sync.Mutex // held while a frame is written
 
 	mu       sync.Mutex
-	requests map[uint32]*served
+	requests map[uint32]*incomingRequest
 }
 
-// served is a request, first as it comes, then under way.
-type served struct {
+// incomingRequest is a request that is being received or served.
+type incomingRequest struct {
 	raw    []byte
-	cancel context.CancelFunc // cancel is nil until the request is whole.
+	cancel context.CancelFunc // nil until the request is complete
 }
 
-func (f *farEnd) take(fr frame, piece []byte, last bool) {
+func (c *serverConn) handleFrame(fr frame, piece []byte, last bool) {
 	switch fr.kind {
 	case kindProbe:
-		f.signal(kindProbe, 0)
+		c.sendControl(kindProbe, 0)
 	case kindCancel:
-		f.cancelRequest(fr.number)
-	case kindPart, kindEnd:
-		f.request(fr.number, piece, last && fr.kind == kindEnd)
-	case kindBroken:
+		c.cancelRequest(fr.number)
+	case kindData, kindEnd:
+		c.request(fr.number, piece, last && fr.kind == kindEnd)
+	case kindAborted:
 	}
 }
 
-// request takes bytes of a request and serves it when it is whole.
-func (f *farEnd) request(number uint32, piece []byte, whole bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	r := f.requests[number]
+// request appends bytes of a request and serves it once it is complete.
+func (c *serverConn) request(number uint32, piece []byte, complete bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[number]
 	if r == nil {
-		r = &served{}
-		f.requests[number] = r
+		r = &incomingRequest{}
+		c.requests[number] = r
 	}
 	r.raw = append(r.raw, piece...)
-	if r.cancel != nil || len(r.raw) > maxRequest || len(f.requests) > maxServed {
-		delete(f.requests, number)
-		go f.signal(kindBroken, number)
+	if r.cancel != nil || len(r.raw) > maxRequestSize || len(c.requests) > maxRequests {
+		delete(c.requests, number)
+		go c.sendControl(kindAborted, number)
 		return
 	}
-	if !whole {
+	if !complete {
 		return
 	}
 	var ctx context.Context
-	ctx, r.cancel = context.WithCancel(f.ctx)
-	go f.serve(ctx, number, r.raw)
+	ctx, r.cancel = context.WithCancel(c.ctx)
+	go c.serve(ctx, number, r.raw)
 }
 
-func (f *farEnd) cancelRequest(number uint32) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if r := f.requests[number]; r != nil && r.cancel != nil {
+func (c *serverConn) cancelRequest(number uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[number]; r != nil && r.cancel != nil {
 		r.cancel()
 	}
 }
 
-func (f *farEnd) ended(number uint32) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if r := f.requests[number]; r != nil {
+func (c *serverConn) remove(number uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r := c.requests[number]; r != nil {
 		r.cancel()
-		delete(f.requests, number)
+		delete(c.requests, number)
 	}
 }
 
 // serve answers a request as an HTTP server would.
-func (f *farEnd) serve(ctx context.Context, number uint32, raw []byte) {
-	defer f.ended(number)
+func (c *serverConn) serve(ctx context.Context, number uint32, raw []byte) {
+	defer c.remove(number)
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 	if err != nil {
-		f.s.log.Warn("Dropped a request that was handed over.", "peer", CarrierOf(ctx), "reason", err)
-		f.signal(kindBroken, number)
+		c.s.log.Warn("Dropped a malformed request.", "peer", HandedOverBy(ctx), "reason", err)
+		c.sendControl(kindAborted, number)
 		return
 	}
-	w := &answer{far: f, number: number, header: http.Header{}, noBody: r.Method == http.MethodHead}
+	w := &responseWriter{conn: c, number: number, header: http.Header{}, noBody: r.Method == http.MethodHead}
 	defer func() {
 		if p := recover(); p != nil {
-			f.signal(kindBroken, number)
+			c.sendControl(kindAborted, number)
 			if p != any(http.ErrAbortHandler) {
-				f.s.log.Error(fmt.Errorf("panic: %v", p), "A request that was handed over failed.", "peer", CarrierOf(ctx))
+				c.s.log.Error(fmt.Errorf("panic: %v", p), "The handler of a request panicked.", "peer", HandedOverBy(ctx))
 			}
 		}
 	}()
-	f.s.handler.ServeHTTP(w, r.WithContext(ctx))
+	c.s.handler.ServeHTTP(w, r.WithContext(ctx))
 	w.finish()
 }
 
-func (f *farEnd) signal(k kind, number uint32) {
-	var b [HeadSize]byte
-	putHead(b[:], k, number, 0)
-	f.write(b[:])
+func (c *serverConn) sendControl(k kind, number uint32) {
+	var b [HeaderSize]byte
+	putHeader(b[:], k, number, 0)
+	c.write(b[:])
 }
 
-// write sends a frame; where that fails the connection ends.
-func (f *farEnd) write(b []byte) error {
-	f.writing.Lock()
-	defer f.writing.Unlock()
-	err := f.conn.SetWriteDeadline(netopt.DeadlineIn(frameTime))
+// write sends a frame and closes the connection on failure.
+func (c *serverConn) write(b []byte) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	err := c.conn.SetWriteDeadline(netopt.DeadlineIn(frameTimeout))
 	if err == nil {
-		_, err = f.conn.Write(b)
+		_, err = c.conn.Write(b)
 	}
 	if err != nil {
-		_ = f.conn.Close()
+		_ = c.conn.Close()
 	}
 	return err
 }
 
-// answer is the answer to a request that was handed over, in the form in which the caller
-// gets it.
-type answer struct {
-	far     *farEnd
-	number  uint32
-	header  http.Header
-	status  int
-	noBody  bool   // noBody tells that the request asks for the head only.
-	begun   bool   // begun tells that the head was sent.
-	chunked bool   // chunked tells that the length is not known from the head.
-	left    int64  // left is how much of the body is still to come where it is.
-	body    []byte // body is what was written since the last flush.
-	out     []byte // out is the frame that is being made.
-	err     error
+// responseWriter sends an answer as frames whose payload is the HTTP/1.1 response for the caller.
+type responseWriter struct {
+	conn       *serverConn
+	number     uint32
+	header     http.Header
+	status     int
+	noBody     bool // the request's method is HEAD
+	headerSent bool
+	chunked    bool   // the body has no announced length
+	remaining  int64  // unwritten bytes of the announced body length
+	body       []byte // written since the last flush
+	frame      []byte // frame being built
+	err        error
 }
 
-var errTooLong = errors.New("more than the announced length was written")
+var errTooLong = errors.New("body is longer than its Content-Length")
 
-var _ http.Flusher = (*answer)(nil)
+var _ http.Flusher = (*responseWriter)(nil)
 
 // Header implements http.ResponseWriter.
-func (a *answer) Header() http.Header { return a.header }
+func (w *responseWriter) Header() http.Header { return w.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answer) WriteHeader(status int) {
-	if a.status == 0 {
-		a.status = status
+func (w *responseWriter) WriteHeader(status int) {
+	if w.status == 0 {
+		w.status = status
 	}
 }
 
 // Write implements http.ResponseWriter.
-func (a *answer) Write(b []byte) (int, error) {
-	a.WriteHeader(http.StatusOK)
-	if a.err != nil {
-		return 0, a.err
+func (w *responseWriter) Write(b []byte) (int, error) {
+	w.WriteHeader(http.StatusOK)
+	if w.err != nil {
+		return 0, w.err
 	}
-	if a.body = append(a.body, b...); len(a.body) >= pieceSize {
-		a.Flush()
+	if w.body = append(w.body, b...); len(w.body) >= flushSize {
+		w.Flush()
 	}
-	return len(b), a.err
+	return len(b), w.err
 }
 
 // Flush implements http.Flusher.
-func (a *answer) Flush() { _ = a.FlushError() }
-
-// FlushError is Flush for http.ResponseController.
-func (a *answer) FlushError() error {
-	a.WriteHeader(http.StatusOK)
-	if a.err == nil {
-		a.begin(false)
-		a.addBody()
-		a.send(kindPart)
+func (w *responseWriter) Flush() { _ = w.FlushError() }
+
+// FlushError flushes for http.ResponseController.
+func (w *responseWriter) FlushError() error {
+	w.WriteHeader(http.StatusOK)
+	if w.err == nil {
+		w.startFrame(false)
+		w.appendBody()
+		w.sendFrame(kindData)
 	}
-	return a.err
+	return w.err
 }
 
 // finish ends the answer.
-func (a *answer) finish() {
-	a.WriteHeader(http.StatusOK)
-	if a.err == nil {
-		a.begin(true)
-		a.addBody()
+func (w *responseWriter) finish() {
+	w.WriteHeader(http.StatusOK)
+	if w.err == nil {
+		w.startFrame(true)
+		w.appendBody()
 	}
 	switch {
-	case a.err != nil, !a.chunked && a.left > 0 && !a.noBody:
-		a.far.signal(kindBroken, a.number)
+	case w.err != nil, !w.chunked && w.remaining > 0 && !w.noBody:
+		w.conn.sendControl(kindAborted, w.number)
 		return
-	case a.chunked && !a.noBody:
-		a.out = append(a.out, "0\r\n\r\n"...)
+	case w.chunked && !w.noBody:
+		w.frame = append(w.frame, "0\r\n\r\n"...)
 	}
-	a.send(kindEnd)
+	w.sendFrame(kindEnd)
 }
 
-// begin writes the head; whole tells that all of the body was written.
-func (a *answer) begin(whole bool) {
-	var room [HeadSize]byte
-	a.out = append(a.out[:0], room[:]...)
-	if a.begun {
+// startFrame begins a frame, with the response header if that was not sent. complete is set if the
+// handler has written all of the body.
+func (w *responseWriter) startFrame(complete bool) {
+	var room [HeaderSize]byte
+	w.frame = append(w.frame[:0], room[:]...)
+	if w.headerSent {
 		return
 	}
-	a.begun = true
-	length, err := strconv.ParseInt(a.header.Get("Content-Length"), 10, 64)
+	w.headerSent = true
+	length, err := strconv.ParseInt(w.header.Get("Content-Length"), 10, 64)
 	switch {
 	case err == nil:
-		a.left = length
-	case a.noBody:
-	case whole:
-		a.left = int64(len(a.body))
-		a.header.Set("Content-Length", strconv.Itoa(len(a.body)))
+		w.remaining = length
+	case w.noBody:
+	case complete:
+		w.remaining = int64(len(w.body))
+		w.header.Set("Content-Length", strconv.Itoa(len(w.body)))
 	default:
-		a.chunked = true
-		a.header.Set("Transfer-Encoding", "chunked")
+		w.chunked = true
+		w.header.Set("Transfer-Encoding", "chunked")
 	}
-	head := bytes.NewBuffer(a.out)
-	head.WriteString("HTTP/1.1 " + strconv.Itoa(a.status) + " " + http.StatusText(a.status) + "\r\n")
-	_ = a.header.Write(head) // a buffer takes all
+	head := bytes.NewBuffer(w.frame)
+	head.WriteString("HTTP/1.1 " + strconv.Itoa(w.status) + " " + http.StatusText(w.status) + "\r\n")
+	_ = w.header.Write(head) // a bytes.Buffer never fails
 	head.WriteString("\r\n")
-	a.out = head.Bytes()
+	w.frame = head.Bytes()
 }
 
-// addBody puts what was written behind the head.
-func (a *answer) addBody() {
-	body := a.body
-	a.body = a.body[:0]
-	if len(body) == 0 || a.noBody {
+// appendBody moves the buffered body to the frame.
+func (w *responseWriter) appendBody() {
+	body := w.body
+	w.body = w.body[:0]
+	if len(body) == 0 || w.noBody {
 		return
 	}
-	if a.chunked {
-		a.out = strconv.AppendInt(a.out, int64(len(body)), 16)
-		a.out = append(append(append(a.out, "\r\n"...), body...), "\r\n"...)
+	if w.chunked {
+		w.frame = strconv.AppendInt(w.frame, int64(len(body)), 16)
+		w.frame = append(append(append(w.frame, "\r\n"...), body...), "\r\n"...)
 		return
 	}
-	if a.left -= int64(len(body)); a.left < 0 {
-		a.err = errTooLong
+	if w.remaining -= int64(len(body)); w.remaining < 0 {
+		w.err = errTooLong
 		return
 	}
-	a.out = append(a.out, body...)
+	w.frame = append(w.frame, body...)
 }
 
-// send sends the frame that was made.
-func (a *answer) send(k kind) {
-	if a.err != nil || k == kindPart && len(a.out) <= HeadSize {
+// sendFrame sends the frame, unless an intermediate one is empty.
+func (w *responseWriter) sendFrame(k kind) {
+	if w.err != nil || k == kindData && len(w.frame) <= HeaderSize {
 		return
 	}
-	putHead(a.out, k, a.number, len(a.out)-HeadSize)
-	a.err = a.far.write(a.out)
-	a.out = a.out[:0]
+	putHeader(w.frame, k, w.number, len(w.frame)-HeaderSize)
+	w.err = w.conn.write(w.frame)
+	w.frame = w.frame[:0]
 }
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -15,77 +15,74 @@
 )
 
 const (
-	// readSize is how much is read of a connection at once: the events of many answers.
-	readSize = 64 << 10
-	// frameTime is how long the other gateway may take to read a frame.
-	frameTime = 3 * time.Second
-	// pieceTime is how long a caller may take to read a piece of an answer before the rest
-	// is kept for it: other callers' answers come on the same connection.
-	pieceTime = 20 * time.Millisecond
-	// freeBytes is how much of an answer is written without that limit: the least buffer that
-	// the system has for a connection takes more. Most answers are shorter, and a limit for
-	// each piece took 8 % of the time of a gateway that hands a thousand requests a second
-	// over.
-	freeBytes = 8 << 10
-	// maxQueue is how many requests may wait for a connection, maxWait for how long: by then
-	// little is left of the time in which most callers want the first part of an answer.
+	// Large enough for the events of many answers.
+	readBufferSize = 64 << 10
+	// Longest write of a frame.
+	frameTimeout = 3 * time.Second
+	// Longest write of a piece of an answer before the rest is buffered: answers to other callers
+	// arrive on the same connection.
+	pieceTimeout = 20 * time.Millisecond
+	// Bytes of an answer that are written without a deadline. They fit into the smallest socket
+	// buffer, most answers are shorter, and setting a deadline for each write is expensive.
+	untimedBytes = 8 << 10
+	// Limits of the requests that wait for a connection. After maxWait little is left of the usual
+	// time to the first token.
 	maxQueue = 256
 	maxWait  = 500 * time.Millisecond
-	// maxKept is the most that is kept for a caller that reads slowly, keptTime how long it
-	// may take to read it.
-	maxKept  = 1 << 20
-	keptTime = 10 * time.Second
+	// Limits for a caller that reads slowly.
+	maxBuffered     = 1 << 20
+	bufferedTimeout = 10 * time.Second
 )
 
-// ErrLeft tells that a request was not handed over since its caller had left.
-var ErrLeft = errors.New("the caller has left")
+// ErrCallerDisconnected is returned if the caller disconnected before its request was written.
+var ErrCallerDisconnected = errors.New("the caller has disconnected")
 
-// ErrFull tells that a request was not sent since others wait for the connection for too long.
-var ErrFull = errors.New("requests wait for too long for the gateway")
+// ErrCongested is returned for an unsent request if the queue is full or the wait was too long.
+var ErrCongested = errors.New("the connection to the gateway is congested")
 
-// ErrSent tells that a request may have reached the other gateway, whose connection broke.
-type ErrSent struct{ Reason error }
+// ErrMaybeSent is returned if the connection failed during the write of a request, so that the other
+// gateway may have received it.
+type ErrMaybeSent struct{ Reason error }
 
 // Error implements error.
-func (e ErrSent) Error() string { return "sent in part: " + e.Reason.Error() }
+func (e ErrMaybeSent) Error() string { return "possibly sent: " + e.Reason.Error() }
 
 // Unwrap returns the reason.
-func (e ErrSent) Unwrap() error { return e.Reason }
+func (e ErrMaybeSent) Unwrap() error { return e.Reason }
 
-// IsErrSent reports whether err is an ErrSent.
-func IsErrSent(err error) bool {
-	var e ErrSent
+// IsErrMaybeSent reports whether err is an ErrMaybeSent.
+func IsErrMaybeSent(err error) bool {
+	var e ErrMaybeSent
 	return errors.As(err, &e)
 }
 
-// longAgo is a deadline that is over.
-var longAgo = time.Unix(1, 0)
+// pastDeadline ends reads and writes at once.
+var pastDeadline = time.Unix(1, 0)
 
-// tunnel is the near end of a connection to another gateway.
+// tunnel is the sending end of a connection to another gateway.
 type tunnel struct {
-	conn  net.Conn
-	clock clock.Clock
-	heard atomic.Bool // heard tells that something has come since the last probe.
-
-	// queue holds requests that the writer has not taken yet, work tells it that there are some
-	// or signals.
-	queue []*outgoing
-	work  chan struct{}
-	first time.Time // first is when the first was enqueued that is not written; zero where none waits.
-
-	mu     sync.Mutex
-	next   uint32
-	handed map[uint32]*Handed // handed are the requests whose answers are not over.
-	closed bool
-	// signals are frames without bytes that go out before the next request: the message that a
-	// caller has left does not wait behind the requests of others.
-	signals []byte
-}
-
-// newTunnel starts a tunnel's writer, which ends when the tunnel is closed.
+	conn     net.Conn
+	clock    clock.Clock
+	received atomic.Bool // whether anything arrived since the last probe
+
+	// Requests for writeLoop. wakeup signals new requests or control frames.
+	queue  []*queuedRequest
+	wakeup chan struct{}
+	oldest time.Time // when the oldest unwritten request was enqueued; zero if none waits
+
+	mu         sync.Mutex
+	lastNumber uint32
+	inFlight   map[uint32]*Handover // by request number
+	closed     bool
+	// Frames without payload. They are sent before the next request, so that cancellations do not
+	// wait behind requests.
+	control []byte
+}
+
+// newTunnel returns a tunnel and starts its writeLoop, which ends when the tunnel is closed.
 func newTunnel(conn net.Conn, c clock.Clock) *tunnel {
-	t := &tunnel{conn: conn, clock: c, handed: map[uint32]*Handed{}, work: make(chan struct{}, 1)}
-	go t.write()
+	t := &tunnel{conn: conn, clock: c, inFlight: map[uint32]*Handover{}, wakeup: make(chan struct{}, 1)}
+	go t.writeLoop()
 	return t
 }
 
@@ -95,153 +92,152 @@
 	return t.closed
 }
 
-// outgoing is a request that waits for being written.
-type outgoing struct {
-	frame []byte
-	since time.Time   // since is when it was enqueued.
-	left  func() bool // left tells whether the caller has left.
-	done  chan error  // done gets what came of it.
+// queuedRequest is a request that waits to be written.
+type queuedRequest struct {
+	frame        []byte
+	enqueuedAt   time.Time
+	disconnected func() bool // reports whether the caller has disconnected
+	result       chan error
 }
 
-// send sends a request, unless the caller has left when its turn comes; its head is written
+// send enqueues a request and waits until it is written or given up. The frame's header is written
 // into the buffer.
-func (t *tunnel) send(h *Handed, buffer []byte, left func() bool) error {
-	o := &outgoing{frame: buffer, since: t.clock.Now(), left: left, done: make(chan error, 1)}
+func (t *tunnel) send(h *Handover, buffer []byte, disconnected func() bool) error {
+	o := &queuedRequest{frame: buffer, enqueuedAt: t.clock.Now(), disconnected: disconnected, result: make(chan error, 1)}
 	if err := t.enqueue(h, o); err != nil {
 		return err
 	}
 	t.wake()
-	err := <-o.done
+	err := <-o.result
 	if err != nil {
-		t.forget(h)
+		t.remove(h)
 	}
 	return err
 }
 
-func (t *tunnel) enqueue(h *Handed, o *outgoing) error {
+func (t *tunnel) enqueue(h *Handover, o *queuedRequest) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case t.closed:
 		return net.ErrClosed
 	case len(t.queue) >= maxQueue:
-		return ErrFull
+		return ErrCongested
 	}
-	t.next++
-	h.number = t.next
-	t.handed[h.number] = h
-	putHead(o.frame, kindEnd, h.number, len(o.frame)-HeadSize)
+	t.lastNumber++
+	h.number = t.lastNumber
+	t.inFlight[h.number] = h
+	putHeader(o.frame, kindEnd, h.number, len(o.frame)-HeaderSize)
 	t.queue = append(t.queue, o)
-	if t.first.IsZero() {
-		t.first = o.since
+	if t.oldest.IsZero() {
+		t.oldest = o.enqueuedAt
 	}
 	return nil
 }
 
-// wake has the writer look for work.
+// wake makes writeLoop check for work.
 func (t *tunnel) wake() {
 	select {
-	case t.work <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// write writes what waits until the connection is closed. It is the only goroutine that does: if
-// each request were written by its own, under a lock, a process that is short of time would write
-// one whenever the next goroutine in the line comes to run, and requests would wait for an idle
-// connection until their callers leave.
-func (t *tunnel) write() {
-	for range t.work {
+// writeLoop writes requests and control frames until the connection is closed. A single goroutine
+// writes: with one per request and a lock, each write would wait until the scheduler of an
+// overloaded process runs the next goroutine, although the connection is idle.
+func (t *tunnel) writeLoop() {
+	for range t.wakeup {
 		queue, closed := t.takeQueue()
 		for i, o := range queue {
 			err := t.writeRequest(o)
-			t.setFirst(queue[i+1:])
-			o.done <- err
+			t.updateOldest(queue[i+1:])
+			o.result <- err
 		}
 		if !closed {
-			closed = t.writeSignals() != nil
+			closed = t.writeControl() != nil
 		}
 		if closed {
 			t.close()
-			t.endQueue()
+			t.failQueue()
 			return
 		}
 	}
 }
 
-// waiting returns for how long the first of the requests waits that are not written yet.
-func (t *tunnel) waiting(now time.Time) time.Duration {
+// oldestWait returns the age of the oldest unwritten request.
+func (t *tunnel) oldestWait(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.closed || t.first.IsZero() {
+	if t.closed || t.oldest.IsZero() {
 		return 0
 	}
-	return now.Sub(t.first)
+	return now.Sub(t.oldest)
 }
 
-func (t *tunnel) takeQueue() (queue []*outgoing, closed bool) {
+func (t *tunnel) takeQueue() (queue []*queuedRequest, closed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	queue, t.queue = t.queue, nil
 	return queue, t.closed
 }
 
-// setFirst notes since when the next request waits: one of these that the writer has taken, or
-// the first in the queue.
-func (t *tunnel) setFirst(taken []*outgoing) {
+// updateOldest sets oldest from the requests that writeLoop has taken or, if there are none left, from
+// the queue.
+func (t *tunnel) updateOldest(taken []*queuedRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(taken) == 0 {
 		taken = t.queue
 	}
-	t.first = time.Time{}
+	t.oldest = time.Time{}
 	if len(taken) > 0 {
-		t.first = taken[0].since
+		t.oldest = taken[0].enqueuedAt
 	}
 }
 
-// endQueue gives up what was enqueued before the connection was closed.
-func (t *tunnel) endQueue() {
+// failQueue fails the requests left in the queue of a closed tunnel.
+func (t *tunnel) failQueue() {
 	queue, _ := t.takeQueue()
 	for _, o := range queue {
-		o.done <- net.ErrClosed
+		o.result <- net.ErrClosed
 	}
 }
 
-// writeRequest writes a request, unless its caller has left, and the signals that have come.
-func (t *tunnel) writeRequest(o *outgoing) error {
+// writeRequest writes pending control frames, then the request unless it has become obsolete.
+func (t *tunnel) writeRequest(o *queuedRequest) error {
 	if t.isClosed() {
 		return net.ErrClosed
 	}
-	if err := t.writeSignals(); err != nil {
+	if err := t.writeControl(); err != nil {
 		return err
 	}
-	if o.left() {
-		return ErrLeft
+	if o.disconnected() {
+		return ErrCallerDisconnected
 	}
-	if t.clock.Now().Sub(o.since) > maxWait {
-		return ErrFull
+	if t.clock.Now().Sub(o.enqueuedAt) > maxWait {
+		return ErrCongested
 	}
-	if err := t.writeNow(o.frame); err != nil {
-		return ErrSent{err}
+	if err := t.writeFrames(o.frame); err != nil {
+		return ErrMaybeSent{err}
 	}
 	return nil
 }
 
-// writeSignals writes the signals that wait.
-func (t *tunnel) writeSignals() error {
+// writeControl writes the pending control frames.
+func (t *tunnel) writeControl() error {
 	t.mu.Lock()
-	b := t.signals
-	t.signals = nil
+	b := t.control
+	t.control = nil
 	t.mu.Unlock()
 	if len(b) == 0 {
 		return nil
 	}
-	return t.writeNow(b)
+	return t.writeFrames(b)
 }
 
-func (t *tunnel) writeNow(b []byte) error {
-	err := t.conn.SetWriteDeadline(netopt.DeadlineIn(frameTime))
+func (t *tunnel) writeFrames(b []byte) error {
+	err := t.conn.SetWriteDeadline(netopt.DeadlineIn(frameTimeout))
 	if err == nil {
 		_, err = t.conn.Write(b)
 	}
@@ -251,13 +247,13 @@
 	return err
 }
 
-// signal sends a frame without bytes.
-func (t *tunnel) signal(k kind, number uint32) error {
-	var b [HeadSize]byte
-	putHead(b[:], k, number, 0)
+// sendControl enqueues a frame without payload.
+func (t *tunnel) sendControl(k kind, number uint32) error {
+	var b [HeaderSize]byte
+	putHeader(b[:], k, number, 0)
 	t.mu.Lock()
 	closed := t.closed
-	t.signals = append(t.signals, b[:]...)
+	t.control = append(t.control, b[:]...)
 	t.mu.Unlock()
 	if closed {
 		return net.ErrClosed
@@ -266,29 +262,29 @@
 	return nil
 }
 
-// forget drops a request; what still comes of its answer is passed over.
-func (t *tunnel) forget(h *Handed) {
+// remove drops a request; frames of its answer that still arrive are ignored.
+func (t *tunnel) remove(h *Handover) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.handed, h.number)
+	delete(t.inFlight, h.number)
 }
 
-func (t *tunnel) find(number uint32) *Handed {
+func (t *tunnel) find(number uint32) *Handover {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.handed[number]
+	return t.inFlight[number]
 }
 
-// read passes answers on until the connection ends; those that are not over then are broken.
-func (t *tunnel) read() {
-	buffer := make([]byte, readSize)
+// readLoop delivers answers until the connection fails.
+func (t *tunnel) readLoop() {
+	buffer := make([]byte, readBufferSize)
 	var d decoder
 	for {
 		n, err := t.conn.Read(buffer)
 		if n > 0 {
-			t.heard.Store(true)
-			if wrong := d.feed(buffer[:n], t.take); wrong != nil {
-				err = wrong
+			t.received.Store(true)
+			if feedErr := d.feed(buffer[:n], t.handleFrame); feedErr != nil {
+				err = feedErr
 			}
 		}
 		if err != nil {
@@ -298,63 +294,62 @@
 	}
 }
 
-func (t *tunnel) take(f frame, piece []byte, last bool) {
+func (t *tunnel) handleFrame(f frame, piece []byte, last bool) {
 	h := t.find(f.number)
 	if h == nil {
 		return
 	}
 	if len(piece) > 0 {
-		h.pass(piece)
+		h.deliver(piece)
 	}
-	if !last || f.kind == kindPart {
+	if !last || f.kind == kindData {
 		return
 	}
-	t.forget(h)
+	t.remove(h)
 	h.end(f.kind == kindEnd)
 }
 
-// close ends the connection and all that is under way on it.
+// close closes the connection and aborts all answers in flight.
 func (t *tunnel) close() {
 	t.mu.Lock()
-	broken := t.handed
-	t.handed, t.closed = map[uint32]*Handed{}, true
+	aborted := t.inFlight
+	t.inFlight, t.closed = map[uint32]*Handover{}, true
 	t.mu.Unlock()
 	_ = t.conn.Close()
 	t.wake()
-	for _, h := range broken {
+	for _, h := range aborted {
 		h.end(false)
 	}
 }
 
-// probe ends the connection where the other gateway is silent, or nothing is handed over for
-// long.
-func (t *tunnel) probe(c clock.Clock) {
+// probeLoop closes the connection if the other gateway is silent or the connection unused.
+func (t *tunnel) probeLoop(c clock.Clock) {
 	silent, unused := 0, time.Duration(0)
 	for {
-		<-c.After(probeEvery)
+		<-c.After(probeInterval)
 		t.mu.Lock()
-		closed, used := t.closed, len(t.handed) > 0
+		closed, used := t.closed, len(t.inFlight) > 0
 		t.mu.Unlock()
 		if closed {
 			return
 		}
 		silent++
-		if t.heard.Swap(false) || !used {
+		if t.received.Swap(false) || !used {
 			silent = 0
 		}
-		unused += probeEvery
+		unused += probeInterval
 		if used {
 			unused = 0
 		}
-		if silent >= silentProbes || unused >= idleAfter || used && t.signal(kindProbe, 0) != nil {
+		if silent >= maxMissedProbes || unused >= idleTimeout || used && t.sendControl(kindProbe, 0) != nil {
 			t.close()
 			return
 		}
 	}
 }
 
-// Handed is a request that another gateway serves.
-type Handed struct {
+// Handover is a request that another gateway serves.
+type Handover struct {
 	Peer string
 
 	s      *Service
@@ -363,59 +358,59 @@
 	caller net.Conn
 	done   chan struct{}
 
-	mu    sync.Mutex
-	kept  []byte // kept is what the caller has not read yet, written by a goroutine of its own.
-	slow  bool   // slow tells that there is such a goroutine.
-	timed bool   // timed tells that writes to the caller have a deadline.
-	over  bool   // over tells that nothing more comes.
-	whole bool
-	gone  bool // gone tells that the caller does not take the answer.
-	bytes int64
+	mu          sync.Mutex
+	buffered    []byte // bytes that the caller has not read yet
+	buffering   bool   // writeBuffered is running
+	hasDeadline bool   // writes to the caller have a deadline
+	ended       bool   // no more bytes will arrive
+	complete    bool
+	failed      bool // the caller did not take the answer
+	bytes       int64
 }
 
-// Done returns a channel that is closed when the answer is over.
-func (h *Handed) Done() <-chan struct{} { return h.done }
+// Done returns a channel that is closed when the answer has ended.
+func (h *Handover) Done() <-chan struct{} { return h.done }
 
-// Result returns, after Done, how many bytes the caller was sent, and whether that is all of
-// the answer.
-func (h *Handed) Result() (bytes int64, whole bool) {
+// Result returns, after Done, the number of bytes sent to the caller and whether the answer is
+// complete.
+func (h *Handover) Result() (bytes int64, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.bytes, h.whole && !h.gone
+	return h.bytes, h.complete && !h.failed
 }
 
-// Cancel gives the request up: the caller has left, or its time is over.
-func (h *Handed) Cancel() {
-	h.tunnel.forget(h)
-	_ = h.tunnel.signal(kindCancel, h.number) // where that fails the connection is closed
+// Cancel gives the request up: the caller has disconnected or its time is over.
+func (h *Handover) Cancel() {
+	h.tunnel.remove(h)
+	_ = h.tunnel.sendControl(kindCancel, h.number) // fails only if the connection is closed
 	h.end(false)
 }
 
-// pass gives the caller a piece of the answer.
-func (h *Handed) pass(piece []byte) {
+// deliver writes a piece of the answer to the caller, or buffers it if the caller reads slowly.
+func (h *Handover) deliver(piece []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.gone || h.over {
+	if h.failed || h.ended {
 		return
 	}
-	if h.slow {
-		h.keep(piece)
+	if h.buffering {
+		h.buffer(piece)
 		return
 	}
 	n, err := h.write(piece)
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		h.slow = true
-		h.keep(piece[n:])
-		go h.writeKept()
+		h.buffering = true
+		h.buffer(piece[n:])
+		go h.writeBuffered()
 		return
 	}
-	h.gone = err != nil
+	h.failed = err != nil
 }
 
-func (h *Handed) write(b []byte) (int, error) {
-	if h.bytes+int64(len(b)) > freeBytes {
-		h.timed = true
-		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(pieceTime)); err != nil {
+func (h *Handover) write(b []byte) (int, error) {
+	if h.bytes+int64(len(b)) > untimedBytes {
+		h.hasDeadline = true
+		if err := h.caller.SetWriteDeadline(netopt.DeadlineIn(pieceTimeout)); err != nil {
 			return 0, err
 		}
 	}
@@ -424,54 +419,54 @@
 	return n, err
 }
 
-func (h *Handed) keep(b []byte) {
-	if h.kept = append(h.kept, b...); len(h.kept) > maxKept {
-		h.gone = true
+func (h *Handover) buffer(b []byte) {
+	if h.buffered = append(h.buffered, b...); len(h.buffered) > maxBuffered {
+		h.failed = true
 	}
 }
 
-// writeKept writes what was kept until nothing is left.
-func (h *Handed) writeKept() {
+// writeBuffered writes to a slow caller until its buffer is empty.
+func (h *Handover) writeBuffered() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for len(h.kept) > 0 && !h.gone {
-		b := h.kept
-		h.kept = nil
+	for len(h.buffered) > 0 && !h.failed {
+		b := h.buffered
+		h.buffered = nil
 		h.mu.Unlock()
-		err := h.caller.SetWriteDeadline(netopt.DeadlineIn(keptTime))
+		err := h.caller.SetWriteDeadline(netopt.DeadlineIn(bufferedTimeout))
 		n := 0
 		if err == nil {
 			n, err = h.caller.Write(b)
 		}
 		h.mu.Lock()
 		h.bytes += int64(n)
-		h.gone = h.gone || err != nil
+		h.failed = h.failed || err != nil
 	}
-	h.slow = false
-	if h.over {
+	h.buffering = false
+	if h.ended {
 		h.finish()
 	}
 }
 
-// end notes that the answer is over.
-func (h *Handed) end(whole bool) {
+// end records that no more bytes will arrive.
+func (h *Handover) end(complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over {
+	if h.ended {
 		return
 	}
-	h.over, h.whole = true, whole
-	if !h.slow {
+	h.ended, h.complete = true, complete
+	if !h.buffering {
 		h.finish()
 	}
 }
 
-// finish wakes whoever waits for the end; the lock is held.
-func (h *Handed) finish() {
-	if h.timed && h.caller.SetWriteDeadline(time.Time{}) != nil {
-		h.gone = true
+// finish completes the handover; h.mu is held.
+func (h *Handover) finish() {
+	if h.hasDeadline && h.caller.SetWriteDeadline(time.Time{}) != nil {
+		h.failed = true
 	}
 	close(h.done)
-	_ = h.caller.SetReadDeadline(longAgo) // where that fails nobody reads
-	h.s.ended(h.Peer)
+	_ = h.caller.SetReadDeadline(pastDeadline) // on failure there is no reader
+	h.s.finished(h.Peer)
 }
