--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -106,7 +106,7 @@
 
 // LostAnswer implements EarlyAdmission.
 func (h *Handler) LostAnswer(id string) []byte {
-	return h.earlyAnswer(result.New(result.OutcomeUnknown, "the gateway that took over the request has failed"), id, true)
+	return h.earlyAnswer(result.New(result.OutcomeUnknown, "the gateway that took the request over is gone"), id, true)
 }
 
 // BusyAnswer implements EarlyAdmission.
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -127,10 +127,10 @@
 		return nil, result.New(result.NotReady, "no configuration is known").WithRetryAfter(notReadyRetryAfter)
 	}
 	if h.opts.Resyncing != nil && h.opts.Resyncing() {
-		return nil, result.New(result.NotReady, "the process was stalled and has not refreshed its state yet").WithRetryAfter(notReadyRetryAfter)
+		return nil, result.New(result.NotReady, "the process stood still and has not heard anew what holds").WithRetryAfter(notReadyRetryAfter)
 	}
 	if headerExceeds(r.Header, index.Configuration.Limits.MaxHeaderBytes) {
-		return nil, result.New(result.HeaderTooLarge, "the header is over %d bytes", index.Configuration.Limits.MaxHeaderBytes)
+		return nil, result.New(result.HeaderTooLarge, "over %d bytes", index.Configuration.Limits.MaxHeaderBytes)
 	}
 	uri := requestURI(r)
 	path, _, _ := strings.Cut(uri, "?")
@@ -176,10 +176,10 @@
 		return nil, nil
 	}
 	if limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes {
-		return nil, result.New(result.BodyTooLarge, "the body is over %d bytes", limits.MaxBodyBytes)
+		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	}
 	if h.bodyBytes.Load()+max(r.ContentLength, minBodyReserve) > h.opts.MaxTotalBodyBytes {
-		return nil, result.New(result.QueueFull, "the bodies of requests in flight use all of their memory").WithRetryAfter(notReadyRetryAfter)
+		return nil, result.New(result.QueueFull, "too many bytes are held").WithRetryAfter(notReadyRetryAfter)
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(netopt.DeadlineIn(deadline.Sub(h.opts.Clock.Now())))
@@ -195,7 +195,7 @@
 	case err == nil:
 		return body, nil
 	case errors.As(err, &tooLarge):
-		return nil, result.New(result.BodyTooLarge, "the body is over %d bytes", limits.MaxBodyBytes)
+		return nil, result.New(result.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return nil, result.New(result.BodyTooSlow, "the body did not arrive in time")
 	default:
--- a/handlers/operator/operator.go
+++ b/handlers/operator/operator.go
@@ -125,7 +125,7 @@
 		match |= subtle.ConstantTimeCompare(t, sum[:])
 	}
 	if match == 0 {
-		return result.New(result.BadOperatorToken, "unknown token")
+		return result.New(result.BadOperatorToken, "the token is not known")
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 func (h *Handler) get(w http.ResponseWriter, _ bunrouter.Request) error {
 	s := h.opts.Config.Snapshot()
 	if s == nil {
-		return result.New(result.NotReady, "this router has no active configuration yet")
+		return result.New(result.NotReady, "no configuration is in force here")
 	}
 	api.WriteJSON(w, http.StatusOK, ConfigReply{s.Index.Version, s.Index.Hash, s.Index.Document})
 	return nil
@@ -260,7 +260,7 @@
 	}
 	s := h.opts.Config.Snapshot()
 	if s == nil {
-		return result.New(result.NotReady, "this router has no active configuration yet")
+		return result.New(result.NotReady, "no configuration is in force here")
 	}
 	target, ok := s.Index.Target(o.Target)
 	if !ok {
