--- a/models/conf/check.go
+++ b/models/conf/check.go
@@ -24,7 +24,7 @@
 )
 
 // ErrBad is wrapped by all errors of this package.
-var ErrBad = errors.New("invalid configuration")
+var ErrBad = errors.New("configuration not valid")
 
 // ErrInvalid reports the invalid field and the reason.
 type ErrInvalid struct{ Field, Reason string }
@@ -61,7 +61,7 @@
 	names := make(map[string]bool, len(d.Policies))
 	for _, p := range d.Policies {
 		if p.Name == "" || names[p.Name] {
-			return nil, ErrInvalid{"policy.name", fmt.Sprintf("%q is empty or not unique", p.Name)}
+			return nil, ErrInvalid{"policy.name", fmt.Sprintf("%q is empty or stands twice", p.Name)}
 		}
 		names[p.Name] = true
 	}
@@ -74,7 +74,7 @@
 		a := &d.Accounts[i]
 		field := "account." + a.Name
 		if a.Name == "" || names[a.Name] {
-			return ErrInvalid{"account.name", fmt.Sprintf("%q is empty or not unique", a.Name)}
+			return ErrInvalid{"account.name", fmt.Sprintf("%q is empty or stands twice", a.Name)}
 		}
 		names[a.Name] = true
 		if a.Policy != "" && !policies[a.Policy] {
@@ -88,7 +88,7 @@
 			return ErrInvalid{field + ".weight", "out of range"}
 		}
 		if a.MaxQueued < 0 || a.MaxQueuedBytes < 0 || a.KeepAnswers < 0 || a.KeepBytes < 0 {
-			return ErrInvalid{field, "limits must not be negative"}
+			return ErrInvalid{field, "a limit is negative"}
 		}
 	}
 	return nil
@@ -96,7 +96,7 @@
 
 func checkKeys(field string, hashes []string, seen map[string]bool) error {
 	if len(hashes) == 0 {
-		return ErrInvalid{field + ".key_sha256", "has no key"}
+		return ErrInvalid{field + ".key_sha256", "no key"}
 	}
 	for _, h := range hashes {
 		raw, err := hex.DecodeString(h)
@@ -104,7 +104,7 @@
 			return ErrInvalid{field + ".key_sha256", "not a SHA-256 in hex"}
 		}
 		if seen[h] {
-			return ErrInvalid{field + ".key_sha256", "key is already used"}
+			return ErrInvalid{field + ".key_sha256", "the key belongs to another account too"}
 		}
 		seen[h] = true
 	}
@@ -125,7 +125,7 @@
 		p := &d.Pools[i]
 		field := "pool." + p.Name
 		if p.Name == "" || names[p.Name] {
-			return nil, ErrInvalid{"pool.name", fmt.Sprintf("%q is empty or not unique", p.Name)}
+			return nil, ErrInvalid{"pool.name", fmt.Sprintf("%q is empty or stands twice", p.Name)}
 		}
 		names[p.Name] = true
 		if p.Kind != KindModel && p.Kind != KindService {
@@ -133,13 +133,13 @@
 		}
 		for _, m := range p.Models {
 			if models[m] {
-				return nil, ErrInvalid{field + ".models", fmt.Sprintf("%q is already served by another pool", m)}
+				return nil, ErrInvalid{field + ".models", fmt.Sprintf("%q is served by another pool too", m)}
 			}
 			models[m] = true
 		}
 		p.setDefaults()
 		if p.PromptWeight < 0 || p.OutputWeight < 0 || p.MilliWeight < 0 || p.MaxCost <= 0 || p.Quantum < 0 || p.HeadStart < 0 || p.TimeoutMS <= 0 {
-			return nil, ErrInvalid{field, "weight, cost or timeout is out of range"}
+			return nil, ErrInvalid{field, "a weight, cost or time is out of range"}
 		}
 	}
 	return names, nil
@@ -162,14 +162,14 @@
 		t := &d.Targets[i]
 		field := "target." + t.Name
 		if t.Name == "" || names[t.Name] {
-			return ErrInvalid{"target.name", fmt.Sprintf("%q is empty or not unique", t.Name)}
+			return ErrInvalid{"target.name", fmt.Sprintf("%q is empty or stands twice", t.Name)}
 		}
 		names[t.Name] = true
 		if !pools[t.Pool] {
 			return ErrInvalid{field + ".pool", fmt.Sprintf("no pool %q", t.Pool)}
 		}
 		if _, err := netip.ParseAddrPort(t.Address); err != nil {
-			return ErrInvalid{field + ".address", "not an IP address and port"}
+			return ErrInvalid{field + ".address", "not an IP number and port"}
 		}
 		setDefault(&t.Slots, DefaultSlots)
 		if t.Slots < 1 || t.Slots > maxSlots {
--- a/models/conf/chunk.go
+++ b/models/conf/chunk.go
@@ -90,7 +90,7 @@
 func ParseManifest(hash string, content []byte) (Manifest, error) {
 	var m Manifest
 	if Hash(content) != hash {
-		return m, ErrInvalid{"manifest", "content does not match its hash"}
+		return m, ErrInvalid{"manifest", "the content does not have its hash"}
 	}
 	if err := json.Unmarshal(content, &m); err != nil {
 		return m, ErrInvalid{"manifest", err.Error()}
