--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -191,7 +191,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		fin.Failed = resp.StatusCode >= http.StatusInternalServerError
-		return outcomeFailed, resp.StatusCode, result.New(result.TargetFailed, "target %s responded with status %d", target.Name, resp.StatusCode)
+		return outcomeFailed, resp.StatusCode, result.New(result.TargetFailed, "target %s answered %d", target.Name, resp.StatusCode)
 	}
 	s.notePrefix(target.Name, j.prefix)
 	st.prompt = s.promptCost(j)
@@ -256,7 +256,7 @@
 		return
 	}
 	kept := st.s.opts.Answers.Enqueue(*st.j.account, st.j.requestID, "text/event-stream", st.events)
-	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "keep", "caller gone, response of %d events kept: %t", len(st.events), kept)
+	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "keep", "caller gone, answer of %d events kept: %t", len(st.events), kept)
 }
 
 func (st *stream) token(target *conf.Target, streamID string) string {
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -115,7 +115,7 @@
 // Admit returns an error if requests cannot be admitted now.
 func (s *Service) Admit() error {
 	if s.opts.Config.Snapshot() == nil || !s.opts.Config.Admits() {
-		return result.New(result.NotReady, "the configuration is missing or may be outdated").WithRetryAfter(time.Second)
+		return result.New(result.NotReady, "no configuration is known to be in force").WithRetryAfter(time.Second)
 	}
 	return nil
 }
@@ -203,7 +203,7 @@
 		}
 		s.opts.Loop.Finish(admit.Finished{ID: id})
 	}
-	return 0, nil, result.New(result.NoTarget, "%d granted targets in a row were paused", maxPausedGrants).WithRetryAfter(time.Second)
+	return 0, nil, result.New(result.NoTarget, "%d targets in a row want rest", maxPausedGrants).WithRetryAfter(time.Second)
 }
 
 // submitOnce queues the request and waits for a target.
@@ -241,7 +241,7 @@
 	}
 	if !ok {
 		s.opts.Loop.Finish(admit.Finished{ID: id})
-		return id, nil, result.New(result.NoTarget, "target %s is no longer listed", d.Target).WithRetryAfter(time.Second)
+		return id, nil, result.New(result.NoTarget, "target %s has left", d.Target).WithRetryAfter(time.Second)
 	}
 	if err := s.checkQuarantine(j); err != nil { // another router may have seen a target die meanwhile
 		s.opts.Loop.Finish(admit.Finished{ID: id})
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -88,7 +88,7 @@
 	case core.VerdictKeyReused:
 		return PlainAnswer{}, result.New(result.KeyReused, "the key belongs to request %s", o.Row.RequestID)
 	case core.VerdictInProgress:
-		return PlainAnswer{}, result.New(result.ClaimInProgress, "request %s at router %s is in progress", o.Row.RequestID, o.Row.Router).WithRetryAfter(time.Second)
+		return PlainAnswer{}, result.New(result.ClaimInProgress, "request %s at router %s has not ended", o.Row.RequestID, o.Row.Router).WithRetryAfter(time.Second)
 	case core.VerdictUnknown:
 		return PlainAnswer{}, result.New(result.OutcomeUnknown, "request %s may have run and will not be repeated", o.Row.RequestID)
 	default:
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -137,7 +137,7 @@
 	}()
 	a, err = s.sendPlain(ctx, j, c, target, once)
 	if err == nil {
-		s.opts.Trace.Add(j.requestID, j.account.Name, "attempt", "%s responded with status %d", target.Name, a.Status)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "attempt", "%s answered %d", target.Name, a.Status)
 		return a, "", a.Status, nil
 	}
 	s.opts.Trace.Add(j.requestID, j.account.Name, "attempt", "%s: %v", target.Name, err)
@@ -181,7 +181,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainResponse+1))
 	if err == nil && len(body) > maxPlainResponse {
-		err = errors.New("the response is too large")
+		err = errors.New("the answer is too large")
 	}
 	if err != nil {
 		return PlainAnswer{}, engine.ErrAttempt{Target: target.Name, MayHaveRun: true, Cause: err}
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -39,7 +39,7 @@
 	ask := func(ctx context.Context) (exited, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
 	died, _ := quarantine.HasExited(ctx, ask, func() { try.TargetDied(t.Name, sentAt) })
 	if died {
-		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
+		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, under request %s", t.Name, j.try.Request())
 		j.try.TargetDied(t.Name, sentAt)
 	}
 }
--- a/services/dispatch/rest.go
+++ b/services/dispatch/rest.go
@@ -31,8 +31,8 @@
 // allPausedError returns the error for a call whose targets are all paused.
 func (s *Service) allPausedError(j *job, r notice.PausedTargets) error {
 	s.counters.refused(result.NoTarget)
-	s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "all %d targets are paused, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
-	return result.New(result.NoTarget, "all %d targets of pool %s are paused", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
+	s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "all %d targets want rest, the first one for %s", len(r.Targets), r.RetryAfter.Round(time.Millisecond))
+	return result.New(result.NoTarget, "all %d targets of pool %s want rest", len(r.Targets), j.pool.Name).WithRetryAfter(max(r.RetryAfter, time.Second))
 }
 
 // startSending takes the permit to send to a granted target. It returns false if the target is
--- a/services/dispatch/resume.go
+++ b/services/dispatch/resume.go
@@ -100,7 +100,7 @@
 func (s *Service) resumeKept(ctx context.Context, r Resume, sink Sink) error {
 	kept, err := s.opts.Answers.Fetch(ctx, r.Account.Name, r.RequestID)
 	if platform.IsErrObjectNotExist(err) {
-		absent := result.New(result.NotFound, "no response %s is kept for this account; it may not be complete yet", r.RequestID).WithRetryAfter(time.Second)
+		absent := result.New(result.NotFound, "no answer %s is kept for this account; it may not be complete yet", r.RequestID).WithRetryAfter(time.Second)
 		absent.Ran = result.RanUnknown
 		return absent
 	}
