--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -57,7 +57,7 @@
 	defer a.Close()
 	j.history.Sent++
 	if a.Info.NotRun {
-		j.reason = "target rejected the request without running it"
+		j.reason = "target did not run it"
 		p.ended(attempt.NotRun, a.Info.Misdirected)
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedResponse))
 		return attempt.NotRun, nil
@@ -124,7 +124,7 @@
 func (j *job) readFailure(p placement, a *upstream.Answer) (attempt.Outcome, *failure) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse))
 	if err != nil {
-		j.brokeOff, j.reason = true, "error response broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "failure broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown), nil
 	}
 	j.reason = http.StatusText(a.Status)
@@ -146,7 +146,7 @@
 func (j *job) forwardWhole(p placement, a *upstream.Answer) attempt.Outcome {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse+1))
 	if err != nil {
-		j.brokeOff, j.reason = true, "response broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "answer broke off: "+err.Error()
 		return j.ended(p, attempt.Unknown)
 	}
 	p.began()
@@ -164,7 +164,7 @@
 
 func (j *job) copyRest(p placement, a *upstream.Answer) attempt.Outcome {
 	if _, err := io.Copy(j.w, a.Body); err != nil {
-		j.brokeOff, j.reason = true, "response broke off: "+err.Error()
+		j.brokeOff, j.reason = true, "answer broke off: "+err.Error()
 		return j.ended(p, attempt.Cut)
 	}
 	p.done()
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -32,7 +32,7 @@
 )
 
 // ErrAborted reports that part of a response was forwarded and the connection must be closed.
-var ErrAborted = errors.New("the response was aborted")
+var ErrAborted = errors.New("the answer broke off")
 
 // RetryBudget limits the retries of the whole fleet.
 type RetryBudget struct {
@@ -187,7 +187,7 @@
 		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
 		return HandOver, nil
 	case !s.throttleAdmits(name):
-		err = result.New(result.QueueFull, "the account is throttled: it sends far more requests than can be placed").WithRetryAfter(throttledRetryAfter)
+		err = result.New(result.QueueFull, "the account asks for far more than it is given").WithRetryAfter(throttledRetryAfter)
 	default:
 		s.outcomes.countAdmitted(name, call.Prompt.Tokens)
 		return Serve, nil
@@ -202,7 +202,7 @@
 }
 
 func (s *Service) newOverloadError() *result.ErrResult {
-	return result.New(result.Overloaded, "this gateway is overloaded").WithRetryAfter(s.opts.Guard.retryAfter())
+	return result.New(result.Overloaded, "this gateway is asked for more than it can serve in time").WithRetryAfter(s.opts.Guard.retryAfter())
 }
 
 // OverloadError returns the error for a request that could not be handed over in time.
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -122,7 +122,7 @@
 			return ErrAborted
 		}
 	}
-	return j.placementError(result.New(result.NoTarget, "no target after %d placements", maxRounds).WithRetryAfter(shortRetryAfter))
+	return j.placementError(result.New(result.NoTarget, "no target after %d rounds", maxRounds).WithRetryAfter(shortRetryAfter))
 }
 
 // placeWithRetry finds a target. A stream that has begun retries for a while, as the caller
@@ -163,7 +163,7 @@
 		return result.New(result.OutcomeUnknown, "%s; then %v", j.reason, err)
 	}
 	if j.ctx.Err() != nil {
-		return result.New(result.QueueTimeout, "the deadline passed before the request was placed").WithRetryAfter(shortRetryAfter)
+		return result.New(result.QueueTimeout, "the time is over").WithRetryAfter(shortRetryAfter)
 	}
 	return err
 }
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -19,7 +19,7 @@
 
 // errWithheld reports that a request was not sent as its target leaves, is paused or is no
 // longer listed.
-var errWithheld = errors.New("the target accepts no requests now")
+var errWithheld = errors.New("the target takes nothing now")
 
 // startSending takes the permit to send to the target of the attempt. It is called right before
 // the first byte is written, since the target may have announced meanwhile that it leaves or
@@ -50,7 +50,7 @@
 
 // allPausedError returns the error for a request whose targets are all paused.
 func allPausedError(service string, r notice.PausedTargets) error {
-	return result.New(result.NoTarget, "all %d targets of %s are paused", len(r.Targets), service).WithRetryAfter(max(r.RetryAfter, shortRetryAfter))
+	return result.New(result.NoTarget, "all %d targets of %s want rest", len(r.Targets), service).WithRetryAfter(max(r.RetryAfter, shortRetryAfter))
 }
 
 // denyList returns the targets that a scheduler must not choose.
--- a/services/forward/place.go
+++ b/services/forward/place.go
@@ -60,7 +60,7 @@
 		return nil, result.Wrap(result.Draining, err).WithRetryAfter(shortRetryAfter)
 	}
 	if d.Target == "" {
-		return nil, result.New(result.NotInTime, "refused by scheduler %s", d.Scheduler).WithRetryAfter(d.RetryAfter)
+		return nil, result.New(result.NotInTime, "refused by %s", d.Scheduler).WithRetryAfter(d.RetryAfter)
 	}
 	j.s.countAccepted(j.r.account())
 	j.waited, j.sourceID = d.Waited, d.Source
@@ -74,7 +74,7 @@
 		j.denyUnusable(d.Target)
 		j.history.Unsent++
 		if j.history.Unsent > maxRounds/2 {
-			return nil, result.New(result.NoTarget, "target %s is not usable from this gateway", d.Target).WithRetryAfter(shortRetryAfter)
+			return nil, result.New(result.NoTarget, "target %s is not known here", d.Target).WithRetryAfter(shortRetryAfter)
 		}
 		return j.placeEngine()
 	}
@@ -143,9 +143,9 @@
 	case pick == nil && paused.All:
 		return nil, allPausedError(j.r.Service.Name, paused)
 	case pick == nil && !slices.ContainsFunc(targets, (*routing.Target).AcceptsWork):
-		return nil, result.New(result.NoTarget, "no target of %s accepts work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(noTargetRetryAfter)
+		return nil, result.New(result.NoTarget, "no target of %s takes work, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(noTargetRetryAfter)
 	case pick == nil:
-		return nil, result.New(result.NoTarget, "no usable target of %s, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(shortRetryAfter)
+		return nil, result.New(result.NoTarget, "no target of %s, %d listed", j.r.Service.Name, len(targets)).WithRetryAfter(shortRetryAfter)
 	}
 	return &plainPlacement{j, pick}, nil
 }
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -52,7 +52,7 @@
 const callerCheckAfter = 200 * time.Millisecond
 
 // errStalePlacement reports that a request was not sent since its placement was too old.
-var errStalePlacement = errors.New("the placement expired before the request was sent")
+var errStalePlacement = errors.New("the place was too old to send to")
 
 // checkAtSend repeats the checks once a connection is there: while the request waited, another
 // gateway may have seen a target die under it, or this process may have stood still.
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -39,7 +39,7 @@
 		if n > 0 {
 			if j.timing.recordPart(j.s.opts.Clock.Now(), j.r.Received) {
 				if !slowTimer.Stop() && j.retryReserved.Load() {
-					j.reason = "first part too slow, attempt cut"
+					j.reason = "cut for its slowness"
 					return j.ended(p, attempt.Cut)
 				}
 				p.began()
@@ -90,7 +90,7 @@
 
 func (j *job) endStream(p placement, a *upstream.Answer, flusher *http.ResponseController, held []byte) attempt.Outcome {
 	if len(held) > 0 {
-		j.brokeOff, j.reason = true, "stream ended within an event"
+		j.brokeOff, j.reason = true, "stream ended inside an event"
 		return j.ended(p, attempt.Cut)
 	}
 	if !j.headOut && !j.forwardEvents(a, flusher, nil) {
