--- a/services/relay/frame.go
+++ b/services/relay/frame.go
@@ -27,7 +27,7 @@
 	maxFrameSize = 1 << 20
 )
 
-var errMalformedFrame = errors.New("malformed frame")
+var errMalformedFrame = errors.New("not a frame")
 
 // frame is the header of the frame being read.
 type frame struct {
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -39,7 +39,7 @@
 )
 
 // ErrNoPeer is returned if no gateway can take a request over.
-var ErrNoPeer = errors.New("no gateway of the data hall is available")
+var ErrNoPeer = errors.New("no gateway of the data hall has time")
 
 // Peer is a gateway of the data hall that can take requests over.
 type Peer struct {
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -193,7 +193,7 @@
 	err        error
 }
 
-var errTooLong = errors.New("body is longer than its Content-Length")
+var errTooLong = errors.New("more than the announced length was written")
 
 var _ http.Flusher = (*responseWriter)(nil)
 
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -35,17 +35,17 @@
 )
 
 // ErrCallerDisconnected is returned if the caller disconnected before its request was written.
-var ErrCallerDisconnected = errors.New("the caller has disconnected")
+var ErrCallerDisconnected = errors.New("the caller has left")
 
 // ErrCongested is returned for an unsent request if the queue is full or the wait was too long.
-var ErrCongested = errors.New("the connection to the gateway is congested")
+var ErrCongested = errors.New("requests wait for too long for the gateway")
 
 // ErrMaybeSent is returned if the connection failed during the write of a request, so that the other
 // gateway may have received it.
 type ErrMaybeSent struct{ Reason error }
 
 // Error implements error.
-func (e ErrMaybeSent) Error() string { return "possibly sent: " + e.Reason.Error() }
+func (e ErrMaybeSent) Error() string { return "sent in part: " + e.Reason.Error() }
 
 // Unwrap returns the reason.
 func (e ErrMaybeSent) Unwrap() error { return e.Reason }
--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -225,7 +225,7 @@
 func discard(body io.Reader) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, maxDiscard))
 	if err == nil && n == maxDiscard {
-		err = errors.New("body of a stray answer is too long")
+		err = errors.New("too long")
 	}
 	return err
 }
