--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -149,7 +149,7 @@
 		return GiveOrder{epoch, now.Add(l.cfg.MaxSend)}
 	}
 	if now.Add(l.cfg.MaxSend).After(until) {
-		return GiveUp{"lease expires too soon to send the order"}
+		return GiveUp{"too little of the lease was left"}
 	}
 	return GiveOrder{epoch, until}
 }
--- a/services/order/order.go
+++ b/services/order/order.go
@@ -55,7 +55,7 @@
 	version := uint64(0)
 	for {
 		if ctx.Err() != nil {
-			return 0, result.New(result.OrderRefused, "could not acquire the lease of %s in time", target.Name).WithRetryAfter(time.Second)
+			return 0, result.New(result.OrderRefused, "the lease of %s was not to be had in time", target.Name).WithRetryAfter(time.Second)
 		}
 		switch a := action.(type) {
 		case lease.ReadRow:
@@ -116,7 +116,7 @@
 
 func (s *Service) send(ctx context.Context, l *lease.Lease, key string, version uint64, target *conf.Target, g lease.GiveOrder, o engine.Order) error {
 	if !l.MaySend(s.opts.Clock.Now(), g) {
-		return result.New(result.OrderRefused, "the lease of %s expired before the order was sent", target.Name).WithRetryAfter(time.Second)
+		return result.New(result.OrderRefused, "the lease of %s lapsed before the order was sent", target.Name).WithRetryAfter(time.Second)
 	}
 	o.Epoch = g.Epoch
 	sendCtx, cancel := context.WithTimeout(ctx, s.opts.Lease.MaxSend)
