--- a/modules/peernet/auth.go
+++ b/modules/peernet/auth.go
@@ -183,7 +183,7 @@
 
 func (a *Auth) check(conn net.Conn, r *byteReader, client bool, mine, theirs *wire.Hello) error {
 	if theirs.Protocol != protocolVersion {
-		return ErrHandshake{fmt.Sprintf("protocol version is %d, want %d", theirs.Protocol, protocolVersion)}
+		return ErrHandshake{fmt.Sprintf("protocol %d, not %d", theirs.Protocol, protocolVersion)}
 	}
 	if a.tls != nil {
 		return checkCertName(conn, theirs.Id)
@@ -226,7 +226,7 @@
 		return ErrHandshake{"no certificate"}
 	}
 	if name := tc.ConnectionState().PeerCertificates[0].Subject.CommonName; name != id {
-		return ErrHandshake{fmt.Sprintf("certificate is for %q, hello from %q", name, id)}
+		return ErrHandshake{fmt.Sprintf("certificate of %q, hello of %q", name, id)}
 	}
 	return nil
 }
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -188,7 +188,7 @@
 		return l.session, nil
 	}
 	if l.blocked {
-		return nil, ErrHandshake{"link is blocked"}
+		return nil, ErrHandshake{"the link is cut"}
 	}
 	if now().Before(l.retryAt) {
 		return nil, l.lastErr
@@ -223,7 +223,7 @@
 	}
 	peer, err := auth.clientHandshake(conn)
 	if err == nil && id != "" && peer != id {
-		err = ErrHandshake{"dialed peer " + id + ", got " + peer}
+		err = ErrHandshake{"dialled " + id + ", met " + peer}
 	}
 	if err != nil {
 		_ = conn.Close()
