--- a/services/config/content.go
+++ b/services/config/content.go
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	if conf.Hash(content) != hash {
-		return nil, fmt.Errorf("content of chunk %.12s does not match its hash", hash)
+		return nil, fmt.Errorf("chunk %.12s does not have its hash", hash)
 	}
 	s.cache.put(hash, content)
 	return content, nil
--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -13,8 +13,8 @@
 
 // Reasons for discarding an answer of the store.
 var (
-	errNewEra = errors.New("the store was restored from an older copy")
-	errOldEra = errors.New("the answer predates the restore of the store")
+	errNewEra = errors.New("the store has come back from an older copy")
+	errOldEra = errors.New("a late answer of the store as it was before it came back")
 )
 
 // fromHallHold is logged as the origin of a change when the hold of an evacuation ends.
--- a/services/follow/packed.go
+++ b/services/follow/packed.go
@@ -54,7 +54,7 @@
 // takes some 400 KB.
 const maxStateSize = 64 << 20
 
-var errStateTooLarge = errors.New("state exceeds the size limit")
+var errStateTooLarge = errors.New("the state is too large")
 
 // pack compresses a state.
 func pack(content []byte) ([]byte, error) {
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -24,8 +24,8 @@
 
 // Reasons why a request must not be sent to a target.
 var (
-	ErrLeaving = errors.New("the target is leaving")
-	ErrPaused  = errors.New("the target is paused")
+	ErrLeaving = errors.New("the target leaves")
+	ErrPaused  = errors.New("the target wants rest")
 )
 
 // Options are the settings and dependencies of a Service.
--- a/services/platform/object.go
+++ b/services/platform/object.go
@@ -14,7 +14,7 @@
 )
 
 // ErrNotExist matches every ErrObjectNotExist in errors.Is.
-var ErrNotExist = errors.New("object does not exist")
+var ErrNotExist = errors.New("not there")
 
 // ErrObjectNotExist reports that an object is not in the store.
 type ErrObjectNotExist struct{ Key string }
