--- a/core/cell/account.go
+++ b/core/cell/account.go
@@ -51,7 +51,7 @@
 func halfLifeOf(window time.Duration) time.Duration { return window / 2 }
 
 // Within an account short prompts go first. A request is ordered as if it had arrived this
-// many times its own read time later, so that long prompts do not starve.
+// many times its own prefill time later, so that long prompts do not starve.
 const sizeAging = 2
 
 // account is the queue of one client account. Waiting accounts are served in ascending
@@ -161,7 +161,7 @@
 // extendWait reports whether a request may wait beyond its hold time. An underserved
 // account is next in line, so a refusal would only bring the request back to the same
 // place. Requests of other accounts, except the most served one, keep waiting if their
-// target will read them in time.
+// target will prefill them in time.
 func (c *Cell) extendWait(now time.Time, w *waiter, a *account) bool {
 	if w.ask.Objective <= 0 || now.Sub(w.arrived) >= time.Duration(extendedWaitShare*float64(w.ask.Objective)) {
 		return false
--- a/core/cell/account_test.go
+++ b/core/cell/account_test.go
@@ -58,11 +58,11 @@
 	if len(got) != 3 || got[0] != 3 || got[1] != 4 || got[2] != 2 {
 		t.Errorf("order %v, want the shortest first", got)
 	}
-	// Only requests within sizeAging times its read time go before a long request.
+	// Only requests within sizeAging times its prefill time go before a long request.
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 10_000, Targets: []TargetInfo{{ID: "t", Slots: 1, CacheTokens: 1_000_000}}})
 	c.Step(epoch, plainAsk(1, "a", 10))
-	c.Step(epoch, plainAsk(2, "a", 5000)) // half a second of reading
+	c.Step(epoch, plainAsk(2, "a", 5000)) // half a second of prefill
 	late := epoch.Add(sizeAging*500*time.Millisecond + 100*time.Millisecond)
 	c.Step(late, plainAsk(3, "a", 50))
 	if _, ok := placed(c.Step(late, EndedSeen{"e", 1, batch.OutcomeDone}), 2); !ok {
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// Reading time that may be queued at a target: enough to keep it busy, little enough
+	// Prefill time that may be queued at a target: enough to keep it busy, little enough
 	// that the order is decided here.
 	backlogLimit = 120 * time.Millisecond
 	// Service of one output token, in input tokens.
@@ -29,8 +29,8 @@
 
 type target struct {
 	info           TargetInfo
-	engine         *batch.Engine // model of the target's queue, cache and speed
-	countedReading time.Duration // part of the engine's reading time that is in Cell.counts
+	engine         *batch.Engine // estimate of the target's queue, cache and speed
+	countedReading time.Duration // part of the engine's prefill time that is in Cell.counts
 	linkFreeAt     time.Time     // end of the transfers from or to the target
 	coldPacer      cold.Pacer    // rate limit while the target is cold
 }
@@ -39,7 +39,7 @@
 	key       requestKey
 	account   string
 	target    *target
-	engineRun *batch.Run // the run in the target's engine model
+	engineRun *batch.Run // the run in the target's batch.Engine
 }
 
 // Cell schedules the requests of one cell. It is not safe for concurrent use.
@@ -53,7 +53,7 @@
 	remoteTallies   map[string]*remoteTally
 	lastEviction    time.Time
 	speed           float64      // initial estimate of one target's tokens per second
-	prior           *batch.Prior // measured read speed shared by all engines, the start value of new ones
+	prior           *batch.Prior // prefill speed of all targets, the initial estimate for new ones
 	siblings        int          // number of the service's other cells
 	transfer        *routing.Transfer
 	fairWindow      time.Duration
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -30,9 +30,9 @@
 	s.run(40*time.Second, evenAccounts(16, 45, 0, 0))
 	r := s.total()
 	distinct := 55 * 13_000
-	t.Logf("total %+v, shared parts read %.1f times", r, float64(r.sharedRead)/float64(distinct))
+	t.Logf("total %+v, shared parts prefilled %.1f times", r, float64(r.sharedRead)/float64(distinct))
 	if r.sharedRead > 3*distinct {
-		t.Errorf("shared parts were read %.1f times over, want at most 3", float64(r.sharedRead)/float64(distinct))
+		t.Errorf("shared parts were prefilled %.1f times over, want at most 3", float64(r.sharedRead)/float64(distinct))
 	}
 	for name, a := range s.results {
 		if a.lastRefused > 10*time.Second || a.late > a.asked/50 {
@@ -76,7 +76,7 @@
 	}
 	r := s.total()
 	if capacity := 9 * 45_000 * 30; float64(r.read) < 0.8*float64(capacity) {
-		t.Errorf("%d tokens were read under overload, want at least 0.8 of %d", r.read, capacity)
+		t.Errorf("%d tokens were prefilled under overload, want at least 0.8 of %d", r.read, capacity)
 	}
 }
 
@@ -184,7 +184,7 @@
 	}
 }
 
-// Guards against counting adopted runs as still to be read.
+// Guards against counting adopted runs as still to be prefilled.
 func TestTakeoverPlacesImmediately(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "t", Slots: 64, CacheTokens: 570_000}}})
@@ -220,7 +220,7 @@
 	}
 }
 
-// Guards against rereading shared parts elsewhere while the home will soon have a free
+// Guards against prefilling shared parts elsewhere while the home will soon have a free
 // slot.
 func TestRequestWaitsForFullHome(t *testing.T) {
 	c := New()
--- a/core/cell/choose.go
+++ b/core/cell/choose.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// Weight of the time to read a shared part again: it also evicts parts that others
+	// Weight of the time to prefill a shared part again: it also evicts parts that others
 	// need.
 	rereadWeight = 3.0
 	// Weight of the link time of a transfer: it uses two targets' links and cache memory.
@@ -23,9 +23,9 @@
 	// Penalty in the choice for a target with a full batch: its tokens come slower.
 	fullBatchPenalty = 60 * time.Millisecond
 	// After this part of its hold time a request takes any target with less than
-	// spillBacklog booked where it is in time, even if its shared parts are read again
-	// there. At a busy target the repeated reading would cost others more than the request
-	// gains.
+	// spillBacklog booked where it is in time, even if its shared parts are prefilled
+	// again there. At a busy target the repeated prefill would cost others more than the
+	// request gains.
 	spillShare   = 0.35
 	spillBacklog = 25 * time.Millisecond
 	// Part of the objective that an estimated wait may use up.
@@ -63,7 +63,7 @@
 		return option{}, ReasonCheapest, false
 	}
 	// Starved accounts may spill to busier targets: fairness is worth the repeated
-	// reading.
+	// prefill.
 	limit, reason := spillBacklog, ReasonSpilled
 	if c.starved(now, c.account(w.ask.Account)) {
 		limit, reason = backlogLimit, ReasonStarved
@@ -80,13 +80,13 @@
 	return slices.MinFunc(open, func(a, b option) int { return compare(a, b, a.wait, b.wait) }), reason, true
 }
 
-// spillLimit returns how much reading may be booked at a target that a request spills to:
-// reread if shared parts are read again there, more if they are copied cheaply.
-func (c *Cell) spillLimit(w *waiter, o option, reread time.Duration) time.Duration {
+// spillLimit returns how much prefill time may be booked at a target that a request spills
+// to: limit if shared parts are prefilled again there, more if they are copied cheaply.
+func (c *Cell) spillLimit(w *waiter, o option, limit time.Duration) time.Duration {
 	if sharedTokens(w.ask.Prompt, o.missing-o.tokens) > 0 {
-		return reread
+		return limit
 	}
-	return max(reread, backlogLimit-o.transfer.cost())
+	return max(limit, backlogLimit-o.transfer.cost())
 }
 
 // pickCheapest returns the cheapest option and records it as the request's preferred
@@ -164,13 +164,13 @@
 }
 
 func (v *view) option(p *routing.Prompt, missing int, x transfer) option {
-	read := missing - x.tokens
-	wait := max(v.baseWait, x.delay) + seconds(float64(read)/v.speed)
-	reread := seconds((rereadWeight - 1) * float64(sharedTokens(p, read)) / v.speed)
+	prefill := missing - x.tokens
+	wait := max(v.baseWait, x.delay) + seconds(float64(prefill)/v.speed)
+	reread := seconds((rereadWeight - 1) * float64(sharedTokens(p, prefill)) / v.speed)
 	return option{missing: missing, transfer: x, wait: wait, cost: wait + v.penalty + reread + x.cost()}
 }
 
-// discountHome reduces the home's cost by the reading that its cache probably saves.
+// discountHome reduces the home's cost by the prefill time that its cache probably saves.
 func (c *Cell) discountHome(o *option, p *routing.Prompt) {
 	shared := float64(sharedTokens(p, o.missing-o.tokens))
 	o.cost -= seconds(homeCacheProbability * rereadWeight * shared / c.views[o.index].speed)
--- a/core/cell/dispatch.go
+++ b/core/cell/dispatch.go
@@ -20,15 +20,15 @@
 	usable   bool
 	source   bool          // cached parts may be copied from the target
 	full     bool          // no free slot, or cold and at its rate limit
-	booked   time.Duration // reading time committed to placed requests
-	baseWait time.Duration // time until a request placed now would be read
+	booked   time.Duration // prefill time committed to placed requests
+	baseWait time.Duration // time until the prefill of a request placed now starts
 	// Cost of failures and load in the choice. Not part of the expected wait.
 	penalty time.Duration
 	speed   float64 // prompt tokens per second
 }
 
-// accepts reports whether the target can take a request with less than the limit of its
-// reading time booked.
+// accepts reports whether the target can take a request and has less prefill time booked
+// than the limit.
 func (v *view) accepts(limit time.Duration) bool { return v.usable && !v.full && v.booked < limit }
 
 func (c *Cell) makeView(now time.Time, t *target) view {
@@ -148,7 +148,7 @@
 	return len(c.views) > 0
 }
 
-// leastBooked returns the least booked reading time of the usable targets, or -1 if there
+// leastBooked returns the least booked prefill time of the usable targets, or -1 if there
 // are none.
 func (c *Cell) leastBooked() time.Duration {
 	least := time.Duration(-1)
--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -6,9 +6,9 @@
 // between accounts and refuses requests that cannot be served in time.
 //
 // One gateway schedules a cell at a time. A Cell is a pure state machine: Step returns
-// actions. Reading a prompt means the prefill: the target computes the tokens that are
-// not in its cache. Reading time committed to placed requests is called booked. Service
-// is counted in tokens, with outputWeight for output tokens.
+// actions. In the prefill a target computes the prompt tokens that are not in its cache;
+// those of shared parts are called reread. Prefill time committed to placed requests is
+// called booked. Service is counted in tokens, with outputWeight for output tokens.
 package cell
 
 import (
@@ -164,7 +164,7 @@
 	// The remaining fields explain the decision.
 	Account      string
 	Affinity     uint64 // ID of the deepest shared part of the prompt
-	RereadTokens int    // tokens of shared parts that the target reads again
+	RereadTokens int    // tokens of shared parts that the target prefills again
 	CopiedTokens int    // tokens copied from Source
 	Reason       Reason
 }
@@ -201,7 +201,7 @@
 	Account    string
 	Waited     time.Duration
 	Ahead      float64       // service beyond that of the least served waiting account
-	Booked     time.Duration // reading time booked at the least busy target, -1 if none is usable
+	Booked     time.Duration // prefill time booked at the least busy target, -1 if none is usable
 	Waiting    int           // number of other waiting requests
 }
 
--- a/core/cell/kept_test.go
+++ b/core/cell/kept_test.go
@@ -53,9 +53,9 @@
 		return refused
 	}
 	if n := outcome(3); n != 0 {
-		t.Errorf("%d of 3 refused, want none: all are read within half a second", n)
+		t.Errorf("%d of 3 refused, want none: all are prefilled within half a second", n)
 	}
 	if n := outcome(20); n < 10 {
-		t.Errorf("%d of 20 refused, want at least 10: the last is read after three seconds", n)
+		t.Errorf("%d of 20 refused, want at least 10: the last is prefilled after three seconds", n)
 	}
 }
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -15,8 +15,8 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// simEngine reads prompts in order at a fixed speed, has an LRU cache of parts and sends
-// the first event a fixed time after reading.
+// simEngine prefills prompts in order at a fixed speed, has an LRU cache of parts and sends
+// the first event a fixed time after the prefill.
 type simEngine struct {
 	id          string
 	speed       float64
--- a/core/cell/tally_test.go
+++ b/core/cell/tally_test.go
@@ -34,7 +34,7 @@
 						if !ok {
 							continue
 						}
-						// The engine reads in order; runs end as soon as they begin.
+						// The engine prefills in order; runs end as soon as they begin.
 						if due[i].Before(now) {
 							due[i] = now
 						}
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -12,17 +12,17 @@
 	RefusedWithRoom uint64
 	// Searches for a target, for all waiting requests.
 	Tried uint64
-	// Prompt tokens of the asked and placed requests, and those read by targets.
+	// Prompt tokens of the asked and placed requests, and those that targets prefill.
 	AskedTokens, PlacedTokens, Read uint64
-	// Tokens of shared parts that are read again, by the reason of the placement.
+	// Tokens of shared parts that are prefilled again, by the reason of the placement.
 	Anew [reasonCount]uint64
-	// Reading time of all targets, removed ones included.
+	// Prefill time of all targets, removed ones included.
 	Reading time.Duration
 	// Transfers between targets and their tokens.
 	Copies, Copied uint64
 }
 
-// RereadTokens returns the tokens of shared parts that were read again, for any reason.
+// RereadTokens returns the tokens of shared parts that were prefilled again, for any reason.
 func (c Counts) RereadTokens() uint64 {
 	sum := uint64(0)
 	for _, tokens := range c.Anew {
@@ -35,7 +35,7 @@
 type Load struct {
 	Targets int           // usable targets, full ones included
 	Running int           // running requests
-	Booked  time.Duration // average booked reading time of the usable targets
+	Booked  time.Duration // average booked prefill time of the usable targets
 }
 
 // Load returns the current load.
@@ -69,7 +69,7 @@
 }
 
 func (c *Cell) countTarget(now time.Time, t *target) {
-	reading := t.engine.PrefillTime(now)
-	c.counts.Reading += reading - t.countedReading
-	t.countedReading = reading
+	total := t.engine.PrefillTime(now)
+	c.counts.Reading += total - t.countedReading
+	t.countedReading = total
 }
--- a/core/cell/totals_test.go
+++ b/core/cell/totals_test.go
@@ -20,7 +20,7 @@
 	}
 	read := c.Counts(epoch.Add(200 * time.Millisecond)).Reading
 	if read < 350*time.Millisecond || read > 450*time.Millisecond {
-		t.Errorf("reading time %v, want about 400ms for 16,000 tokens", read)
+		t.Errorf("prefill time %v, want about 400ms for 16,000 tokens", read)
 	}
 	now := epoch.Add(time.Second)
 	if l := c.Load(now); l.Targets != 2 || l.Running != 2 {
@@ -30,10 +30,10 @@
 	c.Step(now, EndedSeen{"e", 2, batch.OutcomeDone})
 	c.Step(now, TargetsSeen{TokensPerSecond: 40_000, Targets: targets[:1]})
 	if got := c.Counts(epoch.Add(200 * time.Millisecond)).Reading; got != read {
-		t.Errorf("reading time %v after a target was removed, %v before", got, read)
+		t.Errorf("prefill time %v after a target was removed, %v before", got, read)
 	}
 	if n := c.Counts(now); n.AskedTokens != 16_000 || n.PlacedTokens != 16_000 || n.Read != 16_000 {
-		t.Errorf("counts %+v, want 16000 tokens asked, placed and read", n)
+		t.Errorf("counts %+v, want 16000 tokens asked, placed and prefilled", n)
 	}
 }
 
@@ -45,6 +45,6 @@
 		c.Step(epoch.Add(time.Duration(i)*200*time.Millisecond), longAsk(RequestID(i)))
 	}
 	if got := c.Counts(epoch.Add(2 * time.Second)).Reading; got < 1900*time.Millisecond || got > 2*time.Second {
-		t.Errorf("reading time %v, want nearly 2s", got)
+		t.Errorf("prefill time %v, want nearly 2s", got)
 	}
 }
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -14,7 +14,7 @@
 	transferSetup = 3 * time.Millisecond
 	// Slowdown of a transfer between data halls.
 	crossHallFactor = 2
-	// Longest transfer as a part of the time to read the same tokens.
+	// Longest transfer as a part of the time to prefill the same tokens.
 	transferShare = 0.5
 )
 
@@ -76,7 +76,7 @@
 	return a
 }
 
-// afterTransfer returns the time until the prompt is copied and the rest of it is read.
+// afterTransfer returns the time until the copy and the prefill of the rest are done.
 func (v *view) afterTransfer(missing int, x transfer) time.Duration {
 	return x.delay + seconds(float64(missing-x.tokens)/v.speed)
 }
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -11,7 +11,7 @@
 	"madderway/models/routing"
 )
 
-// fastLinks copies a token in a thousandth of its read time.
+// fastLinks copies a token in a thousandth of its prefill time.
 var fastLinks = &routing.Transfer{TokenBytes: 25, BytesPerSecond: 1e9}
 
 // transferCell returns a cell of three targets with one slot each: keeper has part 7 and
@@ -53,9 +53,9 @@
 	}
 }
 
-// Covers targets that do not copy, and links on which copying takes as long as reading.
+// Covers targets that do not copy, and links on which copying takes as long as the prefill.
 func TestNoCopyWithoutGain(t *testing.T) {
-	slow := &routing.Transfer{TokenBytes: 25_000, BytesPerSecond: 1e9} // as fast as reading
+	slow := &routing.Transfer{TokenBytes: 25_000, BytesPerSecond: 1e9} // as fast as the prefill
 	for name, links := range map[string]*routing.Transfer{"none": nil, "slow": slow} {
 		c := transferCell(links)
 		if p, ok := askTransfer(c, time.Second, 2); ok && p.Source != "" {
@@ -100,9 +100,9 @@
 		{ID: "a", Slots: 1, CacheTokens: 500_000}, {ID: "b", Slots: 1, CacheTokens: 500_000}, {ID: "c", Slots: 1, CacheTokens: 500_000},
 	}})
 	first, _ := askTransfer(c, 0, 1)
-	second, ok := askTransfer(c, 130*time.Millisecond, 2) // the first is still being read
+	second, ok := askTransfer(c, 130*time.Millisecond, 2) // the first is still being prefilled
 	if ok && second.Source != "" {
-		t.Fatalf("placed %+v with a copy from %s, which is still reading", second, first.Target)
+		t.Fatalf("placed %+v with a copy from %s, which is still prefilling", second, first.Target)
 	}
 	c.Step(epoch.Add(250*time.Millisecond), BeganSeen{"e", 1})
 	if third, ok := askTransfer(c, 260*time.Millisecond, 3); !ok || third.Source != first.Target {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Guards against copies over a link that is in use for longer than reading takes.
+// Guards against copies over a link that is in use for longer than the prefill takes.
 func TestTransfersQueueOnLink(t *testing.T) {
 	c := transferCell(fastLinks)
 	keeper := c.targets["keeper"]
@@ -139,14 +139,14 @@
 		return r.sharedRead
 	}
 	alone, shared := read(nil), read(fastLinks)
-	t.Logf("shared tokens read: %d alone, %d with transfers", alone, shared)
-	// Requests that arrive during the first read of a prefix read it too.
+	t.Logf("shared tokens prefilled: %d alone, %d with transfers", alone, shared)
+	// Requests that arrive during the first prefill of a prefix compute it too.
 	if shared > 3*6*13_000 || float64(shared) > 0.7*float64(alone) {
-		t.Errorf("%d shared tokens read with transfers, %d without, want at most three times %d", shared, alone, 6*13_000)
+		t.Errorf("%d shared tokens prefilled with transfers, %d without, want at most three times %d", shared, alone, 6*13_000)
 	}
 }
 
-// A request spills to a target with reading booked only if its prefix is copied there
+// A request spills to a target with prefill time booked only if its prefix is copied there
 // cheaply.
 func TestSpillDependsOnCopyCost(t *testing.T) {
 	spills := func(links *routing.Transfer) bool {
--- a/core/overload/overload.go
+++ b/core/overload/overload.go
@@ -24,8 +24,8 @@
 	// windowLength is the time over which lateness is averaged. A sample later than that
 	// ends its window at once, as the next one is taken only after it was read.
 	windowLength = 100 * time.Millisecond
-	// busyLateness is the lateness from which a process counts as never idle; a process
-	// that keeps up is 1 to 4 ms late.
+	// busyLateness is the lateness from which a process counts as never idle, well above
+	// that of a process that keeps up.
 	busyLateness = 12 * time.Millisecond
 	// maxUtilization limits the utilization that is assumed of a process in time, so that
 	// the admitted share rises until the process is late or everything is admitted.
