--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -30,7 +30,7 @@
 type target struct {
 	info           TargetInfo
 	engine         *batch.Engine // estimate of the target's queue, cache and speed
-	countedReading time.Duration // part of the engine's prefill time that is in Cell.counts
+	countedPrefill time.Duration // part of the engine's prefill time that is in Cell.counts
 	linkFreeAt     time.Time     // end of the transfers from or to the target
 	coldPacer      cold.Pacer    // rate limit while the target is cold
 }
@@ -105,7 +105,7 @@
 	case EntryGone:
 		c.releaseEntry(now, e.Entry)
 	case TargetsSeen:
-		c.countReading(now)
+		c.countPrefillTime(now)
 		c.setTargets(e)
 	case ColdShareSeen:
 		c.coldShare = e.Share
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -28,9 +28,9 @@
 	down        bool // sends no events
 }
 
-// read queues a prompt and returns the tokens that are not cached, and those of them in
+// prefill queues a prompt and returns the tokens that are not cached, and those of them in
 // shared parts.
-func (e *simEngine) read(now time.Time, p *routing.Prompt) (missing, sharedMissing int) {
+func (e *simEngine) prefill(now time.Time, p *routing.Prompt) (missing, sharedMissing int) {
 	whole := true
 	for i, part := range p.Parts {
 		if _, ok := e.cached[part.ID]; !ok || !whole {
@@ -197,7 +197,7 @@
 	if from := s.engines[a.Source]; from != nil {
 		e.copy(from, ask.prompt)
 	}
-	missing, shared := e.read(s.now, ask.prompt)
+	missing, shared := e.prefill(s.now, ask.prompt)
 	r.placed++
 	r.read += missing
 	r.sharedRead += shared
--- a/core/cell/totals.go
+++ b/core/cell/totals.go
@@ -55,11 +55,11 @@
 
 // Counts returns the totals since the cell's start.
 func (c *Cell) Counts(now time.Time) Counts {
-	c.countReading(now)
+	c.countPrefillTime(now)
 	return c.counts
 }
 
-func (c *Cell) countReading(now time.Time) {
+func (c *Cell) countPrefillTime(now time.Time) {
 	for _, t := range c.sorted {
 		c.countTarget(now, t)
 	}
@@ -70,6 +70,6 @@
 
 func (c *Cell) countTarget(now time.Time, t *target) {
 	total := t.engine.PrefillTime(now)
-	c.counts.Reading += total - t.countedReading
-	t.countedReading = total
+	c.counts.Reading += total - t.countedPrefill
+	t.countedPrefill = total
 }
--- a/core/cell/totals_test.go
+++ b/core/cell/totals_test.go
@@ -10,7 +10,7 @@
 	"madderway/core/batch"
 )
 
-func TestReadingTimeSurvivesTargetRemoval(t *testing.T) {
+func TestPrefillTimeSurvivesTargetRemoval(t *testing.T) {
 	c := New()
 	targets := []TargetInfo{{ID: "a", Slots: 1, CacheTokens: 500_000}, {ID: "b", Slots: 1, CacheTokens: 500_000}}
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: targets})
@@ -38,7 +38,7 @@
 }
 
 // Guards against reporting busy targets as idle while their first events do not arrive.
-func TestReadingIsCountedWithoutFirstEvents(t *testing.T) {
+func TestPrefillIsCountedWithoutFirstEvents(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Targets: []TargetInfo{{ID: "a", Slots: 64, CacheTokens: 500_000}}})
 	for i := range 10 {
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestPartBeingReadIsNotCopied(t *testing.T) {
+func TestPartBeingPrefilledIsNotCopied(t *testing.T) {
 	c := New()
 	c.Step(epoch, TargetsSeen{TokensPerSecond: 40_000, Transfer: fastLinks, Targets: []TargetInfo{
 		{ID: "a", Slots: 1, CacheTokens: 500_000}, {ID: "b", Slots: 1, CacheTokens: 500_000}, {ID: "c", Slots: 1, CacheTokens: 500_000},
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestHotPrefixIsRarelyRead(t *testing.T) {
+func TestHotPrefixIsRarelyPrefilled(t *testing.T) {
 	read := func(links *routing.Transfer) int {
 		s := newSim(9, 45_000, 570_000)
 		s.links = links
