--- a/core/admit/event.go
+++ b/core/admit/event.go
@@ -2,8 +2,9 @@
 // SPDX-License-Identifier: MIT
 
 // Package admit is the entry router's side of scheduling: it queues requests by account and
-// pool, sends demands to schedulers and decides which request uses a grant. A Queuer is a pure
-// state machine: Step takes the time and an event and returns actions.
+// pool, sends demands to schedulers (core/sched) and decides which request uses a grant. A
+// Queuer is a pure state machine: Step takes the time and an event and returns actions.
+// Gateway processes use core/entry and core/cell instead.
 package admit
 
 import (
--- a/core/admit/queuer.go
+++ b/core/admit/queuer.go
@@ -215,8 +215,8 @@
 	return Route{}, false
 }
 
-// progress charges more than the cost so far, in growing steps, so that a long answer needs
-// few reports.
+// progress charges more than the cost so far, in growing steps, so that a long response
+// needs few reports.
 func (q *Queuer) progress(e Progressed) {
 	r := q.running[e.ID]
 	if r == nil || r.base+e.Cost <= r.charged {
--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package attempt decides what follows an attempt to serve a request at a target:
-// another attempt, a final answer or the end of the connection.
+// another attempt, a final response or the end of the connection.
 //
 // It guarantees that a request that must not be repeated is not sent again once a
 // target may have executed it, and that the caller never gets "not run" for it then.
@@ -19,9 +19,9 @@
 const (
 	NotSent  Outcome = iota + 1 // no byte was written to the target
 	NotRun                      // the target rejected the request without executing it
-	Unknown                     // the request was written, but no usable answer came
-	Failed                      // the target executed the request and answered with an error
-	Cut                         // the answer broke off after its head
+	Unknown                     // the request was written, but no usable response came
+	Failed                      // the target executed the request and responded with an error
+	Cut                         // the response broke off after its head
 	Expired                     // the deadline passed
 	Withheld                    // no byte was written, since the target is leaving or asked for a pause
 )
@@ -39,10 +39,10 @@
 	Again    Next = iota + 1 // try another target
 	Resume                   // continue the stream at another target after the last event
 	Deliver                  // forward the target's error to the caller
-	Refuse                   // answer "not run" with a retry time
-	Unclear                  // answer that the outcome is unknown
-	TimedOut                 // answer that the deadline passed
-	Abort                    // close the connection, as part of the answer was forwarded
+	Refuse                   // respond "not run" with a retry time
+	Unclear                  // respond that the outcome is unknown
+	TimedOut                 // respond that the deadline passed
+	Abort                    // close the connection, as part of the response was forwarded
 )
 
 // String returns the name of the action.
@@ -59,7 +59,7 @@
 	Sent            int  // attempts that wrote the request, this one included
 	Unsent          int  // attempts that wrote nothing, this one included
 	MayHaveRun      bool // some target may have executed the request
-	HeadForwarded   bool // the head of an answer was forwarded to the caller
+	HeadForwarded   bool // the head of a response was forwarded to the caller
 	EventsForwarded bool // complete events were forwarded to the caller
 }
 
@@ -96,7 +96,7 @@
 }
 
 // retry returns the action that repeats the request, or Abort if the caller has part of
-// an answer that cannot be resumed.
+// a response that cannot be resumed.
 func retry(h History) Next {
 	if !h.HeadForwarded {
 		return Again
@@ -107,7 +107,7 @@
 	return Abort
 }
 
-// giveUp returns the final answer of a request that is not retried.
+// giveUp returns the final response to a request that is not retried.
 func giveUp(h History) Next {
 	switch {
 	case h.HeadForwarded:
@@ -119,7 +119,7 @@
 	}
 }
 
-// timeOut returns the final answer of a request whose deadline passed.
+// timeOut returns the final response to a request whose deadline passed.
 func timeOut(h History) Next {
 	switch {
 	case h.HeadForwarded:
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -19,7 +19,7 @@
 	latencyGain    = 0.1                   // weight of a new sample in the latency
 	errorGain      = 0.1                   // weight of a new outcome in the error rate
 	errorWeight    = 3                     // of the error rate in the cost of a target
-	initialLatency = 20 * time.Millisecond // latency before any target has answered
+	initialLatency = 20 * time.Millisecond // latency before any target has responded
 	avoidFirst     = 200 * time.Millisecond
 	avoidMax       = 4 * time.Second
 	// A target is stuck once a request takes stuckFactor times its usual latency, and
@@ -31,7 +31,7 @@
 
 type targetState struct {
 	inFlight   map[uint64]time.Time
-	latency    time.Duration // 0 before the first answer
+	latency    time.Duration // 0 before the first response
 	errors     float64       // error rate
 	failures   int           // consecutive failures
 	avoidUntil time.Time
@@ -42,7 +42,7 @@
 type Balancer struct {
 	dataHall   string
 	states     map[string]*targetState
-	latency    time.Duration // of all targets, used for those without an answer
+	latency    time.Duration // of all targets, used for those without a response
 	lastNumber uint64
 	random     func() float64
 }
@@ -138,7 +138,7 @@
 	return s.latency
 }
 
-// Done records a successful answer.
+// Done records a successful response.
 func (b *Balancer) Done(now time.Time, p *Pick) {
 	s := b.state(p.Target.ID)
 	took := now.Sub(s.inFlight[p.number])
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -20,7 +20,7 @@
 	OutcomeNotSent                     // no connection to the engine
 	OutcomeFull                        // the engine rejected the request without executing it
 	OutcomeMoved                       // the address belongs to another target now
-	OutcomeFailed                      // the engine answered with an error
+	OutcomeFailed                      // the engine responded with an error
 	OutcomeBroken                      // the response broke off or was invalid
 	OutcomeExpired                     // no response in time
 	OutcomeUnlisted                    // the entry gateway did not send: the target is unknown to it, leaving or asked for a pause
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: MIT
 
 // Package claim ensures that a call that must not be repeated is sent by at most
-// one router. The only arbiter are conditional writes to the platform's table;
-// neither clocks nor leases are trusted.
+// one router. Only conditional writes to the platform's table decide which; neither
+// clocks nor leases are trusted.
 //
 // A Claim does no I/O: Step takes an event and returns the actions that the caller
 // must perform. spec/claim.pml models the protocol.
@@ -33,7 +33,7 @@
 	Status      int       `json:"status,omitempty"`
 	ContentType string    `json:"content_type,omitempty"`
 	Body        []byte    `json:"body,omitempty"`
-	Object      string    `json:"object,omitempty"` // key in the object store of an answer too large for Body
+	Object      string    `json:"object,omitempty"` // key in the object store of a response too large for Body
 	Expires     time.Time `json:"expires"`
 }
 
@@ -119,7 +119,7 @@
 
 // Verdicts.
 const (
-	VerdictRecorded    Verdict = iota + 1 // an answer is recorded
+	VerdictRecorded    Verdict = iota + 1 // a response is recorded
 	VerdictKeyReused                      // the idempotency key was used with another body
 	VerdictInProgress                     // another attempt is in progress
 	VerdictUnknown                        // another attempt may have run
@@ -370,7 +370,7 @@
 	}
 }
 
-// markFinished ends a claim whose caller needs no further answer.
+// markFinished ends a claim whose caller has got its response.
 func (c *Claim) markFinished() {
 	c.phase = phaseFinished
 	c.emit(Finish{})
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// permitOrder permits the permitOrder if enough of the lease is left. The lease starts when the
+// permitOrder permits the order if enough of the lease is left. The lease starts when the
 // write was sent, so a pause of this process can only shorten it.
 func (l *Lease) permitOrder(now time.Time, epoch uint64) Action {
 	until := l.sentAt.Add(l.cfg.Duration)
--- a/core/leaving/leaving.go
+++ b/core/leaving/leaving.go
@@ -31,8 +31,8 @@
 }
 
 type incarnation struct {
-	since time.Time // when this process learned that it leaves
-	seen  time.Time // when it was last listed or announced anywhere
+	since time.Time // this process learned that it leaves
+	seen  time.Time // last listed or announced anywhere
 }
 
 // New returns an empty set.
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package limit adapts the concurrency limit of a target: additive increase while answers are
-// quick, multiplicative decrease when they are not.
+// Package limit adapts the concurrency limit of a target: additive increase while responses
+// are quick, multiplicative decrease when they are not.
 package limit
 
 import "time"
--- a/core/member/circle.go
+++ b/core/member/circle.go
@@ -23,11 +23,11 @@
 	id   string
 }
 
-func (c *ring) pointOf(id string) ringPoint {
+func (r *ring) pointOf(id string) ringPoint {
 	var d xxhash.Digest
-	d.ResetWithSeed(c.salt)
+	d.ResetWithSeed(r.salt)
 	var raw [8]byte
-	binary.LittleEndian.PutUint64(raw[:], c.salt)
+	binary.LittleEndian.PutUint64(raw[:], r.salt)
 	_, _ = d.Write(raw[:])
 	_, _ = d.WriteString(id)
 	return ringPoint{d.Sum64(), id}
@@ -48,26 +48,26 @@
 	}
 }
 
-func (c *ring) insert(id string) {
-	p := c.pointOf(id)
-	if at, found := slices.BinarySearchFunc(c.points, p, comparePoints); !found {
-		c.points = slices.Insert(c.points, at, p)
+func (r *ring) insert(id string) {
+	p := r.pointOf(id)
+	if at, found := slices.BinarySearchFunc(r.points, p, comparePoints); !found {
+		r.points = slices.Insert(r.points, at, p)
 	}
 }
 
-func (c *ring) remove(id string) {
-	if at, found := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints); found {
-		c.points = slices.Delete(c.points, at, at+1)
+func (r *ring) remove(id string) {
+	if at, found := slices.BinarySearchFunc(r.points, r.pointOf(id), comparePoints); found {
+		r.points = slices.Delete(r.points, at, at+1)
 	}
 }
 
 // forward visits each other member once, starting with the successor of id, until
 // visit returns false.
-func (c *ring) forward(id string, visit func(id string) bool) {
-	at, _ := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints)
-	n := len(c.points)
+func (r *ring) forward(id string, visit func(id string) bool) {
+	at, _ := slices.BinarySearchFunc(r.points, r.pointOf(id), comparePoints)
+	n := len(r.points)
 	for i := range n {
-		next := c.points[(at+i)%n].id
+		next := r.points[(at+i)%n].id
 		if next != id && !visit(next) {
 			return
 		}
@@ -75,11 +75,11 @@
 }
 
 // backward is like forward but starts with the predecessor.
-func (c *ring) backward(id string, visit func(id string) bool) {
-	at, _ := slices.BinarySearchFunc(c.points, c.pointOf(id), comparePoints)
-	n := len(c.points)
+func (r *ring) backward(id string, visit func(id string) bool) {
+	at, _ := slices.BinarySearchFunc(r.points, r.pointOf(id), comparePoints)
+	n := len(r.points)
 	for i := range n {
-		next := c.points[(at-1-i+2*n)%n].id
+		next := r.points[(at-1-i+2*n)%n].id
 		if next != id && !visit(next) {
 			return
 		}
--- a/core/overload/plan.go
+++ b/core/overload/plan.go
@@ -16,7 +16,7 @@
 	drainTime        = 700 * time.Millisecond
 	// When refusals take most of the time, so that at most maxHeldShare is admitted, lateness
 	// up to holdLateness is tolerated and the share that keeps it constant is still admitted:
-	// a caller that waits that long, and again after a refusal, is still answered in time.
+	// a caller that waits that long, and again after a refusal, is still served in time.
 	// From holdEndLateness on only the share that drains the backlog is admitted.
 	maxHeldShare    = 0.2
 	holdLateness    = 200 * time.Millisecond
@@ -44,7 +44,7 @@
 	// arrivalDecay is the time constant of the arrival rate.
 	arrivalDecay = 300 * time.Millisecond
 	// deferredWork is the fraction of a request's work that follows after its start, as the
-	// answer is streamed; it decays with the time constant deferredTime.
+	// response is streamed; it decays with the time constant deferredTime.
 	deferredWork = 0.5
 	deferredTime = time.Second
 	// minAcceptedShare is the lower limit of the served and accepted shares: if nothing was
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -86,7 +86,7 @@
 	Class       string
 	Rank        int  // orders the requests of one account, lowest first
 	Interactive bool // gets the pool's head start
-	Keep        bool // store the answer if the caller disconnected
+	Keep        bool // store the response if the caller disconnected
 }
 
 // Placement is a policy's decision on a request and a target.
--- a/core/sched/event.go
+++ b/core/sched/event.go
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: MIT
 
 // Package sched grants free slots of targets to accounts, in proportion to their weights.
-// A Scheduler is a pure state machine: Step(now, event) returns actions.
+// Entry routers (core/admit) send it demands. A Scheduler is a pure state machine: Step
+// takes an event and returns actions. Gateway processes use core/cell instead.
 package sched
 
 import (
