--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -102,7 +102,7 @@
 		c.endRun(now, requestKey{e.Entry, e.ID}, e.Outcome)
 	case InventorySeen:
 		c.reconcile(now, e)
-	case EntryGone:
+	case EntryEnded:
 		c.releaseEntry(now, e.Entry)
 	case TargetsSeen:
 		c.countPrefillTime(now)
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -163,7 +163,7 @@
 	if n := placed(c.Step(epoch, InventorySeen{"e", []Held{{ID: 1, Target: "t", Prompt: p, Begun: true}}})); n != 1 {
 		t.Errorf("%d placed after the inventory freed a slot, want 1", n)
 	}
-	if n := placed(c.Step(epoch, EntryGone{"e"})); n != 0 || !c.Idle() {
+	if n := placed(c.Step(epoch, EntryEnded{"e"})); n != 0 || !c.Idle() {
 		t.Error("runs of an ended entry gateway are still held")
 	}
 }
--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -88,8 +88,8 @@
 	Held  []Held
 }
 
-// EntryGone reports that an entry gateway has ended and its requests are closed.
-type EntryGone struct{ Entry string }
+// EntryEnded reports that an entry gateway has ended and its requests are closed.
+type EntryEnded struct{ Entry string }
 
 // TargetsSeen replaces the list of targets and the settings of the cell.
 type TargetsSeen struct {
@@ -143,7 +143,7 @@
 func (BeganSeen) isEvent()        {}
 func (EndedSeen) isEvent()        {}
 func (InventorySeen) isEvent()    {}
-func (EntryGone) isEvent()        {}
+func (EntryEnded) isEvent()       {}
 func (TargetsSeen) isEvent()      {}
 func (ColdShareSeen) isEvent()    {}
 func (TallySeen) isEvent()        {}
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -26,7 +26,7 @@
 				link.Reconnect()
 			}
 			for key, s := range l.cells {
-				l.applyToCell(now, key, s, cell.EntryGone{Entry: a.ID})
+				l.applyToCell(now, key, s, cell.EntryEnded{Entry: a.ID})
 			}
 			l.stepEntry(now, entry.PeerRestarted{ID: a.ID})
 			l.records.Forget(a.ID)
