--- a/core/sched/event.go
+++ b/core/sched/event.go
@@ -84,8 +84,8 @@
 	Events []place.CacheEvent
 }
 
-// EntryGone reports that an entry router has ended.
-type EntryGone struct{ ID string }
+// EntryEnded reports that an entry router has ended.
+type EntryEnded struct{ ID string }
 
 // Tick reports that time has passed.
 type Tick struct{}
@@ -97,7 +97,7 @@
 func (TallySeen) isEvent()     {}
 func (LoadSeen) isEvent()      {}
 func (CacheSeen) isEvent()     {}
-func (EntryGone) isEvent()     {}
+func (EntryEnded) isEvent()    {}
 func (Tick) isEvent()          {}
 
 // Action is a task for the owner of a Scheduler.
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -417,7 +417,7 @@
 	sc, now := singleTarget(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 9, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
-	if got := grantsOf(sc.Step(now, EntryGone{"gone"})); len(got) != 1 || got[0].Account != "b" {
+	if got := grantsOf(sc.Step(now, EntryEnded{"gone"})); len(got) != 1 || got[0].Account != "b" {
 		t.Fatalf("got %v, want one grant for b", got)
 	}
 }
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -109,7 +109,7 @@
 		s.applyLoad(now, e)
 	case CacheSeen:
 		s.applyCacheEvents(now, e)
-	case EntryGone:
+	case EntryEnded:
 		s.releaseEntry(now, e.ID)
 	case Tick:
 		s.tick(now)
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -289,7 +289,7 @@
 			}
 		case member.IncarnationEnded:
 			l.log.Warn("Incarnation of a member ended.", "id", a.ID, "incarnation", a.Incarnation)
-			l.stepScheduler(now, sched.EntryGone{ID: a.ID})
+			l.stepScheduler(now, sched.EntryEnded{ID: a.ID})
 			l.records.Forget(a.ID)
 		}
 	}
