--- a/core/entry/event.go
+++ b/core/entry/event.go
@@ -66,8 +66,8 @@
 // PeerHeard reports that any message arrived from a gateway.
 type PeerHeard struct{ ID string }
 
-// PeerRestarted reports that a gateway has died or has a new incarnation.
-type PeerRestarted struct{ ID string }
+// PeerEnded reports that a gateway has died or has a new incarnation.
+type PeerEnded struct{ ID string }
 
 // LinkStateSeen reports whether this gateway's network link is saturated, so that
 // answers of schedulers arrive late. A lack of processor time shows as Tick.Lag instead.
@@ -86,7 +86,7 @@
 func (RefusalSeen) isEvent()   {}
 func (LayoutSeen) isEvent()    {}
 func (PeerHeard) isEvent()     {}
-func (PeerRestarted) isEvent() {}
+func (PeerEnded) isEvent()     {}
 func (LinkStateSeen) isEvent() {}
 func (Tick) isEvent()          {}
 
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -91,7 +91,7 @@
 		m.layout = e.Layout
 	case PeerHeard:
 		delete(m.suspects, e.ID)
-	case PeerRestarted:
+	case PeerEnded:
 		m.schedulerRestarted(e.ID)
 	case LinkStateSeen:
 		m.linkSaturated = e.Saturated
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -237,7 +237,7 @@
 	f := setUp(t)
 	f.after(0, submit(1))
 	f.after(time.Millisecond, PlacementSeen{From: f.first, Cell: "s/0", ID: 1, Target: "t"})
-	f.after(time.Millisecond, PeerRestarted{f.first})
+	f.after(time.Millisecond, PeerEnded{f.first})
 	actions := f.after(time.Millisecond, submit(2))
 	inv, ok := actions[0].(InventoryOut)
 	if !ok || inv.To != f.first || len(inv.Held) != 1 || inv.Held[0].Target != "t" {
--- a/services/mesh/step.go
+++ b/services/mesh/step.go
@@ -28,7 +28,7 @@
 			for key, s := range l.cells {
 				l.applyToCell(now, key, s, cell.EntryEnded{Entry: a.ID})
 			}
-			l.stepEntry(now, entry.PeerRestarted{ID: a.ID})
+			l.stepEntry(now, entry.PeerEnded{ID: a.ID})
 			l.records.Forget(a.ID)
 			if l.opts.OnIncarnationEnd != nil {
 				l.opts.OnIncarnationEnd(a.ID)
