--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -92,7 +92,7 @@
 	case PeerHeard:
 		delete(m.suspects, e.ID)
 	case PeerEnded:
-		m.schedulerRestarted(e.ID)
+		m.schedulerEnded(e.ID)
 	case LinkStateSeen:
 		m.linkSaturated = e.Saturated
 	case Tick:
@@ -265,8 +265,8 @@
 	return m.self
 }
 
-// schedulerRestarted makes the next ask send an inventory to a restarted scheduler.
-func (m *Machine) schedulerRestarted(id string) {
+// schedulerEnded makes the next ask send an inventory to a restarted scheduler.
+func (m *Machine) schedulerEnded(id string) {
 	for _, s := range m.schedulers {
 		if s.scheduler == id {
 			s.scheduler = ""
