--- a/core/member/gossip.go
+++ b/core/member/gossip.go
@@ -41,7 +41,7 @@
 	if len(l.pendingRumors) == 0 {
 		return nil
 	}
-	var pending []*entry
+	var pending []*memberState
 	for id, m := range l.pendingRumors {
 		if m.transmissions >= maxTransmissions {
 			delete(l.pendingRumors, id)
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -17,7 +17,7 @@
 	"madderway/core/place"
 )
 
-type entry struct {
+type memberState struct {
 	Record
 	listed        bool      // in the platform's latest VM list
 	heardAt       time.Time // last heartbeat, or when the member became known or alive again
@@ -30,7 +30,7 @@
 type List struct {
 	cfg           Config
 	self          Record
-	members       map[string]*entry
+	members       map[string]*memberState
 	sorted        []string
 	rings         []ring // all members including this one; one ring per monitor
 	tickedAt      time.Time
@@ -40,8 +40,8 @@
 	actions       []Action
 	changed       bool
 	// Indexes into members, so that a tick need not scan all of them.
-	suspectOrDead map[string]*entry
-	pendingRumors map[string]*entry
+	suspectOrDead map[string]*memberState
+	pendingRumors map[string]*memberState
 	// Derived from the rings by updateMonitors when monitorsStale is set.
 	monitored     map[string]time.Time // start of monitoring by member ID
 	monitors      []string             // members that monitor this one
@@ -53,7 +53,7 @@
 func New(cfg Config, self Record) *List {
 	self.State = StateAlive
 	l := &List{
-		cfg: cfg, self: self, members: map[string]*entry{}, suspectOrDead: map[string]*entry{}, pendingRumors: map[string]*entry{},
+		cfg: cfg, self: self, members: map[string]*memberState{}, suspectOrDead: map[string]*memberState{}, pendingRumors: map[string]*memberState{},
 		monitored: map[string]time.Time{}, rings: make([]ring, cfg.Monitors), monitorsStale: true,
 	}
 	for i := range l.rings {
@@ -121,7 +121,7 @@
 func (l *List) mergeListed(now time.Time, v ListedVM) {
 	m, ok := l.members[v.ID]
 	if !ok {
-		m = &entry{Record: Record{ID: v.ID, State: StateAlive, Address: v.Address, DataHall: v.DataHall, Region: v.Region}, heardAt: now}
+		m = &memberState{Record: Record{ID: v.ID, State: StateAlive, Address: v.Address, DataHall: v.DataHall, Region: v.Region}, heardAt: now}
 		l.add(m)
 	}
 	m.Address = v.Address
@@ -130,14 +130,14 @@
 	}
 }
 
-func (l *List) removeUnlisted(id string, m *entry) {
+func (l *List) removeUnlisted(id string, m *memberState) {
 	l.deleteMember(id)
 	if m.State != StateDead {
 		l.actions = append(l.actions, IncarnationEnded{id, m.Incarnation})
 	}
 }
 
-func (l *List) add(m *entry) {
+func (l *List) add(m *memberState) {
 	l.changed = true
 	l.members[m.ID] = m
 	at, _ := slices.BinarySearch(l.sorted, m.ID)
@@ -162,7 +162,7 @@
 }
 
 // recordChanged queues a new or changed record for gossip and updates suspectOrDead.
-func (l *List) recordChanged(m *entry) {
+func (l *List) recordChanged(m *memberState) {
 	m.transmissions = 0
 	l.pendingRumors[m.ID] = m
 	if m.State == StateSuspect || m.State == StateDead {
@@ -209,7 +209,7 @@
 		if r.State == StateDead {
 			return false
 		}
-		l.add(&entry{Record: r, heardAt: now})
+		l.add(&memberState{Record: r, heardAt: now})
 		return true
 	}
 	if direct {
@@ -245,7 +245,7 @@
 	return false
 }
 
-func (l *List) setState(m *entry, s State) {
+func (l *List) setState(m *memberState, s State) {
 	if m.State == s {
 		return
 	}
--- a/core/member/monitor.go
+++ b/core/member/monitor.go
@@ -113,7 +113,7 @@
 	}
 }
 
-func (l *List) checkLiveness(now time.Time, id string, m *entry) {
+func (l *List) checkLiveness(now time.Time, id string, m *memberState) {
 	switch m.State {
 	case StateAlive, StateLeaving:
 		since, ok := l.monitored[id]
@@ -144,14 +144,14 @@
 
 // probe requests a heartbeat from a member that is close to its timeout. While views
 // differ, the member may not know that this one monitors it.
-func (l *List) probe(now time.Time, m *entry, silence time.Duration) {
+func (l *List) probe(now time.Time, m *memberState, silence time.Duration) {
 	if interval := l.cfg.SuspectAfter / 3; silence >= 2*interval && now.Sub(m.probedAt) >= interval {
 		m.probedAt = now
 		l.actions = append(l.actions, SendHeartbeat{To: m.ID, From: l.self, View: l.view(), Probe: true})
 	}
 }
 
-func (l *List) markDead(m *entry) {
+func (l *List) markDead(m *memberState) {
 	l.setState(m, StateDead)
 	l.actions = append(l.actions, IncarnationEnded{m.ID, m.Incarnation})
 }
