--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -101,7 +101,7 @@
 	s.nextID++
 	g := &grant{to: e.from, account: account, pool: p, target: t, issuedAt: now, confirmedAt: now}
 	s.grants[s.nextID] = g
-	t.inflight++
+	t.inFlight++
 	if e.prefix != "" {
 		t.prefixes.Note(now, e.prefix)
 	}
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -19,7 +19,7 @@
 	spec            TargetSpec
 	limiter         *limit.Limiter
 	prefixes        *place.PrefixMap
-	inflight        int
+	inFlight        int
 	running         int       // from the load report; used only after a takeover
 	openFrom        time.Time // no grants before, so that adoptions can arrive
 	countCompleteAt time.Time // from then on inflight alone counts the busy slots
@@ -31,7 +31,7 @@
 	if t.down || t.leaving || t.spec.Leaving || now.Before(t.openFrom) {
 		return 0
 	}
-	busy := t.inflight
+	busy := t.inFlight
 	if now.Before(t.countCompleteAt) {
 		busy = max(busy, t.running)
 	}
@@ -77,7 +77,7 @@
 	targets          []*target
 	peers            map[fair.Reporter]*peerState
 	waitingSince     map[string]time.Time // by account
-	inflight         map[string]float64   // charges for running requests by account, in virtual units
+	inFlight         map[string]float64   // charges for running requests by account, in virtual units
 	localFloor       virtualFloor         // lower bound of the virtual time from the accounts that wait here
 	lastStart        float64              // highest virtual service of an account at a grant
 	lastInteractive  time.Time
@@ -101,7 +101,7 @@
 		queue:        fair.NewQueue(salt),
 		demands:      map[string]*accountDemand{},
 		waitingSince: map[string]time.Time{},
-		inflight:     map[string]float64{},
+		inFlight:     map[string]float64{},
 		peers:        map[fair.Reporter]*peerState{},
 	}
 }
@@ -178,13 +178,13 @@
 // settledLevel returns the account's virtual service without the charges for its running
 // requests, which may still be corrected.
 func (p *pool) settledLevel(account string) float64 {
-	return p.ledger.Level(account) - p.inflight[account]
+	return p.ledger.Level(account) - p.inFlight[account]
 }
 
-func (p *pool) addInflight(account string, delta float64) {
-	p.inflight[account] += delta
-	if p.inflight[account] < epsilon {
-		delete(p.inflight, account)
+func (p *pool) addInFlight(account string, delta float64) {
+	p.inFlight[account] += delta
+	if p.inFlight[account] < epsilon {
+		delete(p.inFlight, account)
 	}
 }
 
--- a/core/sched/scheduler.go
+++ b/core/sched/scheduler.go
@@ -195,7 +195,7 @@
 	// grants are dropped without settling them.
 	for id, g := range s.grants {
 		if s.targets[g.target.spec.Name] != g.target {
-			g.pool.addInflight(g.account, -g.charged/s.weight(g.account))
+			g.pool.addInFlight(g.account, -g.charged/s.weight(g.account))
 			delete(s.grants, id)
 		}
 	}
@@ -233,7 +233,7 @@
 	g.charged = cost
 	w := s.weight(g.account)
 	g.pool.ledger.Charge(g.account, delta/w)
-	g.pool.addInflight(g.account, delta/w)
+	g.pool.addInFlight(g.account, delta/w)
 	if g.pool.queue.Has(g.account) {
 		g.pool.requeue(now, g.account, w)
 	}
@@ -241,8 +241,8 @@
 
 func (s *Scheduler) release(id message.GrantID, g *grant) {
 	delete(s.grants, id)
-	g.pool.addInflight(g.account, -g.charged/s.weight(g.account))
-	g.target.inflight--
+	g.pool.addInFlight(g.account, -g.charged/s.weight(g.account))
+	g.target.inFlight--
 }
 
 func (s *Scheduler) applyReport(now time.Time, from string, r message.Report) {
@@ -295,10 +295,10 @@
 	if t == nil || s.grants[a.Grant] != nil {
 		return
 	}
-	t.inflight++
+	t.inFlight++
 	p := s.pools[t.spec.Pool]
 	s.grants[a.Grant] = &grant{to: from, account: a.Account, pool: p, target: t, charged: a.Charged, issuedAt: now, confirmedAt: now}
-	p.addInflight(a.Account, a.Charged/s.weight(a.Account))
+	p.addInFlight(a.Account, a.Charged/s.weight(a.Account))
 }
 
 func (s *Scheduler) expire(now time.Time, id message.GrantID, g *grant) {
--- a/core/sched/state.go
+++ b/core/sched/state.go
@@ -45,7 +45,7 @@
 	st := State{Grants: len(s.grants), Granted: s.Granted, Expired: s.Expired, Targets: []TargetState{}, Pools: []PoolState{}}
 	for _, t := range s.targets {
 		st.Targets = append(st.Targets, TargetState{
-			t.spec.Name, t.spec.Pool, t.limiter.Limit(), t.inflight, t.free(now), t.down, t.leaving || t.spec.Leaving,
+			t.spec.Name, t.spec.Pool, t.limiter.Limit(), t.inFlight, t.free(now), t.down, t.leaving || t.spec.Leaving,
 		})
 	}
 	for _, p := range s.pools {
--- a/core/sched/tally.go
+++ b/core/sched/tally.go
@@ -39,7 +39,7 @@
 	interval := s.tallyInterval(p)
 	p.updateLocalFloor(now)
 	p.raiseFloor(now, tallyFreshnessIntervals*interval)
-	p.ledger.Settle(now, settleAgeTenths*interval/10, func(account string) float64 { return p.inflight[account] })
+	p.ledger.Settle(now, settleAgeTenths*interval/10, func(account string) float64 { return p.inFlight[account] })
 	started := p.localFloor.waiting && p.idle
 	p.idle = !p.localFloor.waiting && !p.peersWait(now, tallyFreshnessIntervals*interval)
 	if now.Before(p.nextTallyAt) && !started {
