--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -5,7 +5,8 @@
 // prefers targets with the prompt's prefix in their cache, shares capacity fairly
 // between accounts and refuses requests that cannot be served in time.
 //
-// One gateway schedules a cell at a time. A Cell is a pure state machine: Step returns
+// One gateway schedules a cell at a time, and the gateways where requests arrive ask it
+// (core/entry). Router processes use core/sched instead. A Cell is a pure state machine: Step returns
 // actions. In the prefill a target computes the prompt tokens that are not in its cache;
 // those of shared parts are called reread. Prefill time committed to placed requests is
 // called booked. Service is counted in tokens, with outputWeight for output tokens.
@@ -88,7 +89,7 @@
 	Held  []Held
 }
 
-// EntryEnded reports that an entry gateway has ended and its requests are closed.
+// EntryEnded reports that an entry gateway's incarnation has ended, and its requests with it.
 type EntryEnded struct{ Entry string }
 
 // TargetsSeen replaces the list of targets and the settings of the cell.
--- a/core/entry/event.go
+++ b/core/entry/event.go
@@ -2,8 +2,9 @@
 // SPDX-License-Identifier: MIT
 
 // Package entry implements the entry gateway's side of scheduling. It asks the
-// scheduler of a cell for a target and fails over to the next scheduler when
+// scheduler of a cell (core/cell) for a target and fails over to the next scheduler when
 // there is no answer in time; the last resort is the gateway's own scheduler.
+// Router processes use core/admit instead.
 //
 // A Machine does no I/O and reads no clock: Step takes an event and returns
 // the actions that the caller must perform.
@@ -66,7 +67,7 @@
 // PeerHeard reports that any message arrived from a gateway.
 type PeerHeard struct{ ID string }
 
-// PeerEnded reports that a gateway has died or has a new incarnation.
+// PeerEnded reports that a gateway's incarnation has ended: it is dead or has restarted.
 type PeerEnded struct{ ID string }
 
 // LinkStateSeen reports whether this gateway's network link is saturated, so that
--- a/core/entry/machine.go
+++ b/core/entry/machine.go
@@ -265,7 +265,7 @@
 	return m.self
 }
 
-// schedulerEnded makes the next ask send an inventory to a restarted scheduler.
+// schedulerEnded makes the next ask send an inventory, as a restarted scheduler has no state.
 func (m *Machine) schedulerEnded(id string) {
 	for _, s := range m.schedulers {
 		if s.scheduler == id {
--- a/core/sched/event.go
+++ b/core/sched/event.go
@@ -84,7 +84,7 @@
 	Events []place.CacheEvent
 }
 
-// EntryEnded reports that an entry router has ended.
+// EntryEnded reports that an entry router's incarnation has ended.
 type EntryEnded struct{ ID string }
 
 // Tick reports that time has passed.
--- a/core/sched/pool.go
+++ b/core/sched/pool.go
@@ -22,7 +22,7 @@
 	inFlight        int
 	running         int       // from the load report; used only after a takeover
 	openFrom        time.Time // no grants before, so that adoptions can arrive
-	countCompleteAt time.Time // from then on inflight alone counts the busy slots
+	countCompleteAt time.Time // from then on inFlight alone counts the busy slots
 	down            bool
 	leaving         bool
 }
--- a/models/conf/document.go
+++ b/models/conf/document.go
@@ -3,7 +3,8 @@
 
 // Package conf defines the configuration document that operators submit: client
 // accounts, pools, targets and policies. A document is versioned as a whole and
-// stored as chunks that are addressed by their hash.
+// stored as chunks that are addressed by their hash. Router processes use it; package
+// routing is its counterpart for gateway processes.
 package conf
 
 import (
@@ -36,8 +37,8 @@
 	MaxQueued      int      `toml:"max_queued" json:"max_queued"`             // queued requests per router
 	MaxQueuedBytes int64    `toml:"max_queued_bytes" json:"max_queued_bytes"` // queued bytes per router
 	Policy         string   `toml:"policy" json:"policy"`
-	KeepAnswers    int      `toml:"keep_answers" json:"keep_answers"`           // number of answers kept in the object store
-	KeepBytes      int64    `toml:"keep_answer_bytes" json:"keep_answer_bytes"` // bytes of answers kept in the object store
+	KeepAnswers    int      `toml:"keep_answers" json:"keep_answers"`           // number of recorded responses kept in the object store
+	KeepBytes      int64    `toml:"keep_answer_bytes" json:"keep_answer_bytes"` // bytes of recorded responses kept in the object store
 }
 
 // Pool is a set of interchangeable targets for the same models or plain service.
--- a/models/routing/configuration.go
+++ b/models/routing/configuration.go
@@ -3,7 +3,7 @@
 
 // Package routing defines the routing data of a gateway: the routes, services and
 // client accounts of the current configuration, and the list of targets. It holds
-// data and lookups only.
+// data and lookups only. Package conf is its counterpart for router processes.
 package routing
 
 import "time"
@@ -35,11 +35,11 @@
 	Host        string        `json:"host"`
 	PathPrefix  string        `json:"path_prefix"`
 	Repeat      Repeat        `json:"repeat"`
-	Stream      bool          `json:"stream"`    // answers are event streams
+	Stream      bool          `json:"stream"`    // responses are event streams
 	Resumable   bool          `json:"resumable"` // a broken stream may continue on another target
 	Public      bool          `json:"public"`    // no client account key needed
 	Timeout     time.Duration `json:"timeout"`   // maximum total time of a request
-	Objective   time.Duration `json:"objective"` // latency objective: time to the answer, or to the first event of a stream
+	Objective   time.Duration `json:"objective"` // latency objective: time to the response, or to the first event of a stream
 	Pause       time.Duration `json:"pause"`     // maximum gap between events of a stream that is on time
 	Rank        int           `json:"rank"`      // priority; 0 is the most urgent
 	MaxAttempts int           `json:"max_attempts"`
--- a/models/routing/prompt.go
+++ b/models/routing/prompt.go
@@ -14,8 +14,8 @@
 type Prompt struct {
 	Parts     []PromptPart // in prompt order; the last one belongs to this request alone
 	Tokens    int          // of the whole prompt
-	MaxOutput int          // upper bound of the answer's tokens
-	Hint      int          // caller's estimate of the answer's tokens, 0 if unknown
+	MaxOutput int          // upper bound of the response's tokens
+	Hint      int          // caller's estimate of the response's tokens, 0 if unknown
 	Model     string
 }
 
@@ -28,7 +28,7 @@
 	return p.Parts[len(p.Parts)-2].ID
 }
 
-// OutputEstimate returns the expected number of tokens in the answer: the caller's
+// OutputEstimate returns the expected number of tokens in the response: the caller's
 // hint within MaxOutput, or MaxOutput without one.
 func (p *Prompt) OutputEstimate() int {
 	if p.Hint > 0 {
--- a/modules/peernet/carry.go
+++ b/modules/peernet/carry.go
@@ -10,7 +10,7 @@
 )
 
 // Relayed requests use plain connections instead of yamux streams, which would add a
-// goroutine switch and a copy to each piece of an answer.
+// goroutine switch and a copy to each piece of a response.
 
 // RelayOptions configures DialRelay.
 type RelayOptions struct {
--- a/modules/setting/answer.go
+++ b/modules/setting/answer.go
@@ -7,12 +7,12 @@
 
 const minResumeKey = 16
 
-// Answer configures the recording of answers, which lets a caller resume after its
+// Answer configures the recording of responses, which lets a caller resume after its
 // connection broke.
 type Answer struct {
 	ResumeKey string   `toml:"resume_key"` // signs resume tokens; must be the same on all routers
-	Kept      Duration `toml:"kept"`       // retention of answers in the object store
-	MaxBytes  int64    `toml:"max_bytes"`  // larger answers are not recorded
+	Kept      Duration `toml:"kept"`       // retention of responses in the object store
+	MaxBytes  int64    `toml:"max_bytes"`  // larger responses are not recorded
 }
 
 func defaultAnswer() Answer {
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -1,7 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package setting reads and validates the TOML settings file of a router or gateway.
+// Package setting reads and validates the TOML settings file of a router or gateway
+// process. A router's targets are in the operators' configuration (models/conf), a
+// gateway's in the platform's store (models/routing).
 // Each section has a Go file of its own. madderway.example.toml documents all keys of
 // a router and their defaults.
 package setting
