--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -30,9 +30,9 @@
 	s.run(40*time.Second, evenAccounts(16, 45, 0, 0))
 	r := s.total()
 	distinct := 55 * 13_000
-	t.Logf("total %+v, shared parts prefilled %.1f times", r, float64(r.sharedRead)/float64(distinct))
-	if r.sharedRead > 3*distinct {
-		t.Errorf("shared parts were prefilled %.1f times over, want at most 3", float64(r.sharedRead)/float64(distinct))
+	t.Logf("total %+v, shared parts prefilled %.1f times", r, float64(r.sharedPrefilled)/float64(distinct))
+	if r.sharedPrefilled > 3*distinct {
+		t.Errorf("shared parts were prefilled %.1f times over, want at most 3", float64(r.sharedPrefilled)/float64(distinct))
 	}
 	for name, a := range s.results {
 		if a.lastRefused > 10*time.Second || a.late > a.asked/50 {
@@ -75,8 +75,8 @@
 		t.Errorf("service between %.0f and %.0f, want within 15 %%", low, high)
 	}
 	r := s.total()
-	if capacity := 9 * 45_000 * 30; float64(r.read) < 0.8*float64(capacity) {
-		t.Errorf("%d tokens were prefilled under overload, want at least 0.8 of %d", r.read, capacity)
+	if capacity := 9 * 45_000 * 30; float64(r.prefilled) < 0.8*float64(capacity) {
+		t.Errorf("%d tokens were prefilled under overload, want at least 0.8 of %d", r.prefilled, capacity)
 	}
 }
 
--- a/core/cell/fleet_bench_test.go
+++ b/core/cell/fleet_bench_test.go
@@ -100,13 +100,13 @@
 						t.asked += r.asked
 						t.placed += r.placed
 						t.late += r.late
-						t.read += r.read
-						t.sharedRead += r.sharedRead
+						t.prefilled += r.prefilled
+						t.sharedPrefilled += r.sharedPrefilled
 					}
 				}
 				b.ReportMetric(float64(t.placed-t.late)/float64(t.asked), "in_time")
-				b.ReportMetric(float64(t.read)/(8*largeEngines*largeTokensPerSecond), "reading")
-				b.ReportMetric(float64(t.sharedRead)/float64(t.read), "anew")
+				b.ReportMetric(float64(t.prefilled)/(8*largeEngines*largeTokensPerSecond), "reading")
+				b.ReportMetric(float64(t.sharedPrefilled)/float64(t.prefilled), "anew")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -113,9 +113,9 @@
 }
 
 type simResult struct {
-	asked, placed, refused, late, sharedRead, read int
-	service                                        float64
-	lastRefused                                    time.Duration
+	asked, placed, refused, late, sharedPrefilled, prefilled int
+	service                                                  float64
+	lastRefused                                              time.Duration
 }
 
 // sim runs one cell against simulated engines, with a fixed seed.
@@ -199,8 +199,8 @@
 	}
 	missing, shared := e.prefill(s.now, ask.prompt)
 	r.placed++
-	r.read += missing
-	r.sharedRead += shared
+	r.prefilled += missing
+	r.sharedPrefilled += shared
 	r.service += float64(missing + outputWeight*ask.prompt.MaxOutput)
 	if e.down {
 		return
@@ -274,8 +274,8 @@
 		t.placed += r.placed
 		t.refused += r.refused
 		t.late += r.late
-		t.sharedRead += r.sharedRead
-		t.read += r.read
+		t.sharedPrefilled += r.sharedPrefilled
+		t.prefilled += r.prefilled
 	}
 	return t
 }
--- a/core/cell/transfer_test.go
+++ b/core/cell/transfer_test.go
@@ -136,7 +136,7 @@
 		if r.refused > r.asked/20 {
 			t.Errorf("links %v: %d of %d requests refused, want at most one in 20", links, r.refused, r.asked)
 		}
-		return r.sharedRead
+		return r.sharedPrefilled
 	}
 	alone, shared := read(nil), read(fastLinks)
 	t.Logf("shared tokens prefilled: %d alone, %d with transfers", alone, shared)
