--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -75,14 +75,14 @@
 	for range 200 {
 		p := b.Choose(now, threeTargets(), nil, Limits{})
 		if p.Target.ID == "b" {
-			stuck++ // it never answers
+			stuck++ // it never responds
 		} else {
 			b.Done(now.Add(time.Millisecond), p)
 		}
 		now = now.Add(20 * time.Millisecond)
 	}
 	if stuck > 8 {
-		t.Errorf("%d requests went to a target that never answers, want at most 8", stuck)
+		t.Errorf("%d requests went to a target that never responds, want at most 8", stuck)
 	}
 }
 
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -116,7 +116,7 @@
 	status  int
 }
 
-// The state is 0 until a call was sent, then the status of its answer.
+// The state is 0 until a call was sent, then the status of its response.
 var claimModel = porcupine.Model{
 	Init: func() any { return 0 },
 	Step: func(state, input, output any) (bool, any) {
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -28,7 +28,7 @@
 		l.Observe(now, Sample{FirstToken: time.Millisecond, TokenGap: time.Millisecond})
 	}
 	if l.Limit() != 10 {
-		t.Errorf("limit after 200 quick answers: got %d, want 10", l.Limit())
+		t.Errorf("limit after 200 quick responses: got %d, want 10", l.Limit())
 	}
 	l.SetCeiling(4)
 	if l.Limit() != 4 {
--- a/core/overload/collapse_test.go
+++ b/core/overload/collapse_test.go
@@ -206,7 +206,7 @@
 }
 
 // Guards against a standing backlog where refusals take nearly all processor time, which made
-// the answers to all retried requests late.
+// the responses to all retried requests late.
 func TestExpensiveRefusalsLeaveTimeForService(t *testing.T) {
 	const perSecond, refusal = 1450, 58 * time.Microsecond
 	f := newFloodedProcess(t)
--- a/core/overload/floods_test.go
+++ b/core/overload/floods_test.go
@@ -31,7 +31,7 @@
 	settled   = 5
 	// calmRate is the load outside the flood, as a fraction of the capacity.
 	calmRate = 0.05
-	// firstPartDelay is the time that a target takes for the first part of an answer.
+	// firstPartDelay is the time that a target takes for the first part of a response.
 	firstPartDelay = 100 * time.Millisecond
 )
 
@@ -187,7 +187,7 @@
 	r.schedule(firstPartDelay, a)
 }
 
-// sendPart handles a part of a streamed answer.
+// sendPart handles a part of a streamed response.
 func (r *floodRun) sendPart(a attempt) {
 	r.workDebt += a.work / 2 / streamParts
 	if s := r.second(a.firstAsked); a.partsLeft == streamParts && s < len(r.seconds) {
@@ -260,9 +260,9 @@
 	}
 }
 
-// Guards against late answers in floods of 1.1 to 5 times the capacity that last, end or
+// Guards against late responses in floods of 1.1 to 5 times the capacity that last, end or
 // alternate, with and without another gateway to hand over to.
 func TestRandomFloods(t *testing.T) { playFloods(t, 0, 1) }
 
-// Guards against late answers when callers retry twice, once more than the governor assumes.
+// Guards against late responses when callers retry twice, once more than the governor assumes.
 func TestRandomFloodsWithTwoRetries(t *testing.T) { playFloods(t, 2) }
--- a/core/overload/overload.go
+++ b/core/overload/overload.go
@@ -28,7 +28,7 @@
 	// that of a process that keeps up.
 	busyLateness = 12 * time.Millisecond
 	// maxUtilization limits the utilization that is assumed of a process in time, so that
-	// the admitted share rises until the process is late or everything is admitted.
+	// the served share rises until the process is late or everything is served.
 	maxUtilization = 0.9
 	halfLife       = time.Second
 	// minDemand is the decayed request count below which an account is removed.
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// A gateway that answers slowly has more requests in flight and gets only those for which it is
+// A gateway that responds slowly has more requests in flight and gets only those for which it is
 // drawn twice: a quarter of all if there are two gateways.
 func TestSlowPeerGetsFewerRequests(t *testing.T) {
 	c, rng := chooser(map[string]float64{"a": 0.2, "b": 0.2}), rand.New(rand.NewPCG(1, 2))
