--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -413,7 +413,7 @@
 	}
 }
 
-func TestGoneEntryReleasesSlots(t *testing.T) {
+func TestEndedEntryReleasesSlots(t *testing.T) {
 	sc, now := singleTarget(1)
 	sc.Step(now, DemandSeen{"gone", message.Demand{Account: "a", Pool: "chat", Count: 9, Cost: 1}})
 	sc.Step(now, DemandSeen{"entry", message.Demand{Account: "b", Pool: "chat", Count: 1, Cost: 1}})
