--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -6,10 +6,11 @@
 // between accounts and refuses requests that cannot be served in time.
 //
 // One gateway schedules a cell at a time, and the gateways where requests arrive ask it
-// (core/entry). Router processes use core/sched instead. A Cell is a pure state machine: Step returns
-// actions. In the prefill a target computes the prompt tokens that are not in its cache;
-// those of shared parts are called reread. Prefill time committed to placed requests is
-// called booked. Service is counted in tokens, with outputWeight for output tokens.
+// (core/entry). Router processes use core/sched instead. A Cell is a pure state machine:
+// Step returns actions. In the prefill a target computes the prompt tokens that are not in
+// its cache; those of shared parts are called reread. Prefill time committed to placed
+// requests is called booked. Service is counted in tokens, with outputWeight for output
+// tokens.
 package cell
 
 import (
--- a/core/naive/naive.go
+++ b/core/naive/naive.go
@@ -106,8 +106,8 @@
 
 func (d *Dispatcher) cancel(id admit.RequestID) {
 	for k, queue := range d.queues {
-		for i, j := range queue {
-			if j.req.ID == id {
+		for i, w := range queue {
+			if w.req.ID == id {
 				d.queues[k] = append(queue[:i:i], queue[i+1:]...)
 				d.queued--
 				return
@@ -130,13 +130,13 @@
 	var out []admit.Action
 	for k, queue := range d.queues {
 		remaining := queue[:0:0]
-		for _, j := range queue {
-			if now.Before(j.req.Deadline) {
-				remaining = append(remaining, j)
+		for _, w := range queue {
+			if now.Before(w.req.Deadline) {
+				remaining = append(remaining, w)
 				continue
 			}
 			d.queued--
-			out = append(out, admit.Refuse{ID: j.req.ID, Code: result.QueueTimeout, RetryAfter: retryAfter})
+			out = append(out, admit.Refuse{ID: w.req.ID, Code: result.QueueTimeout, RetryAfter: retryAfter})
 		}
 		d.queues[k] = remaining
 	}
@@ -193,13 +193,13 @@
 }
 
 func (d *Dispatcher) start(now time.Time, k queueKey, name string) admit.Action {
-	j := d.queues[k][0]
+	w := d.queues[k][0]
 	d.queues[k] = d.queues[k][1:]
 	d.queued--
 	d.targets[name].sent++
-	d.running[j.req.ID] = runningRequest{queuedRequest: j, target: name}
-	d.charge(j.req.ID, j.req.Cost)
-	return admit.Start{ID: j.req.ID, Target: name, Waited: now.Sub(j.arrived)}
+	d.running[w.req.ID] = runningRequest{queuedRequest: w, target: name}
+	d.charge(w.req.ID, w.req.Cost)
+	return admit.Start{ID: w.req.ID, Target: name, Waited: now.Sub(w.arrived)}
 }
 
 // Queued implements admit.Dispatcher.
--- a/core/overload/duties.go
+++ b/core/overload/duties.go
@@ -6,9 +6,9 @@
 import "time"
 
 const (
-	// A gateway stops scheduling for others when it has refused requests, or its link has been
-	// full, for suspendAfter, and resumes when it has admitted everything for resumeAfter. Each
-	// move of a cell loses the state of its old scheduler.
+	// A gateway stops scheduling for others when it could not serve all requests itself, or its
+	// link has been full, for suspendAfter, and resumes when neither was so for resumeAfter.
+	// Each move of a cell loses the state of its old scheduler.
 	suspendAfter = 700 * time.Millisecond
 	resumeAfter  = 5 * time.Second
 )
@@ -20,7 +20,7 @@
 	disagreesSince time.Time // start of the observations that contradict suspended; zero while they agree
 }
 
-// Observe takes the share of requests that is admitted and the utilization of the link. It
+// Observe takes the share of requests that is served here and the utilization of the link. It
 // reports whether the gateway schedules for others, and whether that has changed.
 func (d *Duties) Observe(now time.Time, share, link float64) (keeps, changed bool) {
 	if (share < 1 || Full(link)) == d.suspended {
--- a/modules/peernet/link.go
+++ b/modules/peernet/link.go
@@ -105,8 +105,8 @@
 
 func (l *Link) run() error {
 	var stream *yamux.Stream
-	var used time.Time // time of the last frame on the connection
-	var unused <-chan time.Time
+	var lastFrameAt time.Time
+	var idle <-chan time.Time
 	for {
 		select {
 		case <-l.t.Dying():
@@ -114,14 +114,14 @@
 			return nil
 		case f := <-l.frames.Out():
 			stream = l.writeFrame(stream, f)
-			used = now()
-			if unused == nil && l.idleTimeout > 0 {
-				unused = time.After(l.idleTimeout)
+			lastFrameAt = now()
+			if idle == nil && l.idleTimeout > 0 {
+				idle = time.After(l.idleTimeout)
 			}
-		case <-unused:
-			unused = nil
-			if left := l.idleTimeout - now().Sub(used); left > 0 {
-				unused = time.After(left)
+		case <-idle:
+			idle = nil
+			if left := l.idleTimeout - now().Sub(lastFrameAt); left > 0 {
+				idle = time.After(left)
 				continue
 			}
 			if stream != nil {
