--- a/core/cell/event.go
+++ b/core/cell/event.go
@@ -5,10 +5,12 @@
 // prefers targets with the prompt's prefix in their cache, shares capacity fairly
 // between accounts and refuses requests that cannot be served in time.
 //
-// One gateway schedules a cell at a time. A Cell is a pure state machine: Step returns
-// actions. Reading a prompt means the prefill: the target computes the tokens that are
-// not in its cache. Reading time committed to placed requests is called booked. Service
-// is counted in tokens, with outputWeight for output tokens.
+// One gateway schedules a cell at a time, and the gateways where requests arrive ask it
+// (core/entry). Router processes use core/sched instead. A Cell is a pure state machine:
+// Step returns actions. In the prefill a target computes the prompt tokens that are not in
+// its cache; those of shared parts are called reread. Prefill time committed to placed
+// requests is called booked. Service is counted in tokens, with outputWeight for output
+// tokens.
 package cell
 
 import (
@@ -88,8 +90,8 @@
 	Held  []Held
 }
 
-// EntryGone reports that an entry gateway has ended and its requests are closed.
-type EntryGone struct{ Entry string }
+// EntryEnded reports that an entry gateway's incarnation has ended, and its requests with it.
+type EntryEnded struct{ Entry string }
 
 // TargetsSeen replaces the list of targets and the settings of the cell.
 type TargetsSeen struct {
@@ -143,7 +145,7 @@
 func (BeganSeen) isEvent()        {}
 func (EndedSeen) isEvent()        {}
 func (InventorySeen) isEvent()    {}
-func (EntryGone) isEvent()        {}
+func (EntryEnded) isEvent()       {}
 func (TargetsSeen) isEvent()      {}
 func (ColdShareSeen) isEvent()    {}
 func (TallySeen) isEvent()        {}
@@ -164,7 +166,7 @@
 	// The remaining fields explain the decision.
 	Account      string
 	Affinity     uint64 // ID of the deepest shared part of the prompt
-	RereadTokens int    // tokens of shared parts that the target reads again
+	RereadTokens int    // tokens of shared parts that the target prefills again
 	CopiedTokens int    // tokens copied from Source
 	Reason       Reason
 }
@@ -201,7 +203,7 @@
 	Account    string
 	Waited     time.Duration
 	Ahead      float64       // service beyond that of the least served waiting account
-	Booked     time.Duration // reading time booked at the least busy target, -1 if none is usable
+	Booked     time.Duration // prefill time booked at the least busy target, -1 if none is usable
 	Waiting    int           // number of other waiting requests
 }
 
--- a/core/cell/sim_test.go
+++ b/core/cell/sim_test.go
@@ -15,8 +15,8 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// simEngine reads prompts in order at a fixed speed, has an LRU cache of parts and sends
-// the first event a fixed time after reading.
+// simEngine prefills prompts in order at a fixed speed, has an LRU cache of parts and sends
+// the first event a fixed time after the prefill.
 type simEngine struct {
 	id          string
 	speed       float64
@@ -28,9 +28,9 @@
 	down        bool // sends no events
 }
 
-// read queues a prompt and returns the tokens that are not cached, and those of them in
+// prefill queues a prompt and returns the tokens that are not cached, and those of them in
 // shared parts.
-func (e *simEngine) read(now time.Time, p *routing.Prompt) (missing, sharedMissing int) {
+func (e *simEngine) prefill(now time.Time, p *routing.Prompt) (missing, sharedMissing int) {
 	whole := true
 	for i, part := range p.Parts {
 		if _, ok := e.cached[part.ID]; !ok || !whole {
@@ -113,9 +113,9 @@
 }
 
 type simResult struct {
-	asked, placed, refused, late, sharedRead, read int
-	service                                        float64
-	lastRefused                                    time.Duration
+	asked, placed, refused, late, sharedPrefilled, prefilled int
+	service                                                  float64
+	lastRefused                                              time.Duration
 }
 
 // sim runs one cell against simulated engines, with a fixed seed.
@@ -197,10 +197,10 @@
 	if from := s.engines[a.Source]; from != nil {
 		e.copy(from, ask.prompt)
 	}
-	missing, shared := e.read(s.now, ask.prompt)
+	missing, shared := e.prefill(s.now, ask.prompt)
 	r.placed++
-	r.read += missing
-	r.sharedRead += shared
+	r.prefilled += missing
+	r.sharedPrefilled += shared
 	r.service += float64(missing + outputWeight*ask.prompt.MaxOutput)
 	if e.down {
 		return
@@ -274,8 +274,8 @@
 		t.placed += r.placed
 		t.refused += r.refused
 		t.late += r.late
-		t.sharedRead += r.sharedRead
-		t.read += r.read
+		t.sharedPrefilled += r.sharedPrefilled
+		t.prefilled += r.prefilled
 	}
 	return t
 }
--- a/core/sched/event.go
+++ b/core/sched/event.go
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: MIT
 
 // Package sched grants free slots of targets to accounts, in proportion to their weights.
-// A Scheduler is a pure state machine: Step(now, event) returns actions.
+// Entry routers (core/admit) send it demands. A Scheduler is a pure state machine: Step
+// takes an event and returns actions. Gateway processes use core/cell instead.
 package sched
 
 import (
@@ -83,8 +84,8 @@
 	Events []place.CacheEvent
 }
 
-// EntryGone reports that an entry router has ended.
-type EntryGone struct{ ID string }
+// EntryEnded reports that an entry router's incarnation has ended.
+type EntryEnded struct{ ID string }
 
 // Tick reports that time has passed.
 type Tick struct{}
@@ -96,7 +97,7 @@
 func (TallySeen) isEvent()     {}
 func (LoadSeen) isEvent()      {}
 func (CacheSeen) isEvent()     {}
-func (EntryGone) isEvent()     {}
+func (EntryEnded) isEvent()    {}
 func (Tick) isEvent()          {}
 
 // Action is a task for the owner of a Scheduler.
