--- a/services/follow/era.go
+++ b/services/follow/era.go
@@ -90,7 +90,7 @@
 			announced = append(announced, leaving.Announcement{ID: ch.Target.ID})
 		}
 	}
-	s.opts.Leavers.MergeLeaving(announced)
+	s.opts.LeavingTargets.MergeLeaving(announced)
 	s.watchTargets.MarkUnsettled(now)
 }
 
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -49,8 +49,8 @@
 	Fleet func() (watcher bool, members int)
 	// Start decides how long the first poll waits for peers to send a copy.
 	Start watch.Start
-	// Leavers is the set of targets that announced that they leave; optional.
-	Leavers Leavers
+	// LeavingTargets is the set of targets that announced that they leave; optional.
+	LeavingTargets LeavingTargets
 	// OnNewEra is called after the store was restored from an older copy and may lack what this
 	// process has written; optional.
 	OnNewEra func()
@@ -89,8 +89,8 @@
 
 // New returns a service; call Start to run it.
 func New(t *tomb.Tomb, logger log.Logger, o Options) *Service {
-	if o.Leavers == nil {
-		o.Leavers = noLeavers{}
+	if o.LeavingTargets == nil {
+		o.LeavingTargets = noLeavers{}
 	}
 	s := &Service{
 		t: t, log: logger, opts: o, table: newTargetTable(), halls: newHallTable(), held: newHeldTargets(), peerReports: make(chan peerReport, peerQueueSize), counters: metrics.NewSet(), badRowLog: log.NewRateLimiter(badRowLogInterval, badRowLogBurst),
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -103,11 +103,11 @@
 	return startWith(t, source, peers, nil)
 }
 
-func startWith(t *testing.T, source *fakeSource, peers Peers, leavers Leavers) *harness {
+func startWith(t *testing.T, source *fakeSource, peers Peers, leavers LeavingTargets) *harness {
 	t.Helper()
 	h := &harness{source: source, clock: clock.NewFake(), changed: make(chan struct{}, 64)}
 	h.Service = New(&h.tomb, log.New("test"), Options{
-		Source: source, Peers: peers, Leavers: leavers, Clock: h.clock, Fleet: func() (bool, int) { return true, 3 }, Start: watch.Start{Seed: true}, OnChange: func() { h.changed <- struct{}{} },
+		Source: source, Peers: peers, LeavingTargets: leavers, Clock: h.clock, Fleet: func() (bool, int) { return true, 3 }, Start: watch.Start{Seed: true}, OnChange: func() { h.changed <- struct{}{} },
 	})
 	h.Start()
 	t.Cleanup(func() {
--- a/services/follow/leaving.go
+++ b/services/follow/leaving.go
@@ -10,9 +10,9 @@
 	"madderway/models/routing"
 )
 
-// Leavers is the set of target incarnations that announced in their answers that they leave. The
+// LeavingTargets is the set of target incarnations that announced in their answers that they leave. The
 // store may still list them as ready: it learns of it later, or not at all.
-type Leavers interface {
+type LeavingTargets interface {
 	// Leaves reports whether a listed incarnation leaves.
 	Leaves(target string) bool
 	// Leaving returns an announcement of each leaving incarnation.
@@ -54,7 +54,7 @@
 func (s *Service) markLeaving(set *routing.TargetSet) (n int, digest uint64) {
 	for i := range set.Targets {
 		t := &set.Targets[i]
-		if s.opts.Leavers.Leaves(t.ID) {
+		if s.opts.LeavingTargets.Leaves(t.ID) {
 			t.Leaving = true
 			digest ^= leaving.Digest(t.ID)
 			n++
@@ -65,7 +65,7 @@
 
 // mergeLeaving adds a peer's announcements and reports whether any is new; the caller holds mu.
 func (s *Service) mergeLeaving(peer string, announced []leaving.Announcement) bool {
-	added := s.opts.Leavers.MergeLeaving(announced)
+	added := s.opts.LeavingTargets.MergeLeaving(announced)
 	if len(added) > 0 {
 		s.log.Info("Learned from a peer that targets leave.", "targets", added, "from", peer)
 	}
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -194,7 +194,7 @@
 	defer s.mu.Unlock()
 	if want.Targets {
 		state := setColdFor(s.opts.Clock.Now(), s.table.since(want.Since))
-		state.Leaving = s.opts.Leavers.Leaving()
+		state.Leaving = s.opts.LeavingTargets.Leaving()
 		return json.Marshal(state)
 	}
 	state := operatorState{Halls: s.halls.all()}
