--- a/router/gateway.go
+++ b/router/gateway.go
@@ -161,7 +161,7 @@
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
 	members.EnableFullSync, members.MaxRumors = true, maxRumors
 	g.quarantine = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
-		Clock: g.clock, MetricPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.ShareRecord(r) },
+		Clock: g.clock, MetricsPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.ShareRecord(r) },
 	})
 	client := upstream.NewClient(g.pool, platform.Dialect{}, g.notices.Answered)
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.relayMeter, Clock: g.clock})
--- a/router/router.go
+++ b/router/router.go
@@ -149,7 +149,7 @@
 		PollHead: s.Platform.PollHead.Duration, Timeout: s.Platform.Timeout.Duration, OnAdopt: r.adopt,
 	})
 	r.quarantine = quarantine.New(log.New("quarantine").With(id), quarantine.Options{
-		Clock: r.clock, MetricPrefix: "madderway", Share: func(record core.Record) { r.loop.ShareRecord(record) },
+		Clock: r.clock, MetricsPrefix: "madderway", Share: func(record core.Record) { r.loop.ShareRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, MetricsPrefix: "madderway"})
 	r.engine.OnRetryAfter = func(target string, rest retryafter.Result) { r.notices.PauseTarget(target, "", rest) }
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -24,8 +24,8 @@
 // Options are the dependencies and settings of a Service.
 type Options struct {
 	Clock clock.Clock
-	// MetricPrefix is the prefix of the metrics' names.
-	MetricPrefix string
+	// MetricsPrefix is the prefix of the metrics' names.
+	MetricsPrefix string
 	// Share sends a record to other gateways. It must not block.
 	Share func(r quarantine.Record)
 }
@@ -52,8 +52,8 @@
 	set := metrics.NewSet()
 	return &Service{
 		log: logger, opts: o, table: quarantine.New(), changes: make(chan change, archiveQueueSize), set: set,
-		deaths:  set.NewCounter(o.MetricPrefix + "_requests_accused_total"),
-		refused: set.NewCounter(o.MetricPrefix + "_quarantine_refused_total"),
+		deaths:  set.NewCounter(o.MetricsPrefix + "_requests_accused_total"),
+		refused: set.NewCounter(o.MetricsPrefix + "_quarantine_refused_total"),
 	}
 }
 
@@ -220,6 +220,6 @@
 	s.set.WritePrometheus(w)
 	standings := s.Standings()
 	for _, standing := range []quarantine.Standing{quarantine.Suspect, quarantine.OnTrial, quarantine.Quarantined} {
-		fmt.Fprintf(w, "%s_remembered_requests{standing=%q} %d\n", s.opts.MetricPrefix, standing, standings[standing])
+		fmt.Fprintf(w, "%s_remembered_requests{standing=%q} %d\n", s.opts.MetricsPrefix, standing, standings[standing])
 	}
 }
