--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -167,7 +167,7 @@
 	return &forward.Request{
 		Call: call, Method: r.Method, URI: uri, Host: r.Host, Header: r.Header, Body: body, Route: route, Service: service,
 		Account: account, Received: received, Deadline: received.Add(timeout), HandedOverBy: relay.HandedOverBy(r.Context()),
-		CallerGone: func() bool { return callerHasClosed(r.Context()) },
+		CallerDisconnected: func() bool { return callerHasClosed(r.Context()) },
 	}, nil
 }
 
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -99,9 +99,9 @@
 	Account  *routing.ClientAccount
 	Received time.Time
 	Deadline time.Time
-	// CallerGone reports whether the caller has closed its connection; nil if only the context
+	// CallerDisconnected reports whether the caller has closed its connection; nil if only the context
 	// tells.
-	CallerGone func() bool
+	CallerDisconnected func() bool
 	// HandedOverBy is the gateway that handed the request over, or empty.
 	HandedOverBy string
 }
@@ -210,12 +210,12 @@
 
 // HandOverResult is the result of handing a request over to another gateway.
 type HandOverResult struct {
-	ID, Account string
-	Peer        string // empty if no gateway took the request; it was served here
-	Elapsed     time.Duration
-	Bytes       int64 // length of the forwarded response
-	Lost        bool  // no response came
-	CallerGone  bool
+	ID, Account        string
+	Peer               string // empty if no gateway took the request; it was served here
+	Elapsed            time.Duration
+	Bytes              int64 // length of the forwarded response
+	Lost               bool  // no response came
+	CallerDisconnected bool
 }
 
 // RecordHandOver counts a request that was handed over. It logs lost ones and a sample.
@@ -224,11 +224,11 @@
 	case h.Peer == "" && !h.Lost:
 		s.counters.notHandedOver.Inc()
 		return
-	case h.Lost && !h.CallerGone:
+	case h.Lost && !h.CallerDisconnected:
 		s.counters.handOverLost.Inc()
 		s.log.Request("Request handed over, no response.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed)
 	case sampled(h.ID):
-		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed, "bytes", h.Bytes, "caller_gone", h.CallerGone)
+		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed, "bytes", h.Bytes, "caller_gone", h.CallerDisconnected)
 	}
 	s.counters.handedOver.Inc()
 	s.outcomes.count(outcomeHandedOver)
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -62,7 +62,7 @@
 		return errStalePlacement
 	}
 	// An overloaded process learns late that a caller is gone.
-	if j.r.CallerGone != nil && j.sentAt.Sub(j.r.Received) > callerCheckAfter && j.r.CallerGone() {
+	if j.r.CallerDisconnected != nil && j.sentAt.Sub(j.r.Received) > callerCheckAfter && j.r.CallerDisconnected() {
 		j.refusal = context.Canceled
 		return j.refusal
 	}
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -37,7 +37,7 @@
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Share: func(quarantine.Record) {}})
 	gone, checks := false, 0
-	r := &Request{Received: c.Now(), CallerGone: func() bool {
+	r := &Request{Received: c.Now(), CallerDisconnected: func() bool {
 		checks++
 		return gone
 	}}
