--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -116,7 +116,7 @@
 
 // NoteHandedOver implements EarlyAdmission.
 func (h *Handler) NoteHandedOver(decision EarlyDecision, res HandOverResult) {
-	h.opts.Forward.RecordHandOver(forward.HandOverResult{ID: decision.ID, Account: decision.Account, Peer: res.Peer, Elapsed: res.Elapsed, Bytes: res.Bytes, Lost: res.Lost, CallerDisconnected: res.CallerLeft})
+	h.opts.Forward.RecordHandOver(forward.HandOverResult{ID: decision.ID, Account: decision.Account, Peer: res.Peer, Elapsed: res.Elapsed, Bytes: res.Bytes, Lost: res.Lost, CallerDisconnected: res.CallerDisconnected})
 }
 
 // isPlainID reports whether an ID needs no escaping in JSON.
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -38,11 +38,11 @@
 
 // HandOverResult is the outcome of a hand-over.
 type HandOverResult struct {
-	Peer       string // empty if no other gateway took the request
-	Elapsed    time.Duration
-	Bytes      int64 // length of the answer
-	Lost       bool  // no answer came from the gateway that took the request
-	CallerLeft bool  // the caller closed its connection
+	Peer               string // empty if no other gateway took the request
+	Elapsed            time.Duration
+	Bytes              int64 // length of the answer
+	Lost               bool  // no answer came from the gateway that took the request
+	CallerDisconnected bool  // the caller closed its connection
 }
 
 // SetRelay lets requests be handed over to other gateways. Call it before Serve.
@@ -76,13 +76,13 @@
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
-		res.CallerLeft = c.callerLeft
+		res.CallerDisconnected = c.callerLeft
 		res.Lost = !c.callerLeft && relay.IsErrMaybeSent(err)
 		switch {
 		case res.Lost:
 			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have left too
 			return ended
-		case res.CallerLeft:
+		case res.CallerDisconnected:
 			return ended
 		case errors.Is(err, relay.ErrCongested):
 			return c.refuseBusy(decision.ID)
@@ -97,7 +97,7 @@
 	c.awaitAnswer(handed, end)
 	var whole bool
 	res.Bytes, whole = handed.Result()
-	res.CallerLeft, res.Lost = c.callerLeft, res.Bytes == 0
+	res.CallerDisconnected, res.Lost = c.callerLeft, res.Bytes == 0
 	if res.Lost && !c.callerLeft {
 		_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID))
 	}
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -89,7 +89,7 @@
 		if status != http.StatusOK || body != want || header.Get("Carrier") != "near" || header.Get("Connection") == "close" {
 			t.Fatalf("body of %d: status %d, %d bytes, %v", size, status, len(body), header)
 		}
-		if outcome := <-early.results; outcome.Peer != "far" || outcome.Bytes < int64(size) || outcome.Lost || outcome.CallerLeft {
+		if outcome := <-early.results; outcome.Peer != "far" || outcome.Bytes < int64(size) || outcome.Lost || outcome.CallerDisconnected {
 			t.Errorf("got outcome %+v", outcome)
 		}
 		if status, body, header := c.answer(); status != http.StatusOK || body != "next" || header.Get("Carrier") != "" {
@@ -115,7 +115,7 @@
 	if status != http.StatusBadGateway || !strings.Contains(body, `"code":3002`) || !strings.Contains(body, `"ran":"unknown"`) {
 		t.Errorf("status %d, %q", status, body)
 	}
-	if outcome := <-early.results; !outcome.Lost || outcome.CallerLeft {
+	if outcome := <-early.results; !outcome.Lost || outcome.CallerDisconnected {
 		t.Errorf("got outcome %+v", outcome)
 	}
 	c = newCaller(t, address)
@@ -146,7 +146,7 @@
 		runtime.Gosched()
 	}
 	_ = c.Close()
-	if outcome := <-early.results; !outcome.CallerLeft || outcome.Peer != "" {
+	if outcome := <-early.results; !outcome.CallerDisconnected || outcome.Peer != "" {
 		t.Errorf("got outcome %+v", outcome)
 	}
 	c = newCaller(t, address)
@@ -159,7 +159,7 @@
 	if err := <-ended; err == nil {
 		t.Error("the request was not canceled at the other gateway")
 	}
-	if outcome := <-early.results; !outcome.CallerLeft {
+	if outcome := <-early.results; !outcome.CallerDisconnected {
 		t.Errorf("got outcome %+v", outcome)
 	}
 }
@@ -230,7 +230,7 @@
 		if status, body, header := c.answer(); status != http.StatusOK || body != want || header.Get("Admitted") != "true" {
 			t.Errorf("status %d, %d bytes, %v", status, len(body), header)
 		}
-		if outcome := <-early.results; outcome.Peer != "" || outcome.Lost || outcome.CallerLeft {
+		if outcome := <-early.results; outcome.Peer != "" || outcome.Lost || outcome.CallerDisconnected {
 			t.Errorf("got outcome %+v", outcome)
 		}
 	}
