--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -22,15 +22,15 @@
 // the server gets all that follows: the next read might start in the middle of a request.
 type callerConn struct {
 	*countedConn
-	server        *Server
-	limits        routing.Limits
-	buffered      []byte        // bytes of the next request
-	stopWatch     chan struct{} // ends watchForClose
-	callerLeft    bool          // during a hand-over
-	answeredEarly bool          // the last request bypassed the HTTP server, whose deadlines are not set
-	inServer      bool          // the HTTP server reads a request, or all that follows
-	unread        int64         // bytes of its request that the HTTP server has not read; negative if it has read more
-	admitted      bool          // the request in the HTTP server was counted and admitted
+	server             *Server
+	limits             routing.Limits
+	buffered           []byte        // bytes of the next request
+	stopWatch          chan struct{} // ends watchForClose
+	callerDisconnected bool          // during a hand-over
+	answeredEarly      bool          // the last request bypassed the HTTP server, whose deadlines are not set
+	inServer           bool          // the HTTP server reads a request, or all that follows
+	unread             int64         // bytes of its request that the HTTP server has not read; negative if it has read more
+	admitted           bool          // the request in the HTTP server was counted and admitted
 }
 
 // unknownLength is the unread part of a request whose end is not known.
@@ -113,7 +113,7 @@
 		if head.ContentLength > maxEarlyBody || !c.server.admitsEarly() {
 			return n, c.passToServer(Undecided, rest)
 		}
-		if c.hasLeft() {
+		if c.isDisconnected() {
 			return 0, io.EOF
 		}
 		closes := c.server.isCrowded()
@@ -140,9 +140,9 @@
 	}
 }
 
-// hasLeft reports whether the caller has closed the connection. A process that is late would
+// isDisconnected reports whether the caller has closed the connection. A process that is late would
 // otherwise serve requests whose callers have given up.
-func (c *callerConn) hasLeft() bool {
+func (c *callerConn) isDisconnected() bool {
 	return len(c.buffered) == 0 && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
 
@@ -206,15 +206,15 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// callerHasLeft reports whether the caller has closed its connection and sent nothing more.
-func callerHasLeft(ctx context.Context) bool {
+// callerIsDisconnected reports whether the caller has closed its connection and sent nothing more.
+func callerIsDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
-	return ok && c.hasLeft()
+	return ok && c.isDisconnected()
 }
 
-// callerHasClosed reports whether the caller has closed its connection, even while the HTTP
+// callerConnClosed reports whether the caller has closed its connection, even while the HTTP
 // server reads from it.
-func callerHasClosed(ctx context.Context) bool {
+func callerConnClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*callerConn)
 	return ok && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
--- a/handlers/gateway/gateway.go
+++ b/handlers/gateway/gateway.go
@@ -161,13 +161,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if h.opts.Forward.Overloaded() && callerHasLeft(r.Context()) {
+	if h.opts.Forward.Overloaded() && callerIsDisconnected(r.Context()) {
 		return nil, context.Canceled
 	}
 	return &forward.Request{
 		Call: call, Method: r.Method, URI: uri, Host: r.Host, Header: r.Header, Body: body, Route: route, Service: service,
 		Account: account, Received: received, Deadline: received.Add(timeout), HandedOverBy: relay.HandedOverBy(r.Context()),
-		CallerDisconnected: func() bool { return callerHasClosed(r.Context()) },
+		CallerDisconnected: func() bool { return callerConnClosed(r.Context()) },
 	}, nil
 }
 
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -76,8 +76,8 @@
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
-		res.CallerDisconnected = c.callerLeft
-		res.Lost = !c.callerLeft && relay.IsErrMaybeSent(err)
+		res.CallerDisconnected = c.callerDisconnected
+		res.Lost = !c.callerDisconnected && relay.IsErrMaybeSent(err)
 		switch {
 		case res.Lost:
 			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have left too
@@ -97,11 +97,11 @@
 	c.awaitAnswer(handed, end)
 	var whole bool
 	res.Bytes, whole = handed.Result()
-	res.CallerDisconnected, res.Lost = c.callerLeft, res.Bytes == 0
-	if res.Lost && !c.callerLeft {
+	res.CallerDisconnected, res.Lost = c.callerDisconnected, res.Bytes == 0
+	if res.Lost && !c.callerDisconnected {
 		_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID))
 	}
-	if !whole || c.callerLeft || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
+	if !whole || c.callerDisconnected || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
 		return ended
 	}
 	return answered
@@ -130,15 +130,15 @@
 			_, err = io.ReadFull(c.countedConn, buffer[held:size])
 		}
 		if err != nil {
-			c.callerLeft = true
+			c.callerDisconnected = true
 			return nil, err
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
-	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.hasLeft)
+	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.isDisconnected)
 	if errors.Is(err, relay.ErrCallerDisconnected) {
-		c.callerLeft = true
+		c.callerDisconnected = true
 		return nil, err
 	}
 	if err != nil && !relay.IsErrMaybeSent(err) {
@@ -150,7 +150,7 @@
 // awaitAnswer waits until the answer has ended, the caller has left or the time is up.
 func (c *callerConn) awaitAnswer(handed *relay.Handover, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
-		c.callerLeft = true
+		c.callerDisconnected = true
 		handed.Cancel()
 		return
 	}
@@ -168,7 +168,7 @@
 		return
 	}
 	timeout, ok := err.(net.Error)
-	c.callerLeft = !ok || !timeout.Timeout()
+	c.callerDisconnected = !ok || !timeout.Timeout()
 	handed.Cancel()
 }
 
