--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -112,13 +112,13 @@
 	sink   Sink
 	caller context.Context
 
-	attempt    int
-	events     []string // data of the current attempt's events, up to the limit of kept responses
-	bytes      int64
-	callerGone bool
-	outputs    int
-	prompt     float64
-	usage      *usage
+	attempt            int
+	events             []string // data of the current attempt's events, up to the limit of kept responses
+	bytes              int64
+	callerDisconnected bool
+	outputs            int
+	prompt             float64
+	usage              *usage
 }
 
 // run makes attempts until one succeeds or no retry is permitted.
@@ -134,7 +134,7 @@
 		}
 		err = withHistory(err, ran)
 		ran = result.Convert(err).Execution()
-		if st.callerGone && !st.j.order.Keep {
+		if st.callerDisconnected && !st.j.order.Keep {
 			return err
 		}
 		if outcome == "" || !st.s.mayRetry(st.j, st.attempt, outcome, status) {
@@ -161,7 +161,7 @@
 func (st *stream) try() (outcome string, status int, err error) {
 	j, s := st.j, st.s
 	waitCtx := st.caller
-	if st.callerGone {
+	if st.callerDisconnected {
 		var cancel context.CancelFunc
 		waitCtx, cancel = s.detached(j)
 		defer cancel()
@@ -201,7 +201,7 @@
 	if err == nil {
 		return "", 0, nil
 	}
-	fin.Failed = !st.callerGone
+	fin.Failed = !st.callerDisconnected
 	j.deny = append(j.deny, target.Name)
 	s.checkTargetDeath(ctx, j, target)
 	return outcomeUnknown, 0, err
@@ -252,7 +252,7 @@
 // complete updates the cost estimates, and keeps the response if the caller is gone.
 func (st *stream) complete() {
 	st.s.learn(st.j, float64(st.outputs)*st.j.pool.OutputWeight)
-	if !st.callerGone {
+	if !st.callerDisconnected {
 		return
 	}
 	kept := st.s.opts.Answers.Enqueue(*st.j.account, st.j.requestID, "text/event-stream", st.events)
--- a/services/dispatch/pump.go
+++ b/services/dispatch/pump.go
@@ -48,8 +48,8 @@
 // last event.
 func (p *pump) run(resp *http.Response) error {
 	st := p.st
-	if !st.callerGone && st.sink.Begin(st.token(p.target, p.streamID), st.attempt) != nil {
-		p.setCallerGone()
+	if !st.callerDisconnected && st.sink.Begin(st.token(p.target, p.streamID), st.attempt) != nil {
+		p.setCallerDisconnected()
 	}
 	stop := context.AfterFunc(st.caller, func() { p.stopAfterGrace() })
 	defer stop()
@@ -72,7 +72,7 @@
 	if err == nil {
 		return nil
 	}
-	if st.callerGone && p.ctx.Err() != nil {
+	if st.callerDisconnected && p.ctx.Err() != nil {
 		p.cancelStream()
 	}
 	return result.Wrap(result.StreamBroken, err)
@@ -107,12 +107,12 @@
 	_ = p.st.s.opts.Engine.CancelStream(ctx, p.target.Address, p.streamID)
 }
 
-func (p *pump) setCallerGone() {
+func (p *pump) setCallerDisconnected() {
 	st := p.st
-	if st.callerGone {
+	if st.callerDisconnected {
 		return
 	}
-	st.callerGone = true
+	st.callerDisconnected = true
 	st.s.opts.Trace.Add(st.j.requestID, st.j.account.Name, "caller gone", "at offset %d", p.last)
 }
 
@@ -141,8 +141,8 @@
 		st.events = append(st.events, ev.Data)
 		st.bytes += int64(len(ev.Data))
 	}
-	if !st.callerGone && st.sink.Event(ev) != nil {
-		p.setCallerGone()
+	if !st.callerDisconnected && st.sink.Event(ev) != nil {
+		p.setCallerDisconnected()
 	}
 }
 
--- a/services/dispatch/resume.go
+++ b/services/dispatch/resume.go
@@ -74,12 +74,12 @@
 }
 
 func isEngineError(err error) bool {
-	_, caller := err.(errCallerDisconnected)
+	_, caller := err.(sinkError)
 	return !caller
 }
 
-// errCallerDisconnected marks an error of the sink.
-type errCallerDisconnected struct{ error }
+// sinkError marks an error of the sink.
+type sinkError struct{ error }
 
 func copyEvents(reader *engine.EventReader, last int, sink Sink) (int, error) {
 	for {
@@ -88,7 +88,7 @@
 			return last, err
 		}
 		if err := sink.Event(ev); err != nil {
-			return last, errCallerDisconnected{err}
+			return last, sinkError{err}
 		}
 		last = ev.ID
 		if ev.Done() {
