--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// watchForClose reads a byte for the HTTP server, which wants to know whether the caller leaves
+// watchForClose reads a byte for the HTTP server, which wants to know whether the caller disconnects
 // while a request is served. A byte that arrives belongs to the next request: it is buffered,
 // and the server gets a timeout once it stops waiting.
 func (c *callerConn) watchForClose(p []byte) (int, error) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// isDisconnected reports whether the caller has closed the connection. A process that is late would
-// otherwise serve requests whose callers have given up.
+// isDisconnected reports whether the caller has closed the connection. A process that is late
+// would otherwise serve requests whose callers have given up.
 func (c *callerConn) isDisconnected() bool {
 	return len(c.buffered) == 0 && netopt.Peek(c.countedConn.Conn) == netopt.PeekClosed
 }
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -30,10 +30,10 @@
 
 // Relay hands requests over to other gateways.
 type Relay interface {
-	// Send hands a request over. The first relay.HeadSize bytes of the buffer are free; the request
+	// Send hands a request over. The first relay.HeaderSize bytes of the buffer are free; the request
 	// follows. The answer is written to caller; when it ends, a pending read of caller is
-	// ended by a deadline. left reports whether the caller has closed its connection.
-	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handover, error)
+	// ended by a deadline. disconnected reports whether the caller has closed its connection.
+	Send(ctx context.Context, buffer []byte, caller net.Conn, disconnected func() bool) (*relay.Handover, error)
 }
 
 // HandOverResult is the outcome of a hand-over.
@@ -55,7 +55,7 @@
 type handOverOutcome int
 
 const (
-	// No gateway took the request: the HTTP server reads it.
+	// No other gateway took the request: the HTTP server reads it.
 	servedHere handOverOutcome = iota + 1
 	// The caller has its answer and may send another request.
 	answered
@@ -80,7 +80,7 @@
 		res.Lost = !c.callerDisconnected && relay.IsErrMaybeSent(err)
 		switch {
 		case res.Lost:
-			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have left too
+			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have disconnected too
 			return ended
 		case res.CallerDisconnected:
 			return ended
@@ -147,7 +147,7 @@
 	return handed, err
 }
 
-// awaitAnswer waits until the answer has ended, the caller has left or the time is up.
+// awaitAnswer waits until the answer has ended, the caller has disconnected or the time is up.
 func (c *callerConn) awaitAnswer(handed *relay.Handover, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
 		c.callerDisconnected = true
--- a/handlers/gateway/relay_test.go
+++ b/handlers/gateway/relay_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// A gateway that is late must not serve requests of callers that have left.
+// A gateway that is late must not serve requests of callers that have disconnected.
 func TestRequestOfClosedConnectionIsDropped(t *testing.T) {
 	far := newRelay(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a request of a closed connection was handed over") }))
 	near, early, address := newEarlyServer(t, 10)
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -259,7 +259,7 @@
 	g.log.Info("Settings reloaded.", "seeds", len(s.Seeds), "retry_ratio", s.RetryRatio, "grace", s.Grace.Duration, "needs_restart", fixed)
 }
 
-// storeRestored writes records again that a store restored from an older copy may have lost. Only
+// storeRestored writes records again that a store restored from an older copy may lack. Only
 // the few gateways that watch the store do so.
 func (g *Gateway) storeRestored() {
 	if g.loop.Watches() {
@@ -342,7 +342,7 @@
 	g.drainOnce.Do(func() {
 		s := g.settings.Load()
 		plan := drain.Plan{Started: g.clock.Now(), Linger: s.Linger.Duration, Grace: s.Grace.Duration}
-		g.log.Info("Drain started.", "open", g.inFlight())
+		g.log.Info("Drain started.", "in_flight", g.inFlight())
 		close(g.draining)
 		g.handler.SetMode(gateway.ServeClosing)
 		g.loop.Leave()
@@ -356,7 +356,7 @@
 			}
 			<-g.clock.After(drainPollInterval)
 		}
-		g.log.Info("Drain ended.", "aborted", g.inFlight(), "after", g.clock.Now().Sub(plan.Started))
+		g.log.Info("Drain ended.", "aborted", g.inFlight(), "took", g.clock.Now().Sub(plan.Started))
 		g.Stop()
 	})
 }
--- a/router/router.go
+++ b/router/router.go
@@ -152,7 +152,7 @@
 		Clock: r.clock, MetricsPrefix: "madderway", Share: func(record core.Record) { r.loop.ShareRecord(record) },
 	})
 	r.notices = notice.New(log.New("notice").With(id), notice.Options{Clock: r.clock, MetricsPrefix: "madderway"})
-	r.engine.OnRetryAfter = func(target string, rest retryafter.Result) { r.notices.PauseTarget(target, "", rest) }
+	r.engine.OnRetryAfter = func(target string, retryAfter retryafter.Result) { r.notices.PauseTarget(target, "", retryAfter) }
 	r.loop = control.NewLoop(&r.t, log.New("control").With(id), r.controlOptions(auth))
 	close(r.assembled)
 	r.peers.Attach(r.loop, r.config, r.traces)
--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -30,7 +30,7 @@
 	Body      []byte // sent to the engine unchanged, with streaming switched on
 }
 
-// Sink receives the events of a response. It returns an error if the caller is gone.
+// Sink receives the events of a response. It returns an error if the caller has disconnected.
 type Sink interface {
 	// Begin is called before the first event of each attempt.
 	Begin(token string, attempt int) error
@@ -249,7 +249,8 @@
 	return st.prompt + float64(st.outputs)*pool.OutputWeight
 }
 
-// complete updates the cost estimates, and keeps the response if the caller is gone.
+// complete updates the cost estimates, and keeps the response if the caller has
+// disconnected.
 func (st *stream) complete() {
 	st.s.learn(st.j, float64(st.outputs)*st.j.pool.OutputWeight)
 	if !st.callerDisconnected {
--- a/services/dispatch/pump.go
+++ b/services/dispatch/pump.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// stopAfterGrace cancels the attempt a while after the caller has gone, unless the response is
+// stopAfterGrace cancels the attempt a while after the caller disconnected, unless the response is
 // kept.
 func (p *pump) stopAfterGrace() {
 	if p.st.j.order.Keep {
--- a/services/dispatch/resume.go
+++ b/services/dispatch/resume.go
@@ -78,7 +78,7 @@
 	return !caller
 }
 
-// sinkError marks an error of the sink.
+// sinkError marks an error of the sink, as opposed to one of the engine.
 type sinkError struct{ error }
 
 func copyEvents(reader *engine.EventReader, last int, sink Sink) (int, error) {
--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -221,7 +221,7 @@
 	return events, err
 }
 
-// SendOrder sends an order to an engine.
+// Send sends an order to an engine.
 func (c *Client) Send(ctx context.Context, address string, o Order) error {
 	return c.post(ctx, "http://"+address+"/orders", o)
 }
--- a/services/follow/leaving.go
+++ b/services/follow/leaving.go
@@ -10,8 +10,8 @@
 	"madderway/models/routing"
 )
 
-// LeavingTargets is the set of target incarnations that announced in their answers that they leave. The
-// store may still list them as ready: it learns of it later, or not at all.
+// LeavingTargets is the set of target incarnations that announced in their responses that they
+// leave. The store may still list them as ready: it learns of it later, or not at all.
 type LeavingTargets interface {
 	// Leaves reports whether a listed incarnation leaves.
 	Leaves(target string) bool
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -99,8 +99,8 @@
 	Account  *routing.ClientAccount
 	Received time.Time
 	Deadline time.Time
-	// CallerDisconnected reports whether the caller has closed its connection; nil if only the context
-	// tells.
+	// CallerDisconnected reports whether the caller has closed its connection. If it is nil, only
+	// the end of the context shows that.
 	CallerDisconnected func() bool
 	// HandedOverBy is the gateway that handed the request over, or empty.
 	HandedOverBy string
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -70,7 +70,7 @@
 	ended(o attempt.Outcome, moved bool)
 	// done reports a complete response.
 	done()
-	// canceled reports that the caller is gone.
+	// canceled reports that the caller has disconnected.
 	canceled()
 	// firstPartTimeout returns the time after which another target is tried if the response
 	// has not begun, 0 for no limit but the deadline.
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -47,7 +47,7 @@
 // that this process stood still; the target may be another incarnation by now.
 const maxPlacementAge = time.Second
 
-// callerCheckAfter is the age from which a request is checked for a gone caller before it is
+// callerCheckAfter is the age from which a request is checked for a disconnected caller before it is
 // sent; most are sent earlier.
 const callerCheckAfter = 200 * time.Millisecond
 
@@ -61,7 +61,7 @@
 	if j.sentAt.Sub(j.placedAt) > maxPlacementAge {
 		return errStalePlacement
 	}
-	// An overloaded process learns late that a caller is gone.
+	// An overloaded process learns late that a caller has disconnected.
 	if j.r.CallerDisconnected != nil && j.sentAt.Sub(j.r.Received) > callerCheckAfter && j.r.CallerDisconnected() {
 		j.refusal = context.Canceled
 		return j.refusal
--- a/services/forward/stale_test.go
+++ b/services/forward/stale_test.go
@@ -32,14 +32,14 @@
 	}
 }
 
-// Guards against work for gone callers, and against checking callers of fresh requests.
+// Guards against work for disconnected callers, and against checking callers of fresh requests.
 func TestRequestOfGoneCallerIsNotSent(t *testing.T) {
 	c := clock.NewFake()
 	q := requests.New(log.New("quarantine"), requests.Options{Clock: c, Share: func(quarantine.Record) {}})
-	gone, checks := false, 0
+	disconnected, checks := false, 0
 	r := &Request{Received: c.Now(), CallerDisconnected: func() bool {
 		checks++
-		return gone
+		return disconnected
 	}}
 	j := &job{s: &Service{opts: Options{Clock: c, Quarantine: q, Targets: targetList("t"), Notices: notice.New(log.New("notice"), notice.Options{Clock: c})}}, r: r, try: q.NewAttempt(quarantine.Identity{}), placedAt: c.Now(), target: &routing.Target{ID: "t"}}
 	if err := j.checkAtSend(); err != nil || checks > 0 {
@@ -49,9 +49,9 @@
 	if err := j.checkAtSend(); err != nil || checks != 1 {
 		t.Errorf("caller present: got error %v, %d checks of the caller, want 1", err, checks)
 	}
-	gone = true
+	disconnected = true
 	if err := j.checkAtSend(); !errors.Is(err, context.Canceled) {
-		t.Errorf("caller gone: got error %v, want context.Canceled", err)
+		t.Errorf("caller disconnected: got error %v, want context.Canceled", err)
 	}
 }
 
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -54,14 +54,14 @@
 // Registrar implements discover.Peers.
 func (l *Loop) Registrar() bool { return l.registrar.Load() }
 
-// Knows implements discover.Peers.
+// IsMember implements discover.Peers.
 func (l *Loop) IsMember(id string) bool {
 	known := false
 	l.Inspect(func() { _, known = l.members.Lookup(id) })
 	return known
 }
 
-// Call implements discover.Peers. It sends a heartbeat to the gateways at these addresses at once
+// Greet implements discover.Peers. It sends a heartbeat to the gateways at these addresses at once
 // and repeats it as long as no other gateway is known.
 func (l *Loop) Greet(addresses []string) {
 	l.Inspect(func() {
@@ -108,7 +108,7 @@
 	}
 }
 
-// abandon withdraws a request. If it was placed in the meantime, its place is released.
+// abandon withdraws a request that nobody waits for. If it was placed in the meantime, its place is released.
 func (l *Loop) abandon(id cell.RequestID, answer chan Decision) {
 	l.put(entryIn{entry.Withdrawn{ID: id}})
 	l.Inspect(func() { delete(l.decisions, id) })
--- a/services/mesh/kept.go
+++ b/services/mesh/kept.go
@@ -57,10 +57,10 @@
 }
 
 func (l *Loop) queryTarget(key cell.Key, t *routing.Target) {
-	// The target may have closed while others were queried.
-	now := l.opts.Follow.Targets().Find(t.ID)
-	if _, closed := l.opts.Notices.Blocked(t.ID); closed || now == nil || !now.AcceptsWork() {
-		l.log.Info("Target not queried for cached parts.", "cell", key, "target", t.ID, "listed", now != nil, "closed", closed)
+	// The target may have changed while others were queried.
+	listed := l.opts.Follow.Targets().Find(t.ID)
+	if _, paused := l.opts.Notices.Blocked(t.ID); paused || listed == nil || !listed.AcceptsWork() {
+		l.log.Info("Target not queried for cached parts.", "cell", key, "target", t.ID, "listed", listed != nil, "paused", paused)
 		return
 	}
 	ctx, cancel := context.WithTimeout(l.t.Context(context.Background()), cachedQueryTimeout)
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -126,7 +126,7 @@
 	memberCount atomic.Int64
 	knownCount  atomic.Int64 // members of any state, including dead ones
 	watcher     atomic.Bool
-	registrar   atomic.Bool // whether this gateway keeps its address in the register
+	registrar   atomic.Bool // whether this gateway keeps its address in the registry
 	busy        atomic.Int64
 	requests    atomic.Uint64
 }
--- a/services/notice/notice.go
+++ b/services/notice/notice.go
@@ -218,7 +218,7 @@
 	return p
 }
 
-// Leaves implements follow.Leavers.
+// Leaves implements follow.LeavingTargets.
 func (s *Service) Leaves(target string) bool {
 	if s.entries.Load() == 0 {
 		return false
@@ -228,7 +228,7 @@
 	return leaves
 }
 
-// Leaving implements follow.Leavers.
+// Leaving implements follow.LeavingTargets.
 func (s *Service) Leaving() []leaving.Announcement {
 	if s.entries.Load() == 0 {
 		return nil
@@ -238,7 +238,7 @@
 	return s.leaving.All(s.opts.Clock.Now())
 }
 
-// MergeLeaving implements follow.Leavers.
+// MergeLeaving implements follow.LeavingTargets.
 func (s *Service) MergeLeaving(announced []leaving.Announcement) (added []string) {
 	if len(announced) == 0 {
 		return nil
--- a/services/upstream/exchange_test.go
+++ b/services/upstream/exchange_test.go
@@ -278,7 +278,7 @@
 	}
 }
 
-// Guards against a target that keeps working for a caller that has gone.
+// Guards against a target that keeps working for a caller that has disconnected.
 func TestCancelClosesConnection(t *testing.T) {
 	gone := make(chan struct{})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
