--- a/lab/seconds/seconds.go
+++ b/lab/seconds/seconds.go
@@ -19,7 +19,7 @@
 // Messages of the lines, as the mesh and forward services write them.
 const (
 	cellMessage    = "Cell statistics."
-	gatewayMessage = "Second of a gateway."
+	gatewayMessage = "Gateway statistics."
 	timeLayout     = "0102 15:04:05.999999"
 )
 
--- a/lab/seconds/seconds_test.go
+++ b/lab/seconds/seconds_test.go
@@ -15,12 +15,12 @@
 )
 
 const sample = `
-  -1.2 front-1 I0906 10:46:08.000000   1 second.go:1] "[forward] front-1: Second of a gateway." in_time=9
+  -1.2 front-1 I0906 10:46:08.000000   1 second.go:1] "[forward] front-1: Gateway statistics." in_time=9
    0.1 front-1 I0906 10:46:10.100000   1 second.go:1] "[mesh] front-1: Cell statistics." cell="s/0" span="1s" asked=10 placed=7 refused=2 with_room=1 waiting=3 asked_tokens=50000 placed_tokens=40000 read=20000 reread=1000 copies=2 copied=9000 targets=4 streams=30 reading_share=0.5 booked="100ms"
    0.2 front-2 I0906 10:46:10.200000   1 second.go:1] "[mesh] front-2: Cell statistics." cell="s/1" span="1s" asked=5 placed=5 refused=0 with_room=0 waiting=0 asked_tokens=10000 placed_tokens=10000 read=5000 reread=0 copies=0 copied=0 targets=2 streams=4 reading_share=0.2 booked="40ms"
-   0.3 front-2 I0906 10:46:10.300000   1 second.go:1] "[forward] front-2: Second of a gateway." in_time=11 late=1 not_in_time=2 refused_at_entry=4 outcome_unknown=1 aborted=2 gone=3
+   0.3 front-2 I0906 10:46:10.300000   1 second.go:1] "[forward] front-2: Gateway statistics." in_time=11 late=1 not_in_time=2 refused_at_entry=4 outcome_unknown=1 aborted=2 gone=3
    0.4 front-1 I0906 10:46:10.400000   1 second.go:1] "[forward] front-1: Request served." id="x"
-   1.3 front-1 I0906 10:46:11.300000   1 second.go:1] "[forward] front-1: Second of a gateway." in_time=6
+   1.3 front-1 I0906 10:46:11.300000   1 second.go:1] "[forward] front-1: Gateway statistics." in_time=6
 `
 
 func lines(t *testing.T) []log.Line {
--- a/services/forward/second.go
+++ b/services/forward/second.go
@@ -118,10 +118,10 @@
 		for _, name := range slices.Sorted(maps.Keys(counts)) {
 			values = append(values, name, counts[name])
 		}
-		s.log.Info("Second of a gateway.", values...)
+		s.log.Info("Gateway statistics.", values...)
 		if refused.most.requests > 0 {
-			s.log.Info("Early refusals in a second.", "account", refused.account, "reason", refused.reason, "requests", refused.most.requests, "tokens", refused.most.tokens,
-				"taken", refused.admitted.requests, "taken_tokens", refused.admitted.tokens, "accounts", refused.accounts)
+			s.log.Info("Early refusal statistics.", "account", refused.account, "reason", refused.reason, "requests", refused.most.requests, "tokens", refused.most.tokens,
+				"admitted", refused.admitted.requests, "admitted_tokens", refused.admitted.tokens, "accounts", refused.accounts)
 		}
 	}
 }
