--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -51,7 +51,7 @@
 	sentAt              time.Time
 	refusal             error              // why the request must not be sent to a target
 	permit              notice.Permit      // to send to the target, held until its response begins
-	try                 quarantine.Attempt // current try of the request in the quarantine
+	quarantineAttempt   quarantine.Attempt // current try of the request in the quarantine
 	lastEvent           string
 	headOut             bool
 	takeFromRetryBudget func() bool
@@ -78,7 +78,7 @@
 }
 
 func (j *job) run() error {
-	defer j.try.End()
+	defer j.quarantineAttempt.End()
 	for range maxRounds {
 		if err := j.checkQuarantine(); err != nil {
 			return j.placementError(err)
@@ -90,7 +90,7 @@
 		j.target, j.targetID, j.placedAt = p.target(), p.target().ID, j.s.opts.Clock.Now()
 		outcome, failure := j.exchange(p)
 		if outcome == 0 {
-			j.try.Succeeded()
+			j.quarantineAttempt.Succeeded()
 			return nil
 		}
 		if errors.Is(j.refusal, context.Canceled) {
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -29,7 +29,7 @@
 // checkQuarantine returns an error if the request is quarantined. Such a request does not count
 // for the throttle of its account.
 func (j *job) checkQuarantine() error {
-	err := j.try.Check()
+	err := j.quarantineAttempt.Check()
 	if err != nil && scheduled(j.r.Service, &j.r.Call) {
 		j.disregard()
 	}
@@ -78,14 +78,14 @@
 	if !j.brokeOff || o != attempt.Unknown && o != attempt.Cut {
 		return targetDeath{}
 	}
-	try, sentAt := j.try, j.sentAt
+	try, sentAt := j.quarantineAttempt, j.sentAt
 	ask := func(ctx context.Context) (died, known bool) { return j.s.opts.Client.HasExited(ctx, t) }
 	died, known := requests.HasExited(j.ctx, ask, func() { j.s.recordDeath(&try, t, sentAt) })
 	if !died {
 		return targetDeath{checked: known}
 	}
-	j.s.recordDeath(&j.try, t, sentAt)
-	return targetDeath{checked: true, died: true, request: j.try.Request()}
+	j.s.recordDeath(&j.quarantineAttempt, t, sentAt)
+	return targetDeath{checked: true, died: true, request: j.quarantineAttempt.Request()}
 }
 
 // recordDeath records a request under which a target died, unless the target was leaving.
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -83,6 +83,6 @@
 	return []any{
 		"id", j.r.Call.ID, "number", j.number, "account", j.r.account(), "route", j.r.Route.Name, "service", j.r.Service.Name,
 		"scheduler", j.scheduler, "target", j.targetID, "source", j.sourceID, "sent", j.history.Sent, "unsent", j.history.Unsent,
-		"handed_over_by", j.r.HandedOverBy, "before_ask", j.beforeAsk, "waited", j.waited, "first", j.timing.first, "pause", j.timing.pause, "elapsed", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
+		"handed_over_by", j.r.HandedOverBy, "before_ask", j.beforeAsk, "waited", j.waited, "first", j.timing.first, "pause", j.timing.longestPause, "elapsed", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
 	}
 }
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -120,9 +120,9 @@
 
 // streamTiming records when the parts of a stream arrived.
 type streamTiming struct {
-	first time.Duration // from the request to the first part
-	pause time.Duration // the longest time between two parts
-	last  time.Time
+	first        time.Duration // from the request to the first part
+	longestPause time.Duration // the longest time between two parts
+	last         time.Time
 }
 
 // recordPart records the arrival of a part and reports whether it is the first one.
@@ -131,12 +131,12 @@
 		t.first, t.last = now.Sub(received), now
 		return true
 	}
-	t.pause = max(t.pause, now.Sub(t.last))
+	t.longestPause = max(t.longestPause, now.Sub(t.last))
 	t.last = now
 	return false
 }
 
 // late reports whether the stream missed the objectives of its route.
 func (t *streamTiming) late(r *routing.Route) bool {
-	return t.first > r.Objective || r.Pause > 0 && t.pause > r.Pause
+	return t.first > r.Objective || r.Pause > 0 && t.longestPause > r.Pause
 }
