--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -48,8 +48,8 @@
 	}
 	s.prepare(j)
 	s.countFirstAttempt(j)
-	s.beginTry(j, c.Body)
-	defer j.try.End()
+	s.startQuarantineAttempt(j, c.Body)
+	defer j.quarantineAttempt.End()
 	st := &stream{s: s, j: j, chat: c, sink: sink, caller: ctx}
 	err = st.run()
 	s.counters.done(outcomeLabel(err))
@@ -129,7 +129,7 @@
 		outcome, status, err := st.try()
 		if err == nil {
 			st.complete()
-			st.j.try.Succeeded()
+			st.j.quarantineAttempt.Succeeded()
 			return nil
 		}
 		err = withHistory(err, ran)
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -93,23 +93,23 @@
 
 // job is the state of a request.
 type job struct {
-	requestID   string
-	account     *conf.ClientAccount
-	pool        *conf.Pool
-	snapshot    *config.Snapshot
-	program     *policy.Program
-	request     policy.Request
-	order       policy.Order
-	prefix      string
-	cost        float64 // estimate in service units
-	deadline    time.Time
-	deny        []string
-	prefer      map[string]float64
-	budgetSpent bool // the policy permitted a retry, but the budget did not
-	uri         string
-	try         quarantine.Attempt // current try of the request in the quarantine
-	permit      notice.Permit      // to send to the target of the attempt
-	sentAt      time.Time          // start of the last attempt
+	requestID         string
+	account           *conf.ClientAccount
+	pool              *conf.Pool
+	snapshot          *config.Snapshot
+	program           *policy.Program
+	request           policy.Request
+	order             policy.Order
+	prefix            string
+	cost              float64 // estimate in service units
+	deadline          time.Time
+	deny              []string
+	prefer            map[string]float64
+	budgetSpent       bool // the policy permitted a retry, but the budget did not
+	uri               string
+	quarantineAttempt quarantine.Attempt // current try of the request in the quarantine
+	permit            notice.Permit      // to send to the target of the attempt
+	sentAt            time.Time          // start of the last attempt
 }
 
 // Admit returns an error if requests cannot be admitted now.
--- a/services/dispatch/plain.go
+++ b/services/dispatch/plain.go
@@ -50,8 +50,8 @@
 	}
 	s.prepare(j)
 	s.countFirstAttempt(j)
-	s.beginTry(j, c.Body)
-	defer j.try.End()
+	s.startQuarantineAttempt(j, c.Body)
+	defer j.quarantineAttempt.End()
 	var a PlainAnswer
 	if c.IdempotencyKey != "" && !s.repeatable(j, 1, outcomeUnknown, 0) {
 		a, err = s.once(ctx, j, c)
@@ -97,7 +97,7 @@
 			ran = result.RanYes
 		}
 		if err == nil && status < http.StatusInternalServerError {
-			j.try.Succeeded()
+			j.quarantineAttempt.Succeeded()
 			return a, nil
 		}
 		if err == nil {
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -12,16 +12,16 @@
 	"madderway/services/quarantine"
 )
 
-// beginTry starts a try of the request in the quarantine; the try must be ended.
-func (s *Service) beginTry(j *job, body []byte) {
-	j.try = s.opts.Quarantine.NewAttempt(core.Identity{
+// startQuarantineAttempt starts a try of the request in the quarantine; the try must be ended.
+func (s *Service) startQuarantineAttempt(j *job, body []byte) {
+	j.quarantineAttempt = s.opts.Quarantine.NewAttempt(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
 	})
 }
 
 // checkQuarantine returns an error if the request is quarantined.
 func (s *Service) checkQuarantine(j *job) error {
-	err := j.try.Check()
+	err := j.quarantineAttempt.Check()
 	if err != nil {
 		s.counters.refused(result.EndsTargets)
 		s.opts.Trace.Add(j.requestID, j.account.Name, "refused", "%v", err)
@@ -35,11 +35,11 @@
 	if t.Leaving {
 		return
 	}
-	try, sentAt := j.try, j.sentAt
+	try, sentAt := j.quarantineAttempt, j.sentAt
 	ask := func(ctx context.Context) (exited, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
 	died, _ := quarantine.HasExited(ctx, ask, func() { try.TargetDied(t.Name, sentAt) })
 	if died {
-		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.try.Request())
-		j.try.TargetDied(t.Name, sentAt)
+		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.quarantineAttempt.Request())
+		j.quarantineAttempt.TargetDied(t.Name, sentAt)
 	}
 }
