--- a/handlers/gateway/server.go
+++ b/handlers/gateway/server.go
@@ -141,18 +141,18 @@
 // Serve accepts connections until the server is closed. It retries failed accepts, such as
 // those for lack of file descriptors, with a backoff.
 func (s *Server) Serve() error {
-	pause := acceptBackoff
+	backoff := acceptBackoff
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			time.Sleep(pause)
-			pause = min(2*pause, maxAcceptBackoff)
+			time.Sleep(backoff)
+			backoff = min(2*backoff, maxAcceptBackoff)
 			continue
 		}
-		pause = acceptBackoff
+		backoff = acceptBackoff
 		if s.open.Add(1) > s.maxOpen {
 			s.turnAway(c)
 			continue
@@ -241,20 +241,20 @@
 }
 
 // Accept implements net.Listener.
-func (f *chanListener) Accept() (net.Conn, error) {
+func (l *chanListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-f.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-f.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (f *chanListener) Close() error {
-	f.once.Do(func() { close(f.done) })
+func (l *chanListener) Close() error {
+	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *chanListener) Addr() net.Addr { return f.address }
+func (l *chanListener) Addr() net.Addr { return l.address }
--- a/services/config/config.go
+++ b/services/config/config.go
@@ -134,7 +134,7 @@
 	defer cancel()
 	row, err := s.opts.Table.Get(ctx, headKey)
 	if err != nil {
-		s.log.Debug("Could not read the head row.", "reason", err)
+		s.log.Debug("Could not read the head row.", "error", err)
 		s.events.TryPut(head.FollowTick{})
 		return
 	}
@@ -182,7 +182,7 @@
 	defer cancel()
 	d, m, err := s.source.document(ctx, f.Version.Hash, f.Peers)
 	if err != nil {
-		s.log.Warn("Could not fetch a configuration.", "version", f.Version.Number, "reason", err)
+		s.log.Warn("Could not fetch a configuration.", "version", f.Version.Number, "error", err)
 		s.events.TryPut(head.LoadFailed{Version: f.Version})
 		return
 	}
--- a/services/control/api.go
+++ b/services/control/api.go
@@ -28,7 +28,7 @@
 // SetVMs replaces the platform's list of VMs.
 func (l *Loop) SetVMs(vms []vm.VM) { l.put(vmsIn{vms}) }
 
-// ShareRecord sends other routers a record of a request under which targets ended.
+// ShareRecord sends other routers a record of a request under which targets died.
 func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
 
 // Leave announces to the other routers that this one is leaving.
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -52,9 +52,9 @@
 
 // Versions provides the configuration version for heartbeats and receives those of peers.
 type Versions interface {
-	// InForce returns the active version of this router.
+	// InForce returns the current configuration version of this router.
 	InForce() head.Version
-	// PeerVersion records the active version of a peer.
+	// PeerVersion records the current configuration version of a peer.
 	PeerVersion(peer string, v head.Version)
 }
 
@@ -71,7 +71,7 @@
 	Versions      Versions
 	DialTimeout   time.Duration
 	LinkQueueSize int
-	// Quarantine holds records of requests under which targets ended.
+	// Quarantine holds records of requests under which targets died.
 	Quarantine *quarantine.Service
 }
 
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -107,7 +107,7 @@
 	prefer            map[string]float64
 	budgetSpent       bool // the policy permitted a retry, but the budget did not
 	uri               string
-	quarantineAttempt quarantine.Attempt // current try of the request in the quarantine
+	quarantineAttempt quarantine.Attempt // the request as known to the quarantine
 	permit            notice.Permit      // to send to the target of the attempt
 	sentAt            time.Time          // start of the last attempt
 }
@@ -190,7 +190,7 @@
 	defer s.mu.Unlock()
 	if now := s.opts.Clock.Now(); now.Sub(s.lastPolicyWarn) > policyWarnInterval {
 		s.lastPolicyWarn = now
-		s.log.Warn("Policy failed, safe default used.", "function", function, "reason", err)
+		s.log.Warn("Policy failed, safe default used.", "function", function, "error", err)
 	}
 }
 
@@ -235,8 +235,8 @@
 	target, ok := j.snapshot.Index.Target(d.Target)
 	if !ok {
 		// The grant may be of a later configuration than the request.
-		if now := s.opts.Config.Snapshot(); now != nil {
-			target, ok = now.Index.Target(d.Target)
+		if current := s.opts.Config.Snapshot(); current != nil {
+			target, ok = current.Index.Target(d.Target)
 		}
 	}
 	if !ok {
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -72,7 +72,7 @@
 		defer cancel()
 		name, err := s.opts.Answers.PutBody(ctx, row.Attempt, a.Body)
 		if err != nil {
-			s.log.Warn("Could not store a large response.", "request", row.RequestID, "reason", err)
+			s.log.Warn("Could not store a large response.", "request", row.RequestID, "error", err)
 		}
 		row.Object = name
 		held.Record(row)
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -12,7 +12,7 @@
 	"madderway/services/quarantine"
 )
 
-// startQuarantineAttempt starts a try of the request in the quarantine; the try must be ended.
+// startQuarantineAttempt starts the attempt of the request in the quarantine; it must be ended.
 func (s *Service) startQuarantineAttempt(j *job, body []byte) {
 	j.quarantineAttempt = s.opts.Quarantine.NewAttempt(core.Identity{
 		Account: j.account.Name, Method: j.request.Method, Host: j.pool.Name, URI: j.uri, Body: body,
@@ -35,9 +35,9 @@
 	if t.Leaving {
 		return
 	}
-	try, sentAt := j.quarantineAttempt, j.sentAt
+	a, sentAt := j.quarantineAttempt, j.sentAt
 	ask := func(ctx context.Context) (exited, known bool) { return s.exitDetector.Exited(ctx, t.Name, t.Address) }
-	died, _ := quarantine.HasExited(ctx, ask, func() { try.TargetDied(t.Name, sentAt) })
+	died, _ := quarantine.HasExited(ctx, ask, func() { a.TargetDied(t.Name, sentAt) })
 	if died {
 		s.opts.Trace.Add(j.requestID, j.account.Name, "target ended", "%s, died under request %s", t.Name, j.quarantineAttempt.Request())
 		j.quarantineAttempt.TargetDied(t.Name, sentAt)
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -198,7 +198,7 @@
 		}
 		if !failing {
 			failing = true
-			s.log.Warn("Store call failed.", "table", table, "reason", err)
+			s.log.Warn("Store call failed.", "table", table, "error", err)
 		}
 		first, longest := watch.BackoffRange(s.opts.Fleet())
 		backoff = min(max(2*backoff, first), longest)
--- a/services/follow/peers.go
+++ b/services/follow/peers.go
@@ -140,7 +140,7 @@
 		err = json.Unmarshal(content, into)
 	}
 	if err != nil {
-		s.log.Warn("Could not fetch state from a peer.", "peer", peer, "targets", targets, "reason", err)
+		s.log.Warn("Could not fetch state from a peer.", "peer", peer, "targets", targets, "error", err)
 	}
 	return err == nil
 }
--- a/services/forward/job.go
+++ b/services/forward/job.go
@@ -51,7 +51,7 @@
 	sentAt              time.Time
 	refusal             error              // why the request must not be sent to a target
 	permit              notice.Permit      // to send to the target, held until its response begins
-	quarantineAttempt   quarantine.Attempt // current try of the request in the quarantine
+	quarantineAttempt   quarantine.Attempt // the request as known to the quarantine
 	lastEvent           string
 	headOut             bool
 	takeFromRetryBudget func() bool
--- a/services/forward/permit.go
+++ b/services/forward/permit.go
@@ -25,7 +25,7 @@
 // the first byte is written, since the target may have announced meanwhile that it leaves or
 // needs a pause, and its scheduler may not know that.
 func (j *job) startSending() error {
-	if now := j.s.opts.Targets.Targets().Find(j.target.ID); now == nil || !now.AcceptsWork() {
+	if listed := j.s.opts.Targets.Targets().Find(j.target.ID); listed == nil || !listed.AcceptsWork() {
 		return errWithheld
 	}
 	permit, err := j.s.opts.Notices.Start(j.target.ID)
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -21,7 +21,7 @@
 	request quarantine.Fingerprint // the request under which the target died
 }
 
-// identity returns the parts that make two tries the same request.
+// identity returns the parts that make two calls the same request.
 func (r *Request) identity() quarantine.Identity {
 	return quarantine.Identity{Account: r.account(), Method: r.Method, Host: r.Host, URI: r.URI, Body: r.Body}
 }
@@ -78,9 +78,9 @@
 	if !j.brokeOff || o != attempt.Unknown && o != attempt.Cut {
 		return targetDeath{}
 	}
-	try, sentAt := j.quarantineAttempt, j.sentAt
+	a, sentAt := j.quarantineAttempt, j.sentAt
 	ask := func(ctx context.Context) (died, known bool) { return j.s.opts.Client.HasExited(ctx, t) }
-	died, known := requests.HasExited(j.ctx, ask, func() { j.s.recordDeath(&try, t, sentAt) })
+	died, known := requests.HasExited(j.ctx, ask, func() { j.s.recordDeath(&a, t, sentAt) })
 	if !died {
 		return targetDeath{checked: known}
 	}
@@ -89,8 +89,8 @@
 }
 
 // recordDeath records a request under which a target died, unless the target was leaving.
-func (s *Service) recordDeath(try *requests.Attempt, t *routing.Target, sentAt time.Time) {
-	if now := s.opts.Targets.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
-		try.TargetDied(t.ID, sentAt)
+func (s *Service) recordDeath(a *requests.Attempt, t *routing.Target, sentAt time.Time) {
+	if listed := s.opts.Targets.Targets().Find(t.ID); listed != nil && listed.AcceptsWork() {
+		a.TargetDied(t.ID, sentAt)
 	}
 }
--- a/services/forward/story.go
+++ b/services/forward/story.go
@@ -34,7 +34,7 @@
 		if e, ok := result.FromError(err); ok {
 			code, retryAfter = e.Code.String(), e.RetryAfter
 		}
-		s.log.Request("Request failed.", append(j.logValues(), "code", code, "retry_after", retryAfter, "reason", j.reason, "detail", err)...)
+		s.log.Request("Request failed.", append(j.logValues(), "code", code, "retry_after", retryAfter, "reason", j.reason, "error", err)...)
 	case j.r.Route.Stream && j.timing.late(j.r.Route):
 		s.log.Request("Response late.", append(j.logValues(), "objective", j.r.Route.Objective, "max_pause", j.r.Route.Pause)...)
 	case j.history.Sent > 1 || j.history.Unsent > 0 || sampled(j.r.Call.ID):
@@ -83,6 +83,6 @@
 	return []any{
 		"id", j.r.Call.ID, "number", j.number, "account", j.r.account(), "route", j.r.Route.Name, "service", j.r.Service.Name,
 		"scheduler", j.scheduler, "target", j.targetID, "source", j.sourceID, "sent", j.history.Sent, "unsent", j.history.Unsent,
-		"handed_over_by", j.r.HandedOverBy, "before_ask", j.beforeAsk, "waited", j.waited, "first", j.timing.first, "pause", j.timing.longestPause, "elapsed", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
+		"handed_over_by", j.r.HandedOverBy, "before_ask", j.beforeAsk, "waited", j.waited, "first_part", j.timing.first, "longest_pause", j.timing.longestPause, "elapsed", j.s.opts.Clock.Now().Sub(j.r.Received), "tokens", tokens,
 	}
 }
--- a/services/membership/poll.go
+++ b/services/membership/poll.go
@@ -70,7 +70,7 @@
 		if err == nil {
 			p.opts.Loop.SetVMs(vms)
 		} else {
-			p.log.Debug("Could not read the VM list.", "reason", err)
+			p.log.Debug("Could not read the VM list.", "error", err)
 		}
 		if !p.pause(p.opts.PollList) {
 			return nil
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -68,7 +68,7 @@
 	Meter  *peernet.Meter
 	Member member.Config
 	Follow *follow.Service
-	// Quarantine holds records of requests under which targets ended.
+	// Quarantine holds records of requests under which targets died.
 	Quarantine *quarantine.Service
 	// Notices holds the states that targets announced.
 	Notices *notice.Service
--- a/services/mesh/quarantine.go
+++ b/services/mesh/quarantine.go
@@ -9,5 +9,5 @@
 
 func (recordIn) isInput() {}
 
-// ShareRecord sends other gateways a record of a request under which targets ended.
+// ShareRecord sends other gateways a record of a request under which targets died.
 func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -46,8 +46,8 @@
 	return &Records{self: self, requests: requests, members: members, out: out, sent: map[string]sentRecords{}}
 }
 
-// Share sends peers a record of a request under which targets ended: all peers if several targets
-// have ended, a few that keep count otherwise.
+// Share sends peers a record of a request under which targets died: all peers if several targets
+// have died, a few that keep count otherwise.
 func (x *Records) Share(now time.Time, r core.Record, except string) {
 	for _, id := range core.Recipients(r, x.members.Nodes(), x.members.GossipPeers(now)) {
 		if id != except && id != x.self {
--- a/services/quarantine/try.go
+++ b/services/quarantine/try.go
@@ -15,7 +15,8 @@
 // elsewhere. An exit is detected within milliseconds; an unreachable target may never answer.
 const ExitTimeout = 60 * time.Millisecond
 
-// Attempt is one attempt of a request. It is not safe for concurrent use. End must be called.
+// Attempt covers the handling of a request by this process, including retries at other targets.
+// It is not safe for concurrent use. End must be called.
 type Attempt struct {
 	s          *Service
 	id         quarantine.Identity
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -215,7 +215,7 @@
 }
 
 func (s *Service) failed(p *peer, err error) {
-	s.log.Warn("Could not hand over a request.", "peer", p.ID, "address", p.Address, "reason", err)
+	s.log.Warn("Could not hand over a request.", "peer", p.ID, "address", p.Address, "error", err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooser.Ended(p.ID)
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -48,15 +48,15 @@
 func (s *Server) HandleRelay(peer string, conn net.Conn) {
 	ctx, cancel := context.WithCancel(context.WithValue(context.Background(), peerKey{}, peer))
 	defer cancel()
-	f := &serverConn{s: s, ctx: ctx, conn: conn, requests: map[uint32]*incomingRequest{}}
+	c := &serverConn{s: s, ctx: ctx, conn: conn, requests: map[uint32]*incomingRequest{}}
 	defer conn.Close()
 	buffer := make([]byte, readBufferSize)
 	var d decoder
 	for {
 		n, err := conn.Read(buffer)
 		if n > 0 {
-			if feedErr := d.feed(buffer[:n], f.handleFrame); feedErr != nil {
-				s.log.Warn("Closed a connection with malformed frames.", "peer", peer, "reason", feedErr)
+			if feedErr := d.feed(buffer[:n], c.handleFrame); feedErr != nil {
+				s.log.Warn("Closed a connection with malformed frames.", "peer", peer, "error", feedErr)
 				return
 			}
 		}
@@ -141,7 +141,7 @@
 	defer c.remove(number)
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 	if err != nil {
-		c.s.log.Warn("Dropped a malformed request.", "peer", HandedOverBy(ctx), "reason", err)
+		c.s.log.Warn("Dropped a malformed request.", "peer", HandedOverBy(ctx), "error", err)
 		c.sendControl(kindAborted, number)
 		return
 	}
