--- a/handlers/gateway/early.go
+++ b/handlers/gateway/early.go
@@ -64,8 +64,8 @@
 	LostAnswer(id string) []byte
 	// BusyAnswer returns the response to a request that could not be handed over in time.
 	BusyAnswer(id string) []byte
-	// NoteHandedOver records the outcome of a hand-over.
-	NoteHandedOver(decision EarlyDecision, res HandOverResult)
+	// RecordHandOver records the outcome of a hand-over.
+	RecordHandOver(decision EarlyDecision, res HandOverResult)
 }
 
 // AdmitsEarly implements EarlyAdmission.
@@ -114,8 +114,8 @@
 	return h.earlyAnswer(h.opts.Forward.OverloadError(), id, false)
 }
 
-// NoteHandedOver implements EarlyAdmission.
-func (h *Handler) NoteHandedOver(decision EarlyDecision, res HandOverResult) {
+// RecordHandOver implements EarlyAdmission.
+func (h *Handler) RecordHandOver(decision EarlyDecision, res HandOverResult) {
 	h.opts.Forward.RecordHandOver(forward.HandOverResult{ID: decision.ID, Account: decision.Account, Peer: res.Peer, Elapsed: res.Elapsed, Bytes: res.Bytes, Lost: res.Lost, CallerDisconnected: res.CallerDisconnected})
 }
 
--- a/handlers/gateway/early_test.go
+++ b/handlers/gateway/early_test.go
@@ -41,7 +41,7 @@
 	return []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + strconv.Itoa(len(id)) + "\r\n\r\n" + id)
 }
 
-func (r *keyAdmission) NoteHandedOver(_ EarlyDecision, h HandOverResult) { r.results <- h }
+func (r *keyAdmission) RecordHandOver(_ EarlyDecision, h HandOverResult) { r.results <- h }
 
 func (r *keyAdmission) AdmitEarly(h *httphead.Head, o EarlyOptions) EarlyDecision {
 	r.decisions.Add(1)
--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -72,7 +72,7 @@
 	start, res := now(), HandOverResult{}
 	defer func() {
 		res.Elapsed = now().Sub(start)
-		c.server.early.NoteHandedOver(decision, res)
+		c.server.early.RecordHandOver(decision, res)
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
