--- a/router/gateway.go
+++ b/router/gateway.go
@@ -171,7 +171,7 @@
 	})
 	g.quarantine.RunArchive(&g.t, quarantine.ArchiveOptions{Archive: platform.NewQuarantineArchive(store), IsReader: g.loop.Watches, FirstStart: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
-		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Registry: platform.NewGatewayRegister(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
+		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Registry: platform.NewGatewayRegistry(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
 		EmptyRegistry: s.FirstStart,
 	})
 	guard := forward.NewGuard(log.New("guard").With(s.ID), g.clock, forward.GuardOptions{
