--- a/client/client.go
+++ b/client/client.go
@@ -84,7 +84,7 @@
 	return r, c.do(ctx, http.MethodPut, "/operator/config", a, &r)
 }
 
-// Get returns the router's active configuration.
+// Get returns the router's current configuration.
 func (c *Client) Get(ctx context.Context) (operator.ConfigReply, error) {
 	var r operator.ConfigReply
 	return r, c.do(ctx, http.MethodGet, "/operator/config", nil, &r)
--- a/handlers/operator/operator.go
+++ b/handlers/operator/operator.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// ConfigReply is the router's active configuration.
+// ConfigReply is the router's current configuration.
 type ConfigReply struct {
 	Version  uint64         `json:"version"`
 	Hash     string         `json:"hash"`
--- a/services/follow/targets.go
+++ b/services/follow/targets.go
@@ -145,7 +145,7 @@
 // targetState is the part of a state that a peer fetches about targets.
 type targetState struct {
 	Revision routing.Revision       `json:"revision"`
-	Whole    bool                   `json:"whole"` // targets that are not in Changes are gone
+	Whole    bool                   `json:"whole"` // targets that are not in Changes are removed
 	Changes  []TargetChange         `json:"changes"`
 	Leaving  []leaving.Announcement `json:"leaving,omitempty"` // including incarnations that are not listed
 }
