--- a/handlers/gateway/callerconn.go
+++ b/handlers/gateway/callerconn.go
@@ -108,10 +108,10 @@
 		head, plain := httphead.Parse(p[:n])
 		rest := head.ContentLength - int64(n-head.Length)
 		if !plain || rest < 0 {
-			return n, c.passToServer(Undecided, unknownLength)
+			return n, c.passRequest(Undecided, unknownLength)
 		}
 		if head.ContentLength > maxEarlyBody || !c.server.admitsEarly() {
-			return n, c.passToServer(Undecided, rest)
+			return n, c.passRequest(Undecided, rest)
 		}
 		if c.isDisconnected() {
 			return 0, io.EOF
@@ -135,7 +135,7 @@
 				return 0, io.EOF
 			}
 		default:
-			return n, c.passToServer(decision.Verdict, rest)
+			return n, c.passRequest(decision.Verdict, rest)
 		}
 	}
 }
@@ -154,11 +154,11 @@
 	if err != nil {
 		return n, err
 	}
-	return n, c.passToServer(Admitted, whole-int64(n))
+	return n, c.passRequest(Admitted, whole-int64(n))
 }
 
-// passToServer leaves a request with so many unread bytes to the HTTP server.
-func (c *callerConn) passToServer(v Verdict, left int64) error {
+// passRequest leaves a request with so many unread bytes to the HTTP server.
+func (c *callerConn) passRequest(v Verdict, left int64) error {
 	c.inServer, c.unread, c.admitted = true, left, v == Admitted
 	if !c.answeredEarly {
 		return nil
--- a/handlers/gateway/server.go
+++ b/handlers/gateway/server.go
@@ -157,7 +157,7 @@
 			s.turnAway(c)
 			continue
 		}
-		s.passToServer(&callerConn{countedConn: &countedConn{Conn: s.traffic.Wrap(c), open: &s.open}, server: s, stopWatch: make(chan struct{}, 1)})
+		s.passConn(&callerConn{countedConn: &countedConn{Conn: s.traffic.Wrap(c), open: &s.open}, server: s, stopWatch: make(chan struct{}, 1)})
 	}
 }
 
@@ -201,8 +201,8 @@
 // TurnedAway returns how many connections were refused beyond the limit.
 func (s *Server) TurnedAway() uint64 { return s.turnedAway.Load() }
 
-// passToServer passes a connection to the current HTTP server.
-func (s *Server) passToServer(c *callerConn) {
+// passConn passes a connection to the current HTTP server.
+func (s *Server) passConn(c *callerConn) {
 	for {
 		s.mu.Lock()
 		current, closed := s.current, s.closed
