--- a/router/gateway.go
+++ b/router/gateway.go
@@ -121,7 +121,7 @@
 	g.probe.Store(probe)
 	g.t.Go(g.closeAtEnd)
 	g.t.Go(func() error {
-		g.forward.LogSeconds(g.t.Dying())
+		g.forward.LogStats(g.t.Dying())
 		return nil
 	})
 	g.follow.Start()
--- a/services/forward/second.go
+++ b/services/forward/second.go
@@ -100,8 +100,8 @@
 	return counts, sum
 }
 
-// LogSeconds logs the outcomes of requests to engines every second until stop is closed.
-func (s *Service) LogSeconds(stop <-chan struct{}) {
+// LogStats logs the outcomes of requests to engines every second until stop is closed.
+func (s *Service) LogStats(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
