--- a/services/peerwire/records.go
+++ b/services/peerwire/records.go
@@ -86,11 +86,11 @@
 	if local == remote || local != 0 && age < recordsSettleTime {
 		return
 	}
-	last, pause := x.sent[peer], recordsSettleTime
+	last, interval := x.sent[peer], recordsSettleTime
 	if last.local == local && last.remote == remote {
-		pause = recordsResendInterval
+		interval = recordsResendInterval
 	}
-	if now.Sub(last.at) < pause {
+	if now.Sub(last.at) < interval {
 		return
 	}
 	x.sent[peer] = sentRecords{now, local, remote}
--- a/services/quarantine/archive.go
+++ b/services/quarantine/archive.go
@@ -28,7 +28,7 @@
 	archiveTimeout = 2 * time.Second
 	// archiveQueueSize bounds the changes that wait while the archive is unavailable.
 	archiveQueueSize = 64
-	// archiveBackoff is the pause after a failed call. It doubles up to maxArchiveBackoff.
+	// archiveBackoff is the wait after a failed call. It doubles up to maxArchiveBackoff.
 	archiveBackoff    = time.Second
 	maxArchiveBackoff = 10 * time.Second
 	// firstReadDelay is the time after the start at which a gateway first considers reading the
@@ -54,36 +54,36 @@
 }
 
 // RunArchive starts reading from and writing to the archive, until the tomb dies.
-func (s *Service) RunArchive(t *tomb.Tomb, k ArchiveOptions) {
+func (s *Service) RunArchive(t *tomb.Tomb, o ArchiveOptions) {
 	t.Go(func() error {
-		s.readAtStart(t, k)
+		s.readAtStart(t, o)
 		for {
 			select {
 			case <-t.Dying():
 				return nil
 			case c := <-s.changes:
-				s.apply(t, k.Archive, c)
+				s.apply(t, o.Archive, c)
 			}
 		}
 	})
 }
 
 // readAtStart reads the archive, with retries, if this gateway is one of its readers.
-func (s *Service) readAtStart(t *tomb.Tomb, k ArchiveOptions) {
-	if k.FirstStart {
+func (s *Service) readAtStart(t *tomb.Tomb, o ArchiveOptions) {
+	if o.FirstStart {
 		return
 	}
-	pause := firstReadDelay
+	backoff := firstReadDelay
 	for {
 		select {
 		case <-t.Dying():
 			return
-		case <-s.opts.Clock.After(pause):
+		case <-s.opts.Clock.After(backoff):
 		}
-		if !k.IsReader() || s.readArchive(t, k.Archive) {
+		if !o.IsReader() || s.readArchive(t, o.Archive) {
 			return
 		}
-		pause = min(max(2*pause, archiveBackoff), maxArchiveBackoff)
+		backoff = min(max(2*backoff, archiveBackoff), maxArchiveBackoff)
 	}
 }
 
@@ -153,7 +153,7 @@
 		s.deleteArchived(t, a, c.deletes)
 		return
 	}
-	for pause := archiveBackoff; ; pause = min(2*pause, maxArchiveBackoff) {
+	for backoff := archiveBackoff; ; backoff = min(2*backoff, maxArchiveBackoff) {
 		ctx, cancel := context.WithTimeout(t.Context(context.Background()), archiveTimeout)
 		err := a.Put(ctx, *c.put)
 		cancel()
@@ -164,7 +164,7 @@
 		select {
 		case <-t.Dying():
 			return
-		case <-s.opts.Clock.After(pause):
+		case <-s.opts.Clock.After(backoff):
 		}
 	}
 }
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -129,8 +129,8 @@
 }
 
 // Merge merges records of another gateway and returns the changed ones that all gateways must
-// have. isFirst reports whether this gateway is the one that archives a record.
-func (s *Service) Merge(from string, records []quarantine.Record, isFirst func(f quarantine.Fingerprint) bool) []quarantine.Record {
+// have. ownsRecord reports whether this gateway is the one that archives a record.
+func (s *Service) Merge(from string, records []quarantine.Record, ownsRecord func(f quarantine.Fingerprint) bool) []quarantine.Record {
 	now := s.opts.Clock.Now()
 	var news []quarantine.Record
 	for _, other := range records {
@@ -144,7 +144,7 @@
 			continue
 		}
 		s.logChange(r, before, after, hold, from)
-		if after == quarantine.Quarantined && before != after && isFirst(r.Request) {
+		if after == quarantine.Quarantined && before != after && ownsRecord(r.Request) {
 			s.enqueue(change{put: &r})
 		}
 		if r.IsShared() {
@@ -172,9 +172,9 @@
 	return s.table.Digest(), s.opts.Clock.Now().Sub(s.table.ChangedAt())
 }
 
-// Expire deletes expired records. isFirst reports whether this gateway is the one that also
+// Expire deletes expired records. ownsRecord reports whether this gateway is the one that also
 // deletes a record from the archive.
-func (s *Service) Expire(isFirst func(f quarantine.Fingerprint) bool) {
+func (s *Service) Expire(ownsRecord func(f quarantine.Fingerprint) bool) {
 	if s.known.Load() == 0 {
 		return
 	}
@@ -184,7 +184,7 @@
 	s.mu.Unlock()
 	var drop []quarantine.Fingerprint
 	for _, r := range expired {
-		if len(r.Deaths) >= quarantine.QuarantineThreshold && isFirst(r.Request) {
+		if len(r.Deaths) >= quarantine.QuarantineThreshold && ownsRecord(r.Request) {
 			drop = append(drop, r.Request)
 		}
 	}
