--- a/services/control/api.go
+++ b/services/control/api.go
@@ -67,7 +67,7 @@
 // slot is released.
 func (l *Loop) abandon(id admit.RequestID, answer chan Decision) {
 	l.put(admitIn{admit.Canceled{ID: id}})
-	l.Inspect(func() { delete(l.decisions, id) })
+	l.Do(func() { delete(l.decisions, id) })
 	select {
 	case d := <-answer:
 		if d.Refused == 0 {
@@ -85,8 +85,8 @@
 // Finish records that a started request no longer uses its target.
 func (l *Loop) Finish(f admit.Finished) { l.put(admitIn{f}) }
 
-// Inspect runs a function on the loop's goroutine, between two inputs, and waits for it.
-func (l *Loop) Inspect(run func()) {
+// Do runs a function on the loop's goroutine, between two inputs, and waits for it.
+func (l *Loop) Do(run func()) {
 	done := make(chan struct{})
 	if !l.put(inspectIn{run, done}) {
 		return
--- a/services/control/outbox.go
+++ b/services/control/outbox.go
@@ -50,13 +50,13 @@
 // Link returns the link to a member, or nil if the member is unknown.
 func (l *Loop) Link(id string) *peernet.Link {
 	var link *peernet.Link
-	l.Inspect(func() { link = l.link(id) })
+	l.Do(func() { link = l.link(id) })
 	return link
 }
 
 // Block blocks or unblocks the link to a member. Tests use it to partition routers.
 func (l *Loop) Block(id string, blocked bool) {
-	l.Inspect(func() {
+	l.Do(func() {
 		l.blocked[id] = blocked
 		if link := l.links[id]; link != nil {
 			link.Block(blocked)
--- a/services/control/state.go
+++ b/services/control/state.go
@@ -36,7 +36,7 @@
 // State returns the current state.
 func (l *Loop) State() State {
 	st := State{Members: []MemberState{}, Rings: []ring.State{}}
-	l.Inspect(func() {
+	l.Do(func() {
 		st.Self = memberState(l.members.Self())
 		for _, m := range l.members.Others() {
 			st.Members = append(st.Members, memberState(m))
