--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -45,7 +45,7 @@
 
 // SetSeeds adds addresses of gateways to contact at the start.
 func (l *Loop) SetSeeds(addresses []string) {
-	l.Inspect(func() { l.setSeeds(addresses) })
+	l.Do(func() { l.setSeeds(addresses) })
 }
 
 // Alone implements discover.Peers.
@@ -57,14 +57,14 @@
 // IsMember implements discover.Peers.
 func (l *Loop) IsMember(id string) bool {
 	known := false
-	l.Inspect(func() { _, known = l.members.Lookup(id) })
+	l.Do(func() { _, known = l.members.Lookup(id) })
 	return known
 }
 
 // Greet implements discover.Peers. It sends a heartbeat to the gateways at these addresses at once
 // and repeats it as long as no other gateway is known.
 func (l *Loop) Greet(addresses []string) {
-	l.Inspect(func() {
+	l.Do(func() {
 		for _, address := range addresses {
 			if address == l.opts.Self.Address || slices.Contains(l.seedAddresses, address) {
 				continue
@@ -111,7 +111,7 @@
 // abandon withdraws a request that nobody waits for. If it was placed in the meantime, its place is released.
 func (l *Loop) abandon(id cell.RequestID, answer chan Decision) {
 	l.put(entryIn{entry.Withdrawn{ID: id}})
-	l.Inspect(func() { delete(l.decisions, id) })
+	l.Do(func() { delete(l.decisions, id) })
 	select {
 	case d := <-answer:
 		if d.Target != "" {
@@ -129,8 +129,8 @@
 	l.put(entryIn{entry.Ended{ID: id, Outcome: o}})
 }
 
-// Inspect runs a function on the loop's goroutine, between two inputs, and waits for it.
-func (l *Loop) Inspect(run func()) {
+// Do runs a function on the loop's goroutine, between two inputs, and waits for it.
+func (l *Loop) Do(run func()) {
 	done := make(chan struct{})
 	if !l.put(inspectIn{run, done}) {
 		return
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -283,7 +283,7 @@
 // FetchState implements follow.Peers.
 func (l *Loop) FetchState(ctx context.Context, peer string, want follow.StateRequest) ([]byte, error) {
 	var link *peernet.Link
-	l.Inspect(func() { link = l.link(peer) })
+	l.Do(func() { link = l.link(peer) })
 	if link == nil {
 		return nil, fmt.Errorf("no link to %s", peer)
 	}
--- a/services/mesh/state.go
+++ b/services/mesh/state.go
@@ -33,7 +33,7 @@
 // State returns the current state.
 func (l *Loop) State() State {
 	st := State{Self: l.opts.Self.ID, Watches: l.Watches(), Versions: l.opts.Follow.Versions(), Busy: l.Busy()}
-	l.Inspect(func() {
+	l.Do(func() {
 		now := l.opts.Clock.Now()
 		for _, m := range l.members.Others() {
 			st.Members = append(st.Members, MemberState{ID: m.ID, State: m.State.String(), DataHall: m.DataHall})
