--- a/services/control/input.go
+++ b/services/control/input.go
@@ -46,18 +46,18 @@
 	leaving bool
 }
 
-type inspectIn struct {
+type doIn struct {
 	run  func()
 	done chan struct{}
 }
 
-func (frameIn) isInput()   {}
-func (submitIn) isInput()  {}
-func (admitIn) isInput()   {}
-func (schedIn) isInput()   {}
-func (memberIn) isInput()  {}
-func (recordIn) isInput()  {}
-func (vmsIn) isInput()     {}
-func (indexIn) isInput()   {}
-func (loadIn) isInput()    {}
-func (inspectIn) isInput() {}
+func (frameIn) isInput()  {}
+func (submitIn) isInput() {}
+func (admitIn) isInput()  {}
+func (schedIn) isInput()  {}
+func (memberIn) isInput() {}
+func (recordIn) isInput() {}
+func (vmsIn) isInput()    {}
+func (indexIn) isInput()  {}
+func (loadIn) isInput()   {}
+func (doIn) isInput()     {}
--- a/services/control/loop.go
+++ b/services/control/loop.go
@@ -197,7 +197,7 @@
 	case loadIn:
 		l.stepScheduler(now, sched.LoadSeen{Target: e.target, Running: e.running, Healthy: e.healthy, Leaving: e.leaving})
 		l.stepAdmission(now, admit.LoadSeen{Target: e.target, Running: e.running, Slots: e.slots})
-	case inspectIn:
+	case doIn:
 		e.run()
 		close(e.done)
 	}
