--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -132,7 +132,7 @@
 // Do runs a function on the loop's goroutine, between two inputs, and waits for it.
 func (l *Loop) Do(run func()) {
 	done := make(chan struct{})
-	if !l.put(inspectIn{run, done}) {
+	if !l.put(doIn{run, done}) {
 		return
 	}
 	select {
--- a/services/mesh/input.go
+++ b/services/mesh/input.go
@@ -33,7 +33,7 @@
 	targets *routing.TargetSet
 }
 
-type inspectIn struct {
+type doIn struct {
 	run  func()
 	done chan struct{}
 }
@@ -43,7 +43,7 @@
 func (entryIn) isInput()   {}
 func (memberIn) isInput()  {}
 func (routingIn) isInput() {}
-func (inspectIn) isInput() {}
+func (doIn) isInput()      {}
 
 // RequestID numbers a request at its entry gateway.
 type RequestID = cell.RequestID
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -239,7 +239,7 @@
 		if s := l.cells[e.key]; s != nil {
 			l.applyToCell(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
 		}
-	case inspectIn:
+	case doIn:
 		e.run()
 		close(e.done)
 	}
