--- a/services/membership/poll.go
+++ b/services/membership/poll.go
@@ -72,13 +72,13 @@
 		} else {
 			p.log.Debug("Could not read the VM list.", "error", err)
 		}
-		if !p.pause(p.opts.PollList) {
+		if !p.sleep(p.opts.PollList) {
 			return nil
 		}
 	}
 }
 
-func (p *Poller) pause(d time.Duration) bool {
+func (p *Poller) sleep(d time.Duration) bool {
 	select {
 	case <-p.t.Dying():
 		return false
@@ -95,7 +95,7 @@
 		if len(targets) == 0 {
 			wait = min(wait, idlePollLoad)
 		}
-		if !p.pause(wait) {
+		if !p.sleep(wait) {
 			return nil
 		}
 	}
