--- a/services/config/submit.go
+++ b/services/config/submit.go
@@ -80,7 +80,7 @@
 	for {
 		switch a := action.(type) {
 		case head.ReadHead:
-			if !s.pause(ctx, a.After) {
+			if !s.sleep(ctx, a.After) {
 				action = sub.OnDeadline()
 				continue
 			}
@@ -102,7 +102,7 @@
 	}
 }
 
-func (s *Service) pause(ctx context.Context, d time.Duration) bool {
+func (s *Service) sleep(ctx context.Context, d time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
 	}
