--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -249,8 +249,7 @@
 	return st.prompt + float64(st.outputs)*pool.OutputWeight
 }
 
-// complete updates the cost estimates, and keeps the response if the caller has
-// disconnected.
+// complete updates the cost estimates, and keeps the response if the caller has disconnected.
 func (st *stream) complete() {
 	st.s.learn(st.j, float64(st.outputs)*st.j.pool.OutputWeight)
 	if !st.callerDisconnected {
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -108,8 +108,8 @@
 	return j.ended(p, outcome)
 }
 
-// ended reports the outcome to the placement; a canceled request or a passed
-// deadline overrides it.
+// ended reports the outcome to the placement; a canceled request or a passed deadline
+// overrides it.
 func (j *job) ended(p placement, o attempt.Outcome) attempt.Outcome {
 	if j.ctx.Err() == context.Canceled {
 		p.canceled()
--- a/services/forward/guard.go
+++ b/services/forward/guard.go
@@ -130,8 +130,8 @@
 // shortRetryShare of admitted requests on, a retry is likely to succeed: it comes after
 // baseRetryAfter divided by the share, often still within the objective. Below, most retries
 // would be refused again and refusals would use up the processor: retries come after the time
-// in which the gateway admits as many requests as it refused in longRetryUnit, before
-// callers give up.
+// in which the gateway admits as many requests as it refused in longRetryUnit, before callers
+// give up.
 const (
 	shortRetryShare = 0.2
 	baseRetryAfter  = 50 * time.Millisecond
--- a/services/mesh/api.go
+++ b/services/mesh/api.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// abandon withdraws a request that nobody waits for. If it was placed in the meantime, its place is released.
+// abandon withdraws a request that nobody waits for any more. If it was placed in the meantime, its
+// place is released.
 func (l *Loop) abandon(id cell.RequestID, answer chan Decision) {
 	l.put(entryIn{entry.Withdrawn{ID: id}})
 	l.Do(func() { delete(l.decisions, id) })
