--- a/handlers/gateway/relay.go
+++ b/handlers/gateway/relay.go
@@ -30,19 +30,19 @@
 
 // Relay hands requests over to other gateways.
 type Relay interface {
-	// Send hands a request over. The first relay.HeadSize bytes of the buffer are free; the request
+	// Send hands a request over. The first relay.HeaderSize bytes of the buffer are free; the request
 	// follows. The answer is written to caller; when it ends, a pending read of caller is
-	// ended by a deadline. left reports whether the caller has closed its connection.
-	Send(ctx context.Context, buffer []byte, caller net.Conn, left func() bool) (*relay.Handover, error)
+	// ended by a deadline. disconnected reports whether the caller has closed its connection.
+	Send(ctx context.Context, buffer []byte, caller net.Conn, disconnected func() bool) (*relay.Handover, error)
 }
 
 // HandOverResult is the outcome of a hand-over.
 type HandOverResult struct {
-	Peer       string // empty if no other gateway took the request
-	Elapsed    time.Duration
-	Bytes      int64 // length of the answer
-	Lost       bool  // no answer came from the gateway that took the request
-	CallerLeft bool  // the caller closed its connection
+	Peer               string // empty if no other gateway took the request
+	Elapsed            time.Duration
+	Bytes              int64 // length of the answer
+	Lost               bool  // no answer came from the gateway that took the request
+	CallerDisconnected bool  // the caller closed its connection
 }
 
 // SetRelay lets requests be handed over to other gateways. Call it before Serve.
@@ -55,7 +55,7 @@
 type handOverOutcome int
 
 const (
-	// No gateway took the request: the HTTP server reads it.
+	// No other gateway took the request: the HTTP server reads it.
 	servedHere handOverOutcome = iota + 1
 	// The caller has its answer and may send another request.
 	answered
@@ -72,17 +72,17 @@
 	start, res := now(), HandOverResult{}
 	defer func() {
 		res.Elapsed = now().Sub(start)
-		c.server.early.NoteHandedOver(decision, res)
+		c.server.early.RecordHandOver(decision, res)
 	}()
 	handed, err := c.send(begun, rest)
 	if err != nil {
-		res.CallerLeft = c.callerLeft
-		res.Lost = !c.callerLeft && relay.IsErrMaybeSent(err)
+		res.CallerDisconnected = c.callerDisconnected
+		res.Lost = !c.callerDisconnected && relay.IsErrMaybeSent(err)
 		switch {
 		case res.Lost:
-			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have left too
+			_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID)) // the caller may have disconnected too
 			return ended
-		case res.CallerLeft:
+		case res.CallerDisconnected:
 			return ended
 		case errors.Is(err, relay.ErrCongested):
 			return c.refuseBusy(decision.ID)
@@ -97,11 +97,11 @@
 	c.awaitAnswer(handed, end)
 	var whole bool
 	res.Bytes, whole = handed.Result()
-	res.CallerLeft, res.Lost = c.callerLeft, res.Bytes == 0
-	if res.Lost && !c.callerLeft {
+	res.CallerDisconnected, res.Lost = c.callerDisconnected, res.Bytes == 0
+	if res.Lost && !c.callerDisconnected {
 		_, _ = c.countedConn.Write(c.server.early.LostAnswer(decision.ID))
 	}
-	if !whole || c.callerLeft || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
+	if !whole || c.callerDisconnected || c.SetReadDeadline(netopt.DeadlineIn(idleTimeout(c.limits))) != nil {
 		return ended
 	}
 	return answered
@@ -130,15 +130,15 @@
 			_, err = io.ReadFull(c.countedConn, buffer[held:size])
 		}
 		if err != nil {
-			c.callerLeft = true
+			c.callerDisconnected = true
 			return nil, err
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
-	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.hasLeft)
+	handed, err := c.server.relay.Send(ctx, buffer[:size], c.countedConn, c.isDisconnected)
 	if errors.Is(err, relay.ErrCallerDisconnected) {
-		c.callerLeft = true
+		c.callerDisconnected = true
 		return nil, err
 	}
 	if err != nil && !relay.IsErrMaybeSent(err) {
@@ -147,10 +147,10 @@
 	return handed, err
 }
 
-// awaitAnswer waits until the answer has ended, the caller has left or the time is up.
+// awaitAnswer waits until the answer has ended, the caller has disconnected or the time is up.
 func (c *callerConn) awaitAnswer(handed *relay.Handover, end time.Time) {
 	if c.SetReadDeadline(netopt.DeadlineIn(end.Sub(now()))) != nil {
-		c.callerLeft = true
+		c.callerDisconnected = true
 		handed.Cancel()
 		return
 	}
@@ -168,7 +168,7 @@
 		return
 	}
 	timeout, ok := err.(net.Error)
-	c.callerLeft = !ok || !timeout.Timeout()
+	c.callerDisconnected = !ok || !timeout.Timeout()
 	handed.Cancel()
 }
 
--- a/router/gateway.go
+++ b/router/gateway.go
@@ -121,7 +121,7 @@
 	g.probe.Store(probe)
 	g.t.Go(g.closeAtEnd)
 	g.t.Go(func() error {
-		g.forward.LogSeconds(g.t.Dying())
+		g.forward.LogStats(g.t.Dying())
 		return nil
 	})
 	g.follow.Start()
@@ -150,7 +150,7 @@
 	store := platform.NewStore(s.Store, s.StoreCall.Duration)
 	g.notices = notice.New(log.New("notice").With(s.ID), notice.Options{Clock: g.clock, MetricsPrefix: "madderway_gateway", OnLeaving: func() { g.follow.LeavingChanged() }})
 	g.follow = follow.New(&g.t, log.New("follow").With(s.ID), follow.Options{
-		Source: store, Peers: fetcher{g}, Clock: g.clock, Leavers: g.notices, OnChange: g.applyUpdate, OnNewEra: g.storeRestored,
+		Source: store, Peers: fetcher{g}, Clock: g.clock, LeavingTargets: g.notices, OnChange: g.applyUpdate, OnNewEra: g.storeRestored,
 		Fleet: func() (bool, int) { return g.loop.Watches(), g.loop.Members() },
 		Start: watch.Start{Seed: len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers), FleetStart: s.FirstStart},
 	})
@@ -161,7 +161,7 @@
 	members.Interval, members.SuspectAfter, members.DeadAfter = 400*time.Millisecond, 1200*time.Millisecond, 1500*time.Millisecond
 	members.EnableFullSync, members.MaxRumors = true, maxRumors
 	g.quarantine = quarantine.New(log.New("quarantine").With(s.ID), quarantine.Options{
-		Clock: g.clock, MetricPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.ShareRecord(r) },
+		Clock: g.clock, MetricsPrefix: "madderway_gateway", Share: func(r core.Record) { g.loop.ShareRecord(r) },
 	})
 	client := upstream.NewClient(g.pool, platform.Dialect{}, g.notices.Answered)
 	g.relay = relay.New(&g.t, log.New("relay").With(s.ID), relay.Options{Auth: auth, Meter: g.relayMeter, Clock: g.clock})
@@ -171,7 +171,7 @@
 	})
 	g.quarantine.RunArchive(&g.t, quarantine.ArchiveOptions{Archive: platform.NewQuarantineArchive(store), IsReader: g.loop.Watches, FirstStart: s.FirstStart})
 	discover.Start(&g.t, log.New("discover").With(s.ID), discover.Options{
-		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Registry: platform.NewGatewayRegister(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
+		Self: discover.Entry{ID: s.ID, Address: s.Peers}, Registry: platform.NewGatewayRegistry(store), Peers: g.loop, Clock: g.clock, Era: g.follow.Era,
 		EmptyRegistry: s.FirstStart,
 	})
 	guard := forward.NewGuard(log.New("guard").With(s.ID), g.clock, forward.GuardOptions{
@@ -259,7 +259,7 @@
 	g.log.Info("Settings reloaded.", "seeds", len(s.Seeds), "retry_ratio", s.RetryRatio, "grace", s.Grace.Duration, "needs_restart", fixed)
 }
 
-// storeRestored writes records again that a store restored from an older copy may have lost. Only
+// storeRestored writes records again that a store restored from an older copy may lack. Only
 // the few gateways that watch the store do so.
 func (g *Gateway) storeRestored() {
 	if g.loop.Watches() {
@@ -342,7 +342,7 @@
 	g.drainOnce.Do(func() {
 		s := g.settings.Load()
 		plan := drain.Plan{Started: g.clock.Now(), Linger: s.Linger.Duration, Grace: s.Grace.Duration}
-		g.log.Info("Drain started.", "open", g.inFlight())
+		g.log.Info("Drain started.", "in_flight", g.inFlight())
 		close(g.draining)
 		g.handler.SetMode(gateway.ServeClosing)
 		g.loop.Leave()
@@ -356,7 +356,7 @@
 			}
 			<-g.clock.After(drainPollInterval)
 		}
-		g.log.Info("Drain ended.", "aborted", g.inFlight(), "after", g.clock.Now().Sub(plan.Started))
+		g.log.Info("Drain ended.", "aborted", g.inFlight(), "took", g.clock.Now().Sub(plan.Started))
 		g.Stop()
 	})
 }
--- a/services/control/api.go
+++ b/services/control/api.go
@@ -28,7 +28,7 @@
 // SetVMs replaces the platform's list of VMs.
 func (l *Loop) SetVMs(vms []vm.VM) { l.put(vmsIn{vms}) }
 
-// ShareRecord sends other routers a record of a request under which targets ended.
+// ShareRecord sends other routers a record of a request under which targets died.
 func (l *Loop) ShareRecord(r quarantine.Record) { l.put(recordIn{r}) }
 
 // Leave announces to the other routers that this one is leaving.
@@ -67,7 +67,7 @@
 // slot is released.
 func (l *Loop) abandon(id admit.RequestID, answer chan Decision) {
 	l.put(admitIn{admit.Canceled{ID: id}})
-	l.Inspect(func() { delete(l.decisions, id) })
+	l.Do(func() { delete(l.decisions, id) })
 	select {
 	case d := <-answer:
 		if d.Refused == 0 {
@@ -85,10 +85,10 @@
 // Finish records that a started request no longer uses its target.
 func (l *Loop) Finish(f admit.Finished) { l.put(admitIn{f}) }
 
-// Inspect runs a function on the loop's goroutine, between two inputs, and waits for it.
-func (l *Loop) Inspect(run func()) {
+// Do runs a function on the loop's goroutine, between two inputs, and waits for it.
+func (l *Loop) Do(run func()) {
 	done := make(chan struct{})
-	if !l.put(inspectIn{run, done}) {
+	if !l.put(doIn{run, done}) {
 		return
 	}
 	select {
--- a/services/dispatch/chat.go
+++ b/services/dispatch/chat.go
@@ -30,7 +30,7 @@
 	Body      []byte // sent to the engine unchanged, with streaming switched on
 }
 
-// Sink receives the events of a response. It returns an error if the caller is gone.
+// Sink receives the events of a response. It returns an error if the caller has disconnected.
 type Sink interface {
 	// Begin is called before the first event of each attempt.
 	Begin(token string, attempt int) error
@@ -48,8 +48,8 @@
 	}
 	s.prepare(j)
 	s.countFirstAttempt(j)
-	s.beginTry(j, c.Body)
-	defer j.try.End()
+	s.startQuarantineAttempt(j, c.Body)
+	defer j.quarantineAttempt.End()
 	st := &stream{s: s, j: j, chat: c, sink: sink, caller: ctx}
 	err = st.run()
 	s.counters.done(outcomeLabel(err))
@@ -112,13 +112,13 @@
 	sink   Sink
 	caller context.Context
 
-	attempt    int
-	events     []string // data of the current attempt's events, up to the limit of kept responses
-	bytes      int64
-	callerGone bool
-	outputs    int
-	prompt     float64
-	usage      *usage
+	attempt            int
+	events             []string // data of the current attempt's events, up to the limit of kept responses
+	bytes              int64
+	callerDisconnected bool
+	outputs            int
+	prompt             float64
+	usage              *usage
 }
 
 // run makes attempts until one succeeds or no retry is permitted.
@@ -129,12 +129,12 @@
 		outcome, status, err := st.try()
 		if err == nil {
 			st.complete()
-			st.j.try.Succeeded()
+			st.j.quarantineAttempt.Succeeded()
 			return nil
 		}
 		err = withHistory(err, ran)
 		ran = result.Convert(err).Execution()
-		if st.callerGone && !st.j.order.Keep {
+		if st.callerDisconnected && !st.j.order.Keep {
 			return err
 		}
 		if outcome == "" || !st.s.mayRetry(st.j, st.attempt, outcome, status) {
@@ -161,7 +161,7 @@
 func (st *stream) try() (outcome string, status int, err error) {
 	j, s := st.j, st.s
 	waitCtx := st.caller
-	if st.callerGone {
+	if st.callerDisconnected {
 		var cancel context.CancelFunc
 		waitCtx, cancel = s.detached(j)
 		defer cancel()
@@ -201,7 +201,7 @@
 	if err == nil {
 		return "", 0, nil
 	}
-	fin.Failed = !st.callerGone
+	fin.Failed = !st.callerDisconnected
 	j.deny = append(j.deny, target.Name)
 	s.checkTargetDeath(ctx, j, target)
 	return outcomeUnknown, 0, err
@@ -249,10 +249,10 @@
 	return st.prompt + float64(st.outputs)*pool.OutputWeight
 }
 
-// complete updates the cost estimates, and keeps the response if the caller is gone.
+// complete updates the cost estimates, and keeps the response if the caller has disconnected.
 func (st *stream) complete() {
 	st.s.learn(st.j, float64(st.outputs)*st.j.pool.OutputWeight)
-	if !st.callerGone {
+	if !st.callerDisconnected {
 		return
 	}
 	kept := st.s.opts.Answers.Enqueue(*st.j.account, st.j.requestID, "text/event-stream", st.events)
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -99,9 +99,9 @@
 	Account  *routing.ClientAccount
 	Received time.Time
 	Deadline time.Time
-	// CallerGone reports whether the caller has closed its connection; nil if only the context
-	// tells.
-	CallerGone func() bool
+	// CallerDisconnected reports whether the caller has closed its connection. If it is nil, only
+	// the end of the context shows that.
+	CallerDisconnected func() bool
 	// HandedOverBy is the gateway that handed the request over, or empty.
 	HandedOverBy string
 }
@@ -113,7 +113,7 @@
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, r *Request) error {
 	ctx, cancel := clock.WithDeadline(ctx, s.opts.Clock, r.Deadline)
 	defer cancel()
-	j := &job{s: s, ctx: ctx, w: w, r: r, lastEvent: r.Call.LastEvent, history: attempt.History{Route: r.Route}, try: s.opts.Quarantine.NewAttempt(r.identity())}
+	j := &job{s: s, ctx: ctx, w: w, r: r, lastEvent: r.Call.LastEvent, history: attempt.History{Route: r.Route}, quarantineAttempt: s.opts.Quarantine.NewAttempt(r.identity())}
 	j.takeFromRetryBudget = func() bool { return s.takeFromRetryBudget(r.Service.Name) }
 	if scheduled(r.Service, &r.Call) {
 		s.inFlight.Add(1)
@@ -210,12 +210,12 @@
 
 // HandOverResult is the result of handing a request over to another gateway.
 type HandOverResult struct {
-	ID, Account string
-	Peer        string // empty if no gateway took the request; it was served here
-	Elapsed     time.Duration
-	Bytes       int64 // length of the forwarded response
-	Lost        bool  // no response came
-	CallerGone  bool
+	ID, Account        string
+	Peer               string // empty if no gateway took the request; it was served here
+	Elapsed            time.Duration
+	Bytes              int64 // length of the forwarded response
+	Lost               bool  // no response came
+	CallerDisconnected bool
 }
 
 // RecordHandOver counts a request that was handed over. It logs lost ones and a sample.
@@ -224,11 +224,11 @@
 	case h.Peer == "" && !h.Lost:
 		s.counters.notHandedOver.Inc()
 		return
-	case h.Lost && !h.CallerGone:
+	case h.Lost && !h.CallerDisconnected:
 		s.counters.handOverLost.Inc()
 		s.log.Request("Request handed over, no response.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed)
 	case sampled(h.ID):
-		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed, "bytes", h.Bytes, "caller_gone", h.CallerGone)
+		s.log.Request("Request handed over.", "id", h.ID, "account", h.Account, "peer", h.Peer, "elapsed", h.Elapsed, "bytes", h.Bytes, "caller_gone", h.CallerDisconnected)
 	}
 	s.counters.handedOver.Inc()
 	s.outcomes.count(outcomeHandedOver)
--- a/services/forward/quarantine.go
+++ b/services/forward/quarantine.go
@@ -21,7 +21,7 @@
 	request quarantine.Fingerprint // the request under which the target died
 }
 
-// identity returns the parts that make two tries the same request.
+// identity returns the parts that make two calls the same request.
 func (r *Request) identity() quarantine.Identity {
 	return quarantine.Identity{Account: r.account(), Method: r.Method, Host: r.Host, URI: r.URI, Body: r.Body}
 }
@@ -29,7 +29,7 @@
 // checkQuarantine returns an error if the request is quarantined. Such a request does not count
 // for the throttle of its account.
 func (j *job) checkQuarantine() error {
-	err := j.try.Check()
+	err := j.quarantineAttempt.Check()
 	if err != nil && scheduled(j.r.Service, &j.r.Call) {
 		j.disregard()
 	}
@@ -47,7 +47,7 @@
 // that this process stood still; the target may be another incarnation by now.
 const maxPlacementAge = time.Second
 
-// callerCheckAfter is the age from which a request is checked for a gone caller before it is
+// callerCheckAfter is the age from which a request is checked for a disconnected caller before it is
 // sent; most are sent earlier.
 const callerCheckAfter = 200 * time.Millisecond
 
@@ -61,8 +61,8 @@
 	if j.sentAt.Sub(j.placedAt) > maxPlacementAge {
 		return errStalePlacement
 	}
-	// An overloaded process learns late that a caller is gone.
-	if j.r.CallerGone != nil && j.sentAt.Sub(j.r.Received) > callerCheckAfter && j.r.CallerGone() {
+	// An overloaded process learns late that a caller has disconnected.
+	if j.r.CallerDisconnected != nil && j.sentAt.Sub(j.r.Received) > callerCheckAfter && j.r.CallerDisconnected() {
 		j.refusal = context.Canceled
 		return j.refusal
 	}
@@ -78,19 +78,19 @@
 	if !j.brokeOff || o != attempt.Unknown && o != attempt.Cut {
 		return targetDeath{}
 	}
-	try, sentAt := j.try, j.sentAt
+	a, sentAt := j.quarantineAttempt, j.sentAt
 	ask := func(ctx context.Context) (died, known bool) { return j.s.opts.Client.HasExited(ctx, t) }
-	died, known := requests.HasExited(j.ctx, ask, func() { j.s.recordDeath(&try, t, sentAt) })
+	died, known := requests.HasExited(j.ctx, ask, func() { j.s.recordDeath(&a, t, sentAt) })
 	if !died {
 		return targetDeath{checked: known}
 	}
-	j.s.recordDeath(&j.try, t, sentAt)
-	return targetDeath{checked: true, died: true, request: j.try.Request()}
+	j.s.recordDeath(&j.quarantineAttempt, t, sentAt)
+	return targetDeath{checked: true, died: true, request: j.quarantineAttempt.Request()}
 }
 
 // recordDeath records a request under which a target died, unless the target was leaving.
-func (s *Service) recordDeath(try *requests.Attempt, t *routing.Target, sentAt time.Time) {
-	if now := s.opts.Targets.Targets().Find(t.ID); now != nil && now.AcceptsWork() {
-		try.TargetDied(t.ID, sentAt)
+func (s *Service) recordDeath(a *requests.Attempt, t *routing.Target, sentAt time.Time) {
+	if listed := s.opts.Targets.Targets().Find(t.ID); listed != nil && listed.AcceptsWork() {
+		a.TargetDied(t.ID, sentAt)
 	}
 }
--- a/services/mesh/loop.go
+++ b/services/mesh/loop.go
@@ -68,7 +68,7 @@
 	Meter  *peernet.Meter
 	Member member.Config
 	Follow *follow.Service
-	// Quarantine holds records of requests under which targets ended.
+	// Quarantine holds records of requests under which targets died.
 	Quarantine *quarantine.Service
 	// Notices holds the states that targets announced.
 	Notices *notice.Service
@@ -126,7 +126,7 @@
 	memberCount atomic.Int64
 	knownCount  atomic.Int64 // members of any state, including dead ones
 	watcher     atomic.Bool
-	registrar   atomic.Bool // whether this gateway keeps its address in the register
+	registrar   atomic.Bool // whether this gateway keeps its address in the registry
 	busy        atomic.Int64
 	requests    atomic.Uint64
 }
@@ -239,7 +239,7 @@
 		if s := l.cells[e.key]; s != nil {
 			l.applyToCell(now, e.key, s, cell.CachedPartsSeen{Target: e.target, At: e.at, Parts: e.parts})
 		}
-	case inspectIn:
+	case doIn:
 		e.run()
 		close(e.done)
 	}
@@ -283,7 +283,7 @@
 // FetchState implements follow.Peers.
 func (l *Loop) FetchState(ctx context.Context, peer string, want follow.StateRequest) ([]byte, error) {
 	var link *peernet.Link
-	l.Inspect(func() { link = l.link(peer) })
+	l.Do(func() { link = l.link(peer) })
 	if link == nil {
 		return nil, fmt.Errorf("no link to %s", peer)
 	}
