--- a/cmd/madderway-lab/demo.go
+++ b/cmd/madderway-lab/demo.go
@@ -19,7 +19,7 @@
 
 type demoCommand struct {
 	commonOptions
-	Seconds int `long:"seconds" default:"30" description:"seconds of load, shared by the two firms"`
+	Seconds int `long:"seconds" default:"30" description:"total duration of load in seconds, split evenly between the two example firms"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/madderway-lab/main.go
+++ b/cmd/madderway-lab/main.go
@@ -21,8 +21,8 @@
 
 // commonOptions are the flags of most commands.
 type commonOptions struct {
-	Verbosity int    `long:"verbosity" default:"0" description:"0 to 4"`
-	LogFile   string `long:"log" description:"file for the routers' logs; dropped by default"`
+	Verbosity int    `long:"verbosity" default:"0" description:"log verbosity, from 0 to 4"`
+	LogFile   string `long:"log" description:"file to write logs to; discarded by default"`
 }
 
 func (c commonOptions) setUpLog() error {
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -16,15 +16,15 @@
 
 type measureCommand struct {
 	commonOptions
-	Scenario   string        `long:"scenario" required:"true" description:"name of a scenario; 'list' prints them"`
-	Dispatch   string        `long:"dispatch" default:"fleet" choice:"fleet" choice:"naive" description:"how requests are dispatched"`
-	Seed       int64         `long:"seed" default:"1" description:"seed of the load"`
-	Format     string        `long:"format" default:"text" choice:"text" choice:"json" description:"form of the result"`
-	CounterAge time.Duration `long:"counter-age" description:"least interval of the service counters, such as 5s"`
-	Budget     float64       `long:"tally-budget" default:"-1" description:"bytes a second for the service counters; the routers' default by default"`
-	Reserve    float64       `long:"reserve" description:"share of slots kept from long work while short work arrives"`
-	HeadStart  float64       `long:"head-start" default:"-1" description:"head start of interactive work in units; the scenario's by default"`
-	Seconds    int           `long:"seconds" description:"seconds of load; the scenario's by default"`
+	Scenario   string        `long:"scenario" required:"true" description:"scenario to run; 'list' prints the available ones"`
+	Dispatch   string        `long:"dispatch" default:"fleet" choice:"fleet" choice:"naive" description:"dispatch mode; naive is a baseline without coordination"`
+	Seed       int64         `long:"seed" default:"1" description:"random seed of the load"`
+	Format     string        `long:"format" default:"text" choice:"text" choice:"json" description:"output format"`
+	CounterAge time.Duration `long:"counter-age" description:"minimum interval between exchanges of the service counters, such as 5s; the routers' default if 0"`
+	Budget     float64       `long:"tally-budget" default:"-1" description:"budget for the service counters in bytes per second; the routers' default if negative"`
+	Reserve    float64       `long:"reserve" description:"fraction of slots reserved for interactive requests while some arrive, from 0 to 0.9"`
+	HeadStart  float64       `long:"head-start" default:"-1" description:"head start of interactive requests in cost units; the scenario's if negative"`
+	Seconds    int           `long:"seconds" description:"duration of load in seconds; the scenario's by default"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -15,11 +15,11 @@
 
 type platformCommand struct {
 	commonOptions
-	Site    string  `long:"site" default:"small" choice:"small" choice:"medium" description:"how many gateways and workers"`
-	Seconds int     `long:"seconds" default:"20" description:"length of the play"`
-	Seed    uint64  `long:"seed" default:"1" description:"seed of all that is drawn"`
-	Load    float64 `long:"load" default:"1" description:"multiplies the rates of all kinds of requests"`
-	Trouble string  `long:"trouble" description:"what goes wrong in the middle; 'list' lists them"`
+	Site    string  `long:"site" default:"small" choice:"small" choice:"medium" description:"size of the simulated site"`
+	Seconds int     `long:"seconds" default:"20" description:"duration of load in seconds"`
+	Seed    uint64  `long:"seed" default:"1" description:"random seed"`
+	Load    float64 `long:"load" default:"1" description:"factor applied to all request rates"`
+	Trouble string  `long:"trouble" description:"fault to inject after a third of the run, none by default; 'list' prints the available ones"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -13,7 +13,7 @@
 )
 
 type secondsCommand struct {
-	SVG  string `long:"svg" description:"write a picture to this file as well"`
+	SVG  string `long:"svg" description:"also write a chart to this SVG file"`
 	Args struct {
 		Logs []string `positional-arg-name:"LOG" required:"1"`
 	} `positional-args:"yes" required:"true"`
--- a/cmd/madderway-lab/standins.go
+++ b/cmd/madderway-lab/standins.go
@@ -17,12 +17,12 @@
 
 type standinsCommand struct {
 	commonOptions
-	File    string        `short:"f" long:"file" required:"true" description:"configuration whose targets are served at their addresses"`
-	Table   string        `long:"table" default:"127.0.0.1:9001" description:"address of the table"`
-	Objects string        `long:"objects" default:"127.0.0.1:9002" description:"address of the object store"`
-	VMs     string        `long:"vms" default:"127.0.0.1:9003" description:"address of the VM list"`
-	Routers []string      `long:"vm" description:"router of the VM list as ID=PEER-ADDRESS=HALL=REGION; may be given again"`
-	Gap     time.Duration `long:"token-gap" default:"20ms" description:"time between tokens"`
+	File    string        `short:"f" long:"file" required:"true" description:"TOML file, or directory of TOML files, with the targets to serve at their addresses"`
+	Table   string        `long:"table" default:"127.0.0.1:9001" description:"listen address of the table"`
+	Objects string        `long:"objects" default:"127.0.0.1:9002" description:"listen address of the object store"`
+	VMs     string        `long:"vms" default:"127.0.0.1:9003" description:"listen address of the VM list"`
+	Routers []string      `long:"vm" description:"router to add to the VM list, as ID=PEER-ADDRESS=HALL=REGION; may be repeated"`
+	Gap     time.Duration `long:"token-gap" default:"20ms" description:"time per token of an engine, and per call of a plain target"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/madderway/explain.go
+++ b/cmd/madderway/explain.go
@@ -14,9 +14,9 @@
 )
 
 type explainCommand struct {
-	Router string   `long:"router" env:"MADDERWAY_ROUTER" default:"127.0.0.1:8081" description:"operators' address of any router"`
-	Token  string   `long:"token" env:"MADDERWAY_TOKEN" description:"operator's token; not needed with --log"`
-	Logs   []string `long:"log" description:"read the story of a gateway's request from this log file, - for standard input; may be given more than once"`
+	Router string   `long:"router" env:"MADDERWAY_ROUTER" default:"127.0.0.1:8081" description:"address of a router's operator API"`
+	Token  string   `long:"token" env:"MADDERWAY_TOKEN" description:"operator token; not needed with --log"`
+	Logs   []string `long:"log" description:"gateway log file to read instead of asking a router, '-' for standard input; may be repeated"`
 	Args   struct {
 		RequestID string `positional-arg-name:"REQUEST-ID" required:"true"`
 	} `positional-args:"yes" required:"true"`
--- a/cmd/madderway/get.go
+++ b/cmd/madderway/get.go
@@ -8,7 +8,7 @@
 type getCommand struct {
 	operatorOptions
 	Args struct {
-		Part string `positional-arg-name:"PART" description:"accounts, pools, targets, policies or version; all by default"`
+		Part string `positional-arg-name:"PART" description:"part to show: accounts, pools, targets, policies or version; all by default"`
 	} `positional-args:"yes"`
 }
 
--- a/cmd/madderway/order.go
+++ b/cmd/madderway/order.go
@@ -11,10 +11,10 @@
 
 type orderCommand struct {
 	operatorOptions
-	Target string `long:"target" required:"true" description:"target that gets the order"`
-	Action string `long:"action" required:"true" choice:"load" choice:"unload" choice:"role" description:"what to do"`
+	Target string `long:"target" required:"true" description:"target to send the order to"`
+	Action string `long:"action" required:"true" choice:"load" choice:"unload" choice:"role" description:"action to perform"`
 	Model  string `long:"model" description:"model to load or unload"`
-	Role   string `long:"role" description:"role to take"`
+	Role   string `long:"role" description:"role to assign with action role"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/madderway/status.go
+++ b/cmd/madderway/status.go
@@ -7,7 +7,7 @@
 
 type statusCommand struct {
 	operatorOptions
-	JSON bool `long:"json" description:"print JSON"`
+	JSON bool `long:"json" description:"print the status as JSON"`
 }
 
 // Execute implements flags.Commander.
