--- a/tools/mutate.sh
+++ b/tools/mutate.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Takes decisions out of a copy of the repository, one at a time, and runs the test that should
-# notice: tools/mutate.sh [NAME...]. tools/mutations.txt holds them. Prints "killed", "survived"
-# or "stale" (its lines are not there exactly once) for each, and fails unless all are killed.
+# Mutation testing: tools/mutate.sh [NAME...]. Applies the mutations of tools/mutations.txt to a
+# copy of the repository, one at a time, and runs the test that must fail under each. Prints
+# "killed" (the test failed), "survived" (it passed or does not exist) or "stale" (the lines to
+# replace are not there exactly once, or the mutated code does not pass go vet) for each, and
+# fails unless all are killed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
