--- a/lab/fleet/claim_test.go
+++ b/lab/fleet/claim_test.go
@@ -13,8 +13,8 @@
 	"madderway/models/result"
 )
 
-// The same key reaches all routers in the same instant, with answers of the
-// table lost after the write and writes that take effect late.
+// A key sent to all routers at once runs only once, even if the table loses answers after the
+// write or applies writes late.
 func TestSameKeyEverywhereWithLostAnswers(t *testing.T) {
 	f := small(t, 3, time.Millisecond)
 	for round, faults := range []standin.Faults{{}, {LoseAnswer: 2}, {LateWrite: 2, LateMS: 300}, {LoseAnswer: 1, LateWrite: 1, LateMS: 100}} {
@@ -39,35 +39,35 @@
 		}
 		wg.Wait()
 		if runs := f.Plains["samples-1"].RunsOfKeys()["alder/"+key]; runs != 1 {
-			t.Errorf("round %d: ran %d times", round, runs)
+			t.Errorf("round %d: ran %d times, want 1", round, runs)
 		}
 		if len(bodies) != 1 {
-			t.Errorf("round %d: %d different answers", round, len(bodies))
+			t.Errorf("round %d: got %d different answers, want 1", round, len(bodies))
 		}
 	}
 }
 
-// The service runs the call and its answer is lost: the outcome is unknown,
-// for every later call with the key, and the call never runs again.
+// When a service runs a call and its answer is lost, every later call with the same key gets
+// OutcomeUnknown and does not run.
 func TestLostAnswerOfServiceStaysUnknown(t *testing.T) {
 	f := small(t, 2, time.Millisecond)
 	f.Plains["samples-1"].SetFaults(standin.Faults{LoseAnswer: 1})
 	for _, n := range f.Nodes() {
 		_, answer := send(t, n, "POST", "/services/samples/submit", "alder", "k", "box 7")
 		if e := errorOf(t, answer); e.Code != result.OutcomeUnknown || e.Ran != result.RanUnknown {
-			t.Errorf("%s: %+v", n.ID, e)
+			t.Errorf("%s: got %+v, want OutcomeUnknown", n.ID, e)
 		}
 	}
 	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 1 {
-		t.Errorf("ran %d times", runs)
+		t.Errorf("ran %d times, want 1", runs)
 	}
 	_, answer := send(t, f.Nodes()[0], "POST", "/services/samples/submit", "alder", "k", "another box")
 	if e := errorOf(t, answer); e.Code != result.KeyReused {
-		t.Errorf("another body: %+v", e)
+		t.Errorf("same key with another body: got %+v, want KeyReused", e)
 	}
 }
 
-// The target refuses as not run; the router tries again and it runs once.
+// A call that its target refuses as not run is retried and runs at most once.
 func TestRefusedByTargetRunsOnce(t *testing.T) {
 	f := small(t, 1, time.Millisecond)
 	f.Plains["samples-1"].SetFaults(standin.Faults{Refuse: 1})
@@ -77,12 +77,11 @@
 	case resp.StatusCode == 200 && runs == 1:
 	case resp.StatusCode != 200 && errorOf(t, answer).Ran == result.RanNo && runs == 0:
 	default:
-		t.Fatalf("%d %s, ran %d times", resp.StatusCode, answer, runs)
+		t.Fatalf("got status %d %s, ran %d times", resp.StatusCode, answer, runs)
 	}
 }
 
-// A slow table delays keyed calls and nothing else; they still run once, also
-// when the same call comes to another router meanwhile.
+// A slow table delays only keyed calls; the same call at two routers still runs once.
 func TestSlowTable(t *testing.T) {
 	f := small(t, 2, time.Millisecond)
 	f.Table.SetFaults(standin.Faults{DelayMS: 150})
@@ -92,15 +91,15 @@
 		go func() {
 			defer wg.Done()
 			if resp, answer := send(t, n, "POST", "/services/samples/submit", "alder", "slow", "box 7"); resp.StatusCode != 200 {
-				t.Errorf("%s: %d %s", n.ID, resp.StatusCode, answer)
+				t.Errorf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 			}
 		}()
 	}
 	if resp, answer := send(t, f.Nodes()[0], "POST", "/v1/chat/completions", "birch", "", chatBody(5, false)); resp.StatusCode != 200 {
-		t.Errorf("a completion: %d %s", resp.StatusCode, answer)
+		t.Errorf("completion: got status %d %s", resp.StatusCode, answer)
 	}
 	wg.Wait()
 	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/slow"]; runs != 1 {
-		t.Errorf("ran %d times", runs)
+		t.Errorf("ran %d times, want 1", runs)
 	}
 }
--- a/lab/fleet/config_test.go
+++ b/lab/fleet/config_test.go
@@ -26,8 +26,8 @@
 	return reply.Document
 }
 
-// Operators race: one wins, the other is told both versions. A lost answer to
-// the head's write is harmless.
+// Of two concurrent changes to the same version, one succeeds and the other gets a conflict. A
+// lost answer to the write of the head row must not apply a change twice.
 func TestOperatorsRace(t *testing.T) {
 	f := small(t, 2, time.Millisecond)
 	d := f.document(t)
@@ -55,7 +55,7 @@
 		}
 	}
 	if won != 1 || lost != 1 {
-		t.Fatalf("%d won, %d lost", won, lost)
+		t.Fatalf("%d succeeded, %d conflicted, want 1 and 1", won, lost)
 	}
 	f.Table.SetFaults(standin.Faults{LoseAnswer: 1})
 	first, err := f.Apply(context.Background(), d, "lost-answer")
@@ -64,12 +64,12 @@
 	}
 	again, err := f.Apply(context.Background(), d, "lost-answer")
 	if err != nil || again.Version != 3 {
-		t.Fatalf("the same operation again: %+v, %v", again, err)
+		t.Fatalf("repeated operation: got %+v, %v, want version 3", again, err)
 	}
 }
 
-// While a router is cut off from its peers and the store, a change is pending
-// and names it; it stops admitting, and after the rejoin it has the change.
+// A change stays pending and names a router that is partitioned from its peers; once the router
+// rejoins, the change is active everywhere.
 func TestPartitionedRouterIsNamed(t *testing.T) {
 	f := small(t, 3, time.Millisecond)
 	far := f.Nodes()[2]
@@ -80,17 +80,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// It still reads the head row itself, so it may have followed already; the
-	// answer must not say "in force" without its word.
+	// The router still reads the head row and may have applied the change, but without its
+	// confirmation the change must not be reported as active.
 	if r.State != config.StatePending || len(r.Missing) != 1 || r.Missing[0].Router != far.ID {
 		t.Fatalf("got %+v", r)
 	}
-	waitFor(t, "the cut router follows the head row", func() bool {
+	waitFor(t, "the partitioned router follows the head row", func() bool {
 		reply, err := f.Client(far).Get(context.Background())
 		return err == nil && reply.Version == r.Version
 	})
 	f.Partition(far, false)
-	waitFor(t, "the change is in force everywhere", func() bool {
+	waitFor(t, "the change is active everywhere", func() bool {
 		s, err := f.Client(f.Nodes()[0]).Status(context.Background())
 		return err == nil && s.State == config.StateInForce
 	})
--- a/lab/fleet/ending.go
+++ b/lab/fleet/ending.go
@@ -12,10 +12,11 @@
 	"madderway/lab/standin"
 )
 
-// EndsTarget in the body of a request ends each target that begins to run it.
+// EndsTarget in the body of a request crashes every target that starts it.
 const EndsTarget = "ends-target"
 
-// endable lets a target end under a request that says so, with all that runs there.
+// endable wraps a target's handler so that a request with EndsTarget crashes the target and
+// aborts everything that runs there.
 func (f *Fleet) endable(name string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -39,18 +40,17 @@
 	f.endings++
 }
 
-// Endings returns how many targets requests have ended.
+// Endings returns how often a request has crashed a target.
 func (f *Fleet) Endings() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.endings
 }
 
-// restartTakes is how long a target that has ended takes to start again: those of platforms
-// take some seconds.
+// restartTakes stands for the startup time of a target, which is seconds on a real platform.
 const restartTakes = 1200 * time.Millisecond
 
-// RestartEnded starts the targets again that requests have ended.
+// RestartEnded restarts the targets that requests have crashed.
 func (f *Fleet) RestartEnded() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/fleet/ending_test.go
+++ b/lab/fleet/ending_test.go
@@ -11,9 +11,8 @@
 	"madderway/models/result"
 )
 
-// Routers forgot what a request had done when its answer was over, as gateways did: one that
-// ended each target which began to run it ended 24 and more in 24 tries. Under three of them it is
-// refused, at any router, and other requests go on.
+// A request that crashes every target that starts it must be refused by all routers after three
+// crashes, while other requests are served.
 func TestRoutersSendNoFurtherWhatEndsTargets(t *testing.T) {
 	bad := chatBody(5, true)
 	bad["messages"] = []map[string]string{{"role": "user", "content": EndsTarget}}
@@ -52,9 +51,9 @@
 		}
 	}
 	if n := f.Endings(); n < enough || n > enough+underWay {
-		t.Errorf("%d targets ended under one request, want %d and at most %d more", n, enough, underWay)
+		t.Errorf("one request crashed %d targets, want %d and at most %d more", n, enough, underWay)
 	}
 	if refusals < 3 {
-		t.Errorf("the last %d tries were refused", refusals)
+		t.Errorf("only the last %d attempts were refused, want at least 3", refusals)
 	}
 }
--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -23,14 +23,13 @@
 	"madderway/modules/setting"
 )
 
-// waitFor polls a condition; it fails the test only after a time that no
-// working run comes near.
+// waitFor polls a condition and fails the test after a generous timeout.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
@@ -40,7 +39,7 @@
 	t.Helper()
 	var body api.ErrorBody
 	if err := json.Unmarshal(answer, &body); err != nil {
-		t.Fatalf("not a numbered error: %s", answer)
+		t.Fatalf("the response is no API error: %s", answer)
 	}
 	return body.Error
 }
@@ -49,8 +48,8 @@
 	return load.Chat{Model: "core-describer", Prompt: "Describe the core.", Class: "long", MaxTokens: 4096, Tokens: tokens}
 }
 
-// A router is killed in mid-stream; the caller goes on at another one and gets
-// the same bytes as if nothing had happened.
+// When a router dies in mid-stream, its caller can resume at another router and gets every event
+// exactly once.
 func TestRouterKilledMidStream(t *testing.T) {
 	f := small(t, 3, 5*time.Millisecond)
 	victim, other := f.Nodes()[0], f.Nodes()[1]
@@ -64,19 +63,19 @@
 	f.Kill(victim)
 	a := <-got
 	if !a.Broken || a.RequestID == "" || a.Resume == "" {
-		t.Fatalf("the cut answer: %+v", a)
+		t.Fatalf("answer of the killed router: %+v, want a broken one with ID and resume token", a)
 	}
 	before := len(a.Events)
 	a = c.Resume(context.Background(), other.Settings.Caller.Listen, Key("alder"), a)
 	if !a.Complete() || len(a.Events) != 302 {
-		t.Fatalf("%d events after %d, refused %+v", len(a.Events), before, a.Refused)
+		t.Fatalf("got %d events, %d of them before the kill, error %+v; want 302", len(a.Events), before, a.Refused)
 	}
 	for i := range 300 {
 		if !strings.Contains(a.Events[i], fmt.Sprintf("%s-%d ", a.RequestID, i+1)) {
-			t.Fatalf("event %d is %s", i+1, a.Events[i])
+			t.Fatalf("event %d is %s, out of order", i+1, a.Events[i])
 		}
 	}
-	// Only the account that asked gets the rest.
+	// Only the account that sent the request may resume it.
 	stolen := c.Resume(context.Background(), other.Settings.Caller.Listen, Key("birch"), load.Answer{RequestID: a.RequestID, Resume: a.Resume})
 	if stolen.Refused == nil || stolen.Refused.Code != result.BadResumeToken {
 		t.Fatalf("another account got %+v", stolen)
@@ -92,8 +91,8 @@
 	return n
 }
 
-// The caller of a long answer goes away; the answer is kept, although the
-// object store is down when it ends, and only its owner can fetch it.
+// The answer of a caller that disconnected is stored even if the object store is down when it
+// ends, and only the account that sent the request can fetch it.
 func TestKeptAnswerSurvivesStoreOutage(t *testing.T) {
 	f := small(t, 2, 2*time.Millisecond)
 	n := f.Nodes()[0]
@@ -120,7 +119,7 @@
 	lost := load.Answer{RequestID: id} // the caller has lost even its token
 	whole := c.Resume(context.Background(), f.Nodes()[1].Settings.Caller.Listen, Key("alder"), lost)
 	if !whole.Complete() || len(whole.Events) != 102 {
-		t.Fatalf("fetched %d events, %+v", len(whole.Events), whole.Refused)
+		t.Fatalf("fetched %d events, error %+v; want 102", len(whole.Events), whole.Refused)
 	}
 	stolen := c.Resume(context.Background(), n.Settings.Caller.Listen, Key("birch"), lost)
 	if stolen.Refused == nil || stolen.Refused.Code != result.NotFound {
@@ -128,19 +127,19 @@
 	}
 }
 
-// The limit on reading a request does not cut an answer that takes longer.
+// The read timeout applies to requests only; it must not abort a long answer.
 func TestReadTimeoutDoesNotCutLongAnswers(t *testing.T) {
 	f := tuned(t, 1, 5*time.Millisecond, func(s *setting.Settings) { s.Caller.ReadTimeout.Duration = 200 * time.Millisecond })
 	c := load.NewClient()
 	defer c.Close()
 	a := c.Chat(context.Background(), f.Nodes()[0].Settings.Caller.Listen, Key("alder"), longChat(200))
 	if !a.Complete() {
-		t.Fatalf("cut off after %d events", len(a.Events))
+		t.Fatalf("aborted after %d events", len(a.Events))
 	}
 	if n := len(f.Objects.List("answer/")); n != 0 {
-		t.Fatal("the router believed that its caller had gone")
+		t.Fatal("the router took its caller for disconnected")
 	}
-	// A caller that does not send its request in time is cut off.
+	// A caller that does not send its request in time gets an error.
 	conn, err := net.Dial("tcp", f.Nodes()[0].Settings.Caller.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +151,7 @@
 	}
 }
 
-// The target's connection breaks again and again; the answer is whole.
+// The target's connection breaks repeatedly; the router resumes and the answer is complete.
 func TestTargetCutsStream(t *testing.T) {
 	f := small(t, 1, time.Millisecond)
 	for _, e := range f.Engines {
@@ -160,13 +159,12 @@
 	}
 	resp, answer := send(t, f.Nodes()[0], "POST", "/v1/chat/completions", "alder", "", chatBody(50, true))
 	if events := dataLines(answer); len(events) != 52 || events[51] != "[DONE]" {
-		t.Fatalf("%d: %d events", resp.StatusCode, len(events))
+		t.Fatalf("status %d with %d events, want 52 that end with [DONE]", resp.StatusCode, len(events))
 	}
 }
 
-// The table is down for long: keyed calls are refused as not run and never run,
-// all else goes on; a router that starts then takes its configuration from its
-// peers; after the outage the same key runs.
+// During an outage of the table, keyed calls must not run and everything else is served; a router
+// that starts gets its configuration from peers. After the outage the same key runs once.
 func TestStoreDownForLong(t *testing.T) {
 	f := small(t, 3, time.Millisecond)
 	f.Table.SetFaults(standin.Faults{Down: true})
@@ -177,10 +175,10 @@
 	defer c.Close()
 	c.Plain(ctx, n.Settings.Caller.Listen, Key("alder"), "/services/samples/submit", "k", []byte("box"))
 	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 0 {
-		t.Fatalf("ran %d times without a claim", runs)
+		t.Fatalf("ran %d times without a claim, want 0", runs)
 	}
 	if resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(5, false)); resp.StatusCode != 200 {
-		t.Fatalf("a completion: %d %s", resp.StatusCode, answer)
+		t.Fatalf("completion: got status %d %s", resp.StatusCode, answer)
 	}
 	f.Kill(f.Nodes()[2])
 	restarted, err := f.StartRouter(2)
@@ -194,12 +192,12 @@
 		return resp.StatusCode == 200
 	})
 	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 1 {
-		t.Fatalf("ran %d times", runs)
+		t.Fatalf("ran %d times, want 1", runs)
 	}
 }
 
-// A planned stop cuts off nothing: a stream that outlasts the stop's start
-// ends whole, new requests are refused as not run, then the router ends.
+// A drain completes the streams in flight before the router stops, and new requests are served
+// by the other routers.
 func TestPlannedStop(t *testing.T) {
 	f := small(t, 2, 5*time.Millisecond)
 	n := f.Nodes()[0]
@@ -215,16 +213,16 @@
 	}
 	waitFor(t, "readiness fails", func() bool { return n.Router.Ready() != nil })
 	if a := <-got; !a.Complete() || len(a.Events) != 202 {
-		t.Fatalf("cut off: %d events, %+v", len(a.Events), a.Refused)
+		t.Fatalf("aborted after %d events, error %+v; want 202 events", len(a.Events), a.Refused)
 	}
 	<-n.Router.Dead()
 	n.Down = true
 	if resp, answer := send(t, f.Nodes()[1], "POST", "/v1/chat/completions", "alder", "", chatBody(5, false)); resp.StatusCode != 200 {
-		t.Fatalf("the other router: %d %s", resp.StatusCode, answer)
+		t.Fatalf("other router: got status %d %s", resp.StatusCode, answer)
 	}
 }
 
-// A target leaves: it gets no new work, and what runs there ends.
+// A target marked as leaving gets no new requests, and those that run there complete.
 func TestTargetLeavesMidStream(t *testing.T) {
 	f := small(t, 2, 5*time.Millisecond)
 	c := load.NewClient()
@@ -252,17 +250,17 @@
 		t.Fatal(err)
 	}
 	if a := <-got; !a.Complete() {
-		t.Fatalf("cut off after %d events", len(a.Events))
+		t.Fatalf("aborted after %d events", len(a.Events))
 	}
 	for range 12 {
 		send(t, f.Nodes()[1], "POST", "/v1/chat/completions", "birch", "", chatBody(2, false))
 	}
 	if running, _, most := f.Engines[name].Load(); running != 0 || most != 1 {
-		t.Fatalf("the leaving target ran %d at most, %d now", most, running)
+		t.Fatalf("the leaving target ran %d at most and runs %d now, want 1 and 0", most, running)
 	}
 }
 
-// An order goes out under an epoch; an engine that checks refuses a lower one.
+// Orders carry a rising epoch, and an engine that checks it refuses an order of a lower one.
 func TestFencedOrders(t *testing.T) {
 	f := small(t, 2, time.Millisecond)
 	for i, n := range f.Nodes() {
@@ -273,7 +271,7 @@
 	}
 	orders := f.Engines["engine-1"].Orders()
 	if err := f.Engines["engine-1"].Order(context.Background(), orders[0]); err == nil {
-		t.Fatal("an order of a lower epoch was taken")
+		t.Fatal("an order of a lower epoch was accepted")
 	}
 }
 
@@ -290,12 +288,12 @@
 	}
 	for _, what := range []string{"order", "claim", "grant", "attempt", "outcome"} {
 		if !seen[what] {
-			t.Errorf("nothing on %q in %+v", what, records[0].Events)
+			t.Errorf("no %q event in %+v", what, records[0].Events)
 		}
 	}
 }
 
-// Bad input gets a clear numbered error and disturbs nothing.
+// Bad input gets its specific error code and does not affect the router.
 func TestBadInput(t *testing.T) {
 	f := small(t, 1, time.Millisecond)
 	n := f.Nodes()[0]
@@ -326,7 +324,7 @@
 		answer, _ := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if e := errorOf(t, answer); e.Code != c.want || e.Ran != result.RanNo || resp.StatusCode != result.Lookup(c.want).Status {
-			t.Errorf("%s: %d %+v", c.name, resp.StatusCode, e)
+			t.Errorf("%s: got status %d, error %+v", c.name, resp.StatusCode, e)
 		}
 	}
 	garbagePeer(t, n)
@@ -335,14 +333,14 @@
 	}
 	resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(5, false))
 	if e := errorOf(t, answer); resp.StatusCode != 502 || e.Code != result.StreamBroken || e.Ran != result.RanUnknown {
-		t.Errorf("broken events: %d %+v", resp.StatusCode, e)
+		t.Errorf("broken events: got status %d, error %+v", resp.StatusCode, e)
 	}
 	if n.Router.Ready() != nil {
-		t.Error("the router is not ready any more")
+		t.Error("the router is no longer ready")
 	}
 }
 
-// garbagePeer sends noise to the peer port, and a hello without the key.
+// garbagePeer sends garbage and a hello without the shared key to the peer port.
 func garbagePeer(t *testing.T, n *Node) {
 	t.Helper()
 	for _, noise := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Repeat("\xff", 100), "\x05\x08\x01\x12\x01x"} {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package fleet starts stand-ins and routers in one process, over real sockets
-// on loopback, for the demonstration, measurements and failure tests.
+// Package fleet runs routers and stand-ins for the platform and the targets in one process,
+// over loopback sockets. The demo, the load scenarios and the failure tests use it.
 package fleet
 
 import (
@@ -26,22 +26,22 @@
 	"madderway/services/config"
 )
 
-// Secrets of the laboratory; they protect nothing.
+// Secrets of the lab, for loopback only.
 const (
 	OperatorToken = "lab-operator-token"
 	sharedKey     = "lab-shared-key-of-routers"
 	resumeKey     = "lab-resume-key-of-routers"
 )
 
-// Options say how large a fleet is and how it behaves.
+// Options configures a fleet.
 type Options struct {
 	Routers   int
 	Halls     []string
 	Region    string
 	Dispatch  string
-	Tune      func(*setting.Settings) // Tune changes a router's settings before it starts.
+	Tune      func(*setting.Settings) // changes a router's settings before it starts
 	VMLag     time.Duration
-	FirstPort int // FirstPort fixes the ports; 0 gives each router a loopback number of its own.
+	FirstPort int // first of consecutive ports on 127.0.0.1; 0 gives each router its own loopback address
 }
 
 // Node is one router of the fleet.
@@ -50,13 +50,13 @@
 	Hall     string
 	Settings *setting.Settings
 	Router   *router.Router
-	Down     bool
+	Down     bool // killed by Kill
 }
 
-// Fleet is a platform, targets and routers.
+// Fleet is a set of routers with stand-ins for the platform and the targets.
 type Fleet struct {
 	opts    Options
-	number  int // number is the fleet's own in this process.
+	number  int // unique in this process, part of the loopback addresses
 	Table   *standin.Table
 	Objects *standin.Objects
 	VMs     *standin.VMs
@@ -67,13 +67,13 @@
 	nodes    []*Node
 	servers  []*standin.Server
 	targets  map[string]*standin.Server
-	handlers map[string]http.Handler // handlers are those of the targets.
-	ended    []string                // ended are the targets that requests have ended and that are not back.
-	endings  int                     // endings counts all of them.
-	urls     [3]string
+	handlers map[string]http.Handler // by target name
+	ended    []string                // targets crashed by a request and not yet restarted
+	endings  int                     // all crashes of targets caused by requests
+	urls     [3]string               // table, object store, VM list
 }
 
-// New starts the platform's stand-ins.
+// New starts the stand-ins for the platform. Targets and routers are added afterwards.
 func New(o Options) (*Fleet, error) {
 	if len(o.Halls) == 0 {
 		o.Halls = []string{"hall-a", "hall-b", "hall-c"}
@@ -128,14 +128,14 @@
 	return t, nil
 }
 
-// KillTarget cuts a target off for good.
+// KillTarget closes a target's listener and connections for good.
 func (f *Fleet) KillTarget(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.targets[name].Close()
 }
 
-// StartRouters starts all routers at once.
+// StartRouters starts all routers, one after the other.
 func (f *Fleet) StartRouters() error {
 	for i := range f.opts.Routers {
 		if _, err := f.StartRouter(i); err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// StartRouter starts the i-th router, with no memory of an earlier life.
+// StartRouter starts the i-th router, or restarts it with its old settings and empty state.
 func (f *Fleet) StartRouter(i int) (*Node, error) {
 	s, err := f.settings(i)
 	if err != nil {
@@ -170,7 +170,7 @@
 	return vm.VM{ID: n.ID, Role: vm.RoleRouter, Address: n.Settings.Peer.Listen, DataHall: n.Hall, Region: f.opts.Region, State: state}
 }
 
-// Leaving makes the platform's list say that a router leaves.
+// Leaving marks a router as leaving in the platform's VM list.
 func (f *Fleet) Leaving(n *Node) { f.VMs.Set(f.vmOf(n, vm.StateLeaving)) }
 
 func (f *Fleet) settings(i int) (*setting.Settings, error) {
@@ -202,16 +202,15 @@
 
 const (
 	listenersOfRouter = 3
-	// firstListener is the first port of a router on a loopback number of its own. It lies
-	// below those that the system gives to outgoing connections.
+	// below the ephemeral ports
 	firstListener = 8101
 )
 
 // fleets counts the fleets of this process.
 var fleets atomic.Int64
 
-// ports returns the addresses of a router's listeners. Each fleet of each process has loopback
-// numbers of its own: a port that was free a moment ago may be another process's by now.
+// ports returns the addresses of a router's listeners. Each fleet of each process uses its own
+// loopback addresses: probing for a free port would race with other processes.
 func (f *Fleet) ports(i int) []string {
 	const most = 250
 	out := make([]string, listenersOfRouter)
@@ -232,7 +231,7 @@
 	return append([]*Node(nil), f.nodes...)
 }
 
-// Live returns the routers that were not killed.
+// Live returns the routers that are not killed.
 func (f *Fleet) Live() []*Node {
 	var live []*Node
 	for _, n := range f.Nodes() {
@@ -243,7 +242,7 @@
 	return live
 }
 
-// Kill ends a router at once; the platform's list still has it.
+// Kill stops a router without draining; it stays in the platform's VM list.
 func (f *Fleet) Kill(n *Node) {
 	f.mu.Lock()
 	n.Down = true
@@ -251,7 +250,7 @@
 	n.Router.Stop()
 }
 
-// Partition cuts a router off from the others, or lets it rejoin.
+// Partition blocks the peer connections between a router and all others, or restores them.
 func (f *Fleet) Partition(n *Node, cut bool) {
 	for _, other := range f.Live() {
 		if other == n {
@@ -262,12 +261,12 @@
 	}
 }
 
-// Client returns a client of a router's operators' interface.
+// Client returns a client for a router's operator API.
 func (f *Fleet) Client(n *Node) *client.Client {
 	return client.New(n.Settings.Operator.Listen, OperatorToken)
 }
 
-// Apply submits a document at the first live router.
+// Apply submits a configuration through the first live router.
 func (f *Fleet) Apply(ctx context.Context, d *conf.Document, operation string) (config.Receipt, error) {
 	return f.Client(f.Live()[0]).Apply(ctx, operator.ApplyRequest{Document: d, Author: "lab", Operation: operation})
 }
@@ -286,7 +285,7 @@
 	return nil
 }
 
-// Close ends the routers, then the stand-ins.
+// Close stops the routers, then the stand-ins.
 func (f *Fleet) Close() {
 	var wg sync.WaitGroup
 	for _, n := range f.Live() {
@@ -307,11 +306,11 @@
 	}
 }
 
-// Account returns an account whose key is Key(name).
+// Account returns a client account whose API key is Key(name).
 func Account(name string) conf.ClientAccount {
 	sum := sha256.Sum256([]byte(Key(name)))
 	return conf.ClientAccount{Name: name, KeySHA256: []string{hex.EncodeToString(sum[:])}}
 }
 
-// Key returns the key of a laboratory account.
+// Key returns the API key of a lab account.
 func Key(name string) string { return "key-of-" + name }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -32,13 +32,13 @@
     return attempt.outcome == "not_run" or request.method == "GET"
 `
 
-// small starts a fleet with one model pool and one plain service.
+// small starts a fleet with a pool of three engines and a plain service.
 func small(t *testing.T, routers int, gap time.Duration) *Fleet {
 	t.Helper()
 	return tuned(t, routers, gap, nil)
 }
 
-// tuned is small with changed settings.
+// tuned starts the fleet of small with changed settings.
 func tuned(t *testing.T, routers int, gap time.Duration, tune func(*setting.Settings)) *Fleet {
 	t.Helper()
 	f, err := New(Options{Routers: routers, Tune: tune})
@@ -122,19 +122,19 @@
 	for _, n := range f.Nodes() {
 		resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(20, false))
 		if resp.StatusCode != 200 || strings.Count(string(answer), "-20 ") != 1 {
-			t.Fatalf("%s: %d %s", n.ID, resp.StatusCode, answer)
+			t.Fatalf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 		}
 		resp, answer = send(t, n, "POST", "/v1/chat/completions", "birch", "", chatBody(20, true))
 		if events := dataLines(answer); len(events) != 22 || events[21] != "[DONE]" {
-			t.Fatalf("%s: %d %s", n.ID, resp.StatusCode, answer)
+			t.Fatalf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 		}
 		resp, answer = send(t, n, "POST", "/services/samples/submit", "birch", "the-key", "box 7")
 		if resp.StatusCode != 200 {
-			t.Fatalf("%s: %d %s", n.ID, resp.StatusCode, answer)
+			t.Fatalf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 		}
 	}
 	if runs := f.Plains["samples-1"].RunsOfKeys()["birch/the-key"]; runs != 1 {
-		t.Fatalf("the keyed call ran %d times", runs)
+		t.Fatalf("the keyed call ran %d times, want 1", runs)
 	}
 }
 
--- a/lab/fleet/rest_test.go
+++ b/lab/fleet/rest_test.go
@@ -12,9 +12,8 @@
 	"madderway/models/result"
 )
 
-// A target that turns calls away may say for how long it wants none. Routers passed that over
-// as gateways did: the only target of a service had asked for a minute of rest, and got each of
-// the next five calls, whose callers were told to come back after a second.
+// Routers must send nothing to a target during the Retry-After of its refusal, and pass the
+// remaining time on to callers if no other target is left.
 func TestRoutersLetTargetsRest(t *testing.T) {
 	f := small(t, 2, time.Millisecond)
 	n := f.Nodes()[0]
@@ -23,18 +22,18 @@
 	}
 	engine := f.Engines["engine-1"]
 	engine.SetFaults(standin.Faults{Refuse: -1, Rest: "60"})
-	waitFor(t, "the engine turns a chat away", func() bool {
+	waitFor(t, "the engine refuses a chat", func() bool {
 		chat()
 		return engine.Refused() > 0
 	})
 	asked := engine.Refused()
 	for range 20 {
 		if resp, answer := chat(); resp.StatusCode != http.StatusOK {
-			t.Errorf("%d %s, with two engines left", resp.StatusCode, answer)
+			t.Errorf("got status %d %s, want 200 from one of the two other engines", resp.StatusCode, answer)
 		}
 	}
 	if n := engine.Refused() - asked; n > 0 {
-		t.Errorf("%d of 20 chats were sent to an engine that wants rest", n)
+		t.Errorf("%d of 20 chats were sent to an engine that asked for a pause", n)
 	}
 	plain := f.Plains["samples-1"]
 	plain.SetFaults(standin.Faults{Refuse: -1, Rest: "60"})
@@ -47,10 +46,10 @@
 		resp, answer := call()
 		e := errorOf(t, answer)
 		if resp.StatusCode != http.StatusServiceUnavailable || e.Code != result.NoTarget || e.RetryAfterMS < 10_000 {
-			t.Errorf("%d %s, want a refusal until the rest of a minute is over", resp.StatusCode, answer)
+			t.Errorf("got status %d %s, want a refusal with the rest of the pause as Retry-After", resp.StatusCode, answer)
 		}
 	}
 	if n := plain.Refused() - asked; n > 0 {
-		t.Errorf("%d calls were sent to a target that wants rest", n)
+		t.Errorf("%d calls were sent to a target that asked for a pause", n)
 	}
 }
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package load sends requests to a fleet as its callers do, over real sockets,
-// and records what came back.
+// Package load sends requests to a fleet over HTTP as its callers do, and records their outcomes.
 package load
 
 import (
@@ -22,46 +21,46 @@
 	"madderway/services/engine"
 )
 
-// Client sends requests.
+// Client sends requests to routers and targets.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that may have many connections open.
+// NewClient returns a client that keeps many idle connections for reuse.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 1024, MaxIdleConns: 8192, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Answer is what came back for a request.
+// Answer is the response to a request.
 type Answer struct {
 	RequestID  string
-	Resume     string
-	Events     []string // Events are the data of a stream, without those that are not a part of it.
+	Resume     string   // resume token
+	Events     []string // data of the stream's events, without typed events such as restart
 	Body       []byte
 	Status     int
-	Refused    *api.Error // Refused is the numbered error, if there was one.
-	Broken     bool       // Broken tells that the connection ended early.
-	Restarted  bool
-	Replayed   bool
+	Refused    *api.Error // error response, or nil
+	Broken     bool       // no or an incomplete response
+	Restarted  bool       // the stream restarted from its first event
+	Replayed   bool       // recorded result of an earlier call with the same idempotency key
 	FirstEvent time.Duration
 	Total      time.Duration
 }
 
-// Complete tells whether a stream came to its end.
+// Complete reports whether a stream ended with its final event.
 func (a *Answer) Complete() bool {
 	return len(a.Events) > 0 && a.Events[len(a.Events)-1] == engine.DoneData
 }
 
-// Chat is a completion to ask for.
+// Chat is a completion request.
 type Chat struct {
 	Model     string
 	Prompt    string
 	Class     string
 	MaxTokens int
-	Tokens    int // Tokens is how long the stand-in's answer will be; routers do not know it.
+	Tokens    int // length of the stand-in's answer, unknown to the routers
 }
 
 type chatBody struct {
@@ -77,7 +76,7 @@
 	Content string `json:"content"`
 }
 
-// Body returns the body of the completion.
+// Body returns the JSON body of the request.
 func (c Chat) Body() []byte {
 	body, err := json.Marshal(chatBody{c.Model, true, c.MaxTokens, c.Tokens, []chatMessage{{"user", c.Prompt}}})
 	if err != nil {
@@ -86,7 +85,7 @@
 	return body
 }
 
-// Chat asks a router, or an engine directly, for a completion.
+// Chat sends a completion request to a router, or directly to an engine.
 func (c *Client) Chat(ctx context.Context, address, key string, chat Chat) Answer {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", bytes.NewReader(chat.Body()))
 	if err != nil {
@@ -100,7 +99,7 @@
 	return c.stream(req, Answer{})
 }
 
-// Resume asks a router for the rest of an answer; what is there already stays.
+// Resume asks a router for the events that follow those of a, and returns all of them.
 func (c *Client) Resume(ctx context.Context, address, key string, a Answer) Answer {
 	u := fmt.Sprintf("http://%s/v1/responses/%s?offset=%d", address, a.RequestID, len(a.Events))
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
@@ -147,7 +146,7 @@
 	return &body.Error
 }
 
-// restartEvent is the typed event that makes what came before void.
+// restartEvent announces that the stream restarts and invalidates all earlier events.
 type restartEvent struct {
 	Resume string `json:"resume"`
 }
@@ -186,7 +185,7 @@
 	}
 }
 
-// Plain calls a plain service through a router.
+// Plain calls a plain service through a router, with an idempotency key if it is not empty.
 func (c *Client) Plain(ctx context.Context, address, key, path, idempotencyKey string, body []byte) Answer {
 	started := time.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
--- a/lab/load/lines.go
+++ b/lab/load/lines.go
@@ -11,7 +11,7 @@
 
 const maxLine = 1 << 20
 
-// lineReader reads server-sent events with their types.
+// lineReader reads server-sent events.
 type lineReader struct{ scan *bufio.Scanner }
 
 func newLineReader(r io.Reader) *lineReader {
--- a/lab/load/record.go
+++ b/lab/load/record.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	histogramMax  = int64(10 * time.Minute / time.Microsecond)
-	histogramFine = 3
+	histogramMax  = int64(10 * time.Minute / time.Microsecond) // in microseconds
+	histogramFine = 3                                          // significant digits
 )
 
-// Percentiles are times in milliseconds.
+// Percentiles summarises durations in milliseconds.
 type Percentiles struct {
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
 	Count int64   `json:"count"`
 }
 
-// Histogram gathers times.
+// Histogram records durations. It is safe for concurrent use.
 type Histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
@@ -35,7 +35,7 @@
 	return &Histogram{h: hdrhistogram.New(1, histogramMax, histogramFine)}
 }
 
-// Add takes a time; what is below a microsecond counts as one.
+// Add records a duration, clamped to between a microsecond and ten minutes.
 func (h *Histogram) Add(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,24 +50,24 @@
 	return Percentiles{ms(50), ms(99), h.h.TotalCount()}
 }
 
-// AccountRecord is what one account saw.
+// AccountRecord counts the outcomes of one account's requests.
 type AccountRecord struct {
 	Account   string
 	Requests  int
 	Done      int
 	Refused   map[result.Code]int
-	Lost      int
+	Lost      int // without answer or error
 	Resumed   int
 	Restarted int
-	Wait      *Histogram
+	Wait      *Histogram // time to the start of the answer
 }
 
-// Recorder gathers what all callers saw.
+// Recorder collects the outcomes of all callers' requests.
 type Recorder struct {
 	mu       sync.Mutex
 	accounts map[string]*AccountRecord
 	classes  map[string]*Histogram
-	notRun   []string // notRun are the IDs of requests that were refused as not run.
+	notRun   []string // IDs of requests refused as not run
 }
 
 // NewRecorder returns an empty recorder.
@@ -84,7 +84,7 @@
 	return a
 }
 
-// Class returns the histogram of waits of a class.
+// Class returns the histogram of a class's waiting times.
 func (r *Recorder) Class(name string) *Histogram {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +96,7 @@
 	return h
 }
 
-// Done records a complete answer and how long its caller waited for the start.
+// Done records a complete answer and the time to its start.
 func (r *Recorder) Done(account, class string, wait time.Duration, a Answer, resumed bool) {
 	r.Class(class).Add(wait)
 	r.mu.Lock()
@@ -113,7 +113,7 @@
 	rec.Wait.Add(wait)
 }
 
-// Refused records a numbered error.
+// Refused records an error response.
 func (r *Recorder) Refused(account string, a Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// Lost records a request that got neither an answer nor a numbered error.
+// Lost records a request that got neither an answer nor an error response.
 func (r *Recorder) Lost(account string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,14 +134,14 @@
 	rec.Lost++
 }
 
-// NotRun returns the IDs of the requests that were refused as not run.
+// NotRun returns the IDs of the requests refused as not run.
 func (r *Recorder) NotRun() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.notRun...)
 }
 
-// Accounts returns the records by account.
+// Accounts returns the records by account name.
 func (r *Recorder) Accounts() map[string]*AccountRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,7 +152,7 @@
 	return out
 }
 
-// Classes returns the percentiles of waits by class.
+// Classes returns the percentiles of waiting times by class.
 func (r *Recorder) Classes() map[string]Percentiles {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/measure/gap.go
+++ b/lab/measure/gap.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// service counts what each account got, as the targets saw it.
+// service sums the service units that targets gave to each account.
 type service struct {
 	mu    sync.Mutex
 	units map[string]float64
@@ -33,15 +33,14 @@
 	return out
 }
 
-// pair holds the range of the difference of service of two accounts while both
-// have had work waiting without a break.
+// pair holds the range of the service difference of two accounts since both became backlogged.
 type pair struct {
 	low, high float64
 	since     time.Time
 }
 
-// gapMeter finds the largest difference of service between two accounts over
-// any time in which both had work waiting without a break.
+// gapMeter finds the fairness gap: the largest change of the weighted service difference of two
+// accounts over any period in which both were backlogged throughout.
 type gapMeter struct {
 	names  []string
 	weight map[string]float64
@@ -63,7 +62,7 @@
 	return g
 }
 
-// sample takes what each account got so far and whether it has work waiting.
+// sample updates the gap with each account's service so far and whether it is backlogged.
 func (g *gapMeter) sample(now time.Time, since time.Duration, units map[string]float64, waits func(account string) bool) {
 	for i := range g.names {
 		for k := i + 1; k < len(g.names); k++ {
--- a/lab/measure/result.go
+++ b/lab/measure/result.go
@@ -12,7 +12,7 @@
 	"madderway/models/result"
 )
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Scenario                string                      `json:"scenario"`
 	Dispatch                string                      `json:"dispatch"`
@@ -50,7 +50,7 @@
 	Events                  []string                    `json:"events"`
 }
 
-// AccountResult is what one account got.
+// AccountResult holds the measurements of one account.
 type AccountResult struct {
 	Account  string           `json:"account"`
 	Requests int              `json:"requests"`
@@ -60,7 +60,7 @@
 	WaitMS   load.Percentiles `json:"wait_ms"`
 }
 
-// Broken lists the promises that the run saw broken.
+// Broken lists the violated guarantees, such as duplicate runs or lost requests.
 func (r *Result) Broken() []string {
 	var broken []string
 	add := func(n int, what string) {
@@ -78,7 +78,7 @@
 	return broken
 }
 
-// Text writes the result for people.
+// Text writes the result as a human-readable report.
 func (r *Result) Text(w io.Writer) {
 	fmt.Fprintf(w, "\n%-12s %9s %7s %8s %10s %12s %12s\n", "account", "requests", "done", "refused", "service", "wait p50 ms", "wait p99 ms")
 	for _, a := range r.Accounts {
--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -20,55 +20,55 @@
 
 const (
 	sampleEvery   = 5 * time.Millisecond
-	gapEvery      = 10 // every so many samples the gap is measured
+	gapEvery      = 10 // samples per measurement of the gap
 	settleTime    = 500 * time.Millisecond
 	overheadCalls = 300
 	startTimeout  = 20 * time.Second
 	finishTimeout = 12 * time.Second
 	promptWeight  = 0.25
 	milliWeight   = 1
-	maxCharge     = 1024 // the pool's max_cost, which bounds estimates
+	maxCharge     = 1024 // max_cost of the model pool, the upper bound of estimates
 	reportLag     = 100 * time.Millisecond
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Scenario   Scenario
 	Dispatch   string
 	Seed       int64
-	CounterAge time.Duration // CounterAge is the interval of the service counters; 0 for the default.
-	// TallyBudget overrides the routers' where it is not negative.
+	CounterAge time.Duration // interval of the service counters; 0 for the default
+	// Overrides the routers' setting if not negative.
 	TallyBudget float64
-	Reserve     float64       // Reserve is the share of slots kept from long work while short work arrives.
-	HeadStart   float64       // HeadStart overrides the scenario's where it is not negative.
-	Duration    time.Duration // Duration overrides the scenario's where it is not 0.
+	Reserve     float64       // share of slots withheld from long requests while short ones arrive
+	HeadStart   float64       // overrides the scenario's if not negative
+	Duration    time.Duration // overrides the scenario's if not 0
 	Progress    func(format string, args ...any)
 }
 
-// run is a scenario under way.
+// run is the state of a running scenario.
 type run struct {
 	opts     Options
 	s        Scenario
 	f        *fleet.Fleet
 	client   *load.Client
 	rec      *load.Recorder
-	chat     *service // chat is the service of the model pool, in units.
-	desk     *service
+	chat     *service // service units of the model pool
+	desk     *service // service units of the plain pool
 	gap      *gapMeter
 	out      *outstanding
-	before   *load.Histogram
-	during   *load.Histogram
+	before   *load.Histogram // waiting times before the flood
+	during   *load.Histogram // waiting times during the flood
 	start    time.Time
 	res      *Result
-	busy     float64
-	possible float64
+	busy     float64 // sum of busy slots over all samples with a backlog
+	possible float64 // sum of all slots over the same samples
 	keys     map[string]bool
 	mu       sync.Mutex
-	bad      int
+	bad      int // incomplete or foreign answers
 	stop     chan struct{}
 }
 
-// Run runs a scenario.
+// Run runs a scenario against a new fleet and returns its measurements.
 func Run(o Options) (*Result, error) {
 	s := o.Scenario
 	if o.Duration > 0 {
@@ -166,14 +166,13 @@
 	return nil
 }
 
-// targetHall returns the data hall of a target by its name.
+// targetHall returns the data hall in a target's name.
 func targetHall(name string) string {
 	parts := strings.SplitN(name, "-", 3)
 	return parts[len(parts)-1]
 }
 
-// measureOverhead compares calls through a router with direct ones, before any
-// other load.
+// measureOverhead compares calls through a router with direct calls, on an idle fleet.
 func (r *run) measureOverhead() {
 	node := r.f.Live()[0]
 	account := r.s.Accounts[0].Name
@@ -208,7 +207,7 @@
 	return ""
 }
 
-// drive runs the load, the faults and the meters for the scenario's time.
+// drive runs load, faults and sampling for the scenario's duration.
 func (r *run) drive() {
 	bytesBefore, nanosBefore := r.traffic()
 	r.start = time.Now()
@@ -234,14 +233,14 @@
 	routers := float64(r.s.Routers)
 	r.res.ControlBytesPerRouter = float64(bytesAfter-bytesBefore) / elapsed.Seconds() / routers
 	r.res.ControlCPUFraction = float64(nanosAfter-nanosBefore) / 1e9 / elapsed.Seconds() / routers
-	r.opts.Progress("load ends, the last answers are awaited")
+	r.opts.Progress("load ended, waiting for the last answers")
 	time.AfterFunc(finishTimeout, cancel)
 	callers.Wait()
 	cancel()
 }
 
-// traffic sums what the live routers have spent; a killed router's share is
-// lost with it, so churn reads a little low.
+// traffic sums the control traffic in bytes and the time spent on it. The counters of a killed
+// router are lost, so the sum is a little low under churn.
 func (r *run) traffic() (bytes uint64, nanos int64) {
 	for _, n := range r.f.Nodes() {
 		b, t := n.Router.Traffic()
@@ -270,7 +269,7 @@
 	}
 }
 
-// sampleLoop measures utilisation and the gap.
+// sampleLoop samples utilisation and the fairness gap until the run stops.
 func (r *run) sampleLoop() {
 	ticker := time.NewTicker(sampleEvery)
 	defer ticker.Stop()
@@ -312,7 +311,7 @@
 	}
 }
 
-// bound is what the formula of docs/design/fairness.md gives for this run.
+// bound returns the fairness bound of docs/design/fairness.md for this run.
 func (r *run) bound() float64 {
 	control := setting.Default().Control
 	least := control.TallyInterval.Duration
--- a/lab/measure/scenario.go
+++ b/lab/measure/scenario.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package measure runs load scenarios against a fleet and measures what the
-// users measure: the fairness gap, utilisation and control traffic.
+// Package measure runs load scenarios against a fleet and measures the fairness gap, utilisation,
+// control traffic, waiting times and violated guarantees.
 package measure
 
 import (
@@ -20,30 +20,30 @@
 
 // The kinds of request.
 const (
-	KindLong  Kind = "long"  // a long draft
-	KindShort Kind = "short" // a quick tag or reminder
-	KindKeyed Kind = "keyed" // a submission that may not be repeated, sent twice through two routers
+	KindLong  Kind = "long"  // completion of up to hundreds of tokens
+	KindShort Kind = "short" // interactive completion of a few tokens
+	KindKeyed Kind = "keyed" // plain call that must run once, sent twice through two routers
 )
 
 // Stream is a flow of requests of one account.
 type Stream struct {
 	Kind    Kind
-	Workers int           // Workers each have one request outstanding at any time, in a closed loop.
-	Every   time.Duration // Every is the mean time between arrivals of an open loop; used where Workers is 0.
-	Min     int           // Min and Max bound the output tokens.
+	Workers int           // closed loop: each worker has one request outstanding at any time
+	Every   time.Duration // open loop, if Workers is 0: mean time between arrivals
+	Min     int           // output tokens
 	Max     int
-	From    time.Duration // From is when the stream starts.
+	From    time.Duration // start of the stream, since the start of the load
 }
 
 // Account is the load of one client account.
 type Account struct {
 	Name    string
-	Router  int // Router is the one that all its requests land on; -1 for all in turn.
+	Router  int // index of the router that gets all its requests; -1 for random ones
 	Streams []Stream
 	Weight  float64
 }
 
-// Backlogged tells whether the account always has work waiting.
+// Backlogged reports whether the account has requests outstanding throughout the run.
 func (a Account) Backlogged() bool {
 	for _, s := range a.Streams {
 		if s.Workers > 0 && s.From == 0 {
@@ -53,14 +53,14 @@
 	return false
 }
 
-// Fault is something that happens during a run.
+// Fault is an event injected at a given time of a run.
 type Fault struct {
 	At   time.Duration
 	Name string
 	Do   func(f *fleet.Fleet)
 }
 
-// Scenario is a load with its faults.
+// Scenario describes a fleet, the load on it and the faults.
 type Scenario struct {
 	Name       string
 	About      string
@@ -74,15 +74,15 @@
 	PlainTakes time.Duration
 	Accounts   []Account
 	Duration   time.Duration
-	HeadStart  float64 // HeadStart of the model pool, in service units.
-	MaxTokens  int     // MaxTokens is what callers state, whatever the answer's length.
+	HeadStart  float64 // of interactive work in the model pool, in service units
+	MaxTokens  int     // max_tokens of each request, whatever the answer's length
 	Faults     func(s Scenario) []Fault
-	FloodFrom  time.Duration // FloodFrom splits the waits into before and during a flood.
-	Example    string        // Example names the sample configuration to run under; the laboratory's own where empty.
+	FloodFrom  time.Duration // start of the flood, which splits the waiting times; 0 for none
+	Example    string        // sample configuration to run under; empty for that of the lab
 	names      names
 }
 
-// names are those of a scenario's pools and model.
+// names holds the names of the model pool, the plain pool and the model.
 type names struct{ chat, desk, model string }
 
 func (n names) submitPath() string { return "/services/" + n.desk + "/submit" }
@@ -107,7 +107,7 @@
 	return all
 }
 
-// Names returns the names of all scenarios in order.
+// Names returns the sorted names of all scenarios.
 func Names() []string {
 	var names []string
 	for name := range Scenarios() {
@@ -158,8 +158,8 @@
 	return s
 }
 
-// unevenLanding is the router of each backlogged account: four share one, two
-// share another, the others have one each.
+// unevenLanding holds the router of each backlogged account: four share one, two share another,
+// the others have one each.
 var unevenLanding = []int{0, 0, 0, 0, 1, 1, 2, 3, 4, 5}
 
 func uneven() Scenario {
@@ -291,8 +291,8 @@
 	return s
 }
 
-// routerBudget gives each router 11 requests and 4,400 tokens a second, which
-// is a router's share of the fleet's target.
+// routerBudget gives each router 11 requests and 4,400 tokens a second, its share of the load that
+// a fleet must carry.
 func routerBudget() Scenario {
 	s := base("router-budget", "each router gets 11 requests and 4,400 tokens a second; a tenth of the accounts is backlogged")
 	s.Slots, s.TokenGap, s.FirstToken = 32, 20*time.Millisecond, 50*time.Millisecond
@@ -307,7 +307,7 @@
 	return s
 }
 
-// document returns the configuration of a scenario without its targets.
+// document returns the configuration of a scenario, without targets.
 func (s Scenario) document() (*conf.Document, error) {
 	if s.Example != "" {
 		d, err := examples.Load(s.Example)
@@ -344,8 +344,8 @@
     return attempt.outcome == "not_run" or request.model != ""
 `
 
-// Example returns the scenario of a sample configuration: its first three
-// accounts are large, the others light.
+// Example returns a scenario for a sample configuration: the first three accounts send large
+// loads, the others light ones.
 func Example(name string, routers int, duration time.Duration) (Scenario, error) {
 	d, err := examples.Load(name)
 	if err != nil {
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -22,8 +22,7 @@
 	prompts      = 8
 )
 
-// outstanding counts the completions that were asked for and have not begun to
-// end, by account.
+// outstanding counts the unfinished completions by account.
 type outstanding struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -76,7 +75,7 @@
 	}
 }
 
-// closedLoop always has one request outstanding.
+// closedLoop sends the next request as soon as the last one is finished.
 func (r *run) closedLoop(ctx context.Context, a Account, st Stream, rng *rand.Rand) {
 	if !r.pause(ctx, st.From+time.Duration(rng.Int63n(int64(20*time.Millisecond)))) {
 		return
@@ -93,7 +92,7 @@
 	}
 }
 
-// openLoop sends at random times, whatever became of earlier requests.
+// openLoop sends requests at random times, independent of earlier ones.
 func (r *run) openLoop(ctx context.Context, wg *sync.WaitGroup, a Account, st Stream, rng *rand.Rand) {
 	if !r.pause(ctx, st.From) {
 		return
@@ -112,7 +111,7 @@
 	}
 }
 
-// node picks the router that the balancer would: the account's own, or any.
+// node picks a router as a load balancer would: the account's fixed one, else a random live one.
 func (r *run) node(a Account, rng *rand.Rand) *fleet.Node {
 	live := r.f.Live()
 	if a.Router >= 0 {
@@ -142,7 +141,7 @@
 	answer := r.client.Chat(ctx, r.node(a, rng).Settings.Caller.Listen, fleet.Key(a.Name), chat)
 	resumed := false
 	for try := 0; answer.Broken && answer.RequestID != "" && try < resumeLimit && ctx.Err() == nil; try++ {
-		// The caller was cut off: it goes on at any other router.
+		// The connection broke: resume at any router.
 		resumed = true
 		time.Sleep(time.Duration(try) * resumePause / 4)
 		answer = r.client.Resume(ctx, r.node(a, rng).Settings.Caller.Listen, fleet.Key(a.Name), answer)
@@ -160,8 +159,7 @@
 		r.rec.Refused(a.Name, answer)
 		return true
 	case answer.RequestID == "":
-		// No router took the request: the caller was not answered by a router
-		// that was killed, and asks again.
+		// A router was killed before it accepted the request; the caller may send it again.
 		return true
 	default:
 		r.rec.Lost(a.Name)
@@ -176,8 +174,8 @@
 	return "interactive"
 }
 
-// checkAnswer verifies that an answer is whole and the caller's own: each event
-// of the stand-in names the request and counts up.
+// checkAnswer verifies that an answer is complete and belongs to its request: each event of the
+// stand-in holds the request ID and its own number.
 func (r *run) checkAnswer(a load.Answer, tokens int) {
 	good := len(a.Events) == tokens+2
 	for i := 0; good && i < tokens; i++ {
@@ -194,7 +192,7 @@
 	if r.s.FloodFrom == 0 || k != KindShort || account == "flooder" {
 		return
 	}
-	// A request counts for the time at which it was sent.
+	// The time of sending decides, not that of the answer.
 	if time.Since(r.start)-total < r.s.FloodFrom {
 		r.before.Add(wait)
 	} else {
@@ -202,7 +200,7 @@
 	}
 }
 
-// keyed sends a call that may not be repeated twice, through two routers.
+// keyed sends the same keyed call through two routers at once; it must run only once.
 func (r *run) keyed(ctx context.Context, a Account, rng *rand.Rand) (refused bool) {
 	key := fmt.Sprintf("%s-%d", a.Name, rng.Int63())
 	r.mu.Lock()
@@ -227,8 +225,8 @@
 	case answer.Refused != nil:
 		r.rec.Refused(a.Name, answer)
 	case answer.Broken:
-		// The router was killed; the caller asks again under the same key and
-		// learns the recorded outcome, or that it is unknown.
+		// The router was killed; a retry with the same key returns the recorded
+		// outcome, or that it is unknown.
 		again := r.client.Plain(ctx, r.f.Live()[0].Settings.Caller.Listen, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
 		if again.Refused != nil {
 			r.rec.Refused(a.Name, again)
@@ -247,7 +245,7 @@
 	}
 }
 
-// conclude compares what callers were told with what the targets saw.
+// conclude checks the answers that callers got against the runs that the targets counted.
 func (r *run) conclude() {
 	res := r.res
 	res.FairnessGap, res.FairnessGapPair = r.gap.gap, r.gap.worst
