--- a/cmd/madderway-lab/main.go
+++ b/cmd/madderway-lab/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Command madderway-lab demonstrates and measures the fleet against stand-ins
-// for the platform and the targets. Nothing of it is linked into madderway.
+// Command madderway-lab runs routers against stand-ins for the platform and the targets, for
+// demonstrations and measurements. It is not part of the madderway binary.
 package main
 
 import (
@@ -19,10 +19,10 @@
 	exitUsage  = 2
 )
 
-// common are the flags of all commands.
+// common holds the flags shared by commands that run routers.
 type common struct {
 	Verbosity int    `long:"verbosity" default:"0" description:"0 to 4"`
-	LogFile   string `long:"log" description:"file for the routers' logs; dropped by default"`
+	LogFile   string `long:"log" description:"file for the routers' logs; discarded by default"`
 }
 
 func (c common) setUp() error {
@@ -50,9 +50,9 @@
 		data        any
 	}{
 		{"demo", "Run stand-ins, four routers and 30 s of mixed load", &demoCommand{}},
-		{"measure", "Run a scenario and print what it measured", &measureCommand{}},
+		{"measure", "Run a load scenario and print its measurements", &measureCommand{}},
 		{"platform", "Run gateways against a stand-in of the users' platform", &platformCommand{}},
-		{"seconds", "Show from the logs of gateways what each second of a play was like", &secondsCommand{}},
+		{"seconds", "Show the activity of gateways second by second, from their logs", &secondsCommand{}},
 		{"standins", "Serve the stand-ins of a configuration for routers in other processes", &standinsCommand{}},
 	}
 	for _, c := range commands {
--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -13,7 +13,7 @@
 )
 
 type secondsCommand struct {
-	Picture string `long:"svg" description:"write a picture to this file as well"`
+	Picture string `long:"svg" description:"also write an SVG chart to this file"`
 	Args    struct {
 		Logs []string `positional-arg-name:"LOG" required:"1"`
 	} `positional-args:"yes" required:"true"`
@@ -40,7 +40,7 @@
 	}
 	all := seconds.Gather(lines)
 	if len(all) == 0 {
-		return errors.New("no scheduler wrote a line about a second in these logs")
+		return errors.New("the logs contain no per-second lines of a scheduler")
 	}
 	if err := seconds.WriteTable(os.Stdout, all); err != nil {
 		return err
--- a/cmd/madderway-lab/vm.go
+++ b/cmd/madderway-lab/vm.go
@@ -12,7 +12,7 @@
 
 const vmParts = 4
 
-// parseVM reads ID=PEER-ADDRESS=HALL=REGION.
+// parseVM parses a router of the VM list, written as ID=PEER-ADDRESS=HALL=REGION.
 func parseVM(text string) (vm.VM, error) {
 	parts := strings.Split(text, "=")
 	if len(parts) != vmParts {
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package examples holds a sample configuration for each of the two firms. The
-// demonstration uses them, and operators can start from them.
+// Package examples embeds two sample configurations. The demo of madderway-lab runs them, and
+// operators can start from them.
 package examples
 
 import (
@@ -23,7 +23,7 @@
 	Haddad      = "haddad"
 )
 
-// Load returns the document of an example.
+// Load returns the configuration of an example.
 func Load(name string) (*conf.Document, error) {
 	dir, err := os.MkdirTemp("", "madderway-example-")
 	if err != nil {
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Kind is a kind of request.
+// Kind describes a kind of request and its load.
 type Kind struct {
 	Name       string
 	Path       string
@@ -24,21 +24,21 @@
 	Stream     bool
 	Repeatable bool
 	Resumable  bool
-	Subjects   int
-	Shared     int
-	Own        int
-	Objective  time.Duration
+	Subjects   int           // different shared prompt prefixes
+	Shared     int           // tokens of a shared prompt prefix
+	Own        int           // mean tokens of the rest of a prompt
+	Objective  time.Duration // latency beyond which an answer is late
 	Deadline   time.Duration
-	PerSecond  float64
-	Attempts   int
+	PerSecond  float64 // requests of all accounts
+	Attempts   int     // attempts that a gateway may make
 }
 
 const host = "site.example"
 
-// client sends requests of one kind and account, and checks the answers.
+// client sends requests of one kind for one account and checks the answers.
 type client struct {
 	site    *Site
-	address func(c *client) string // address is that of the gateway that takes the next request.
+	address func(c *client) string // gateway for the next request
 	uri     func(c *client) string
 	body    func(c *client) string
 	kind    Kind
@@ -47,7 +47,7 @@
 	rng     *rand.Rand
 	http    *http.Client
 	next    int
-	head    http.Header // head is that of the last answer.
+	head    http.Header // headers of the last answer
 }
 
 func newClient(s *Site, k Kind, account, key string, seed uint64) *client {
@@ -66,7 +66,8 @@
 
 func anyBody(c *client) string { return strings.Repeat("x", 50+c.rng.IntN(200)) }
 
-// ask sends a request and, where it was told to come back, sends it once more.
+// ask sends a request, retries it once if it is refused with a short Retry-After, and counts
+// the outcome.
 func (c *client) ask(ctx context.Context) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
@@ -80,7 +81,7 @@
 		}
 	}
 	if c.site.ctx.Err() != nil {
-		return // the play has ended meanwhile
+		return // the run has ended meanwhile
 	}
 	c.site.ledger.Ends(c.account, func(n *Counts) {
 		switch result {
@@ -140,7 +141,7 @@
 	return c.judge(id, body, resp, began)
 }
 
-// judge checks an answer against what the worker must have sent.
+// judge checks an answer against the one that the worker must send.
 func (c *client) judge(id, sent string, resp *http.Response, began time.Time) (outcome, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
@@ -155,7 +156,7 @@
 	}
 	worker, _, _ := strings.Cut(resp.Header.Get("Response-Signature"), ".")
 	if resp.Header.Get("Attempt-Id") != id {
-		c.site.ledger.Wrong("%s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
+		c.site.ledger.Wrong("request %s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
 	}
 	if c.kind.Stream {
 		return c.judgeStream(id, worker, resp, began)
@@ -166,7 +167,7 @@
 	}
 	want := PlainBody(id, []byte(sent))
 	if string(body) != want || resp.Header.Get("Response-Signature") != Signature(worker, id, want) {
-		c.site.ledger.Wrong("%s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
+		c.site.ledger.Wrong("request %s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
 	}
 	return c.inTime(began), 0
 }
@@ -180,7 +181,7 @@
 
 func (c *client) judgeStream(id, worker string, resp *http.Response, began time.Time) (outcome, time.Duration) {
 	if resp.Header.Get("Response-Signature") != Signature(worker, id, "") {
-		c.site.ledger.Wrong("stream of %s is signed %q", id, resp.Header.Get("Response-Signature"))
+		c.site.ledger.Wrong("stream of request %s is signed %q", id, resp.Header.Get("Response-Signature"))
 	}
 	result, n, of := outcome(0), 0, Events(id)
 	lines := bufio.NewScanner(resp.Body)
@@ -194,7 +195,7 @@
 		}
 		if data != EventData(id, n+1, of) {
 			if lines.Scan(); lines.Err() == nil && n < of {
-				c.site.ledger.Wrong("stream of %s has %q after event %d", id, data, n)
+				c.site.ledger.Wrong("stream of request %s has %q after event %d", id, data, n)
 			}
 			return outcomeFailed, 0
 		}
@@ -204,7 +205,7 @@
 		return outcomeFailed, 0
 	}
 	if n != of {
-		c.site.ledger.Wrong("stream of %s ended as whole after %d of %d events", id, n, of)
+		c.site.ledger.Wrong("stream of request %s ended without an error after %d of %d events", id, n, of)
 	}
 	return result, 0
 }
--- a/lab/platform/input_test.go
+++ b/lab/platform/input_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// calm starts a site without clients.
+// calm starts a small site without clients or faults.
 func calm(t *testing.T) *Site {
 	t.Helper()
 	s, err := Start(SmallSite(5, time.Second))
@@ -28,8 +28,8 @@
 	return s
 }
 
-// raw sends bytes to a gateway and returns the first answer's status, 0 where
-// the connection ended without one.
+// raw sends bytes to a gateway and returns the status of the first answer, or 0 if the connection
+// ends without one.
 func raw(t *testing.T, s *Site, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp4", s.gateways[0].setting.Callers)
@@ -49,8 +49,7 @@
 
 const key = "Authorization: Bearer key-of-account-0\r\n"
 
-// Malformed and unwelcome requests get a clear answer, and none of them reaches
-// a worker.
+// Malformed and unauthorized requests get a specific status and never reach a worker.
 func TestBadInputReachesNoWorker(t *testing.T) {
 	t.Parallel()
 	s := calm(t)
@@ -82,8 +81,8 @@
 	}
 }
 
-// A request hidden behind another one's body is part of that body, or an error;
-// it is no request of its own.
+// Request smuggling: with Transfer-Encoding and Content-Length both set, bytes after the body must
+// never reach a worker as a request of their own.
 func TestNothingIsSmuggled(t *testing.T) {
 	t.Parallel()
 	s := calm(t)
@@ -96,7 +95,7 @@
 	}
 }
 
-// The body of a torn request never arrives; the worker must not see a part.
+// A request whose body is cut off must not reach a worker.
 func TestTornRequestReachesNoWorker(t *testing.T) {
 	t.Parallel()
 	s := calm(t)
@@ -113,7 +112,7 @@
 	}
 }
 
-// A gateway that knows no configuration refuses as not run and is not ready.
+// A gateway that has no configuration is not ready and refuses requests as not run.
 func TestWithoutConfigurationNothingRuns(t *testing.T) {
 	t.Parallel()
 	o := SmallSite(5, time.Second)
--- a/lab/platform/kept.go
+++ b/lab/platform/kept.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// fetch copies what the worker at an address keeps of the beginning of a prompt
-// beyond what this one keeps, and returns how long that takes.
+// fetch copies the cached prefix of a prompt from the worker at an address, as far as it is not
+// cached here, and returns the duration of the transfer.
 func (w *Worker) fetch(address, parts string) time.Duration {
 	if address == "" || w.cfg.Peer == nil {
 		return 0
@@ -50,8 +50,8 @@
 	return time.Duration(float64(tokens) / w.cfg.CopyRate * float64(time.Second))
 }
 
-// read returns how long it takes until the prompt is read, behind all others,
-// and keeps its parts.
+// read adds a prompt to the prefill queue, caches its parts and returns the time until its
+// prefill is complete.
 func (w *Worker) read(parts string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,7 +78,7 @@
 	return w.readTo.Sub(now)
 }
 
-// listKept answers which parts are kept.
+// listKept serves the list of cached parts.
 func (w *Worker) listKept(rw http.ResponseWriter) {
 	w.mu.Lock()
 	held := make([][]any, 0, len(w.order))
--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Ledger notes which worker ran which request and what clients were told, and
-// finds what must not be.
+// Ledger records each request, its runs and its answer, and detects violated guarantees such as
+// a second run of a request that must not be repeated.
 type Ledger struct {
 	mu      sync.Mutex
 	asked   map[string]*asked
@@ -19,9 +19,9 @@
 	account map[string]*Counts
 }
 
-// Counts are the outcomes of requests.
+// Counts counts the outcomes of requests.
 type Counts struct {
-	Asked, Served, Late, Refused, Failed, Doubled int
+	Asked, Served, Late, Refused, Failed, Doubled int // Served includes Late
 }
 
 type asked struct {
@@ -44,14 +44,14 @@
 	}
 }
 
-// Sends notes a request that a client is about to send.
+// Sends records a request before a client sends it.
 func (l *Ledger) Sends(id, account, method, uri, body string, repeatable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asked[id] = &asked{account: account, repeatable: repeatable, method: method, uri: uri, body: body}
 }
 
-// Ran notes that a worker runs a request.
+// Ran records that a worker runs a request, and checks what the worker got.
 func (l *Ledger) Ran(worker, id string, r *http.Request, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,8 +76,7 @@
 	}
 }
 
-// Refused notes that a client was told that its request did not and will not
-// run.
+// Refused records an answer that promises that the request did not run and never will.
 func (l *Ledger) Refused(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,14 +87,14 @@
 	}
 }
 
-// Wrong notes an answer that must not be.
+// Wrong records a violation.
 func (l *Ledger) Wrong(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breakRule(format, args...)
 }
 
-// Ends notes how a client's request came out.
+// Ends counts the outcome of a client's request.
 func (l *Ledger) Ends(account string, count func(c *Counts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,14 +107,14 @@
 	}
 }
 
-// Broken returns what was found.
+// Broken returns the first violations found.
 func (l *Ledger) Broken() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.broken...)
 }
 
-// Totals returns the counts of all and of each account.
+// Totals returns the counts of all requests and those by account.
 func (l *Ledger) Totals() (Counts, map[string]Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/platform/saying.go
+++ b/lab/platform/saying.go
@@ -5,15 +5,16 @@
 
 import "net/http"
 
-// SayLeaving has all answers of the worker say that it leaves, while its entry does not.
+// SayLeaving makes the worker announce in the headers of its answers that it leaves. Its entry in
+// the store stays unchanged.
 func (w *Worker) SayLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = true
 }
 
-// WantRest has the worker turn all requests away and ask for a time of rest, written as it is;
-// empty ends that.
+// WantRest makes the worker refuse all requests with the given Retry-After value; an empty value
+// ends that.
 func (w *Worker) WantRest(value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -23,15 +24,14 @@
 	}
 }
 
-// Arrived returns how many requests have come to the worker, and how often it was asked what
-// it keeps.
+// Arrived returns the number of requests, refused ones included, and of listings of the cache.
 func (w *Worker) Arrived() (requests, listed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.arrived, w.listed
 }
 
-// sayOfItself writes what all answers of the worker say, and counts the request.
+// sayOfItself counts a call and sets the headers that announce that the worker leaves.
 func (w *Worker) sayOfItself(rw http.ResponseWriter, isRequest bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// turnAway answers that a request was not run, with the rest that is asked for.
+// turnAway refuses a request as not run, with the Retry-After of WantRest.
 func (w *Worker) turnAway(rw http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -19,8 +19,8 @@
 	return s.gateways[i].running
 }
 
-// AskAt sends one request for a long stream to a gateway, on a connection of its own. It
-// reports whether the answer was whole; the ledger notes whatever else was wrong.
+// AskAt sends one request for a long stream to a gateway, on a new connection, and reports
+// whether the answer was complete. The ledger records violations.
 func (s *Site) AskAt(ctx context.Context, gateway int, account string, seed uint64) bool {
 	kind := Kinds()[0]
 	c := s.single(gateway, kind, account, kind.Path+"item", seed)
@@ -28,14 +28,14 @@
 	return result == outcomeServed || result == outcomeLate
 }
 
-// Answer is what a caller got.
+// Answer is the outcome of a request for its caller.
 type Answer struct {
 	Served, Refused bool
-	After           time.Duration // After is when the caller may come back.
-	Worker          string        // Worker is the one that signed the answer, or empty.
+	After           time.Duration // Retry-After
+	Worker          string        // worker that signed the answer, or empty
 }
 
-// Ask sends one request of a kind to a gateway, on a connection of its own.
+// Ask sends one request of a kind to a gateway, on a new connection.
 func (s *Site) Ask(ctx context.Context, gateway int, kind Kind, account string, seed uint64) Answer {
 	c := s.single(gateway, kind, account, kind.Path+"item", seed)
 	result, after := c.once(ctx)
@@ -56,10 +56,10 @@
 	return out
 }
 
-// Restart ends a gateway at once and starts it again.
+// Restart kills a gateway and starts it again.
 func (s *Site) Restart(gateway int) { s.kill(gateway) }
 
-// RebornWorker starts a worker again under its name and returns its new life.
+// RebornWorker restarts a worker under the same ID and returns its new incarnation.
 func (s *Site) RebornWorker(old *Worker) (*Worker, error) {
 	w, err := old.Reborn()
 	if err != nil {
@@ -75,9 +75,9 @@
 	return w, nil
 }
 
-// AskEnding sends a request that ends each worker which begins to run it. The same kind and
-// account make the same request, but for its headers. It reports whether the answer was a
-// refusal, and after which time the caller may come back.
+// AskEnding sends a request that crashes every worker that starts it. Requests of the same kind
+// and account differ in their headers only. It returns whether the request was refused, and the
+// Retry-After.
 func (s *Site) AskEnding(ctx context.Context, gateway int, kind Kind, account string, seed uint64) (refused bool, after time.Duration) {
 	c := s.single(gateway, kind, account, kind.Path+EndsWorker, seed)
 	c.body = func(*client) string { return "the same each time" }
@@ -85,7 +85,7 @@
 	return result == outcomeRefused, after
 }
 
-// single returns a client that sends one request to a gateway.
+// single returns a client for one request to a given gateway.
 func (s *Site) single(gateway int, kind Kind, account, uri string, seed uint64) *client {
 	c := newClient(s, kind, account, s.keys[account][0], seed)
 	c.address = func(*client) string { return s.gateways[gateway].setting.Callers }
@@ -93,7 +93,7 @@
 	return c
 }
 
-// once sends the one request of a client, on a connection of its own.
+// once sends one request on a new connection.
 func (c *client) once(ctx context.Context) (outcome, time.Duration) {
 	defer c.http.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
@@ -101,7 +101,7 @@
 	return c.attempt(ctx, time.Now())
 }
 
-// noteEnded notes that a request has ended a worker.
+// noteEnded records that a request has crashed a worker.
 func (s *Site) noteEnded(w *Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +109,14 @@
 	s.endings++
 }
 
-// Endings returns how many workers requests have ended.
+// Endings returns how often a request has crashed a worker.
 func (s *Site) Endings() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endings
 }
 
-// StoreAway makes the store answer no call, or serve again.
+// StoreAway makes the store answer every call with 503, or serve again.
 func (s *Site) StoreAway(away bool) {
 	mode := StoreServes
 	if away {
@@ -125,13 +125,14 @@
 	s.store.SetMode("", mode)
 }
 
-// CopyStore keeps what the store holds now; StoreBack has it come back from that.
+// CopyStore takes a snapshot of the store, for StoreBack.
 func (s *Site) CopyStore() { s.store.Copy() }
 
-// StoreBack has the store come back as it was when it was copied.
+// StoreBack restores the store from the snapshot of CopyStore.
 func (s *Site) StoreBack() { s.store.GoBack() }
 
-// WriteAgain has the operator and the workers write what the store may have lost.
+// WriteAgain writes the configuration and the workers' entries again, which a restored store may
+// have lost.
 func (s *Site) WriteAgain() {
 	s.mu.Lock()
 	config, workers := s.config, slices.Clone(s.workers)
@@ -142,7 +143,7 @@
 	}
 }
 
-// KillGateways ends all gateways at once and starts them again.
+// KillGateways kills all gateways, then starts them again.
 func (s *Site) KillGateways() {
 	for _, g := range s.gateways {
 		g.running.Stop()
@@ -154,7 +155,7 @@
 	}
 }
 
-// RestartEnded starts the workers again that requests have ended.
+// RestartEnded restarts the workers that requests have crashed.
 func (s *Site) RestartEnded() error {
 	s.mu.Lock()
 	ended := s.ended
@@ -168,5 +169,5 @@
 	return nil
 }
 
-// Broken returns what was seen that must never be.
+// Broken returns the violations that the ledger found.
 func (s *Site) Broken() []string { return s.ledger.Broken() }
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -17,27 +17,27 @@
 	"madderway/router"
 )
 
-// Options say what is played.
+// Options configures a run of a site.
 type Options struct {
 	Gateways int
 	Models   int
 	Plains   int
 	Accounts int
 	Length   time.Duration
-	Load     float64 // Load multiplies the rates of all kinds.
+	Load     float64 // factor for the request rates of all kinds
 	Seed     uint64
-	Trouble  string // Trouble is the name of one of Troubles, or empty.
+	Trouble  string // name of one of Troubles, or empty
 }
 
-// SmallSite is a site that a laptop carries.
+// SmallSite returns the options of a site that runs on a laptop.
 func SmallSite(seed uint64, length time.Duration) Options {
 	return Options{Gateways: 3, Models: 4, Plains: 2, Accounts: 4, Length: length, Load: 1, Seed: seed}
 }
 
-// Site is a running stand-in of the platform with real gateways before it.
+// Site is a running stand-in of the platform behind real gateways.
 type Site struct {
 	opts   Options
-	number int // number is the site's own in this process.
+	number int // unique in this process, part of the loopback addresses
 	ctx    context.Context
 	cancel context.CancelFunc
 	store  *Store
@@ -48,15 +48,15 @@
 	gateways []*seat
 	workers  []*Worker
 	version  int
-	config   map[string]any // config is the operator's newest row.
+	config   map[string]any // newest configuration row
 	keys     map[string][]string
-	routes   int
+	routes   int // additional routes that no client uses
 	nextID   int
-	ended    []*Worker // ended are the workers that requests have ended and that are not back.
-	endings  int       // endings counts all of them.
+	ended    []*Worker // workers crashed by a request and not yet restarted
+	endings  int       // all crashes of workers caused by requests
 }
 
-// seat is the place of a gateway, which may be stopped and started again.
+// seat holds the name and settings of a gateway across restarts, and the running instance.
 type seat struct {
 	name    string
 	setting *setting.Gateway
@@ -69,7 +69,7 @@
 	plainService = "plain"
 )
 
-// Kinds are the kinds of requests that clients send.
+// Kinds returns the kinds of requests that clients send.
 func Kinds() []Kind {
 	return []Kind{
 		{Name: "long", Path: "/long/", Method: "POST", Stream: true, Subjects: 8, Shared: 2000, Own: 400, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 8, Attempts: 1},
@@ -79,8 +79,8 @@
 	}
 }
 
-// Start starts a site: the store with a configuration, the workers, the
-// gateways. Clients begin with Play.
+// Start starts a store with a configuration, the workers and the gateways. Play starts the
+// clients.
 func Start(o Options) (*Site, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Site{
@@ -138,8 +138,7 @@
 	return &seat{name: name, setting: &set}, nil
 }
 
-// Ports of a gateway. They lie below those that the system gives to outgoing
-// connections.
+// Ports of a gateway, below the ephemeral ports.
 const (
 	portCallers = 8001 + iota
 	portReadiness
@@ -149,8 +148,8 @@
 // sites counts the sites of this process.
 var sites atomic.Int64
 
-// address returns a loopback address of a gateway. Each site of each process has
-// numbers of its own, so that plays beside each other never want the same one.
+// address returns a listen address of a gateway. Each site of each process uses its own loopback
+// addresses, so that concurrent runs do not conflict.
 func (s *Site) address(gateway, port int) string {
 	const most = 250
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%most, s.number%most, 1+gateway, port)
@@ -167,10 +166,10 @@
 	return nil
 }
 
-// Model workers copy kept parts ten times faster than they read.
+// Model workers copy cached tokens ten times faster than they prefill.
 const (
 	copyRate   = 400_000.0 // tokens a second
-	tokenBytes = 100_000.0
+	tokenBytes = 100_000.0 // cache bytes of a token
 )
 
 // workerAt returns the worker that listens at an address, or nil.
@@ -185,7 +184,7 @@
 	return nil
 }
 
-// AddWorker starts one more worker.
+// AddWorker starts another model worker or plain worker.
 func (s *Site) AddWorker(model bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,8 +241,8 @@
 	s.store.Put("op", "config", s.config)
 }
 
-// gateway returns the address of a gateway as the balancer would: one that is
-// ready, or any where none is.
+// gateway picks a gateway as a load balancer would, a random ready one or any if none is ready,
+// and returns its address.
 func (s *Site) gateway(rng *rand.Rand) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +258,7 @@
 	return ready[rng.IntN(len(ready))].setting.Callers
 }
 
-// AwaitReady waits until all gateways take requests.
+// AwaitReady waits until all gateways are ready and know each other.
 func (s *Site) AwaitReady(limit time.Duration) error {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
 		if s.allReady() {
@@ -267,7 +266,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return errors.New("the gateways do not become ready")
+	return errors.New("timed out: not all gateways are ready")
 }
 
 func (s *Site) allReady() bool {
@@ -281,8 +280,8 @@
 	return true
 }
 
-// Play sends requests for the length of the play, makes the trouble in its
-// middle, and returns what came of it.
+// Play sends requests for the length of the run, injects the trouble after a third of it, and
+// returns the result.
 func (s *Site) Play() (Result, error) {
 	defer s.cancel()
 	if err := s.AwaitReady(10 * time.Second); err != nil {
@@ -315,8 +314,7 @@
 	return s.result(), nil
 }
 
-// arrive sends requests at random times until the play ends, and waits for
-// their answers.
+// arrive sends requests at random times until playing is done, and waits for their answers.
 func (c *client) arrive(playing, all context.Context) {
 	var open sync.WaitGroup
 	defer open.Wait()
@@ -338,7 +336,7 @@
 	}
 }
 
-// Close ends everything.
+// Close stops the gateways, the workers and the store.
 func (s *Site) Close() {
 	s.cancel()
 	s.mu.Lock()
@@ -355,18 +353,18 @@
 	s.store.Close()
 }
 
-// Result is what came of a play.
+// Result holds the measurements of a run.
 type Result struct {
 	Counts
 	Accounts     map[string]Counts
 	Broken       []string
 	StoreCalls   int
-	Reread, Read int
-	Copies       int           // Copies counts the transfers of kept parts between workers.
-	Copied       int           // Copied are the tokens of these.
-	ControlBytes float64       // ControlBytes is what a gateway sent to peers in a second, on average.
-	ControlTime  time.Duration // ControlTime is what a gateway spent on control in a second.
-	Fairness     float64       // Fairness is the least share served of an account, of the greatest.
+	Reread, Read int           // prompt tokens: shared ones that were prefilled again, and all
+	Copies       int           // transfers of cached parts between workers
+	Copied       int           // tokens of these transfers
+	ControlBytes float64       // bytes a second that a gateway sent to peers, on average
+	ControlTime  time.Duration // time a gateway spent on control in a second, on average
+	Fairness     float64       // ratio of the lowest to the highest served share of an account
 }
 
 func (s *Site) measureControl(r *Result) {
--- a/lab/platform/site_test.go
+++ b/lab/platform/site_test.go
@@ -17,8 +17,8 @@
 	m.Run()
 }
 
-// play runs real gateways against the stand-in; nothing that must always hold
-// may break, and most requests are served.
+// play runs a small site with a trouble. It fails the test on a violated guarantee, or if less
+// than half of the requests are served.
 func play(t *testing.T, trouble string, length time.Duration) Result {
 	t.Helper()
 	o := SmallSite(11, length)
@@ -37,7 +37,7 @@
 	}
 	t.Logf("%+v", r.Counts)
 	if r.Asked == 0 || r.Served < r.Asked/2 {
-		t.Errorf("%d of %d requests were served", r.Served, r.Asked)
+		t.Errorf("%d of %d requests were served, want at least half", r.Served, r.Asked)
 	}
 	return r
 }
--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package platform is a stand-in for the users' platform, written from their
-// pages: the store, model workers, plain workers, the operator and clients. It
-// runs real gateways over loopback and checks what must always hold.
+// Package platform runs real gateways over loopback against a stand-in of the users' platform:
+// a store, model workers, plain workers, an operator and clients. It injects faults and checks
+// that no guarantee is violated, such as that a request that must not be repeated runs once.
 package platform
 
 import (
@@ -27,14 +27,14 @@
 	Gone  bool   `json:"gone,omitempty"`
 }
 
-// StoreMode is how the store treats a gateway.
+// StoreMode is the store's behaviour towards a gateway.
 type StoreMode int
 
-// The modes.
+// Modes of the store.
 const (
 	StoreServes StoreMode = iota
 	StoreBusy             // answers 503
-	StoreSilent           // answers nothing
+	StoreSilent           // never answers
 	StoreSlow             // answers late
 )
 
@@ -43,38 +43,38 @@
 	pageLimit     = 500
 )
 
-// Store keeps rows and tells what has changed. Each gateway has a listener of
-// its own, so that the store can turn away some and serve the others.
+// Store holds versioned rows and serves a feed of changes. Each gateway has its own listener, so
+// that faults can be limited to some gateways.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]row // by table and key
 	history []row
-	floor   uint64 // floor is the version up to which history is forgotten.
+	floor   uint64 // history up to this version is compacted
 	ver     uint64
-	changed chan struct{}
+	changed chan struct{} // closed and replaced on each change
 	modes   map[string]StoreMode
 	calls   int
 	start   time.Time
-	era     uint64
-	kept    *storeCopy // kept is the copy that the store comes back from.
+	era     uint64     // incremented when the store is restored from a snapshot
+	kept    *storeCopy // snapshot for GoBack
 	servers []*http.Server
 }
 
-// storeCopy is what a store held at a moment.
+// storeCopy is a snapshot of a store.
 type storeCopy struct {
 	rows map[string]row
 	ver  uint64
 }
 
-// Copy keeps what the store holds now, for GoBack.
+// Copy takes a snapshot of the store, for GoBack.
 func (s *Store) Copy() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.kept = &storeCopy{maps.Clone(s.rows), s.ver}
 }
 
-// GoBack makes the store hold what it held at its last copy, in the next era. Versions since
-// then are given out once more.
+// GoBack restores the last snapshot and starts a new era. Versions assigned since the snapshot
+// are assigned again.
 func (s *Store) GoBack() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	s.changed = make(chan struct{})
 }
 
-// sayEra names the era in an answer.
+// sayEra sets the header with the store's era.
 func (s *Store) sayEra(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 	return &Store{rows: map[string]row{}, changed: make(chan struct{}), modes: map[string]StoreMode{}, start: time.Now()}
 }
 
-// Listen opens the store for a gateway and returns its address.
+// Listen opens a listener for a gateway and returns its address.
 func (s *Store) Listen(gateway string) (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -114,7 +114,7 @@
 	return l.Addr().String(), nil
 }
 
-// Close ends all listeners.
+// Close closes all listeners.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// SetMode changes how a gateway is treated; "" is all of them.
+// SetMode sets the mode for a gateway, or for all if gateway is empty.
 func (s *Store) SetMode(gateway string, m StoreMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,16 +158,16 @@
 	})
 }
 
-// Put writes a row, Delete drops one.
+// Put writes a row with a JSON value.
 func (s *Store) Put(table, key string, value any) {
 	content, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // the stand-in's own types
+		panic(err) // own types always encode
 	}
 	s.write(row{Table: table, Key: key, Value: content})
 }
 
-// Delete drops a row.
+// Delete deletes a row.
 func (s *Store) Delete(table, key string) { s.write(row{Table: table, Key: key, Gone: true}) }
 
 func (s *Store) write(r row) {
@@ -176,7 +176,7 @@
 	s.apply(r)
 }
 
-// apply changes a row; the caller holds the lock.
+// apply writes or deletes a row under the next version. The caller holds s.mu.
 func (s *Store) apply(r row) {
 	s.ver++
 	r.Ver = s.ver
@@ -190,7 +190,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets the history.
+// Compact drops the history of changes, so that old feed positions get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +199,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Calls returns how many calls came.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/platform/transaction.go
+++ b/lab/platform/transaction.go
@@ -8,15 +8,15 @@
 	"net/http"
 )
 
-// transaction changes rows all together, if the rows of its conditions have the
-// versions that it names; 0 is that of a row that is not there.
+// transaction changes rows atomically if all rows of its conditions have the given versions. An
+// absent row has version 0.
 type transaction struct {
 	Conditions []row `json:"expectedRev"`
 	Put        []row `json:"put"`
 	Delete     []row `json:"delete"`
 }
 
-// ownTables are written by the operator and the workers alone.
+// ownTables are read-only for gateways; only the operator and the workers write them.
 var ownTables = map[string]bool{"op": true, "servers": true, "status": true}
 
 func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -9,14 +9,13 @@
 )
 
 const (
-	// outage is how long a trouble lasts.
-	outage = 1200 * time.Millisecond
-	// underWay is how long requests may be under way to a worker.
+	outage = 1200 * time.Millisecond // duration of a trouble
+	// Requests sent before a gateway knew of an evacuation reach their worker within this time.
 	underWay       = time.Second
 	evacuationPoll = 10 * time.Millisecond
 )
 
-// Troubles are what can be made to go wrong in the middle of a play.
+// Troubles returns the faults that Play can inject, by name.
 func Troubles() map[string]func(*Site) {
 	return map[string]func(*Site){
 		"worker-crash":  func(s *Site) { s.model(0).Crash() },
@@ -68,8 +67,8 @@
 	}
 }
 
-// evacuate empties a data hall for a while; from when each gateway knows, and what was
-// under way then is there, its workers get nothing. The store may go away meanwhile.
+// evacuate evacuates a data hall for a while. Once every gateway knows and requests in flight have
+// arrived, its workers must get no request. outageToo takes the store down meanwhile.
 func (s *Site) evacuate(hall string, outageToo bool) {
 	row := "evacuate/" + hall
 	s.store.Put("op", row, map[string]any{})
@@ -87,7 +86,7 @@
 	s.store.Delete("op", row)
 }
 
-// allKnow tells whether every gateway knows that a hall is evacuated.
+// allKnow reports whether every gateway knows that a hall is evacuated.
 func (s *Site) allKnow(hall string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +114,7 @@
 	return s.workers[i]
 }
 
-// reborn starts a model worker and a plain worker again under their names.
+// reborn restarts a model worker and a plain worker under the same IDs.
 func (s *Site) reborn() {
 	for _, i := range []int{0, s.opts.Models} {
 		if _, err := s.RebornWorker(s.model(i)); err != nil {
@@ -126,15 +125,14 @@
 }
 
 const (
-	// endingEvery is how often callers send a request that ends workers.
-	endingEvery = 50 * time.Millisecond
-	// mostEnded is how many workers may end under it: three until it is refused, and those
-	// of tries that were under way at the other gateways.
+	endingEvery = 50 * time.Millisecond // interval of requests that crash workers
+	// Crashes that one such request may cause: three until it is quarantined, and one for each
+	// attempt in flight at the time.
 	mostEnded = 3 + 3
 )
 
-// endWorkers has callers send a request that ends its workers to all gateways for a while.
-// Workers are back when the next try is over.
+// endWorkers sends requests that crash their workers to all gateways for a while, and restarts
+// crashed workers after each.
 func (s *Site) endWorkers() {
 	before := s.Endings()
 	for end, n := time.Now().Add(outage), 0; time.Now().Before(end); n++ {
@@ -145,11 +143,11 @@
 		time.Sleep(endingEvery)
 	}
 	if n := s.Endings() - before; n > mostEnded*len(Kinds()) {
-		s.ledger.Wrong("%d workers ended under %d requests", n, len(Kinds()))
+		s.ledger.Wrong("%d workers crashed under %d requests", n, len(Kinds()))
 	}
 }
 
-// spell makes a model worker and a plain worker go wrong for a while.
+// spell applies a fault to a model worker and a plain worker for a while.
 func (s *Site) spell(f Fault) {
 	one, other := s.model(0), s.model(s.opts.Models)
 	one.SetFault(f)
@@ -166,8 +164,8 @@
 	s.store.SetMode(gateway, StoreServes)
 }
 
-// storeOlder replaces a worker and changes the configuration, and has the store come back from a
-// copy of before; what the operator and the workers wrote is written again a while later.
+// storeOlder changes the configuration and replaces a worker, then restores the store from an
+// older snapshot. The operator and the workers write their rows again a while later.
 func (s *Site) storeOlder() {
 	s.CopyStore()
 	s.PutConfig()
@@ -180,7 +178,7 @@
 	s.WriteAgain()
 }
 
-// replace drains a worker and starts another one.
+// replace starts a model worker and drains an old one.
 func (s *Site) replace() {
 	if err := s.AddWorker(true); err != nil {
 		s.ledger.Wrong("worker: %v", err)
@@ -192,7 +190,7 @@
 	old.Stop()
 }
 
-// kill ends a gateway at once and starts it again.
+// kill stops a gateway without draining and starts it again.
 func (s *Site) kill(i int) {
 	s.mu.Lock()
 	g := s.gateways[i]
@@ -204,7 +202,7 @@
 	}
 }
 
-// stop ends a gateway as planned and starts it again.
+// stop drains a gateway and starts it again.
 func (s *Site) stop(i int) {
 	s.mu.Lock()
 	g := s.gateways[i]
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -16,48 +16,47 @@
 	"time"
 )
 
-// Fault is what a worker does wrong.
+// Fault is a misbehaviour of a worker.
 type Fault int
 
-// The faults.
+// Faults of a worker. Those of answers affect every second plain request and every stream.
 const (
 	FaultNone   Fault = iota
-	FaultDark         // takes requests and gives no sign
-	FaultErrors       // fails each second request
+	FaultDark         // accepts requests and never answers
+	FaultErrors       // answers every second request with 500
 	FaultLost         // runs a request and loses its answer
-	FaultCut          // breaks answers off
+	FaultCut          // closes the connection in the middle of an answer
 	FaultExtra        // sends a second answer after the first
-	FaultShed         // turns requests away
+	FaultShed         // refuses all requests as not run
 )
 
-// WorkerConfig says what a worker is.
+// WorkerConfig configures a worker.
 type WorkerConfig struct {
 	Service  string
 	Hall     string
 	Slots    int
 	Queue    int
 	Model    bool
-	ReadRate float64       // prompt tokens read in a second
-	Step     time.Duration // time of a token, or of the whole work of a plain request
-	Memory   int           // tokens of kept parts
-	CopyRate float64       // tokens copied in a second from another worker
-	// Peer finds the worker at an address, nil where there is none; parts are
-	// copied from it.
+	ReadRate float64       // prefill, in prompt tokens a second
+	Step     time.Duration // duration of an event, or of a plain request
+	Memory   int           // cache size in tokens
+	CopyRate float64       // transfer from another worker's cache, in tokens a second
+	// Peer returns the worker at an address to copy cached parts from, or nil.
 	Peer func(address string) *Worker
-	// Ended is told of a worker that a request has ended; nil where nobody asks.
+	// Ended, if set, is called after a request has crashed the worker.
 	Ended func(w *Worker)
 }
 
-// keptPath is where a worker lists what it keeps.
+// keptPath serves the list of cached prompt parts.
 const keptPath = "/-/kv-list"
 
-// EndsWorker in the path of a request makes each worker that begins to run it end.
+// EndsWorker in the path of a request crashes every worker that starts it.
 const EndsWorker = "ends-worker"
 
-// Worker is a model worker or a plain worker.
+// Worker is a stand-in for a model worker or a plain worker.
 type Worker struct {
 	ID     string
-	born   int64 // born is the start of this life in Unix milliseconds.
+	born   int64 // start of this incarnation in Unix milliseconds
 	seed   uint64
 	cfg    WorkerConfig
 	store  *Store
@@ -70,35 +69,35 @@
 	mu      sync.Mutex
 	fault   Fault
 	leaving bool
-	state   string // state is that of its entry.
+	state   string // state in its entry in the store
 	ended   bool
-	rest    string // rest is the time to come back in answers that turn requests away, or empty.
-	arrived int    // arrived counts the requests that came, those that were turned away included.
-	listed  int    // listed counts the questions what the worker keeps.
+	rest    string // Retry-After of refusals, or empty
+	arrived int    // requests, refused ones included
+	listed  int    // listings of the cache
 	running int
 	waiting int
 	freed   chan struct{}
-	readTo  time.Time // readTo is when all prompts so far are read.
-	kept    map[string]int
-	order   []string
-	// closed tells that the worker's hall is evacuated, as every gateway knows by now.
+	readTo  time.Time      // end of the prefill of all prompts so far
+	kept    map[string]int // cached prompt parts and their tokens
+	order   []string       // cached parts, least recently used first
+	// The worker's hall is evacuated and every gateway knows it: no request may arrive.
 	closed   bool
-	keptSize int
-	reread   int
-	prompts  int
-	copies   int
-	copied   int
-	seen     map[string]bool
-	count    int
+	keptSize int             // tokens in the cache
+	reread   int             // prefilled tokens of shared parts that had been cached before
+	prompts  int             // all prefilled tokens
+	copies   int             // transfers from other workers
+	copied   int             // tokens of these transfers
+	seen     map[string]bool // parts that have ever been cached
+	count    int             // requests that started to run
 }
 
-// StartWorker starts a worker and lists it in the store.
+// StartWorker starts a worker and writes its entry into the store.
 func StartWorker(id string, cfg WorkerConfig, store *Store, ledger *Ledger, seed uint64) (*Worker, error) {
 	return startWorker(id, cfg, store, ledger, seed, "127.0.0.1:0", time.Now().UnixMilli())
 }
 
-// Reborn ends the worker without a word and starts it again under its name and at its
-// address, with nothing kept.
+// Reborn crashes the worker and starts a new incarnation under the same ID and address, with an
+// empty cache.
 func (w *Worker) Reborn() (*Worker, error) {
 	w.Crash()
 	return startWorker(w.ID, w.cfg, w.store, w.ledger, w.seed+1, w.listener.Addr().String(), max(time.Now().UnixMilli(), w.born+1))
@@ -119,7 +118,7 @@
 	return w, nil
 }
 
-// listAgain writes the worker's entry once more.
+// listAgain writes the worker's entry again, unless it has crashed.
 func (w *Worker) listAgain() {
 	w.mu.Lock()
 	state, ended := w.state, w.ended
@@ -139,14 +138,14 @@
 	})
 }
 
-// SetFault changes what the worker does wrong.
+// SetFault sets the worker's fault.
 func (w *Worker) SetFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// Close notes whether the worker's hall is evacuated.
+// Close sets whether the worker's hall is evacuated, so that requests count as violations.
 func (w *Worker) Close(closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -159,7 +158,7 @@
 	return w.closed
 }
 
-// Drain states that the worker leaves.
+// Drain announces in the worker's entry and answers that it leaves.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.leaving = true
@@ -167,13 +166,13 @@
 	w.list("draining")
 }
 
-// Stop ends the worker and takes it off the list.
+// Stop ends the worker and deletes its entry.
 func (w *Worker) Stop() {
 	w.Crash()
 	w.store.Delete("servers", w.ID)
 }
 
-// Crash ends the worker without a word.
+// Crash ends the worker and leaves its entry unchanged.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	w.ended = true
@@ -181,10 +180,10 @@
 	_ = w.server.Close()
 }
 
-// endsAfter is how long a request that ends its worker runs.
+// endsAfter is the time that a request runs before it crashes its worker.
 const endsAfter = 20 * time.Millisecond
 
-// end lets a request end the worker, with all that runs there.
+// end crashes the worker and aborts everything that runs there.
 func (w *Worker) end(r *http.Request) {
 	if pause(r, endsAfter) {
 		w.Crash()
@@ -195,16 +194,14 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Reread returns the tokens of shared parts that were read again, and all that
-// were read.
+// Reread returns the prefilled tokens: those of shared parts that had been cached before, and all.
 func (w *Worker) Reread() (again, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reread, w.prompts
 }
 
-// Copied returns how often parts were copied from another worker, and the tokens
-// of these.
+// Copied returns the number of transfers from other workers' caches and their tokens.
 func (w *Worker) Copied() (copies, tokens int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -234,14 +231,13 @@
 	}
 	defer w.release()
 	if w.isClosed() {
-		w.ledger.Wrong("%s of the evacuated %s got a request", w.ID, w.cfg.Hall)
+		w.ledger.Wrong("worker %s in the evacuated %s got a request", w.ID, w.cfg.Hall)
 	}
 	w.ledger.Ran(w.ID, r.Header.Get("Attempt-Id"), r, body)
 	w.run(rw, r, body)
 }
 
-// admit waits for a slot; it reports false where the queue is full or the
-// caller has gone.
+// admit waits for a slot. It returns false if the queue is full or the caller disconnects.
 func (w *Worker) admit(r *http.Request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -309,7 +305,7 @@
 	rw.Header().Set("Response-Signature", Signature(w.ID, id, content))
 }
 
-// PlainBody is the answer of a plain worker.
+// PlainBody returns the answer of a plain worker.
 func PlainBody(id string, request []byte) string {
 	return fmt.Sprintf("answer to %s with %d bytes", id, len(request))
 }
@@ -328,7 +324,7 @@
 	_, _ = io.WriteString(rw, body)
 }
 
-// spoil writes an answer and another one after it, or half an answer.
+// spoil writes an answer twice (FaultExtra) or only half of it (FaultCut).
 func (w *Worker) spoil(rw http.ResponseWriter, id, body string, fault Fault) {
 	conn, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
@@ -346,7 +342,7 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// stream reads the prompt and makes the events.
+// stream prefills the prompt, then sends the events after Last-Event-Id.
 func (w *Worker) stream(rw http.ResponseWriter, r *http.Request, id string, fault Fault) {
 	if !pause(r, w.fetch(r.Header.Get("Kv-Fetch"), r.Header.Get("Prompt-Prefix"))) || !pause(r, w.read(r.Header.Get("Prompt-Prefix"))) {
 		panic(http.ErrAbortHandler)
@@ -369,10 +365,10 @@
 	}
 }
 
-// Events is how many events the stream of a request has.
+// Events returns the number of events in the stream of a request.
 func Events(id string) int { return 3 + int(hash(id)%8) }
 
-// EventData is the content of an event; the last one says so.
+// EventData returns the data of event n; the last event is marked.
 func EventData(id string, n, of int) string {
 	if n == of {
 		return fmt.Sprintf("%s last %d", id, n)
@@ -380,7 +376,7 @@
 	return fmt.Sprintf("%s part %d", id, n)
 }
 
-// Signature is a worker's mark on an answer.
+// Signature returns a worker's signature of an answer.
 func Signature(worker, id, content string) string {
 	return fmt.Sprintf("%s.%x", worker, hash(worker+"/"+id+"/"+content))
 }
@@ -391,7 +387,7 @@
 	return h.Sum64()
 }
 
-// pause waits and reports false where the caller has gone.
+// pause waits for a duration. It returns false if the caller disconnects first.
 func pause(r *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/lab/platform/worker_test.go
+++ b/lab/platform/worker_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A worker copies from the one that it is told what it does not keep, up to the
-// first part that the other lacks, and reads the rest.
+// A worker copies uncached parts from the given worker up to the first part that is not cached
+// there, and prefills the rest.
 func TestWorkerCopiesWhatAnotherKeeps(t *testing.T) {
 	cfg := WorkerConfig{Model: true, Slots: 4, Queue: 4, ReadRate: 1000, CopyRate: 10_000, Memory: 10_000}
 	source := &Worker{cfg: cfg, kept: map[string]int{}, seen: map[string]bool{}}
@@ -24,25 +24,24 @@
 	w := &Worker{cfg: cfg, kept: map[string]int{}, seen: map[string]bool{}}
 	source.read("a:1000,b:500")
 	if took := w.fetch("gone", "a:1000,b:500,c:100"); took != 0 {
-		t.Errorf("a copy from nobody took %v", took)
+		t.Errorf("copy from an unknown worker took %v, want 0", took)
 	}
 	if took := w.fetch("source", "a:1000,c:100,b:500"); took != 100*time.Millisecond {
-		t.Errorf("the copy took %v, want 1000 tokens at 10,000 a second", took)
+		t.Errorf("the copy took %v, want 100ms for 1000 tokens at 10,000 a second", took)
 	}
 	if copies, tokens := w.Copied(); copies != 1 || tokens != 1000 {
-		t.Errorf("%d copies of %d tokens", copies, tokens)
+		t.Errorf("got %d copies of %d tokens, want 1 of 1000", copies, tokens)
 	}
 	if took := w.fetch("source", "a:1000"); took != 0 {
-		t.Errorf("copied again in %v what is kept", took)
+		t.Errorf("copy of a cached part took %v, want 0", took)
 	}
 	w.read("a:1000,b:500,c:100")
 	if again, all := w.Reread(); again != 0 || all != 600 {
-		t.Errorf("%d read, %d of them again, want 600 and 0", all, again)
+		t.Errorf("%d tokens prefilled, %d of them again, want 600 and 0", all, again)
 	}
 }
 
-// A transaction is applied as a whole or not at all, and leaves the rows of the
-// operator and the workers alone.
+// A transaction must be atomic, and must not write the tables of the operator and the workers.
 func TestStoreTransactions(t *testing.T) {
 	s := NewStore()
 	address, err := s.Listen("g")
@@ -60,15 +59,15 @@
 	}
 	create := `{"expectedRev":[{"table":"t","tlsKey":"a","ver":0}],"put":[{"table":"t","tlsKey":"a","value":"eA=="},{"table":"t","tlsKey":"b","value":"eQ=="}]}`
 	if status := send(create); status != http.StatusOK {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d, want 200", status)
 	}
 	if status := send(create); status != http.StatusPreconditionFailed {
-		t.Errorf("status %d of a row that is there, want 412", status)
+		t.Errorf("status %d for a row that exists, want 412", status)
 	}
 	if status := send(`{"put":[{"table":"op","tlsKey":"config","value":"eA=="}]}`); status != http.StatusForbidden {
-		t.Errorf("status %d of a write to the operator's row, want 403", status)
+		t.Errorf("status %d for a write to the operator's row, want 403", status)
 	}
 	if status := send(`{"delete":[{"table":"t","tlsKey":"a"}]}`); status != http.StatusOK || len(s.rows) != 1 {
-		t.Errorf("status %d, rows %v", status, s.rows)
+		t.Errorf("status %d, rows %v, want 200 and one row", status, s.rows)
 	}
 }
--- a/lab/seconds/picture.go
+++ b/lab/seconds/picture.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// Sizes of the picture, in pixels.
+// Dimensions of the SVG chart, in pixels.
 const (
 	panelWidth, panelHeight = 900, 150
 	marginLeft, marginTop   = 70, 26
 	panelGap                = 42
 )
 
-// series is one line of a panel.
+// series is a line in a panel.
 type series struct {
 	name, color string
 	value       func(*Second) float64
@@ -55,7 +55,7 @@
 	}
 }
 
-// WritePicture writes the seconds as an SVG picture, a panel below the other.
+// WritePicture writes the seconds as an SVG chart with one panel per topic.
 func WritePicture(w io.Writer, all []*Second) error {
 	list := panels()
 	height := len(list)*(panelHeight+panelGap) + marginTop
--- a/lab/seconds/seconds.go
+++ b/lab/seconds/seconds.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package seconds puts the lines that gateways write each second together, so that
-// a person can see second by second what was asked for, placed, refused and why,
-// read again, and how the engines' time was spent.
+// Package seconds aggregates the per-second log lines of all gateways into a table or a chart of
+// load, placement, refusals, prefill and engine utilisation.
 package seconds
 
 import (
@@ -16,34 +15,33 @@
 	"madderway/modules/log"
 )
 
-// Messages of the lines, as the mesh and forward services write them.
+// Log messages of the mesh and forward services.
 const (
 	cellMessage    = "Second of a cell."
 	gatewayMessage = "Second of a gateway."
 	timeLayout     = "0102 15:04:05.999999"
 )
 
-// Second is what all gateways did in one second.
+// Second sums the activity of all gateways in one second.
 type Second struct {
-	At int // At is the number of seconds since the first line.
-	// Of the schedulers:
+	At int // seconds since the first line of a scheduler
+	// From the schedulers:
 	Asked, Placed, Refused, WithRoom, Waiting int
 	AskedTokens, PlacedTokens, Read, Anew     int
 	Copies, Copied, Targets, Streams          int
-	readingTime                               float64 // share of the time times targets, over all cells
-	booked                                    time.Duration
-	// Outcomes counts how requests ended at the gateways, by name.
+	readingTime                               float64       // share of the time spent on prefill, times targets, summed over all cells
+	booked                                    time.Duration // queued prefill times targets, summed over all cells
+	// Requests by outcome, from the gateways.
 	Outcomes map[string]int
 }
 
-// ReadingShare returns the part of the engines' time that was spent on reading.
+// ReadingShare returns the share of the engines' time spent on prefill.
 func (s *Second) ReadingShare() float64 { return s.readingTime / float64(max(s.Targets, 1)) }
 
-// Booked returns how much of the engines' reading was given away, on average.
+// Booked returns the prefill time queued at an engine, on average.
 func (s *Second) Booked() time.Duration { return s.booked / time.Duration(max(s.Targets, 1)) }
 
-// Gather sums the lines of all processes by the second, beginning with the first
-// line of a scheduler.
+// Gather sums the lines of all processes by second, starting at the first line of a scheduler.
 func Gather(lines []log.Line) []*Second {
 	start, found := firstCell(lines)
 	if !found {
@@ -101,7 +99,7 @@
 	number := func(name string) int {
 		n, err := strconv.Atoi(l.Values[name])
 		if err != nil {
-			return 0 // a line of another version lacks the value
+			return 0 // other versions may lack the value
 		}
 		return n
 	}
@@ -120,7 +118,7 @@
 	}
 }
 
-// WriteTable writes a row for each second.
+// WriteTable writes a table with a row for each second.
 func WriteTable(w io.Writer, all []*Second) error {
 	_, err := fmt.Fprintln(w, "second  asked placed refused (room) waiting | ktok asked placed  read  anew copied | engines streams reading booked | in time  late entry refused failed")
 	for _, s := range all {
--- a/lab/seconds/seconds_test.go
+++ b/lab/seconds/seconds_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if len(out) != 6 {
-		t.Fatalf("%d lines were read", len(out))
+		t.Fatalf("parsed %d lines, want 6", len(out))
 	}
 	return out
 }
@@ -40,15 +40,15 @@
 func TestSecondsAreSummedOverGateways(t *testing.T) {
 	all := Gather(lines(t))
 	if len(all) != 2 || all[0].At != 0 || all[1].At != 1 {
-		t.Fatalf("%d seconds", len(all))
+		t.Fatalf("got %d seconds, want 0 and 1", len(all))
 	}
 	s := all[0]
 	if s.Asked != 15 || s.Refused != 2 || s.WithRoom != 1 || s.AskedTokens != 60000 || s.Copied != 9000 || s.Streams != 34 {
 		t.Errorf("%+v", s)
 	}
-	// Four engines read half of the time, two a fifth.
+	// Weighted by engines: four at 0.5, two at 0.2.
 	if got := s.ReadingShare(); got < 0.39 || got > 0.41 {
-		t.Errorf("reading %.2f of the time, want 0.40", got)
+		t.Errorf("reading share %.2f, want 0.40", got)
 	}
 	if got := s.Booked(); got != 80*time.Millisecond {
 		t.Errorf("booked %v on average, want 80ms", got)
@@ -57,7 +57,7 @@
 		t.Errorf("%v", s.Outcomes)
 	}
 	if Gather(nil) != nil {
-		t.Error("seconds without lines")
+		t.Error("got seconds without lines")
 	}
 }
 
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -19,20 +19,20 @@
 
 const streamKept = 30 * time.Second
 
-// EngineConfig says how a stand-in for a model engine behaves.
+// EngineConfig configures a stand-in for a model engine.
 type EngineConfig struct {
 	Name       string
-	Slots      int           // Slots is how many streams it runs at once; more wait.
-	FirstToken time.Duration // FirstToken is the time to the first token.
-	TokenGap   time.Duration // TokenGap is the time between tokens.
-	LoadLag    time.Duration // LoadLag is how old a load report may be.
-	CacheSize  int           // CacheSize is how many prompt prefixes it holds.
-	// OnService is told what an account got: uncached prompt tokens when a
-	// stream begins, then each token that is generated.
+	Slots      int           // concurrent streams; more are queued
+	FirstToken time.Duration // time to the first token
+	TokenGap   time.Duration // time between tokens
+	LoadLag    time.Duration // maximum age of a load report
+	CacheSize  int           // cached prompt prefixes
+	// OnService, if set, is called with the uncached prompt tokens when a stream starts, and for
+	// each output token.
 	OnService func(account string, prompt, output int)
 }
 
-// Engine is a stand-in for a model engine that batches continuously.
+// Engine is a stand-in for a model engine with continuous batching.
 type Engine struct {
 	switchboard
 	cfg EngineConfig
@@ -41,9 +41,9 @@
 	streams   map[string]*engineStream
 	running   int
 	waiting   []*engineStream
-	maxLoad   int
-	byAccount map[string]int // byAccount counts the streams that run.
-	runs      map[string]int // runs counts the streams of each request ID that began to run.
+	maxLoad   int            // most streams running and queued at once
+	byAccount map[string]int // running streams by account
+	runs      map[string]int // started streams by request ID
 	load      engine.LoadReport
 	loadAt    time.Time
 	epoch     uint64
@@ -75,47 +75,47 @@
 	grown  chan struct{}
 }
 
-// NewEngine returns an engine that checks the epoch of orders.
+// NewEngine returns an engine that rejects orders of a lower epoch.
 func NewEngine(cfg EngineConfig) *Engine {
 	return &Engine{cfg: cfg, streams: map[string]*engineStream{}, runs: map[string]int{}, byAccount: map[string]int{}, checking: true}
 }
 
-// SetChecking tells whether the engine refuses orders of a lower epoch.
+// SetChecking sets whether the engine rejects orders of a lower epoch.
 func (e *Engine) SetChecking(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.checking = on
 }
 
-// SetLeaving makes the load report say that the target leaves.
+// SetLeaving sets whether load reports announce that the target leaves.
 func (e *Engine) SetLeaving(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = on
 }
 
-// Orders returns the orders that were carried out.
+// Orders returns the accepted orders.
 func (e *Engine) Orders() []engine.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]engine.Order(nil), e.orders...)
 }
 
-// Runs returns how many streams of a request began to run.
+// Runs returns the number of streams started for a request ID.
 func (e *Engine) Runs(requestID string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[requestID]
 }
 
-// Load returns how many streams run and wait, and the most there ever were.
+// Load returns the running and queued streams, and the peak of their sum.
 func (e *Engine) Load() (running, waiting, most int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running, len(e.waiting), e.maxLoad
 }
 
-// Abort ends all streams at once, as the loss of the machine does.
+// Abort cancels all streams, as if the machine were lost.
 func (e *Engine) Abort() {
 	e.mu.Lock()
 	e.aborted = true
@@ -129,14 +129,14 @@
 	}
 }
 
-// Aborted tells whether the engine is gone.
+// Aborted reports whether Abort was called.
 func (e *Engine) Aborted() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.aborted
 }
 
-// RunningByAccount adds the streams that run to a count by account.
+// RunningByAccount adds the running streams of each account to into.
 func (e *Engine) RunningByAccount(into map[string]int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the engine's HTTP API.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
@@ -157,8 +157,8 @@
 	return e.guard(mux)
 }
 
-// labBody is what the engine reads of a completion. LabTokens is how long the
-// answer will be, which the routers do not know.
+// labBody is the part of a completion request that the engine reads. LabTokens sets the length of
+// the answer; the routers ignore it.
 type labBody struct {
 	Model     string            `json:"model"`
 	MaxTokens int               `json:"max_tokens"`
@@ -198,7 +198,7 @@
 	}
 }
 
-// enqueue starts a stream or lets it wait, by priority, for a slot.
+// enqueue starts a stream, or queues it by priority if no slot is free.
 func (e *Engine) enqueue(s *engineStream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -230,7 +230,7 @@
 	}
 }
 
-// cacheHit holds the prompt's prefix and returns how many tokens were held.
+// cacheHit caches the prefix and returns how many prompt tokens were cached already.
 func (e *Engine) cacheHit(prefix string, prompt int) int {
 	if prefix == "" {
 		return 0
@@ -343,12 +343,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Order carries out an order, or refuses one of a lower epoch.
+// Order accepts an order unless its epoch is lower than one seen before.
 func (e *Engine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.checking && o.Epoch < e.epoch {
-		return fmt.Errorf("epoch %d is below %d", o.Epoch, e.epoch)
+		return fmt.Errorf("epoch %d is lower than %d", o.Epoch, e.epoch)
 	}
 	e.epoch = max(e.epoch, o.Epoch)
 	e.orders = append(e.orders, o)
--- a/lab/standin/enginestream.go
+++ b/lab/standin/enginestream.go
@@ -82,8 +82,7 @@
 	return events, s.done, s.grown
 }
 
-// send writes a stream's events from an offset on. The stream goes on when the
-// reader leaves.
+// send writes a stream's events after an offset. The stream continues if the reader disconnects.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *engineStream, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -95,7 +94,7 @@
 		events, done, grown := s.after(offset)
 		for _, data := range events {
 			if cutAt > 0 && sent == cutAt {
-				_ = flush.Flush() // what was sent before the cut arrives
+				_ = flush.Flush() // deliver the events before the cut
 				cut()
 			}
 			offset++
--- a/lab/standin/enginestream_test.go
+++ b/lab/standin/enginestream_test.go
@@ -12,9 +12,8 @@
 	"testing"
 )
 
-// A stream that is cut after ten events has sent ten. Where more than ten were there at once,
-// as on a machine that is short of time, the cut came before they had left the writer's buffer:
-// the reader got none, each time that it resumed, and gave the stream up after three.
+// The events before a cut must be flushed, even if more were available at once; otherwise a reader
+// makes no progress and gives up resuming.
 func TestCutComesAfterTheEvents(t *testing.T) {
 	const cutAfter = 10
 	e := NewEngine(EngineConfig{})
@@ -32,6 +31,6 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if n := strings.Count(string(body), "data: "); n != cutAfter || err == nil {
-		t.Errorf("%d events, then %v", n, err)
+		t.Errorf("got %d events, then error %v; want 10 and an error", n, err)
 	}
 }
--- a/lab/standin/fault.go
+++ b/lab/standin/fault.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package standin holds small stand-ins for the platform and for targets, with
-// faults that can be switched on while they run. They keep everything in
-// memory and serve loopback only.
+// Package standin implements in-memory stand-ins for the platform's services and for targets, with
+// faults that can be injected while they run.
 package standin
 
 import (
@@ -14,28 +13,28 @@
 	"time"
 )
 
-// Faults are what goes wrong at a stand-in.
+// Faults configures the faults of a stand-in.
 type Faults struct {
-	Down       bool `json:"down"`        // Down refuses every call with 503, without effect.
-	DelayMS    int  `json:"delay_ms"`    // DelayMS is waited before each call.
-	LoseAnswer int  `json:"lose_answer"` // LoseAnswer is how many writes take effect without an answer; -1 for all.
-	LateWrite  int  `json:"late_write"`  // LateWrite is how many writes take effect only LateMS after their connection was cut.
+	Down       bool `json:"down"`        // answer every call with 503, without effect
+	DelayMS    int  `json:"delay_ms"`    // delay before each call
+	LoseAnswer int  `json:"lose_answer"` // number of writes that take effect without an answer; -1 for all
+	LateWrite  int  `json:"late_write"`  // number of writes that take effect only LateMS after their connection is cut
 	LateMS     int  `json:"late_ms"`
-	Refuse     int  `json:"refuse"` // Refuse is how many calls are answered 503 and not run; -1 for all.
-	// Rest is the Retry-After of these answers, as it is written, or empty.
+	Refuse     int  `json:"refuse"` // number of calls refused with 503 as not run; -1 for all
+	// Retry-After of refusals; empty for none.
 	Rest      string `json:"rest"`
-	CutAfter  int    `json:"cut_after"`  // CutAfter cuts each stream after so many events, once for each connection.
-	GapEvery  int    `json:"gap_every"`  // GapEvery drops every so many-th cache event.
-	WrongLoad int    `json:"wrong_load"` // WrongLoad is added to each load report.
-	Garbage   bool   `json:"garbage"`    // Garbage sends events that are not server-sent events.
-	Hang      bool   `json:"hang"`       // Hang leaves calls without an answer until the caller goes.
+	CutAfter  int    `json:"cut_after"`  // events of a stream after which each connection is cut
+	GapEvery  int    `json:"gap_every"`  // drop every n-th cache event
+	WrongLoad int    `json:"wrong_load"` // added to the running streams in load reports
+	Garbage   bool   `json:"garbage"`    // send events whose data is invalid JSON
+	Hang      bool   `json:"hang"`       // never answer a call
 }
 
-// switchboard holds the faults of one stand-in.
+// switchboard holds the faults of a stand-in.
 type switchboard struct {
 	mu      sync.Mutex
 	faults  Faults
-	refused int // refused counts the calls that were answered so.
+	refused int // calls refused as not run
 }
 
 // SetFaults replaces the faults.
@@ -45,14 +44,14 @@
 	s.faults = f
 }
 
-// Faults returns the faults.
+// Faults returns the current faults.
 func (s *switchboard) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// take uses up one of a counted fault.
+// take decrements a counted fault and reports whether it applies.
 func (s *switchboard) take(counter func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +65,7 @@
 	return true
 }
 
-// refuse answers a call as not run where that is switched on, and reports whether it did.
+// refuse refuses a call as not run if Faults.Refuse applies, and reports whether it did.
 func (s *switchboard) refuse(w http.ResponseWriter) bool {
 	if !s.take(func(f *Faults) *int { return &f.Refuse }) {
 		return false
@@ -82,14 +81,14 @@
 	return true
 }
 
-// Refused returns how many calls were answered as not run.
+// Refused returns the number of calls refused as not run.
 func (s *switchboard) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused
 }
 
-// guard applies the faults that all stand-ins share, and serves /fault.
+// guard applies the faults common to all stand-ins, and serves /fault, which reads and sets them.
 func (s *switchboard) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fault" {
@@ -133,16 +132,16 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// cut drops the connection of a call without an answer.
+// cut closes the connection of a call without an answer.
 func cut() { panic(http.ErrAbortHandler) }
 
-// Server is a stand-in that listens on loopback.
+// Server serves a stand-in on a loopback address.
 type Server struct {
 	Address string
 	http    *http.Server
 }
 
-// Serve starts a handler on a loopback address; port 0 takes any free one.
+// Serve starts a server; port 0 picks a free port.
 func Serve(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -153,5 +152,5 @@
 	return s, nil
 }
 
-// Close ends the server and cuts its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() { _ = s.http.Close() }
--- a/lab/standin/object.go
+++ b/lab/standin/object.go
@@ -28,7 +28,7 @@
 	return &Objects{content: map[string][]byte{}, times: map[string]time.Time{}}
 }
 
-// Handler returns the store's HTTP interface.
+// Handler returns the store's HTTP API.
 func (o *Objects) Handler() http.Handler {
 	return o.guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/list" {
@@ -84,7 +84,7 @@
 	return content, ok
 }
 
-// List returns the objects whose keys have the prefix.
+// List returns the objects whose keys start with a prefix, sorted by key.
 func (o *Objects) List(prefix string) []platform.ObjectInfo {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/lab/standin/plain.go
+++ b/lab/standin/plain.go
@@ -13,18 +13,18 @@
 	"madderway/services/engine"
 )
 
-// PlainConfig says how a stand-in for a plain service behaves.
+// PlainConfig configures a stand-in for a plain service.
 type PlainConfig struct {
 	Name    string
 	Slots   int
-	Takes   time.Duration // Takes is how long each call runs.
+	Takes   time.Duration // duration of each call
 	LoadLag time.Duration
-	// OnRun is told of each call that ran, with its account.
+	// OnRun, if set, is called after each call.
 	OnRun func(account string, took time.Duration)
 }
 
-// Plain is a stand-in for a plain service some of whose calls may not be
-// repeated. It answers with the body it was sent.
+// Plain is a stand-in for a plain service. It echoes request bodies and counts runs, so that
+// forbidden repetitions show.
 type Plain struct {
 	switchboard
 	cfg   PlainConfig
@@ -32,20 +32,20 @@
 
 	mu      sync.Mutex
 	running int
-	maxLoad int
-	byKey   map[string]int // byKey counts runs by idempotency key.
-	byID    map[string]int // byID counts runs by request ID.
+	maxLoad int            // most calls running and waiting at once
+	byKey   map[string]int // runs by account and idempotency key
+	byID    map[string]int // runs by request ID
 	load    engine.LoadReport
 	loadAt  time.Time
 	leaving bool
 }
 
-// NewPlain returns a plain service.
+// NewPlain returns a plain service without faults.
 func NewPlain(cfg PlainConfig) *Plain {
 	return &Plain{cfg: cfg, slots: make(chan struct{}, cfg.Slots), byKey: map[string]int{}, byID: map[string]int{}}
 }
 
-// Handler returns the service's HTTP interface.
+// Handler returns the service's HTTP API.
 func (p *Plain) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /load", p.serveLoad)
@@ -99,7 +99,7 @@
 	p.running--
 }
 
-// SetLeaving makes the load report say that the target leaves.
+// SetLeaving sets whether load reports announce that the target leaves.
 func (p *Plain) SetLeaving(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +118,7 @@
 	writeJSON(w, shown)
 }
 
-// RunsOfKeys returns how often each account's idempotency key ran.
+// RunsOfKeys returns the number of runs by "account/idempotency key".
 func (p *Plain) RunsOfKeys() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,14 +129,14 @@
 	return out
 }
 
-// Runs returns how often a request ran.
+// Runs returns the number of runs of a request ID.
 func (p *Plain) Runs(requestID string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byID[requestID]
 }
 
-// Load returns how many calls run or wait and the most there ever were.
+// Load returns the calls that run or wait, and their peak.
 func (p *Plain) Load() (running, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lab/standin/table.go
+++ b/lab/standin/table.go
@@ -28,7 +28,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{rows: map[string]platform.Row{}} }
 
-// Handler returns the table's HTTP interface.
+// Handler returns the table's HTTP API.
 func (t *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/tx", t.serveTx)
@@ -59,7 +59,7 @@
 	writeJSON(w, res)
 }
 
-// Apply runs a transaction.
+// Apply runs a transaction, or returns the current rows of its conditions if one does not hold.
 func (t *Table) Apply(tx platform.Tx) platform.TxResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +116,7 @@
 	writeJSON(w, t.Scan(q.Get("prefix"), q.Get("after"), limit))
 }
 
-// Scan returns rows in the order of their keys.
+// Scan returns up to limit rows with a key prefix and after a key, sorted by key.
 func (t *Table) Scan(prefix, after string, limit int) []platform.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,7 +135,7 @@
 	return rows
 }
 
-// Counts returns how many rows were written and how many reads were served.
+// Counts returns the number of written rows and of reads.
 func (t *Table) Counts() (writes, reads uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lab/standin/vms.go
+++ b/lab/standin/vms.go
@@ -12,7 +12,7 @@
 	"madderway/models/vm"
 )
 
-// VMs is a stand-in for the platform's list of VMs. What it shows lags.
+// VMs is a stand-in for the platform's VM list, which lags behind changes.
 type VMs struct {
 	switchboard
 	lag    time.Duration
@@ -22,29 +22,29 @@
 	shownT time.Time
 }
 
-// NewVMs returns an empty list that is up to lag behind.
+// NewVMs returns an empty list that shows changes up to lag late.
 func NewVMs(lag time.Duration) *VMs { return &VMs{lag: lag, vms: map[string]vm.VM{}} }
 
-// Set adds a VM or changes it.
+// Set adds or replaces a VM.
 func (l *VMs) Set(v vm.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.vms[v.ID] = v
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (l *VMs) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.vms, id)
 }
 
-// Handler returns the list's HTTP interface.
+// Handler returns the list's HTTP API.
 func (l *VMs) Handler() http.Handler {
 	return l.guard(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, l.List()) }))
 }
 
-// List returns what the list shows.
+// List returns the list as it is shown, sorted by ID.
 func (l *VMs) List() []vm.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
