--- a/cmd/madderway-lab/main.go
+++ b/cmd/madderway-lab/main.go
@@ -22,7 +22,7 @@
 // common holds the flags shared by commands that run routers.
 type common struct {
 	Verbosity int    `long:"verbosity" default:"0" description:"0 to 4"`
-	LogFile   string `long:"log" description:"file for the routers' logs; discarded by default"`
+	LogFile   string `long:"log" description:"file for the routers' logs; dropped by default"`
 }
 
 func (c common) setUp() error {
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -19,7 +19,7 @@
 	Scenario   string        `long:"scenario" required:"true" description:"name of a scenario; 'list' prints them"`
 	Dispatch   string        `long:"dispatch" default:"fleet" choice:"fleet" choice:"naive" description:"how requests are dispatched"`
 	Seed       int64         `long:"seed" default:"1" description:"seed of the load"`
-	Format     string        `long:"format" default:"text" choice:"text" choice:"json" description:"output format"`
+	Format     string        `long:"format" default:"text" choice:"text" choice:"json" description:"form of the result"`
 	CounterAge time.Duration `long:"counter-age" description:"least interval of the service counters, such as 5s"`
 	Budget     float64       `long:"tally-budget" default:"-1" description:"bytes a second for the service counters; the routers' default by default"`
 	Reserve    float64       `long:"reserve" description:"share of slots kept from long work while short work arrives"`
--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -15,11 +15,11 @@
 
 type platformCommand struct {
 	common
-	Site    string  `long:"site" default:"small" choice:"small" choice:"medium" description:"number of gateways and workers"`
-	Seconds int     `long:"seconds" default:"20" description:"duration of the run"`
-	Seed    uint64  `long:"seed" default:"1" description:"random seed"`
-	Load    float64 `long:"load" default:"1" description:"factor for the request rates"`
-	Trouble string  `long:"trouble" description:"fault to inject during the run; 'list' prints the names"`
+	Site    string  `long:"site" default:"small" choice:"small" choice:"medium" description:"how many gateways and workers"`
+	Seconds int     `long:"seconds" default:"20" description:"length of the play"`
+	Seed    uint64  `long:"seed" default:"1" description:"seed of all that is drawn"`
+	Load    float64 `long:"load" default:"1" description:"multiplies the rates of all kinds of requests"`
+	Trouble string  `long:"trouble" description:"what goes wrong in the middle; 'list' lists them"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -13,7 +13,7 @@
 )
 
 type secondsCommand struct {
-	Picture string `long:"svg" description:"also write an SVG chart to this file"`
+	Picture string `long:"svg" description:"write a picture to this file as well"`
 	Args    struct {
 		Logs []string `positional-arg-name:"LOG" required:"1"`
 	} `positional-args:"yes" required:"true"`
