--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -75,11 +75,11 @@
 	return w, nil
 }
 
-// AskEnding sends a request that crashes every worker that starts it. Requests of the same kind
+// AskPoison sends a request that crashes every worker that starts it. Requests of the same kind
 // and account differ in their headers only. It returns whether the request was refused, and the
 // Retry-After.
-func (s *Site) AskEnding(ctx context.Context, gateway int, kind Kind, account string, seed uint64) (refused bool, after time.Duration) {
-	c := s.single(gateway, kind, account, kind.Path+EndsWorker, seed)
+func (s *Site) AskPoison(ctx context.Context, gateway int, kind Kind, account string, seed uint64) (refused bool, after time.Duration) {
+	c := s.single(gateway, kind, account, kind.Path+PoisonMarker, seed)
 	c.body = func(*client) string { return "the same each time" }
 	result, after := c.once(ctx)
 	return result == outcomeRefused, after
@@ -109,8 +109,8 @@
 	s.endings++
 }
 
-// Endings returns how often a request has crashed a worker.
-func (s *Site) Endings() int {
+// Crashes returns how often a request has crashed a worker.
+func (s *Site) Crashes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endings
@@ -155,8 +155,8 @@
 	}
 }
 
-// RestartEnded restarts the workers that requests have crashed.
-func (s *Site) RestartEnded() error {
+// RestartCrashed restarts the workers that requests have crashed.
+func (s *Site) RestartCrashed() error {
 	s.mu.Lock()
 	ended := s.ended
 	s.ended = nil
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -193,7 +193,7 @@
 	if model {
 		cfg = WorkerConfig{Service: modelService, Slots: 16, Queue: 16, Model: true, ReadRate: 40_000, Step: 8 * time.Millisecond, Memory: 40_000, CopyRate: copyRate, Peer: s.workerAt}
 	}
-	cfg.Hall, cfg.Ended = fmt.Sprint("hall-", s.nextID%3), s.noteEnded
+	cfg.Hall, cfg.OnCrash = fmt.Sprint("hall-", s.nextID%3), s.noteEnded
 	w, err := StartWorker(fmt.Sprint("worker-", s.nextID), cfg, s.store, s.ledger, s.opts.Seed+uint64(s.nextID))
 	if err == nil {
 		s.workers = append(s.workers, w)
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -134,15 +134,15 @@
 // endWorkers sends requests that crash their workers to all gateways for a while, and restarts
 // crashed workers after each.
 func (s *Site) endWorkers() {
-	before := s.Endings()
+	before := s.Crashes()
 	for end, n := time.Now().Add(outage), 0; time.Now().Before(end); n++ {
-		s.AskEnding(s.ctx, n%len(s.gateways), Kinds()[n%len(Kinds())], "account-0", uint64(n))
-		if err := s.RestartEnded(); err != nil {
+		s.AskPoison(s.ctx, n%len(s.gateways), Kinds()[n%len(Kinds())], "account-0", uint64(n))
+		if err := s.RestartCrashed(); err != nil {
 			s.ledger.Wrong("worker: %v", err)
 		}
 		time.Sleep(endingEvery)
 	}
-	if n := s.Endings() - before; n > mostEnded*len(Kinds()) {
+	if n := s.Crashes() - before; n > mostEnded*len(Kinds()) {
 		s.ledger.Wrong("%d workers crashed under %d requests", n, len(Kinds()))
 	}
 }
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -43,15 +43,15 @@
 	CopyRate float64       // transfer from another worker's cache, in tokens a second
 	// Peer returns the worker at an address to copy cached parts from, or nil.
 	Peer func(address string) *Worker
-	// Ended, if set, is called after a request has crashed the worker.
-	Ended func(w *Worker)
+	// OnCrash, if set, is called after a request has crashed the worker.
+	OnCrash func(w *Worker)
 }
 
 // keptPath serves the list of cached prompt parts.
 const keptPath = "/-/kv-list"
 
-// EndsWorker in the path of a request crashes every worker that starts it.
-const EndsWorker = "ends-worker"
+// PoisonMarker in the path of a request crashes every worker that starts it.
+const PoisonMarker = "ends-worker"
 
 // Worker is a stand-in for a model worker or a plain worker.
 type Worker struct {
@@ -187,8 +187,8 @@
 func (w *Worker) end(r *http.Request) {
 	if pause(r, endsAfter) {
 		w.Crash()
-		if w.cfg.Ended != nil {
-			w.cfg.Ended(w)
+		if w.cfg.OnCrash != nil {
+			w.cfg.OnCrash(w)
 		}
 	}
 	panic(http.ErrAbortHandler)
@@ -271,7 +271,7 @@
 }
 
 func (w *Worker) run(rw http.ResponseWriter, r *http.Request, body []byte) {
-	if strings.Contains(r.URL.Path, EndsWorker) {
+	if strings.Contains(r.URL.Path, PoisonMarker) {
 		w.end(r)
 	}
 	w.mu.Lock()
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -69,18 +69,18 @@
 	if err := site.AwaitReady(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	before := site.Endings()
+	before := site.Crashes()
 	for gateway := range 4 {
 		for end := time.Now().Add(20 * time.Second); site.Gateway(gateway).Dump().Quarantined == 0; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("gateway %d does not hear what was refused", gateway)
 			}
 		}
-		if refused, _ := site.AskEnding(t.Context(), gateway, kind, "account-0", uint64(1000+gateway)); !refused {
+		if refused, _ := site.AskPoison(t.Context(), gateway, kind, "account-0", uint64(1000+gateway)); !refused {
 			t.Errorf("gateway %d does not refuse the request", gateway)
 		}
 	}
-	if n := site.Endings() - before; n > 0 {
+	if n := site.Crashes() - before; n > 0 {
 		t.Errorf("%d more targets ended", n)
 	}
 }
@@ -113,19 +113,19 @@
 		for gateway := range gateways {
 			seed++
 			refused := false
-			if refused, after = site.AskEnding(t.Context(), gateway, kind, "account-0", seed); refused {
+			if refused, after = site.AskPoison(t.Context(), gateway, kind, "account-0", seed); refused {
 				refusals++
 			} else {
 				refusals = 0
 			}
-			if err := site.RestartEnded(); err != nil {
+			if err := site.RestartCrashed(); err != nil {
 				t.Fatal(err)
 			}
 			seed++
 			site.AskAt(t.Context(), gateway, "account-1", seed)
 		}
 	}
-	if n := site.Endings(); n < enough || n > enough+underWay {
+	if n := site.Crashes(); n < enough || n > enough+underWay {
 		t.Errorf("%d targets ended under one request, want %d and at most %d more", n, enough, underWay)
 	}
 	if refusals < gateways || after < time.Minute {
