--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -56,12 +56,12 @@
 	return out
 }
 
-// Restart kills a gateway and starts it again.
-func (s *Site) Restart(gateway int) { s.kill(gateway) }
+// RestartGateway kills a gateway and starts it again.
+func (s *Site) RestartGateway(gateway int) { s.kill(gateway) }
 
-// RebornWorker restarts a worker under the same ID and returns its new incarnation.
-func (s *Site) RebornWorker(old *Worker) (*Worker, error) {
-	w, err := old.Reborn()
+// RestartWorker restarts a worker under the same ID and returns its new incarnation.
+func (s *Site) RestartWorker(old *Worker) (*Worker, error) {
+	w, err := old.Restart()
 	if err != nil {
 		return nil, err
 	}
@@ -116,8 +116,8 @@
 	return s.endings
 }
 
-// StoreAway makes the store answer every call with 503, or serve again.
-func (s *Site) StoreAway(away bool) {
+// SetStoreDown makes the store answer every call with 503, or serve again.
+func (s *Site) SetStoreDown(away bool) {
 	mode := StoreServes
 	if away {
 		mode = StoreBusy
@@ -125,15 +125,15 @@
 	s.store.SetMode("", mode)
 }
 
-// CopyStore takes a snapshot of the store, for StoreBack.
-func (s *Site) CopyStore() { s.store.Copy() }
+// SnapshotStore takes a snapshot of the store, for StoreBack.
+func (s *Site) SnapshotStore() { s.store.Snapshot() }
 
-// StoreBack restores the store from the snapshot of CopyStore.
-func (s *Site) StoreBack() { s.store.GoBack() }
+// RestoreStore restores the store from the snapshot of CopyStore.
+func (s *Site) RestoreStore() { s.store.Restore() }
 
-// WriteAgain writes the configuration and the workers' entries again, which a restored store may
+// RewriteRows writes the configuration and the workers' entries again, which a restored store may
 // have lost.
-func (s *Site) WriteAgain() {
+func (s *Site) RewriteRows() {
 	s.mu.Lock()
 	config, workers := s.config, slices.Clone(s.workers)
 	s.mu.Unlock()
@@ -162,7 +162,7 @@
 	s.ended = nil
 	s.mu.Unlock()
 	for _, old := range ended {
-		if _, err := s.RebornWorker(old); err != nil {
+		if _, err := s.RestartWorker(old); err != nil {
 			return err
 		}
 	}
--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -66,16 +66,16 @@
 	ver  uint64
 }
 
-// Copy takes a snapshot of the store, for GoBack.
-func (s *Store) Copy() {
+// Snapshot takes a snapshot of the store, for GoBack.
+func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.kept = &storeCopy{maps.Clone(s.rows), s.ver}
 }
 
-// GoBack restores the last snapshot and starts a new era. Versions assigned since the snapshot
+// Restore restores the last snapshot and starts a new era. Versions assigned since the snapshot
 // are assigned again.
-func (s *Store) GoBack() {
+func (s *Store) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows, s.ver, s.history, s.floor = maps.Clone(s.kept.rows), s.kept.ver, nil, s.kept.ver
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -117,7 +117,7 @@
 // reborn restarts a model worker and a plain worker under the same IDs.
 func (s *Site) reborn() {
 	for _, i := range []int{0, s.opts.Models} {
-		if _, err := s.RebornWorker(s.model(i)); err != nil {
+		if _, err := s.RestartWorker(s.model(i)); err != nil {
 			s.ledger.Wrong("worker: %v", err)
 			return
 		}
@@ -167,15 +167,15 @@
 // storeOlder changes the configuration and replaces a worker, then restores the store from an
 // older snapshot. The operator and the workers write their rows again a while later.
 func (s *Site) storeOlder() {
-	s.CopyStore()
+	s.SnapshotStore()
 	s.PutConfig()
 	s.replace()
 	s.store.SetMode("", StoreBusy)
 	time.Sleep(outage / 4)
-	s.StoreBack()
+	s.RestoreStore()
 	s.store.SetMode("", StoreServes)
 	time.Sleep(outage / 2)
-	s.WriteAgain()
+	s.RewriteRows()
 }
 
 // replace starts a model worker and drains an old one.
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -96,9 +96,9 @@
 	return startWorker(id, cfg, store, ledger, seed, "127.0.0.1:0", time.Now().UnixMilli())
 }
 
-// Reborn crashes the worker and starts a new incarnation under the same ID and address, with an
+// Restart crashes the worker and starts a new incarnation under the same ID and address, with an
 // empty cache.
-func (w *Worker) Reborn() (*Worker, error) {
+func (w *Worker) Restart() (*Worker, error) {
 	w.Crash()
 	return startWorker(w.ID, w.cfg, w.store, w.ledger, w.seed+1, w.listener.Addr().String(), max(time.Now().UnixMilli(), w.born+1))
 }
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -175,20 +175,20 @@
 func leaveUnlisted(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
-	s.StoreAway(true)
+	s.SetStoreDown(true)
 	w.SayLeaving()
 	s.hear(0, w)
 	s.none("at the gateway that heard it", w, 0)
 	s.knows(1, 1)
 	s.knows(2, 1)
 	s.none("at the others", w, 1, 2)
-	s.Restart(1)
+	s.RestartGateway(1)
 	if err := s.AwaitReady(patience); err != nil {
 		t.Fatal(err)
 	}
 	s.knows(1, 1)
 	s.none("at one that has started since", w, 1)
-	s.StoreAway(false)
+	s.SetStoreDown(false)
 	targets := s.Gateway(0).Dump().Targets
 	if err := s.AddWorker(kind.Stream); err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 		s.until("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
 	}
 	s.none("with the store back, which lists it as ready", w, 0, 1, 2)
-	reborn, err := s.RebornWorker(w)
+	reborn, err := s.RestartWorker(w)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,7 +208,7 @@
 // leaveAll has all workers of a service say that they leave.
 func leaveAll(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 2)
-	s.StoreAway(true)
+	s.SetStoreDown(true)
 	workers := s.Workers(kind)
 	for _, w := range workers {
 		w.SayLeaving()
@@ -249,7 +249,7 @@
 func leaveRefusing(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[0], 2)
 	w := s.Workers(s.kind)[0]
-	s.StoreAway(true)
+	s.SetStoreDown(true)
 	w.SayLeaving()
 	w.SetFault(platform.FaultShed)
 	s.hear(0, w)
@@ -260,7 +260,7 @@
 func leaveBesideCuts(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[1], 2)
 	workers := s.Workers(s.kind)
-	s.StoreAway(true)
+	s.SetStoreDown(true)
 	workers[0].SayLeaving()
 	s.hear(0, workers[0])
 	before, _ := workers[0].Arrived()
@@ -282,7 +282,7 @@
 	defer reporter.Wait()
 	defer close(stop)
 	w := s.Workers(s.kind)[0]
-	s.StoreAway(true)
+	s.SetStoreDown(true)
 	w.SayLeaving()
 	s.hear(0, w)
 	s.knows(0, 1)
@@ -309,7 +309,7 @@
 	w.WantRest("0.1")
 	s.reach(neighbor, w) // which was not asked
 	s.none("after a neighbor was asked for less", w, asker)
-	s.Restart(scheduler)
+	s.RestartGateway(scheduler)
 	if err := s.AwaitReady(patience); err != nil {
 		t.Fatal(err)
 	}
--- a/router/older_test.go
+++ b/router/older_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	s := newNoticeSite(t, platform.Kinds()[2], 3)
 	workers := s.Workers(s.kind)
-	s.CopyStore()
+	s.SnapshotStore()
 	workers[0].Drain()
 	for g := range 3 {
 		s.knows(g, 1)
@@ -25,13 +25,13 @@
 	for range 30 { // the count goes on
 		s.PutConfig()
 	}
-	s.WriteAgain()
+	s.RewriteRows()
 	s.followed()
-	s.StoreAway(true)
-	s.StoreBack()
-	s.StoreAway(false)
+	s.SetStoreDown(true)
+	s.RestoreStore()
+	s.SetStoreDown(false)
 	s.none("after the return", workers[0], 0, 1, 2)
-	s.WriteAgain()
+	s.RewriteRows()
 	s.followed()
 	workers[1].Drain()
 	for g := range 3 {
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -38,7 +38,7 @@
 func TestRequestThatEndsTargetsIsNotSentOnWithoutStore(t *testing.T) {
 	t.Parallel()
 	site := endingSite(t, 4)
-	site.StoreAway(true)
+	site.SetStoreDown(true)
 	sendEnding(t, site, 4, platform.Kinds()[0])
 }
 
--- a/router/standstill_test.go
+++ b/router/standstill_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	for n, away := range []bool{false, true} {
-		site.StoreAway(away)
+		site.SetStoreDown(away)
 		g := site.Gateway(0)
 		g.ReportStandstill(4 * time.Second)
 		if away && (!g.Unsettled() || g.Ready()) {
