--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -49,8 +49,8 @@
 		return err
 	}
 	printPlay(r)
-	if len(r.Broken) > 0 {
-		return errors.New("broken: " + strings.Join(r.Broken, "; "))
+	if len(r.Violations) > 0 {
+		return errors.New("broken: " + strings.Join(r.Violations, "; "))
 	}
 	return nil
 }
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -83,7 +83,7 @@
 	if c.site.ctx.Err() != nil {
 		return // the run has ended meanwhile
 	}
-	c.site.ledger.Ends(c.account, func(n *Counts) {
+	c.site.ledger.AddOutcome(c.account, func(n *Counts) {
 		switch result {
 		case outcomeServed:
 			n.Served++
@@ -117,7 +117,7 @@
 	c.next++
 	req, err := http.NewRequestWithContext(ctx, c.kind.Method, "http://"+c.address(c)+uri, strings.NewReader(body))
 	if err != nil {
-		c.site.ledger.Wrong("client: %v", err)
+		c.site.ledger.AddViolation("client: %v", err)
 		return outcomeFailed, 0
 	}
 	req.Host = host
@@ -131,7 +131,7 @@
 		req.Header.Set("Token-Usage", fmt.Sprintf("%d,%d", c.kind.Shared+own, 64))
 		req.Header.Set("Prompt-Prefix", fmt.Sprintf("%s%x:%d,%s:%d", c.kind.Name, c.rng.IntN(c.kind.Subjects), c.kind.Shared, id, own))
 	}
-	c.site.ledger.Sends(id, c.account, c.kind.Method, uri, body, c.kind.Repeatable || c.kind.Resumable)
+	c.site.ledger.AddRequest(id, c.account, c.kind.Method, uri, body, c.kind.Repeatable || c.kind.Resumable)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return outcomeFailed, 0
@@ -145,7 +145,7 @@
 func (c *client) judge(id, sent string, resp *http.Response, began time.Time) (outcome, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
-		c.site.ledger.Refused(id)
+		c.site.ledger.AddRefusal(id)
 		_, _ = io.Copy(io.Discard, resp.Body)
 		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		return outcomeRefused, time.Duration(seconds * float64(time.Second))
@@ -156,7 +156,7 @@
 	}
 	worker, _, _ := strings.Cut(resp.Header.Get("Response-Signature"), ".")
 	if resp.Header.Get("Attempt-Id") != id {
-		c.site.ledger.Wrong("request %s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
+		c.site.ledger.AddViolation("request %s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
 	}
 	if c.kind.Stream {
 		return c.judgeStream(id, worker, resp, began)
@@ -167,7 +167,7 @@
 	}
 	want := PlainBody(id, []byte(sent))
 	if string(body) != want || resp.Header.Get("Response-Signature") != Signature(worker, id, want) {
-		c.site.ledger.Wrong("request %s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
+		c.site.ledger.AddViolation("request %s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
 	}
 	return c.inTime(began), 0
 }
@@ -181,7 +181,7 @@
 
 func (c *client) judgeStream(id, worker string, resp *http.Response, began time.Time) (outcome, time.Duration) {
 	if resp.Header.Get("Response-Signature") != Signature(worker, id, "") {
-		c.site.ledger.Wrong("stream of request %s is signed %q", id, resp.Header.Get("Response-Signature"))
+		c.site.ledger.AddViolation("stream of request %s is signed %q", id, resp.Header.Get("Response-Signature"))
 	}
 	result, n, of := outcome(0), 0, Events(id)
 	lines := bufio.NewScanner(resp.Body)
@@ -195,7 +195,7 @@
 		}
 		if data != EventData(id, n+1, of) {
 			if lines.Scan(); lines.Err() == nil && n < of {
-				c.site.ledger.Wrong("stream of request %s has %q after event %d", id, data, n)
+				c.site.ledger.AddViolation("stream of request %s has %q after event %d", id, data, n)
 			}
 			return outcomeFailed, 0
 		}
@@ -205,7 +205,7 @@
 		return outcomeFailed, 0
 	}
 	if n != of {
-		c.site.ledger.Wrong("stream of request %s ended without an error after %d of %d events", id, n, of)
+		c.site.ledger.AddViolation("stream of request %s ended without an error after %d of %d events", id, n, of)
 	}
 	return result, 0
 }
--- a/lab/platform/input_test.go
+++ b/lab/platform/input_test.go
@@ -76,7 +76,7 @@
 			t.Errorf("%s: status %d, want %d", c.name, got, c.want)
 		}
 	}
-	for _, b := range s.ledger.Broken() {
+	for _, b := range s.ledger.Violations() {
 		t.Error(b)
 	}
 }
@@ -88,9 +88,9 @@
 	s := calm(t)
 	inner := "GET /look/hidden HTTP/1.1\r\nHost: site.example\r\n" + key + "Attempt-Id: hidden\r\n\r\n"
 	body := "5\r\nhello\r\n0\r\n\r\n" + inner
-	s.ledger.Sends("outer", "account-0", "POST", "/submit/x", "hello", false)
+	s.ledger.AddRequest("outer", "account-0", "POST", "/submit/x", "hello", false)
 	_ = raw(t, s, "POST /submit/x HTTP/1.1\r\nHost: site.example\r\n"+key+"Attempt-Id: outer\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n"+body)
-	for _, b := range s.ledger.Broken() {
+	for _, b := range s.ledger.Violations() {
 		t.Error(b)
 	}
 }
@@ -107,7 +107,7 @@
 	_ = c.(*net.TCPConn).CloseWrite()
 	_, _ = io.Copy(io.Discard, c)
 	_ = c.Close()
-	for _, b := range s.ledger.Broken() {
+	for _, b := range s.ledger.Violations() {
 		t.Error(b)
 	}
 }
--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -44,15 +44,15 @@
 	}
 }
 
-// Sends records a request before a client sends it.
-func (l *Ledger) Sends(id, account, method, uri, body string, repeatable bool) {
+// AddRequest records a request before a client sends it.
+func (l *Ledger) AddRequest(id, account, method, uri, body string, repeatable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asked[id] = &asked{account: account, repeatable: repeatable, method: method, uri: uri, body: body}
 }
 
-// Ran records that a worker runs a request, and checks what the worker got.
-func (l *Ledger) Ran(worker, id string, r *http.Request, body []byte) {
+// AddRun records that a worker runs a request, and checks what the worker got.
+func (l *Ledger) AddRun(worker, id string, r *http.Request, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.asked[id]
@@ -76,8 +76,8 @@
 	}
 }
 
-// Refused records an answer that promises that the request did not run and never will.
-func (l *Ledger) Refused(id string) {
+// AddRefusal records an answer that promises that the request did not run and never will.
+func (l *Ledger) AddRefusal(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.asked[id]
@@ -87,15 +87,15 @@
 	}
 }
 
-// Wrong records a violation.
-func (l *Ledger) Wrong(format string, args ...any) {
+// AddViolation records a violation.
+func (l *Ledger) AddViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breakRule(format, args...)
 }
 
-// Ends counts the outcome of a client's request.
-func (l *Ledger) Ends(account string, count func(c *Counts)) {
+// AddOutcome counts the outcome of a client's request.
+func (l *Ledger) AddOutcome(account string, count func(c *Counts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.account[account] == nil {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Broken returns the first violations found.
-func (l *Ledger) Broken() []string {
+// Violations returns the first violations found.
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.broken...)
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -150,7 +150,7 @@
 	}
 	for _, g := range s.gateways {
 		if err := s.startGateway(g); err != nil {
-			s.ledger.Wrong("gateway: %v", err)
+			s.ledger.AddViolation("gateway: %v", err)
 		}
 	}
 }
@@ -169,5 +169,5 @@
 	return nil
 }
 
-// Broken returns the violations that the ledger found.
-func (s *Site) Broken() []string { return s.ledger.Broken() }
+// Violations returns the violations that the ledger found.
+func (s *Site) Violations() []string { return s.ledger.Violations() }
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -357,7 +357,7 @@
 type Result struct {
 	Counts
 	Accounts     map[string]Counts
-	Broken       []string
+	Violations   []string
 	StoreCalls   int
 	Reread, Read int           // prompt tokens: shared ones that were prefilled again, and all
 	Copies       int           // transfers of cached parts between workers
@@ -379,7 +379,7 @@
 }
 
 func (s *Site) result() Result {
-	r := Result{Broken: s.ledger.Broken(), StoreCalls: s.store.Calls()}
+	r := Result{Violations: s.ledger.Violations(), StoreCalls: s.store.Calls()}
 	r.Counts, r.Accounts = s.ledger.Totals()
 	for _, w := range s.workers {
 		again, all := w.Reread()
--- a/lab/platform/site_test.go
+++ b/lab/platform/site_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	t.Logf("%+v", r.Counts)
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -118,7 +118,7 @@
 func (s *Site) reborn() {
 	for _, i := range []int{0, s.opts.Models} {
 		if _, err := s.RestartWorker(s.model(i)); err != nil {
-			s.ledger.Wrong("worker: %v", err)
+			s.ledger.AddViolation("worker: %v", err)
 			return
 		}
 	}
@@ -138,12 +138,12 @@
 	for end, n := time.Now().Add(outage), 0; time.Now().Before(end); n++ {
 		s.AskPoison(s.ctx, n%len(s.gateways), Kinds()[n%len(Kinds())], "account-0", uint64(n))
 		if err := s.RestartCrashed(); err != nil {
-			s.ledger.Wrong("worker: %v", err)
+			s.ledger.AddViolation("worker: %v", err)
 		}
 		time.Sleep(endingEvery)
 	}
 	if n := s.Crashes() - before; n > mostEnded*len(Kinds()) {
-		s.ledger.Wrong("%d workers crashed under %d requests", n, len(Kinds()))
+		s.ledger.AddViolation("%d workers crashed under %d requests", n, len(Kinds()))
 	}
 }
 
@@ -181,7 +181,7 @@
 // replace starts a model worker and drains an old one.
 func (s *Site) replace() {
 	if err := s.AddWorker(true); err != nil {
-		s.ledger.Wrong("worker: %v", err)
+		s.ledger.AddViolation("worker: %v", err)
 		return
 	}
 	old := s.model(0)
@@ -198,7 +198,7 @@
 	s.mu.Unlock()
 	g.running.Stop()
 	if err := s.startGateway(g); err != nil {
-		s.ledger.Wrong("gateway: %v", err)
+		s.ledger.AddViolation("gateway: %v", err)
 	}
 }
 
@@ -210,6 +210,6 @@
 	s.mu.Unlock()
 	g.running.Drain()
 	if err := s.startGateway(g); err != nil {
-		s.ledger.Wrong("gateway: %v", err)
+		s.ledger.AddViolation("gateway: %v", err)
 	}
 }
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -231,9 +231,9 @@
 	}
 	defer w.release()
 	if w.isClosed() {
-		w.ledger.Wrong("worker %s in the evacuated %s got a request", w.ID, w.cfg.Hall)
+		w.ledger.AddViolation("worker %s in the evacuated %s got a request", w.ID, w.cfg.Hall)
 	}
-	w.ledger.Ran(w.ID, r.Header.Get("Attempt-Id"), r, body)
+	w.ledger.AddRun(w.ID, r.Header.Get("Attempt-Id"), r, body)
 	w.run(rw, r, body)
 }
 
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -60,7 +60,7 @@
 	if n := served.Load(); n < each*atOnce*8/10 {
 		t.Errorf("%d of %d requests were served while another gateway of the hall was idle", n, each*atOnce)
 	}
-	for _, b := range site.Broken() {
+	for _, b := range site.Violations() {
 		t.Error(b)
 	}
 }
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -83,7 +83,7 @@
 	}
 	t.Cleanup(site.Close)
 	t.Cleanup(func() {
-		for _, b := range site.Broken() {
+		for _, b := range site.Violations() {
 			t.Error(b)
 		}
 	})
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -131,7 +131,7 @@
 	if refusals < gateways || after < time.Minute {
 		t.Errorf("the last %d tries were refused, the last one for %v", refusals, after)
 	}
-	for _, b := range site.Broken() {
+	for _, b := range site.Violations() {
 		t.Error(b)
 	}
 }
--- a/router/standstill_test.go
+++ b/router/standstill_test.go
@@ -41,7 +41,7 @@
 			t.Error("it does not serve when it has settled")
 		}
 	}
-	for _, b := range site.Broken() {
+	for _, b := range site.Violations() {
 		t.Error(b)
 	}
 }
