--- a/lab/platform/kept.go
+++ b/lab/platform/kept.go
@@ -14,10 +14,10 @@
 // fetch copies the cached prefix of a prompt from the worker at an address, as far as it is not
 // cached here, and returns the duration of the transfer.
 func (w *Worker) fetch(address, parts string) time.Duration {
-	if address == "" || w.cfg.Peer == nil {
+	if address == "" || w.cfg.PeerAt == nil {
 		return 0
 	}
-	source := w.cfg.Peer(address)
+	source := w.cfg.PeerAt(address)
 	if source == nil || source == w {
 		return 0
 	}
@@ -74,7 +74,7 @@
 	if w.readTo.Before(now) {
 		w.readTo = now
 	}
-	w.readTo = w.readTo.Add(time.Duration(float64(missing) / w.cfg.ReadRate * float64(time.Second)))
+	w.readTo = w.readTo.Add(time.Duration(float64(missing) / w.cfg.PrefillRate * float64(time.Second)))
 	return w.readTo.Sub(now)
 }
 
@@ -104,7 +104,7 @@
 		w.keptSize += tokens
 	}
 	w.order = append(w.order, id)
-	for w.keptSize > w.cfg.Memory {
+	for w.keptSize > w.cfg.CacheTokens {
 		w.keptSize -= w.kept[w.order[0]]
 		delete(w.kept, w.order[0])
 		w.order = w.order[1:]
--- a/lab/platform/saying.go
+++ b/lab/platform/saying.go
@@ -5,22 +5,22 @@
 
 import "net/http"
 
-// SayLeaving makes the worker announce in the headers of its answers that it leaves. Its entry in
+// AnnounceLeaving makes the worker announce in the headers of its answers that it leaves. Its entry in
 // the store stays unchanged.
-func (w *Worker) SayLeaving() {
+func (w *Worker) AnnounceLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = true
 }
 
-// WantRest makes the worker refuse all requests with the given Retry-After value; an empty value
+// AskForPause makes the worker refuse all requests with the given Retry-After value; an empty value
 // ends that.
-func (w *Worker) WantRest(value string) {
+func (w *Worker) AskForPause(value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rest, w.fault = value, FaultNone
 	if value != "" {
-		w.fault = FaultShed
+		w.fault = FaultRefuse
 	}
 }
 
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -191,7 +191,7 @@
 	s.nextID++
 	cfg := WorkerConfig{Service: plainService, Slots: 4, Queue: 8, Step: 10 * time.Millisecond}
 	if model {
-		cfg = WorkerConfig{Service: modelService, Slots: 16, Queue: 16, Model: true, ReadRate: 40_000, Step: 8 * time.Millisecond, Memory: 40_000, CopyRate: copyRate, Peer: s.workerAt}
+		cfg = WorkerConfig{Service: modelService, Slots: 16, Queue: 16, Model: true, PrefillRate: 40_000, Step: 8 * time.Millisecond, CacheTokens: 40_000, CopyRate: copyRate, PeerAt: s.workerAt}
 	}
 	cfg.Hall, cfg.OnCrash = fmt.Sprint("hall-", s.nextID%3), s.noteEnded
 	w, err := StartWorker(fmt.Sprint("worker-", s.nextID), cfg, s.store, s.ledger, s.opts.Seed+uint64(s.nextID))
@@ -382,7 +382,7 @@
 	r := Result{Violations: s.ledger.Violations(), StoreCalls: s.store.Calls()}
 	r.Counts, r.Accounts = s.ledger.Totals()
 	for _, w := range s.workers {
-		again, all := w.Reread()
+		again, all := w.Prefilled()
 		r.Reread += again
 		r.Read += all
 		copies, tokens := w.Copied()
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -26,12 +26,12 @@
 			time.Sleep(outage)
 			s.store.SetMode("", StoreServes)
 		},
-		"worker-dark":          func(s *Site) { s.spell(FaultDark) },
+		"worker-dark":          func(s *Site) { s.spell(FaultSilent) },
 		"worker-error":         func(s *Site) { s.spell(FaultErrors) },
 		"answer-lost":          func(s *Site) { s.spell(FaultLost) },
 		"answer-cut":           func(s *Site) { s.spell(FaultCut) },
 		"answer-extra":         func(s *Site) { s.spell(FaultExtra) },
-		"worker-shed":          func(s *Site) { s.spell(FaultShed) },
+		"worker-shed":          func(s *Site) { s.spell(FaultRefuse) },
 		"worker-drain":         func(s *Site) { s.replace() },
 		"request-ends-workers": func(s *Site) { s.endWorkers() },
 		"gateway-kill":         func(s *Site) { s.kill(0) },
@@ -103,7 +103,7 @@
 	defer s.mu.Unlock()
 	for _, w := range s.workers {
 		if w.cfg.Hall == hall {
-			w.Close(closed)
+			w.SetEvacuated(closed)
 		}
 	}
 }
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -22,27 +22,27 @@
 // Faults of a worker. Those of answers affect every second plain request and every stream.
 const (
 	FaultNone   Fault = iota
-	FaultDark         // accepts requests and never answers
+	FaultSilent       // accepts requests and never answers
 	FaultErrors       // answers every second request with 500
 	FaultLost         // runs a request and loses its answer
 	FaultCut          // closes the connection in the middle of an answer
 	FaultExtra        // sends a second answer after the first
-	FaultShed         // refuses all requests as not run
+	FaultRefuse       // refuses all requests as not run
 )
 
 // WorkerConfig configures a worker.
 type WorkerConfig struct {
-	Service  string
-	Hall     string
-	Slots    int
-	Queue    int
-	Model    bool
-	ReadRate float64       // prefill, in prompt tokens a second
-	Step     time.Duration // duration of an event, or of a plain request
-	Memory   int           // cache size in tokens
-	CopyRate float64       // transfer from another worker's cache, in tokens a second
-	// Peer returns the worker at an address to copy cached parts from, or nil.
-	Peer func(address string) *Worker
+	Service     string
+	Hall        string
+	Slots       int
+	Queue       int
+	Model       bool
+	PrefillRate float64       // prefill, in prompt tokens a second
+	Step        time.Duration // duration of an event, or of a plain request
+	CacheTokens int           // cache size in tokens
+	CopyRate    float64       // transfer from another worker's cache, in tokens a second
+	// PeerAt returns the worker at an address to copy cached parts from, or nil.
+	PeerAt func(address string) *Worker
 	// OnCrash, if set, is called after a request has crashed the worker.
 	OnCrash func(w *Worker)
 }
@@ -145,8 +145,8 @@
 	w.fault = f
 }
 
-// Close sets whether the worker's hall is evacuated, so that requests count as violations.
-func (w *Worker) Close(closed bool) {
+// SetEvacuated sets whether the worker's hall is evacuated, so that requests count as violations.
+func (w *Worker) SetEvacuated(closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = closed
@@ -194,8 +194,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Reread returns the prefilled tokens: those of shared parts that had been cached before, and all.
-func (w *Worker) Reread() (again, all int) {
+// Prefilled returns the prefilled tokens: those of shared parts that had been cached before, and all.
+func (w *Worker) Prefilled() (again, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reread, w.prompts
@@ -241,7 +241,7 @@
 func (w *Worker) admit(r *http.Request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.fault == FaultShed || w.waiting >= w.cfg.Queue {
+	if w.fault == FaultRefuse || w.waiting >= w.cfg.Queue {
 		return false
 	}
 	for w.running >= w.cfg.Slots {
@@ -281,7 +281,7 @@
 	w.mu.Unlock()
 	id := r.Header.Get("Attempt-Id")
 	switch {
-	case fault == FaultDark:
+	case fault == FaultSilent:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	case fault == FaultErrors && odd:
--- a/lab/platform/worker_test.go
+++ b/lab/platform/worker_test.go
@@ -13,9 +13,9 @@
 // A worker copies uncached parts from the given worker up to the first part that is not cached
 // there, and prefills the rest.
 func TestWorkerCopiesWhatAnotherKeeps(t *testing.T) {
-	cfg := WorkerConfig{Model: true, Slots: 4, Queue: 4, ReadRate: 1000, CopyRate: 10_000, Memory: 10_000}
+	cfg := WorkerConfig{Model: true, Slots: 4, Queue: 4, PrefillRate: 1000, CopyRate: 10_000, CacheTokens: 10_000}
 	source := &Worker{cfg: cfg, kept: map[string]int{}, seen: map[string]bool{}}
-	cfg.Peer = func(address string) *Worker {
+	cfg.PeerAt = func(address string) *Worker {
 		if address == "source" {
 			return source
 		}
@@ -36,7 +36,7 @@
 		t.Errorf("copy of a cached part took %v, want 0", took)
 	}
 	w.read("a:1000,b:500,c:100")
-	if again, all := w.Reread(); again != 0 || all != 600 {
+	if again, all := w.Prefilled(); again != 0 || all != 600 {
 		t.Errorf("%d tokens prefilled, %d of them again, want 600 and 0", all, again)
 	}
 }
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -176,7 +176,7 @@
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
 	s.SetStoreDown(true)
-	w.SayLeaving()
+	w.AnnounceLeaving()
 	s.hear(0, w)
 	s.none("at the gateway that heard it", w, 0)
 	s.knows(1, 1)
@@ -211,7 +211,7 @@
 	s.SetStoreDown(true)
 	workers := s.Workers(kind)
 	for _, w := range workers {
-		w.SayLeaving()
+		w.AnnounceLeaving()
 	}
 	s.until("the gateway has heard of all", func() bool {
 		s.burst(0)
@@ -250,8 +250,8 @@
 	s := newNoticeSite(t, platform.Kinds()[0], 2)
 	w := s.Workers(s.kind)[0]
 	s.SetStoreDown(true)
-	w.SayLeaving()
-	w.SetFault(platform.FaultShed)
+	w.AnnounceLeaving()
+	w.SetFault(platform.FaultRefuse)
 	s.hear(0, w)
 	s.none("after a refusal", w, 0)
 }
@@ -261,7 +261,7 @@
 	s := newNoticeSite(t, platform.Kinds()[1], 2)
 	workers := s.Workers(s.kind)
 	s.SetStoreDown(true)
-	workers[0].SayLeaving()
+	workers[0].AnnounceLeaving()
 	s.hear(0, workers[0])
 	before, _ := workers[0].Arrived()
 	workers[1].SetFault(platform.FaultCut) // what is cut there goes on at another worker
@@ -283,7 +283,7 @@
 	defer close(stop)
 	w := s.Workers(s.kind)[0]
 	s.SetStoreDown(true)
-	w.SayLeaving()
+	w.AnnounceLeaving()
 	s.hear(0, w)
 	s.knows(0, 1)
 	s.knows(3, 1)
@@ -301,12 +301,12 @@
 	w := s.Workers(kind)[0]
 	scheduler := s.schedulerOf()
 	asker, neighbor := (scheduler+1)%3, (scheduler+2)%3
-	w.WantRest("0.2")
+	w.AskForPause("0.2")
 	s.reach(asker, w)
-	w.WantRest("60")
+	w.AskForPause("60")
 	s.reach(asker, w) // once the first rest is over
 	s.none("at the gateway that was asked", w, asker)
-	w.WantRest("0.1")
+	w.AskForPause("0.1")
 	s.reach(neighbor, w) // which was not asked
 	s.none("after a neighbor was asked for less", w, asker)
 	s.RestartGateway(scheduler)
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	s.none("with another scheduler", w, asker)
-	w.WantRest("")
+	w.AskForPause("")
 	s.reach(neighbor, w)
 }
 
@@ -336,7 +336,7 @@
 	s := newNoticeSite(t, kind, 2)
 	workers := s.Workers(kind)
 	for _, w := range workers {
-		w.WantRest("60")
+		w.AskForPause("60")
 	}
 	s.until("all workers have asked", func() bool {
 		s.burst(0)
