--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer s.Close()
-	r, err := s.Play()
+	r, err := s.Run()
 	if err != nil {
 		return err
 	}
@@ -65,8 +65,8 @@
 }
 
 func printPlay(r platform.Result) {
-	fmt.Printf("asked %d, served %d (late %d), refused %d, failed %d, doubled %d\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed, r.Doubled)
-	fmt.Printf("prompt tokens read %d, of shared parts again %d\n", r.Read, r.Reread)
+	fmt.Printf("asked %d, served %d (late %d), refused %d, failed %d, doubled %d\n", r.Sent, r.Served, r.Late, r.Refused, r.Failed, r.Duplicates)
+	fmt.Printf("prompt tokens read %d, of shared parts again %d\n", r.Prefilled, r.Reprefilled)
 	fmt.Printf("copied between workers %d times, %d tokens\n", r.Copies, r.Copied)
 	fmt.Printf("fairness %.2f (least share served of an account, of the greatest)\n", r.Fairness)
 	fmt.Printf("control: a gateway sent %.0f bytes and was busy %v in a second\n", r.ControlBytes, r.ControlTime.Round(time.Microsecond))
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -18,19 +18,19 @@
 
 // Kind describes a kind of request and its load.
 type Kind struct {
-	Name       string
-	Path       string
-	Method     string
-	Stream     bool
-	Repeatable bool
-	Resumable  bool
-	Subjects   int           // different shared prompt prefixes
-	Shared     int           // tokens of a shared prompt prefix
-	Own        int           // mean tokens of the rest of a prompt
-	Objective  time.Duration // latency beyond which an answer is late
-	Deadline   time.Duration
-	PerSecond  float64 // requests of all accounts
-	Attempts   int     // attempts that a gateway may make
+	Name         string
+	Path         string
+	Method       string
+	Stream       bool
+	Repeatable   bool
+	Resumable    bool
+	Prefixes     int           // different shared prompt prefixes
+	SharedTokens int           // tokens of a shared prompt prefix
+	OwnTokens    int           // mean tokens of the rest of a prompt
+	Objective    time.Duration // latency beyond which an answer is late
+	Deadline     time.Duration
+	PerSecond    float64 // requests of all accounts
+	Attempts     int     // attempts that a gateway may make
 }
 
 const host = "site.example"
@@ -126,10 +126,10 @@
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(c.kind.Deadline.Milliseconds(), 10))
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	if c.kind.Stream {
-		own := 1 + c.rng.IntN(2*c.kind.Own)
+		own := 1 + c.rng.IntN(2*c.kind.OwnTokens)
 		req.Header.Set("Model", "m")
-		req.Header.Set("Token-Usage", fmt.Sprintf("%d,%d", c.kind.Shared+own, 64))
-		req.Header.Set("Prompt-Prefix", fmt.Sprintf("%s%x:%d,%s:%d", c.kind.Name, c.rng.IntN(c.kind.Subjects), c.kind.Shared, id, own))
+		req.Header.Set("Token-Usage", fmt.Sprintf("%d,%d", c.kind.SharedTokens+own, 64))
+		req.Header.Set("Prompt-Prefix", fmt.Sprintf("%s%x:%d,%s:%d", c.kind.Name, c.rng.IntN(c.kind.Prefixes), c.kind.SharedTokens, id, own))
 	}
 	c.site.ledger.AddRequest(id, c.account, c.kind.Method, uri, body, c.kind.Repeatable || c.kind.Resumable)
 	resp, err := c.http.Do(req)
--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -21,7 +21,7 @@
 
 // Counts counts the outcomes of requests.
 type Counts struct {
-	Asked, Served, Late, Refused, Failed, Doubled int // Served includes Late
+	Sent, Served, Late, Refused, Failed, Duplicates int // Served includes Late
 }
 
 type asked struct {
@@ -68,7 +68,7 @@
 		l.breakRule("%s saw a key, or no deadline", worker)
 	}
 	if a.runs > 1 && !a.repeatable {
-		l.counts.Doubled++
+		l.counts.Duplicates++
 		l.breakRule("%s ran %s a second time", worker, id)
 	}
 	if a.refused && !a.repeatable {
@@ -102,7 +102,7 @@
 		l.account[account] = &Counts{}
 	}
 	for _, c := range []*Counts{&l.counts, l.account[account]} {
-		c.Asked++
+		c.Sent++
 		count(c)
 	}
 }
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -19,9 +19,9 @@
 	return s.gateways[i].running
 }
 
-// AskAt sends one request for a long stream to a gateway, on a new connection, and reports
+// AskStream sends one request for a long stream to a gateway, on a new connection, and reports
 // whether the answer was complete. The ledger records violations.
-func (s *Site) AskAt(ctx context.Context, gateway int, account string, seed uint64) bool {
+func (s *Site) AskStream(ctx context.Context, gateway int, account string, seed uint64) bool {
 	kind := Kinds()[0]
 	c := s.single(gateway, kind, account, kind.Path+"item", seed)
 	result, _ := c.once(ctx)
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -72,8 +72,8 @@
 // Kinds returns the kinds of requests that clients send.
 func Kinds() []Kind {
 	return []Kind{
-		{Name: "long", Path: "/long/", Method: "POST", Stream: true, Subjects: 8, Shared: 2000, Own: 400, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 8, Attempts: 1},
-		{Name: "resume", Path: "/resume/", Method: "POST", Stream: true, Resumable: true, Subjects: 8, Shared: 800, Own: 300, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 6, Attempts: 2},
+		{Name: "long", Path: "/long/", Method: "POST", Stream: true, Prefixes: 8, SharedTokens: 2000, OwnTokens: 400, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 8, Attempts: 1},
+		{Name: "resume", Path: "/resume/", Method: "POST", Stream: true, Resumable: true, Prefixes: 8, SharedTokens: 800, OwnTokens: 300, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 6, Attempts: 2},
 		{Name: "submit", Path: "/submit/", Method: "POST", Objective: 200 * time.Millisecond, Deadline: 2 * time.Second, PerSecond: 6, Attempts: 1},
 		{Name: "look", Path: "/look/", Method: "GET", Repeatable: true, Objective: 200 * time.Millisecond, Deadline: 2 * time.Second, PerSecond: 6, Attempts: 2},
 	}
@@ -280,9 +280,9 @@
 	return true
 }
 
-// Play sends requests for the length of the run, injects the trouble after a third of it, and
+// Run sends requests for the length of the run, injects the trouble after a third of it, and
 // returns the result.
-func (s *Site) Play() (Result, error) {
+func (s *Site) Run() (Result, error) {
 	defer s.cancel()
 	if err := s.AwaitReady(10 * time.Second); err != nil {
 		return Result{}, err
@@ -356,15 +356,15 @@
 // Result holds the measurements of a run.
 type Result struct {
 	Counts
-	Accounts     map[string]Counts
-	Violations   []string
-	StoreCalls   int
-	Reread, Read int           // prompt tokens: shared ones that were prefilled again, and all
-	Copies       int           // transfers of cached parts between workers
-	Copied       int           // tokens of these transfers
-	ControlBytes float64       // bytes a second that a gateway sent to peers, on average
-	ControlTime  time.Duration // time a gateway spent on control in a second, on average
-	Fairness     float64       // ratio of the lowest to the highest served share of an account
+	Accounts               map[string]Counts
+	Violations             []string
+	StoreCalls             int
+	Reprefilled, Prefilled int           // prompt tokens: shared ones that were prefilled again, and all
+	Copies                 int           // transfers of cached parts between workers
+	Copied                 int           // tokens of these transfers
+	ControlBytes           float64       // bytes a second that a gateway sent to peers, on average
+	ControlTime            time.Duration // time a gateway spent on control in a second, on average
+	Fairness               float64       // ratio of the lowest to the highest served share of an account
 }
 
 func (s *Site) measureControl(r *Result) {
@@ -383,8 +383,8 @@
 	r.Counts, r.Accounts = s.ledger.Totals()
 	for _, w := range s.workers {
 		again, all := w.Prefilled()
-		r.Reread += again
-		r.Read += all
+		r.Reprefilled += again
+		r.Prefilled += all
 		copies, tokens := w.Copied()
 		r.Copies += copies
 		r.Copied += tokens
@@ -392,7 +392,7 @@
 	s.measureControl(&r)
 	low, high := 1.0, 0.0
 	for _, c := range r.Accounts {
-		share := float64(c.Served) / float64(max(c.Asked, 1))
+		share := float64(c.Served) / float64(max(c.Sent, 1))
 		low, high = min(low, share), max(high, share)
 	}
 	if high > 0 {
--- a/lab/platform/site_test.go
+++ b/lab/platform/site_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	r, err := s.Play()
+	r, err := s.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,8 +36,8 @@
 		t.Error(b)
 	}
 	t.Logf("%+v", r.Counts)
-	if r.Asked == 0 || r.Served < r.Asked/2 {
-		t.Errorf("%d of %d requests were served, want at least half", r.Served, r.Asked)
+	if r.Sent == 0 || r.Served < r.Sent/2 {
+		t.Errorf("%d of %d requests were served, want at least half", r.Served, r.Sent)
 	}
 	return r
 }
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -48,7 +48,7 @@
 	for c := range atOnce {
 		callers.Go(func() {
 			for i := range each {
-				if site.AskAt(t.Context(), 0, "account-0", uint64(c*each+i)) {
+				if site.AskStream(t.Context(), 0, "account-0", uint64(c*each+i)) {
 					served.Add(1)
 				}
 			}
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -76,7 +76,7 @@
 
 func newNoticeSite(t *testing.T, kind platform.Kind, gateways int) *noticeSite {
 	t.Helper()
-	kind.Subjects = max(kind.Subjects, 1) << 20 // a prompt that no worker keeps goes to any of them
+	kind.Prefixes = max(kind.Prefixes, 1) << 20 // a prompt that no worker keeps goes to any of them
 	site, err := platform.Start(platform.Options{Gateways: gateways, Models: 3, Plains: 3, Accounts: 1, Length: time.Minute, Seed: 9})
 	if err != nil {
 		t.Fatal(err)
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -122,7 +122,7 @@
 				t.Fatal(err)
 			}
 			seed++
-			site.AskAt(t.Context(), gateway, "account-1", seed)
+			site.AskStream(t.Context(), gateway, "account-1", seed)
 		}
 	}
 	if n := site.Crashes(); n < enough || n > enough+underWay {
--- a/router/standstill_test.go
+++ b/router/standstill_test.go
@@ -29,7 +29,7 @@
 		if away && (!g.Unsettled() || g.Ready()) {
 			t.Error("it is ready without having heard anything")
 		}
-		if away && site.AskAt(t.Context(), 0, "account-0", 7) {
+		if away && site.AskStream(t.Context(), 0, "account-0", 7) {
 			t.Error("it serves without having heard anything")
 		}
 		for end := time.Now().Add(20 * time.Second); !g.Ready(); time.Sleep(5 * time.Millisecond) {
@@ -37,7 +37,7 @@
 				t.Fatal("it is never ready again")
 			}
 		}
-		if !site.AskAt(t.Context(), 0, "account-0", uint64(100+n)) {
+		if !site.AskStream(t.Context(), 0, "account-0", uint64(100+n)) {
 			t.Error("it does not serve when it has settled")
 		}
 	}
