--- a/lab/fleet/ending.go
+++ b/lab/fleet/ending.go
@@ -12,8 +12,8 @@
 	"madderway/lab/standin"
 )
 
-// EndsTarget in the body of a request crashes every target that starts it.
-const EndsTarget = "ends-target"
+// PoisonMarker in the body of a request crashes every target that starts it.
+const PoisonMarker = "ends-target"
 
 // endable wraps a target's handler so that a request with EndsTarget crashes the target and
 // aborts everything that runs there.
@@ -23,7 +23,7 @@
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		if bytes.Contains(body, []byte(EndsTarget)) {
+		if bytes.Contains(body, []byte(PoisonMarker)) {
 			f.endTarget(name)
 			panic(http.ErrAbortHandler)
 		}
@@ -40,8 +40,8 @@
 	f.endings++
 }
 
-// Endings returns how often a request has crashed a target.
-func (f *Fleet) Endings() int {
+// Crashes returns how often a request has crashed a target.
+func (f *Fleet) Crashes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.endings
@@ -50,8 +50,8 @@
 // restartTakes stands for the startup time of a target, which is seconds on a real platform.
 const restartTakes = 1200 * time.Millisecond
 
-// RestartEnded restarts the targets that requests have crashed.
-func (f *Fleet) RestartEnded() error {
+// RestartCrashed restarts the targets that requests have crashed.
+func (f *Fleet) RestartCrashed() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.ended) > 0 {
--- a/lab/fleet/ending_test.go
+++ b/lab/fleet/ending_test.go
@@ -15,13 +15,13 @@
 // crashes, while other requests are served.
 func TestRoutersSendNoFurtherWhatEndsTargets(t *testing.T) {
 	bad := chatBody(5, true)
-	bad["messages"] = []map[string]string{{"role": "user", "content": EndsTarget}}
+	bad["messages"] = []map[string]string{{"role": "user", "content": PoisonMarker}}
 	for _, c := range []struct {
 		name, path string
 		body       any
 	}{
 		{"a stream", "/v1/chat/completions", bad},
-		{"a plain call", "/services/samples/look", EndsTarget},
+		{"a plain call", "/services/samples/look", PoisonMarker},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -41,7 +41,7 @@
 			if resp.StatusCode != http.StatusServiceUnavailable || errorOf(t, answer).Code != result.EndsTargets {
 				refusals = 0
 			}
-			if err := f.RestartEnded(); err != nil {
+			if err := f.RestartCrashed(); err != nil {
 				t.Fatal(err)
 			}
 			waitFor(t, "another request is served", func() bool {
@@ -50,7 +50,7 @@
 			})
 		}
 	}
-	if n := f.Endings(); n < enough || n > enough+underWay {
+	if n := f.Crashes(); n < enough || n > enough+underWay {
 		t.Errorf("one request crashed %d targets, want %d and at most %d more", n, enough, underWay)
 	}
 	if refusals < 3 {
