--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -68,7 +68,7 @@
 	before := len(a.Events)
 	a = c.Resume(context.Background(), other.Settings.Caller.Listen, Key("alder"), a)
 	if !a.Complete() || len(a.Events) != 302 {
-		t.Fatalf("got %d events, %d of them before the kill, error %+v; want 302", len(a.Events), before, a.Refused)
+		t.Fatalf("got %d events, %d of them before the kill, error %+v; want 302", len(a.Events), before, a.Err)
 	}
 	for i := range 300 {
 		if !strings.Contains(a.Events[i], fmt.Sprintf("%s-%d ", a.RequestID, i+1)) {
@@ -77,7 +77,7 @@
 	}
 	// Only the account that sent the request may resume it.
 	stolen := c.Resume(context.Background(), other.Settings.Caller.Listen, Key("birch"), load.Answer{RequestID: a.RequestID, Resume: a.Resume})
-	if stolen.Refused == nil || stolen.Refused.Code != result.BadResumeToken {
+	if stolen.Err == nil || stolen.Err.Code != result.BadResumeToken {
 		t.Fatalf("another account got %+v", stolen)
 	}
 }
@@ -119,10 +119,10 @@
 	lost := load.Answer{RequestID: id} // the caller has lost even its token
 	whole := c.Resume(context.Background(), f.Nodes()[1].Settings.Caller.Listen, Key("alder"), lost)
 	if !whole.Complete() || len(whole.Events) != 102 {
-		t.Fatalf("fetched %d events, error %+v; want 102", len(whole.Events), whole.Refused)
+		t.Fatalf("fetched %d events, error %+v; want 102", len(whole.Events), whole.Err)
 	}
 	stolen := c.Resume(context.Background(), n.Settings.Caller.Listen, Key("birch"), lost)
-	if stolen.Refused == nil || stolen.Refused.Code != result.NotFound {
+	if stolen.Err == nil || stolen.Err.Code != result.NotFound {
 		t.Fatalf("another account got %+v", stolen)
 	}
 }
@@ -213,7 +213,7 @@
 	}
 	waitFor(t, "readiness fails", func() bool { return n.Router.Ready() != nil })
 	if a := <-got; !a.Complete() || len(a.Events) != 202 {
-		t.Fatalf("aborted after %d events, error %+v; want 202 events", len(a.Events), a.Refused)
+		t.Fatalf("aborted after %d events, error %+v; want 202 events", len(a.Events), a.Err)
 	}
 	<-n.Router.Dead()
 	n.Down = true
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -41,7 +41,7 @@
 	Events     []string // data of the stream's events, without typed events such as restart
 	Body       []byte
 	Status     int
-	Refused    *api.Error // error response, or nil
+	Err        *api.Error // error response, or nil
 	Broken     bool       // no or an incomplete response
 	Restarted  bool       // the stream restarted from its first event
 	Replayed   bool       // recorded result of an earlier call with the same idempotency key
@@ -110,7 +110,7 @@
 	if a.Resume != "" {
 		req.Header.Set(caller.HeaderResume, a.Resume)
 	}
-	a.Broken, a.Refused = false, nil
+	a.Broken, a.Err = false, nil
 	return c.stream(req, a)
 }
 
@@ -127,7 +127,7 @@
 		a.RequestID = resp.Header.Get(api.HeaderRequestID)
 	}
 	if resp.StatusCode != http.StatusOK {
-		a.Refused = readError(resp)
+		a.Err = readError(resp)
 		return a
 	}
 	if token := resp.Header.Get(caller.HeaderResume); token != "" {
@@ -168,7 +168,7 @@
 		case "error":
 			var body api.ErrorBody
 			_ = json.Unmarshal([]byte(data), &body)
-			a.Refused = &body.Error
+			a.Err = &body.Error
 			return
 		}
 		if n, err := strconv.Atoi(id); err != nil || n != len(a.Events)+1 {
@@ -206,7 +206,7 @@
 		Replayed: resp.Header.Get(caller.HeaderReplayed) != "",
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		a.Refused = readError(resp)
+		a.Err = readError(resp)
 	} else if a.Body, err = io.ReadAll(resp.Body); err != nil {
 		a.Broken = true
 	}
--- a/lab/load/record.go
+++ b/lab/load/record.go
@@ -119,8 +119,8 @@
 	defer r.mu.Unlock()
 	rec := r.account(account)
 	rec.Requests++
-	rec.Refused[a.Refused.Code]++
-	if a.Refused.Ran == result.RanNo && a.RequestID != "" {
+	rec.Refused[a.Err.Code]++
+	if a.Err.Ran == result.RanNo && a.RequestID != "" {
 		r.notRun = append(r.notRun, a.RequestID)
 	}
 }
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -145,7 +145,7 @@
 		resumed = true
 		time.Sleep(time.Duration(try) * resumePause / 4)
 		answer = r.client.Resume(ctx, r.node(a, rng).Settings.Caller.Listen, fleet.Key(a.Name), answer)
-		if answer.Refused != nil {
+		if answer.Err != nil {
 			answer.Broken = true
 		}
 	}
@@ -155,7 +155,7 @@
 		wait := max(answer.FirstEvent-r.s.FirstToken, 0)
 		r.rec.Done(a.Name, classOf(st.Kind), wait, answer, resumed)
 		r.noteFlood(a.Name, st.Kind, time.Since(started), wait)
-	case answer.Refused != nil:
+	case answer.Err != nil:
 		r.rec.Refused(a.Name, answer)
 		return true
 	case answer.RequestID == "":
@@ -222,13 +222,13 @@
 func (r *run) keyedOnce(ctx context.Context, a Account, address, key string) {
 	answer := r.client.Plain(ctx, address, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
 	switch {
-	case answer.Refused != nil:
+	case answer.Err != nil:
 		r.rec.Refused(a.Name, answer)
 	case answer.Broken:
 		// The router was killed; a retry with the same key returns the recorded
 		// outcome, or that it is unknown.
 		again := r.client.Plain(ctx, r.f.Live()[0].Settings.Caller.Listen, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
-		if again.Refused != nil {
+		if again.Err != nil {
 			r.rec.Refused(a.Name, again)
 		} else if !again.Broken {
 			r.rec.Done(a.Name, "keyed", again.Total-r.s.PlainTakes, again, false)
