--- a/cmd/madderway-lab/demo.go
+++ b/cmd/madderway-lab/demo.go
@@ -56,5 +56,5 @@
 		return nil, err
 	}
 	r.Text(os.Stdout)
-	return r.Broken(), nil
+	return r.Violations(), nil
 }
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -31,7 +31,7 @@
 func (c *measureCommand) Execute([]string) error {
 	if c.Scenario == "list" {
 		for _, name := range measure.Names() {
-			fmt.Printf("%-14s %s\n", name, measure.Scenarios()[name].About)
+			fmt.Printf("%-14s %s\n", name, measure.Scenarios()[name].Description)
 		}
 		return nil
 	}
@@ -43,7 +43,7 @@
 		return err
 	}
 	r, err := measure.Run(measure.Options{
-		Scenario: s, Dispatch: c.Dispatch, Seed: c.Seed, CounterAge: c.CounterAge, TallyBudget: c.Budget, Reserve: c.Reserve,
+		Scenario: s, Dispatch: c.Dispatch, Seed: c.Seed, CounterAge: c.CounterAge, TallyBudget: c.Budget, ReserveShare: c.Reserve,
 		HeadStart: c.HeadStart, Duration: time.Duration(c.Seconds) * time.Second, Progress: c.progress,
 	})
 	if err != nil {
@@ -58,7 +58,7 @@
 	} else {
 		r.Text(os.Stdout)
 	}
-	if broken := r.Broken(); len(broken) > 0 {
+	if broken := r.Violations(); len(broken) > 0 {
 		return errors.New("broken promises: " + strings.Join(broken, "; "))
 	}
 	return nil
--- a/lab/measure/result.go
+++ b/lab/measure/result.go
@@ -60,8 +60,8 @@
 	WaitMS   load.Percentiles `json:"wait_ms"`
 }
 
-// Broken lists the violated guarantees, such as duplicate runs or lost requests.
-func (r *Result) Broken() []string {
+// Violations lists the violated guarantees, such as duplicate runs or lost requests.
+func (r *Result) Violations() []string {
 	var broken []string
 	add := func(n int, what string) {
 		if n > 0 {
--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -38,11 +38,11 @@
 	Seed       int64
 	CounterAge time.Duration // interval of the service counters; 0 for the default
 	// Overrides the routers' setting if not negative.
-	TallyBudget float64
-	Reserve     float64       // share of slots withheld from long requests while short ones arrive
-	HeadStart   float64       // overrides the scenario's if not negative
-	Duration    time.Duration // overrides the scenario's if not 0
-	Progress    func(format string, args ...any)
+	TallyBudget  float64
+	ReserveShare float64       // share of slots withheld from long requests while short ones arrive
+	HeadStart    float64       // overrides the scenario's if not negative
+	Duration     time.Duration // overrides the scenario's if not 0
+	Progress     func(format string, args ...any)
 }
 
 // run is the state of a running scenario.
@@ -118,7 +118,7 @@
 	if r.opts.TallyBudget >= 0 {
 		s.Control.TallyBudget = r.opts.TallyBudget
 	}
-	s.Control.ReserveShare = r.opts.Reserve
+	s.Control.ReserveShare = r.opts.ReserveShare
 }
 
 func (r *run) startFleet() error {
@@ -141,7 +141,7 @@
 	}
 	for i := range r.s.Plains {
 		t, err := r.f.AddPlain(r.s.names.desk, r.f.Hall(i), standin.PlainConfig{
-			Name: fmt.Sprintf("plain-%02d-%s", i, r.f.Hall(i)), Slots: r.s.PlainSlots, Takes: r.s.PlainTakes, LoadLag: time.Second,
+			Name: fmt.Sprintf("plain-%02d-%s", i, r.f.Hall(i)), Slots: r.s.PlainSlots, Takes: r.s.PlainDuration, LoadLag: time.Second,
 			OnRun: func(account string, took time.Duration) {
 				r.desk.add(account, milliWeight*float64(took.Milliseconds()))
 			},
@@ -334,7 +334,7 @@
 	most := 0
 	for _, a := range r.s.Accounts {
 		for _, st := range a.Streams {
-			most = max(most, st.Max)
+			most = max(most, st.MaxTokens)
 		}
 	}
 	return float64(most) + 32
--- a/lab/measure/scenario.go
+++ b/lab/measure/scenario.go
@@ -27,12 +27,12 @@
 
 // Stream is a flow of requests of one account.
 type Stream struct {
-	Kind    Kind
-	Workers int           // closed loop: each worker has one request outstanding at any time
-	Every   time.Duration // open loop, if Workers is 0: mean time between arrivals
-	Min     int           // output tokens
-	Max     int
-	From    time.Duration // start of the stream, since the start of the load
+	Kind      Kind
+	Workers   int           // closed loop: each worker has one request outstanding at any time
+	Interval  time.Duration // open loop, if Workers is 0: mean time between arrivals
+	MinTokens int           // output tokens
+	MaxTokens int
+	Start     time.Duration // start of the stream, since the start of the load
 }
 
 // Account is the load of one client account.
@@ -46,7 +46,7 @@
 // Backlogged reports whether the account has requests outstanding throughout the run.
 func (a Account) Backlogged() bool {
 	for _, s := range a.Streams {
-		if s.Workers > 0 && s.From == 0 {
+		if s.Workers > 0 && s.Start == 0 {
 			return true
 		}
 	}
@@ -62,24 +62,24 @@
 
 // Scenario describes a fleet, the load on it and the faults.
 type Scenario struct {
-	Name       string
-	About      string
-	Routers    int
-	Engines    int
-	Slots      int
-	Plains     int
-	PlainSlots int
-	FirstToken time.Duration
-	TokenGap   time.Duration
-	PlainTakes time.Duration
-	Accounts   []Account
-	Duration   time.Duration
-	HeadStart  float64 // of interactive work in the model pool, in service units
-	MaxTokens  int     // max_tokens of each request, whatever the answer's length
-	Faults     func(s Scenario) []Fault
-	FloodFrom  time.Duration // start of the flood, which splits the waiting times; 0 for none
-	Example    string        // sample configuration to run under; empty for that of the lab
-	names      names
+	Name          string
+	Description   string
+	Routers       int
+	Engines       int
+	Slots         int
+	Plains        int
+	PlainSlots    int
+	FirstToken    time.Duration
+	TokenGap      time.Duration
+	PlainDuration time.Duration
+	Accounts      []Account
+	Duration      time.Duration
+	HeadStart     float64 // of interactive work in the model pool, in service units
+	MaxTokens     int     // max_tokens of each request, whatever the answer's length
+	Faults        func(s Scenario) []Fault
+	FloodStart    time.Duration // start of the flood, which splits the waiting times; 0 for none
+	Example       string        // sample configuration to run under; empty for that of the lab
+	names         names
 }
 
 // names holds the names of the model pool, the plain pool and the model.
@@ -89,8 +89,8 @@
 
 func base(name, about string) Scenario {
 	return Scenario{
-		Name: name, About: about, Routers: 9, Engines: 9, Slots: 8, Plains: 3, PlainSlots: 8,
-		FirstToken: 20 * time.Millisecond, TokenGap: 5 * time.Millisecond, PlainTakes: 20 * time.Millisecond,
+		Name: name, Description: about, Routers: 9, Engines: 9, Slots: 8, Plains: 3, PlainSlots: 8,
+		FirstToken: 20 * time.Millisecond, TokenGap: 5 * time.Millisecond, PlainDuration: 20 * time.Millisecond,
 		Duration: 24 * time.Second, HeadStart: 200, MaxTokens: 2048,
 		names: names{"chat", "desk", "lab-model"},
 	}
@@ -120,7 +120,7 @@
 func large(i, router, workers int) Account {
 	return Account{
 		Name: fmt.Sprintf("large-%02d", i), Router: router,
-		Streams: []Stream{{Kind: KindLong, Workers: workers, Min: 60, Max: 400}},
+		Streams: []Stream{{Kind: KindLong, Workers: workers, MinTokens: 60, MaxTokens: 400}},
 	}
 }
 
@@ -128,8 +128,8 @@
 	return Account{
 		Name: fmt.Sprintf("light-%02d", i), Router: router,
 		Streams: []Stream{
-			{Kind: KindShort, Every: every, Min: 4, Max: 16},
-			{Kind: KindKeyed, Every: 2 * every},
+			{Kind: KindShort, Interval: every, MinTokens: 4, MaxTokens: 16},
+			{Kind: KindKeyed, Interval: 2 * every},
 		},
 	}
 }
@@ -149,7 +149,7 @@
 	s := base("haddad", "16 accounts; three large owners rebuild rotas, receptionists' reminders and booking checks beside them")
 	for i := range 3 {
 		a := large(i, -1, 34)
-		a.Streams[0].Min, a.Streams[0].Max = 200, 600
+		a.Streams[0].MinTokens, a.Streams[0].MaxTokens = 200, 600
 		s.Accounts = append(s.Accounts, a)
 	}
 	for i := range 13 {
@@ -168,7 +168,7 @@
 	for i := range unevenLanding {
 		a := large(i, unevenLanding[i], 30)
 		if i%3 == 1 {
-			a.Streams[0].Min, a.Streams[0].Max = 10, 60
+			a.Streams[0].MinTokens, a.Streams[0].MaxTokens = 10, 60
 			a.Streams[0].Workers = 50
 		}
 		s.Accounts = append(s.Accounts, a)
@@ -181,12 +181,12 @@
 
 func unevenWrong() Scenario {
 	s := uneven()
-	s.Name, s.About = "uneven-wrong", "as uneven, with estimates that are wrong by up to 100 times"
+	s.Name, s.Description = "uneven-wrong", "as uneven, with estimates that are wrong by up to 100 times"
 	for i := range s.Accounts {
 		for k := range s.Accounts[i].Streams {
 			st := &s.Accounts[i].Streams[k]
 			if st.Kind == KindLong {
-				st.Min, st.Max = 5, 500
+				st.MinTokens, st.MaxTokens = 5, 500
 			}
 		}
 	}
@@ -196,7 +196,7 @@
 
 func flood() Scenario {
 	s := base("flood", "15 ordinary accounts; from the middle on one account floods every router")
-	s.FloodFrom = s.Duration / 2
+	s.FloodStart = s.Duration / 2
 	for i := range 2 {
 		s.Accounts = append(s.Accounts, large(i, -1, 40))
 	}
@@ -204,7 +204,7 @@
 		s.Accounts = append(s.Accounts, light(i, -1, 300*time.Millisecond))
 	}
 	s.Accounts = append(s.Accounts, Account{Name: "flooder", Router: -1, Streams: []Stream{
-		{Kind: KindShort, Workers: 700, Min: 4, Max: 200, From: s.FloodFrom},
+		{Kind: KindShort, Workers: 700, MinTokens: 4, MaxTokens: 200, Start: s.FloodStart},
 	}})
 	return s
 }
@@ -214,8 +214,8 @@
 	s.Engines, s.Routers, s.HeadStart = 3, 9, 200
 	for i := range 3 {
 		a := large(i, -1, 20)
-		a.Streams[0].Min, a.Streams[0].Max = 300, 600
-		a.Streams = append(a.Streams, Stream{Kind: KindShort, Every: 500 * time.Millisecond, Min: 4, Max: 16})
+		a.Streams[0].MinTokens, a.Streams[0].MaxTokens = 300, 600
+		a.Streams = append(a.Streams, Stream{Kind: KindShort, Interval: 500 * time.Millisecond, MinTokens: 4, MaxTokens: 16})
 		s.Accounts = append(s.Accounts, a)
 	}
 	for i := range 8 {
@@ -226,7 +226,7 @@
 
 func hallLoss() Scenario {
 	s := coreLogging()
-	s.Name, s.About = "hall-loss", "as core-logging; a whole data hall goes, routers and targets"
+	s.Name, s.Description = "hall-loss", "as core-logging; a whole data hall goes, routers and targets"
 	s.Faults = func(s Scenario) []Fault {
 		return []Fault{{At: s.Duration / 3, Name: "hall-c is lost", Do: loseHall}}
 	}
@@ -255,7 +255,7 @@
 
 func storeDown() Scenario {
 	s := coreLogging()
-	s.Name, s.About = "store-down", "as core-logging; the table and the object store are down for the middle third"
+	s.Name, s.Description = "store-down", "as core-logging; the table and the object store are down for the middle third"
 	s.Faults = func(s Scenario) []Fault {
 		return []Fault{
 			{At: s.Duration / 3, Name: "table and object store down", Do: func(f *fleet.Fleet) { setStore(f, true) }},
@@ -276,7 +276,7 @@
 
 func routerChurn() Scenario {
 	s := coreLogging()
-	s.Name, s.About = "router-churn", "as core-logging; every three seconds a router is killed and starts with no memory a second later"
+	s.Name, s.Description = "router-churn", "as core-logging; every three seconds a router is killed and starts with no memory a second later"
 	s.Faults = func(s Scenario) []Fault {
 		var faults []Fault
 		for i := 0; time.Duration(i+1)*churnEvery < s.Duration-2*time.Second; i++ {
@@ -301,7 +301,7 @@
 	every := time.Second * accounts / time.Duration(perRouter*s.Routers)
 	for i := range accounts {
 		s.Accounts = append(s.Accounts, Account{Name: fmt.Sprintf("steady-%02d", i), Router: -1, Streams: []Stream{
-			{Kind: KindLong, Every: every, Min: 300, Max: 500},
+			{Kind: KindLong, Interval: every, MinTokens: 300, MaxTokens: 500},
 		}})
 	}
 	return s
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -77,7 +77,7 @@
 
 // closedLoop sends the next request as soon as the last one is finished.
 func (r *run) closedLoop(ctx context.Context, a Account, st Stream, rng *rand.Rand) {
-	if !r.pause(ctx, st.From+time.Duration(rng.Int63n(int64(20*time.Millisecond)))) {
+	if !r.pause(ctx, st.Start+time.Duration(rng.Int63n(int64(20*time.Millisecond)))) {
 		return
 	}
 	for {
@@ -94,12 +94,12 @@
 
 // openLoop sends requests at random times, independent of earlier ones.
 func (r *run) openLoop(ctx context.Context, wg *sync.WaitGroup, a Account, st Stream, rng *rand.Rand) {
-	if !r.pause(ctx, st.From) {
+	if !r.pause(ctx, st.Start) {
 		return
 	}
 	for {
-		gap := time.Duration(rng.ExpFloat64() * float64(st.Every))
-		if !r.pause(ctx, min(gap, 4*st.Every)) {
+		gap := time.Duration(rng.ExpFloat64() * float64(st.Interval))
+		if !r.pause(ctx, min(gap, 4*st.Interval)) {
 			return
 		}
 		child := rand.New(rand.NewSource(rng.Int63()))
@@ -132,7 +132,7 @@
 
 func (r *run) completion(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
 	chat := load.Chat{
-		Model: r.s.names.model, Class: classOf(st.Kind), MaxTokens: r.s.MaxTokens, Tokens: st.Min + rng.Intn(st.Max-st.Min+1),
+		Model: r.s.names.model, Class: classOf(st.Kind), MaxTokens: r.s.MaxTokens, Tokens: st.MinTokens + rng.Intn(st.MaxTokens-st.MinTokens+1),
 		Prompt: fmt.Sprintf("%s, brief %d", a.Name, rng.Intn(prompts)),
 	}
 	r.out.add(a.Name, 1)
@@ -189,11 +189,11 @@
 }
 
 func (r *run) noteFlood(account string, k Kind, total, wait time.Duration) {
-	if r.s.FloodFrom == 0 || k != KindShort || account == "flooder" {
+	if r.s.FloodStart == 0 || k != KindShort || account == "flooder" {
 		return
 	}
 	// The time of sending decides, not that of the answer.
-	if time.Since(r.start)-total < r.s.FloodFrom {
+	if time.Since(r.start)-total < r.s.FloodStart {
 		r.before.Add(wait)
 	} else {
 		r.during.Add(wait)
@@ -231,7 +231,7 @@
 		if again.Err != nil {
 			r.rec.Refused(a.Name, again)
 		} else if !again.Broken {
-			r.rec.Done(a.Name, "keyed", again.Total-r.s.PlainTakes, again, false)
+			r.rec.Done(a.Name, "keyed", again.Total-r.s.PlainDuration, again, false)
 		} else {
 			r.rec.Lost(a.Name)
 		}
@@ -241,7 +241,7 @@
 			r.bad++
 			r.mu.Unlock()
 		}
-		r.rec.Done(a.Name, "keyed", max(answer.Total-r.s.PlainTakes, 0), answer, false)
+		r.rec.Done(a.Name, "keyed", max(answer.Total-r.s.PlainDuration, 0), answer, false)
 	}
 }
 
@@ -278,7 +278,7 @@
 	res.Incomplete = r.bad
 	r.concludeAccounts()
 	r.concludeRouters()
-	if r.s.FloodFrom > 0 {
+	if r.s.FloodStart > 0 {
 		before, during := r.before.Percentiles(), r.during.Percentiles()
 		res.OthersWaitBeforeFlood, res.OthersWaitDuringFlood = &before, &during
 	}
