--- a/cmd/madderway-lab/standins.go
+++ b/cmd/madderway-lab/standins.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	for _, t := range d.Targets {
-		handler := standin.NewPlain(standin.PlainConfig{Name: t.Name, Slots: t.Slots, Takes: c.Gap}).Handler()
+		handler := standin.NewPlain(standin.PlainConfig{Name: t.Name, Slots: t.Slots, Duration: c.Gap}).Handler()
 		if kinds[t.Pool] == conf.KindModel {
 			handler = standin.NewEngine(standin.EngineConfig{
 				Name: t.Name, Slots: t.Slots, FirstToken: c.Gap, TokenGap: c.Gap, LoadLag: time.Second, CacheSize: 32,
--- a/lab/fleet/claim_test.go
+++ b/lab/fleet/claim_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 		wg.Wait()
-		if runs := f.Plains["samples-1"].RunsOfKeys()["alder/"+key]; runs != 1 {
+		if runs := f.Plains["samples-1"].RunsByKey()["alder/"+key]; runs != 1 {
 			t.Errorf("round %d: ran %d times, want 1", round, runs)
 		}
 		if len(bodies) != 1 {
@@ -58,7 +58,7 @@
 			t.Errorf("%s: got %+v, want OutcomeUnknown", n.ID, e)
 		}
 	}
-	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 1 {
+	if runs := f.Plains["samples-1"].RunsByKey()["alder/k"]; runs != 1 {
 		t.Errorf("ran %d times, want 1", runs)
 	}
 	_, answer := send(t, f.Nodes()[0], "POST", "/services/samples/submit", "alder", "k", "another box")
@@ -72,7 +72,7 @@
 	f := small(t, 1, time.Millisecond)
 	f.Plains["samples-1"].SetFaults(standin.Faults{Refuse: 1})
 	resp, answer := send(t, f.Nodes()[0], "POST", "/services/samples/submit", "alder", "k", "box 7")
-	runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]
+	runs := f.Plains["samples-1"].RunsByKey()["alder/k"]
 	switch {
 	case resp.StatusCode == 200 && runs == 1:
 	case resp.StatusCode != 200 && errorOf(t, answer).Ran == result.RanNo && runs == 0:
@@ -99,7 +99,7 @@
 		t.Errorf("completion: got status %d %s", resp.StatusCode, answer)
 	}
 	wg.Wait()
-	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/slow"]; runs != 1 {
+	if runs := f.Plains["samples-1"].RunsByKey()["alder/slow"]; runs != 1 {
 		t.Errorf("ran %d times, want 1", runs)
 	}
 }
--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -174,7 +174,7 @@
 	c := load.NewClient()
 	defer c.Close()
 	c.Plain(ctx, n.Settings.Caller.Listen, Key("alder"), "/services/samples/submit", "k", []byte("box"))
-	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 0 {
+	if runs := f.Plains["samples-1"].RunsByKey()["alder/k"]; runs != 0 {
 		t.Fatalf("ran %d times without a claim, want 0", runs)
 	}
 	if resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(5, false)); resp.StatusCode != 200 {
@@ -191,7 +191,7 @@
 		resp, _ := send(t, n, "POST", "/services/samples/submit", "alder", "k", "box")
 		return resp.StatusCode == 200
 	})
-	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 1 {
+	if runs := f.Plains["samples-1"].RunsByKey()["alder/k"]; runs != 1 {
 		t.Fatalf("ran %d times, want 1", runs)
 	}
 }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -65,7 +65,7 @@
 		}
 		d.Targets = append(d.Targets, tg)
 	}
-	tg, err := f.AddPlain("samples", f.Hall(0), standin.PlainConfig{Name: "samples-1", Slots: 4, Takes: time.Millisecond})
+	tg, err := f.AddPlain("samples", f.Hall(0), standin.PlainConfig{Name: "samples-1", Slots: 4, Duration: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 			t.Fatalf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 		}
 	}
-	if runs := f.Plains["samples-1"].RunsOfKeys()["birch/the-key"]; runs != 1 {
+	if runs := f.Plains["samples-1"].RunsByKey()["birch/the-key"]; runs != 1 {
 		t.Fatalf("the keyed call ran %d times, want 1", runs)
 	}
 }
--- a/lab/fleet/rest_test.go
+++ b/lab/fleet/rest_test.go
@@ -21,7 +21,7 @@
 		return send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(5, false))
 	}
 	engine := f.Engines["engine-1"]
-	engine.SetFaults(standin.Faults{Refuse: -1, Rest: "60"})
+	engine.SetFaults(standin.Faults{Refuse: -1, RetryAfter: "60"})
 	waitFor(t, "the engine refuses a chat", func() bool {
 		chat()
 		return engine.Refused() > 0
@@ -36,7 +36,7 @@
 		t.Errorf("%d of 20 chats were sent to an engine that asked for a pause", n)
 	}
 	plain := f.Plains["samples-1"]
-	plain.SetFaults(standin.Faults{Refuse: -1, Rest: "60"})
+	plain.SetFaults(standin.Faults{Refuse: -1, RetryAfter: "60"})
 	call := func() (*http.Response, []byte) {
 		return send(t, n, "POST", "/services/samples/look", "alder", "", "a box")
 	}
--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -141,7 +141,7 @@
 	}
 	for i := range r.s.Plains {
 		t, err := r.f.AddPlain(r.s.names.desk, r.f.Hall(i), standin.PlainConfig{
-			Name: fmt.Sprintf("plain-%02d-%s", i, r.f.Hall(i)), Slots: r.s.PlainSlots, Takes: r.s.PlainDuration, LoadLag: time.Second,
+			Name: fmt.Sprintf("plain-%02d-%s", i, r.f.Hall(i)), Slots: r.s.PlainSlots, Duration: r.s.PlainDuration, LoadLag: time.Second,
 			OnRun: func(account string, took time.Duration) {
 				r.desk.add(account, milliWeight*float64(took.Milliseconds()))
 			},
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -255,7 +255,7 @@
 		res.Utilisation = r.busy / r.possible
 	}
 	for _, p := range r.f.Plains {
-		for _, n := range p.RunsOfKeys() {
+		for _, n := range p.RunsByKey() {
 			res.Duplicates += max(n-1, 0)
 		}
 	}
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -80,8 +80,8 @@
 	return &Engine{cfg: cfg, streams: map[string]*engineStream{}, runs: map[string]int{}, byAccount: map[string]int{}, checking: true}
 }
 
-// SetChecking sets whether the engine rejects orders of a lower epoch.
-func (e *Engine) SetChecking(on bool) {
+// SetEpochCheck sets whether the engine rejects orders of a lower epoch.
+func (e *Engine) SetEpochCheck(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.checking = on
--- a/lab/standin/fault.go
+++ b/lab/standin/fault.go
@@ -22,12 +22,12 @@
 	LateMS     int  `json:"late_ms"`
 	Refuse     int  `json:"refuse"` // number of calls refused with 503 as not run; -1 for all
 	// Retry-After of refusals; empty for none.
-	Rest      string `json:"rest"`
-	CutAfter  int    `json:"cut_after"`  // events of a stream after which each connection is cut
-	GapEvery  int    `json:"gap_every"`  // drop every n-th cache event
-	WrongLoad int    `json:"wrong_load"` // added to the running streams in load reports
-	Garbage   bool   `json:"garbage"`    // send events whose data is invalid JSON
-	Hang      bool   `json:"hang"`       // never answer a call
+	RetryAfter string `json:"rest"`
+	CutAfter   int    `json:"cut_after"`  // events of a stream after which each connection is cut
+	GapEvery   int    `json:"gap_every"`  // drop every n-th cache event
+	WrongLoad  int    `json:"wrong_load"` // added to the running streams in load reports
+	Garbage    bool   `json:"garbage"`    // send events whose data is invalid JSON
+	Hang       bool   `json:"hang"`       // never answer a call
 }
 
 // switchboard holds the faults of a stand-in.
@@ -74,8 +74,8 @@
 	defer s.mu.Unlock()
 	s.refused++
 	w.Header().Set("X-Not-Run", "1")
-	if s.faults.Rest != "" {
-		w.Header().Set("Retry-After", s.faults.Rest)
+	if s.faults.RetryAfter != "" {
+		w.Header().Set("Retry-After", s.faults.RetryAfter)
 	}
 	http.Error(w, "busy", http.StatusServiceUnavailable)
 	return true
--- a/lab/standin/plain.go
+++ b/lab/standin/plain.go
@@ -15,10 +15,10 @@
 
 // PlainConfig configures a stand-in for a plain service.
 type PlainConfig struct {
-	Name    string
-	Slots   int
-	Takes   time.Duration // duration of each call
-	LoadLag time.Duration
+	Name     string
+	Slots    int
+	Duration time.Duration // duration of each call
+	LoadLag  time.Duration
 	// OnRun, if set, is called after each call.
 	OnRun func(account string, took time.Duration)
 }
@@ -80,9 +80,9 @@
 	}
 	p.byID[r.Header.Get(engine.HeaderRequest)]++
 	p.mu.Unlock()
-	time.Sleep(p.cfg.Takes)
+	time.Sleep(p.cfg.Duration)
 	if p.cfg.OnRun != nil {
-		p.cfg.OnRun(r.Header.Get(engine.HeaderAccount), p.cfg.Takes)
+		p.cfg.OnRun(r.Header.Get(engine.HeaderAccount), p.cfg.Duration)
 	}
 }
 
@@ -118,8 +118,8 @@
 	writeJSON(w, shown)
 }
 
-// RunsOfKeys returns the number of runs by "account/idempotency key".
-func (p *Plain) RunsOfKeys() map[string]int {
+// RunsByKey returns the number of runs by "account/idempotency key".
+func (p *Plain) RunsByKey() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]int, len(p.byKey))
