--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -68,8 +68,8 @@
 	servers  []*standin.Server
 	targets  map[string]*standin.Server
 	handlers map[string]http.Handler // by target name
-	ended    []string                // targets crashed by a request and not yet restarted
-	endings  int                     // all crashes of targets caused by requests
+	crashed  []string                // targets crashed by a request and not yet restarted
+	crashes  int                     // all crashes of targets caused by requests
 	urls     [3]string               // table, object store, VM list
 }
 
@@ -115,7 +115,7 @@
 }
 
 func (f *Fleet) addTarget(name, pool, hall string, slots int, h http.Handler) (conf.Target, error) {
-	h = f.endable(name, h)
+	h = f.crashable(name, h)
 	s, err := standin.Serve("127.0.0.1:0", h)
 	if err != nil {
 		return conf.Target{}, err
@@ -201,9 +201,9 @@
 }
 
 const (
-	listenersOfRouter = 3
+	portsPerRouter = 3
 	// below the ephemeral ports
-	firstListener = 8101
+	firstPort = 8101
 )
 
 // fleets counts the fleets of this process.
@@ -213,13 +213,13 @@
 // loopback addresses: probing for a free port would race with other processes.
 func (f *Fleet) ports(i int) []string {
 	const most = 250
-	out := make([]string, listenersOfRouter)
+	out := make([]string, portsPerRouter)
 	for p := range out {
 		if f.opts.FirstPort > 0 {
-			out[p] = fmt.Sprintf("127.0.0.1:%d", f.opts.FirstPort+listenersOfRouter*i+p)
+			out[p] = fmt.Sprintf("127.0.0.1:%d", f.opts.FirstPort+portsPerRouter*i+p)
 			continue
 		}
-		out[p] = fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%most, f.number%most, 1+i, firstListener+p)
+		out[p] = fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%most, f.number%most, 1+i, firstPort+p)
 	}
 	return out
 }
