--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -127,7 +127,7 @@
 		a.RequestID = resp.Header.Get(api.HeaderRequestID)
 	}
 	if resp.StatusCode != http.StatusOK {
-		a.Err = readError(resp)
+		a.Err = decodeError(resp)
 		return a
 	}
 	if token := resp.Header.Get(caller.HeaderResume); token != "" {
@@ -138,7 +138,7 @@
 	return a
 }
 
-func readError(resp *http.Response) *api.Error {
+func decodeError(resp *http.Response) *api.Error {
 	var body api.ErrorBody
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
 		return &api.Error{Code: result.Internal, Message: err.Error(), Ran: result.RanUnknown}
@@ -206,7 +206,7 @@
 		Replayed: resp.Header.Get(caller.HeaderReplayed) != "",
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		a.Err = readError(resp)
+		a.Err = decodeError(resp)
 	} else if a.Body, err = io.ReadAll(resp.Body); err != nil {
 		a.Broken = true
 	}
--- a/lab/load/record.go
+++ b/lab/load/record.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	histogramMax  = int64(10 * time.Minute / time.Microsecond) // in microseconds
-	histogramFine = 3                                          // significant digits
+	histogramMax    = int64(10 * time.Minute / time.Microsecond) // in microseconds
+	histogramDigits = 3                                          // significant digits
 )
 
 // Percentiles summarises durations in milliseconds.
@@ -32,7 +32,7 @@
 
 // NewHistogram returns an empty histogram.
 func NewHistogram() *Histogram {
-	return &Histogram{h: hdrhistogram.New(1, histogramMax, histogramFine)}
+	return &Histogram{h: hdrhistogram.New(1, histogramMax, histogramDigits)}
 }
 
 // Add records a duration, clamped to between a microsecond and ten minutes.
