--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -47,25 +47,25 @@
 
 // run is the state of a running scenario.
 type run struct {
-	opts     Options
-	s        Scenario
-	f        *fleet.Fleet
-	client   *load.Client
-	rec      *load.Recorder
-	chat     *service // service units of the model pool
-	desk     *service // service units of the plain pool
-	gap      *gapMeter
-	out      *outstanding
-	before   *load.Histogram // waiting times before the flood
-	during   *load.Histogram // waiting times during the flood
-	start    time.Time
-	res      *Result
-	busy     float64 // sum of busy slots over all samples with a backlog
-	possible float64 // sum of all slots over the same samples
-	keys     map[string]bool
-	mu       sync.Mutex
-	bad      int // incomplete or foreign answers
-	stop     chan struct{}
+	opts            Options
+	s               Scenario
+	f               *fleet.Fleet
+	client          *load.Client
+	rec             *load.Recorder
+	modelService    *service // service units of the model pool
+	plainService    *service // service units of the plain pool
+	gap             *gapMeter
+	outstanding     *outstanding
+	waitBeforeFlood *load.Histogram // waiting times before the flood
+	waitDuringFlood *load.Histogram // waiting times during the flood
+	start           time.Time
+	res             *Result
+	busySlots       float64 // sum of busy slots over all samples with a backlog
+	totalSlots      float64 // sum of all slots over the same samples
+	keys            map[string]bool
+	mu              sync.Mutex
+	badAnswers      int // incomplete or foreign answers
+	stop            chan struct{}
 }
 
 // Run runs a scenario against a new fleet and returns its measurements.
@@ -81,8 +81,8 @@
 		o.Progress = func(string, ...any) {}
 	}
 	r := &run{
-		opts: o, s: s, client: load.NewClient(), rec: load.NewRecorder(), chat: newService(), desk: newService(),
-		gap: newGapMeter(s.Accounts), out: newOutstanding(), before: load.NewHistogram(), during: load.NewHistogram(),
+		opts: o, s: s, client: load.NewClient(), rec: load.NewRecorder(), modelService: newService(), plainService: newService(),
+		gap: newGapMeter(s.Accounts), outstanding: newOutstanding(), waitBeforeFlood: load.NewHistogram(), waitDuringFlood: load.NewHistogram(),
 		keys: map[string]bool{}, stop: make(chan struct{}),
 		res: &Result{Scenario: s.Name, Dispatch: o.Dispatch, Seed: o.Seed, Routers: s.Routers, Targets: s.Engines + s.Plains, Refused: map[string]int{}, Events: []string{}},
 	}
@@ -127,11 +127,11 @@
 		return err
 	}
 	for i := range r.s.Engines {
-		t, err := r.f.AddEngine(r.s.names.chat, r.f.Hall(i), standin.EngineConfig{
+		t, err := r.f.AddEngine(r.s.names.modelPool, r.f.Hall(i), standin.EngineConfig{
 			Name: fmt.Sprintf("engine-%02d-%s", i, r.f.Hall(i)), Slots: r.s.Slots, FirstToken: r.s.FirstToken, TokenGap: r.s.TokenGap,
 			LoadLag: time.Second, CacheSize: 32,
 			OnService: func(account string, prompt, output int) {
-				r.chat.add(account, promptWeight*float64(prompt)+float64(output))
+				r.modelService.add(account, promptWeight*float64(prompt)+float64(output))
 			},
 		})
 		if err != nil {
@@ -140,10 +140,10 @@
 		d.Targets = append(d.Targets, t)
 	}
 	for i := range r.s.Plains {
-		t, err := r.f.AddPlain(r.s.names.desk, r.f.Hall(i), standin.PlainConfig{
+		t, err := r.f.AddPlain(r.s.names.plainPool, r.f.Hall(i), standin.PlainConfig{
 			Name: fmt.Sprintf("plain-%02d-%s", i, r.f.Hall(i)), Slots: r.s.PlainSlots, Duration: r.s.PlainDuration, LoadLag: time.Second,
 			OnRun: func(account string, took time.Duration) {
-				r.desk.add(account, milliWeight*float64(took.Milliseconds()))
+				r.plainService.add(account, milliWeight*float64(took.Milliseconds()))
 			},
 		})
 		if err != nil {
@@ -200,7 +200,7 @@
 		return ""
 	}
 	for _, t := range reply.Document.Targets {
-		if t.Pool == r.s.names.chat {
+		if t.Pool == r.s.names.modelPool {
 			return t.Address
 		}
 	}
@@ -294,17 +294,17 @@
 		slots += r.s.Slots
 		e.RunningByAccount(starts)
 	}
-	asked := r.out.byAccount()
+	asked := r.outstanding.byAccount()
 	total := 0
 	for _, a := range asked {
 		total += a
 	}
 	if total > busy && total-busy >= r.s.Routers {
-		r.busy += float64(busy)
-		r.possible += float64(slots)
+		r.busySlots += float64(busy)
+		r.totalSlots += float64(slots)
 	}
 	if n%gapEvery == 0 {
-		r.gap.sample(now, now.Sub(r.start), r.chat.snapshot(), func(account string) bool { return asked[account] > starts[account] })
+		r.gap.sample(now, now.Sub(r.start), r.modelService.snapshot(), func(account string) bool { return asked[account] > starts[account] })
 	}
 	if n%int(3*time.Second/sampleEvery) == 0 {
 		r.opts.Progress("%4.1f s: %d of %d slots busy, %d requests outstanding", now.Sub(r.start).Seconds(), busy, slots, total)
--- a/lab/measure/scenario.go
+++ b/lab/measure/scenario.go
@@ -83,9 +83,9 @@
 }
 
 // names holds the names of the model pool, the plain pool and the model.
-type names struct{ chat, desk, model string }
+type names struct{ modelPool, plainPool, model string }
 
-func (n names) submitPath() string { return "/services/" + n.desk + "/submit" }
+func (n names) submitPath() string { return "/services/" + n.plainPool + "/submit" }
 
 func base(name, about string) Scenario {
 	return Scenario{
@@ -320,8 +320,8 @@
 	d := &conf.Document{
 		Policies: []conf.Policy{{Name: "lab", Source: labPolicy}},
 		Pools: []conf.Pool{
-			{Name: s.names.chat, Kind: conf.KindModel, Models: []string{s.names.model}, HeadStart: s.HeadStart, MaxCost: maxCharge},
-			{Name: s.names.desk, Kind: conf.KindService, Quantum: 200, MaxCost: 1000},
+			{Name: s.names.modelPool, Kind: conf.KindModel, Models: []string{s.names.model}, HeadStart: s.HeadStart, MaxCost: maxCharge},
+			{Name: s.names.plainPool, Kind: conf.KindService, Quantum: 200, MaxCost: 1000},
 		},
 	}
 	for _, a := range s.Accounts {
@@ -355,10 +355,10 @@
 	s.Routers, s.Duration, s.Example = routers, duration, name
 	for _, p := range d.Pools {
 		if p.Kind == conf.KindService {
-			s.names.desk = p.Name
+			s.names.plainPool = p.Name
 			continue
 		}
-		s.names.chat, s.names.model, s.HeadStart = p.Name, p.Models[0], p.HeadStart
+		s.names.modelPool, s.names.model, s.HeadStart = p.Name, p.Models[0], p.HeadStart
 	}
 	for i, account := range d.Accounts {
 		a := light(i, -1, 300*time.Millisecond)
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -135,8 +135,8 @@
 		Model: r.s.names.model, Class: classOf(st.Kind), MaxTokens: r.s.MaxTokens, Tokens: st.MinTokens + rng.Intn(st.MaxTokens-st.MinTokens+1),
 		Prompt: fmt.Sprintf("%s, brief %d", a.Name, rng.Intn(prompts)),
 	}
-	r.out.add(a.Name, 1)
-	defer r.out.add(a.Name, -1)
+	r.outstanding.add(a.Name, 1)
+	defer r.outstanding.add(a.Name, -1)
 	started := time.Now()
 	answer := r.client.Chat(ctx, r.node(a, rng).Settings.Caller.Listen, fleet.Key(a.Name), chat)
 	resumed := false
@@ -183,7 +183,7 @@
 	}
 	if !good {
 		r.mu.Lock()
-		r.bad++
+		r.badAnswers++
 		r.mu.Unlock()
 	}
 }
@@ -194,9 +194,9 @@
 	}
 	// The time of sending decides, not that of the answer.
 	if time.Since(r.start)-total < r.s.FloodStart {
-		r.before.Add(wait)
+		r.waitBeforeFlood.Add(wait)
 	} else {
-		r.during.Add(wait)
+		r.waitDuringFlood.Add(wait)
 	}
 }
 
@@ -238,7 +238,7 @@
 	default:
 		if !strings.Contains(string(answer.Body), key) {
 			r.mu.Lock()
-			r.bad++
+			r.badAnswers++
 			r.mu.Unlock()
 		}
 		r.rec.Done(a.Name, "keyed", max(answer.Total-r.s.PlainDuration, 0), answer, false)
@@ -251,8 +251,8 @@
 	res.FairnessGap, res.FairnessGapPair = r.gap.gap, r.gap.worst
 	res.FairnessGapAt = r.gap.at.Seconds()
 	res.FairnessBound = r.bound()
-	if r.possible > 0 {
-		res.Utilisation = r.busy / r.possible
+	if r.totalSlots > 0 {
+		res.Utilisation = r.busySlots / r.totalSlots
 	}
 	for _, p := range r.f.Plains {
 		for _, n := range p.RunsByKey() {
@@ -275,11 +275,11 @@
 		_, _, most := e.Load()
 		res.OverLimit = max(res.OverLimit, most-r.s.Slots)
 	}
-	res.Incomplete = r.bad
+	res.Incomplete = r.badAnswers
 	r.concludeAccounts()
 	r.concludeRouters()
 	if r.s.FloodStart > 0 {
-		before, during := r.before.Percentiles(), r.during.Percentiles()
+		before, during := r.waitBeforeFlood.Percentiles(), r.waitDuringFlood.Percentiles()
 		res.OthersWaitBeforeFlood, res.OthersWaitDuringFlood = &before, &during
 	}
 }
@@ -287,7 +287,7 @@
 func (r *run) concludeAccounts() {
 	res := r.res
 	res.WaitMS = r.rec.Classes()
-	units, desk := r.chat.snapshot(), r.desk.snapshot()
+	units, desk := r.modelService.snapshot(), r.plainService.snapshot()
 	records := r.rec.Accounts()
 	tokens := 0.0
 	for _, a := range r.s.Accounts {
