--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -93,8 +93,8 @@
 	defer r.client.Close()
 	o.Progress("%d routers and %d targets are ready", s.Routers, s.Engines+s.Plains)
 	r.measureOverhead()
-	r.drive()
-	r.conclude()
+	r.runLoad()
+	r.collectResults()
 	return r.res, nil
 }
 
@@ -207,8 +207,8 @@
 	return ""
 }
 
-// drive runs load, faults and sampling for the scenario's duration.
-func (r *run) drive() {
+// runLoad runs load, faults and sampling for the scenario's duration.
+func (r *run) runLoad() {
 	bytesBefore, nanosBefore := r.traffic()
 	r.start = time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -223,7 +223,7 @@
 		defer meters.Done()
 		r.sampleLoop()
 	}()
-	r.faults(ctx)
+	r.injectFaults(ctx)
 	r.sleepUntil(r.s.Duration)
 	elapsed := time.Since(r.start)
 	bytesAfter, nanosAfter := r.traffic()
@@ -254,7 +254,7 @@
 	time.Sleep(time.Until(r.start.Add(at)))
 }
 
-func (r *run) faults(ctx context.Context) {
+func (r *run) injectFaults(ctx context.Context) {
 	if r.s.Faults == nil {
 		return
 	}
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -86,7 +86,7 @@
 			return
 		default:
 		}
-		if refused := r.one(ctx, a, st, rng); refused && !r.pause(ctx, refusedPause) {
+		if refused := r.send(ctx, a, st, rng); refused && !r.pause(ctx, refusedPause) {
 			return
 		}
 	}
@@ -106,7 +106,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.one(ctx, a, st, child)
+			r.send(ctx, a, st, child)
 		}()
 	}
 }
@@ -123,14 +123,14 @@
 	return live[rng.Intn(len(live))]
 }
 
-func (r *run) one(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
+func (r *run) send(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
 	if st.Kind == KindKeyed {
-		return r.keyed(ctx, a, rng)
+		return r.sendKeyed(ctx, a, rng)
 	}
-	return r.completion(ctx, a, st, rng)
+	return r.sendCompletion(ctx, a, st, rng)
 }
 
-func (r *run) completion(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
+func (r *run) sendCompletion(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
 	chat := load.Chat{
 		Model: r.s.names.model, Class: classOf(st.Kind), MaxTokens: r.s.MaxTokens, Tokens: st.MinTokens + rng.Intn(st.MaxTokens-st.MinTokens+1),
 		Prompt: fmt.Sprintf("%s, brief %d", a.Name, rng.Intn(prompts)),
@@ -154,7 +154,7 @@
 		r.checkAnswer(answer, chat.Tokens)
 		wait := max(answer.FirstEvent-r.s.FirstToken, 0)
 		r.rec.Done(a.Name, classOf(st.Kind), wait, answer, resumed)
-		r.noteFlood(a.Name, st.Kind, time.Since(started), wait)
+		r.recordFloodWait(a.Name, st.Kind, time.Since(started), wait)
 	case answer.Err != nil:
 		r.rec.Refused(a.Name, answer)
 		return true
@@ -188,7 +188,7 @@
 	}
 }
 
-func (r *run) noteFlood(account string, k Kind, total, wait time.Duration) {
+func (r *run) recordFloodWait(account string, k Kind, total, wait time.Duration) {
 	if r.s.FloodStart == 0 || k != KindShort || account == "flooder" {
 		return
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-// keyed sends the same keyed call through two routers at once; it must run only once.
-func (r *run) keyed(ctx context.Context, a Account, rng *rand.Rand) (refused bool) {
+// sendKeyed sends the same sendKeyed call through two routers at once; it must run only once.
+func (r *run) sendKeyed(ctx context.Context, a Account, rng *rand.Rand) (refused bool) {
 	key := fmt.Sprintf("%s-%d", a.Name, rng.Int63())
 	r.mu.Lock()
 	r.keys[a.Name+"/"+key] = true
@@ -212,14 +212,14 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.keyedOnce(ctx, a, address, key)
+			r.sendKeyedOnce(ctx, a, address, key)
 		}()
 	}
 	wg.Wait()
 	return false
 }
 
-func (r *run) keyedOnce(ctx context.Context, a Account, address, key string) {
+func (r *run) sendKeyedOnce(ctx context.Context, a Account, address, key string) {
 	answer := r.client.Plain(ctx, address, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
 	switch {
 	case answer.Err != nil:
@@ -245,8 +245,8 @@
 	}
 }
 
-// conclude checks the answers that callers got against the runs that the targets counted.
-func (r *run) conclude() {
+// collectResults checks the answers that callers got against the runs that the targets counted.
+func (r *run) collectResults() {
 	res := r.res
 	res.FairnessGap, res.FairnessGapPair = r.gap.gap, r.gap.worst
 	res.FairnessGapAt = r.gap.at.Seconds()
@@ -276,15 +276,15 @@
 		res.OverLimit = max(res.OverLimit, most-r.s.Slots)
 	}
 	res.Incomplete = r.badAnswers
-	r.concludeAccounts()
-	r.concludeRouters()
+	r.collectAccounts()
+	r.collectRouters()
 	if r.s.FloodStart > 0 {
 		before, during := r.waitBeforeFlood.Percentiles(), r.waitDuringFlood.Percentiles()
 		res.OthersWaitBeforeFlood, res.OthersWaitDuringFlood = &before, &during
 	}
 }
 
-func (r *run) concludeAccounts() {
+func (r *run) collectAccounts() {
 	res := r.res
 	res.WaitMS = r.rec.Classes()
 	units, desk := r.modelService.snapshot(), r.plainService.snapshot()
@@ -311,7 +311,7 @@
 	res.RequestsPerRouterSecond, res.TokensPerRouterSecond = float64(res.Requests)/perRouter, tokens/perRouter
 }
 
-func (r *run) concludeRouters() {
+func (r *run) collectRouters() {
 	for _, n := range r.f.Live() {
 		d := n.Router.Dump()
 		r.res.UnusedGrants += d.Control.Admission.Unused
