--- a/lab/measure/gap.go
+++ b/lab/measure/gap.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// service sums the service units that targets gave to each account.
-type service struct {
+// serviceCounter sums the serviceCounter units that targets gave to each account.
+type serviceCounter struct {
 	mu    sync.Mutex
 	units map[string]float64
 }
 
-func newService() *service { return &service{units: map[string]float64{}} }
+func newServiceCounter() *serviceCounter { return &serviceCounter{units: map[string]float64{}} }
 
-func (s *service) add(account string, units float64) {
+func (s *serviceCounter) add(account string, units float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.units[account] += units
 }
 
-func (s *service) snapshot() map[string]float64 {
+func (s *serviceCounter) snapshot() map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]float64, len(s.units))
@@ -33,8 +33,8 @@
 	return out
 }
 
-// pair holds the range of the service difference of two accounts since both became backlogged.
-type pair struct {
+// backloggedPair holds the range of the service difference of two accounts since both became backlogged.
+type backloggedPair struct {
 	low, high float64
 	since     time.Time
 }
@@ -42,16 +42,16 @@
 // gapMeter finds the fairness gap: the largest change of the weighted service difference of two
 // accounts over any period in which both were backlogged throughout.
 type gapMeter struct {
-	names  []string
-	weight map[string]float64
-	open   map[[2]int]pair
-	gap    float64
-	worst  [2]string
-	at     time.Duration
+	names      []string
+	weight     map[string]float64
+	backlogged map[[2]int]backloggedPair
+	gap        float64
+	worst      [2]string
+	at         time.Duration
 }
 
 func newGapMeter(accounts []Account) *gapMeter {
-	g := &gapMeter{open: map[[2]int]pair{}, weight: map[string]float64{}}
+	g := &gapMeter{backlogged: map[[2]int]backloggedPair{}, weight: map[string]float64{}}
 	for _, a := range accounts {
 		g.names = append(g.names, a.Name)
 		g.weight[a.Name] = 1
@@ -69,16 +69,16 @@
 			key := [2]int{i, k}
 			a, b := g.names[i], g.names[k]
 			if !waits(a) || !waits(b) {
-				delete(g.open, key)
+				delete(g.backlogged, key)
 				continue
 			}
 			d := units[a]/g.weight[a] - units[b]/g.weight[b]
-			p, ok := g.open[key]
+			p, ok := g.backlogged[key]
 			if !ok {
-				p = pair{d, d, now}
+				p = backloggedPair{d, d, now}
 			}
 			p.low, p.high = math.Min(p.low, d), math.Max(p.high, d)
-			g.open[key] = p
+			g.backlogged[key] = p
 			if p.high-p.low > g.gap {
 				g.gap, g.worst, g.at = p.high-p.low, [2]string{a, b}, since
 			}
--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -20,7 +20,7 @@
 
 const (
 	sampleEvery   = 5 * time.Millisecond
-	gapEvery      = 10 // samples per measurement of the gap
+	samplesPerGap = 10 // samples per measurement of the gap
 	settleTime    = 500 * time.Millisecond
 	overheadCalls = 300
 	startTimeout  = 20 * time.Second
@@ -48,18 +48,18 @@
 // run is the state of a running scenario.
 type run struct {
 	opts            Options
-	s               Scenario
-	f               *fleet.Fleet
+	scenario        Scenario
+	fleet           *fleet.Fleet
 	client          *load.Client
-	rec             *load.Recorder
-	modelService    *service // service units of the model pool
-	plainService    *service // service units of the plain pool
+	recorder        *load.Recorder
+	modelService    *serviceCounter // service units of the model pool
+	plainService    *serviceCounter // service units of the plain pool
 	gap             *gapMeter
 	outstanding     *outstanding
 	waitBeforeFlood *load.Histogram // waiting times before the flood
 	waitDuringFlood *load.Histogram // waiting times during the flood
 	start           time.Time
-	res             *Result
+	result          *Result
 	busySlots       float64 // sum of busy slots over all samples with a backlog
 	totalSlots      float64 // sum of all slots over the same samples
 	keys            map[string]bool
@@ -81,29 +81,29 @@
 		o.Progress = func(string, ...any) {}
 	}
 	r := &run{
-		opts: o, s: s, client: load.NewClient(), rec: load.NewRecorder(), modelService: newService(), plainService: newService(),
+		opts: o, scenario: s, client: load.NewClient(), recorder: load.NewRecorder(), modelService: newServiceCounter(), plainService: newServiceCounter(),
 		gap: newGapMeter(s.Accounts), outstanding: newOutstanding(), waitBeforeFlood: load.NewHistogram(), waitDuringFlood: load.NewHistogram(),
 		keys: map[string]bool{}, stop: make(chan struct{}),
-		res: &Result{Scenario: s.Name, Dispatch: o.Dispatch, Seed: o.Seed, Routers: s.Routers, Targets: s.Engines + s.Plains, Refused: map[string]int{}, Events: []string{}},
+		result: &Result{Scenario: s.Name, Dispatch: o.Dispatch, Seed: o.Seed, Routers: s.Routers, Targets: s.Engines + s.Plains, Refused: map[string]int{}, Events: []string{}},
 	}
 	if err := r.setUp(); err != nil {
 		return nil, err
 	}
-	defer r.f.Close()
+	defer r.fleet.Close()
 	defer r.client.Close()
 	o.Progress("%d routers and %d targets are ready", s.Routers, s.Engines+s.Plains)
 	r.measureOverhead()
 	r.runLoad()
 	r.collectResults()
-	return r.res, nil
+	return r.result, nil
 }
 
 func (r *run) setUp() error {
-	f, err := fleet.New(fleet.Options{Routers: r.s.Routers, Dispatch: r.opts.Dispatch, VMLag: 500 * time.Millisecond, Tune: r.tune})
+	f, err := fleet.New(fleet.Options{Routers: r.scenario.Routers, Dispatch: r.opts.Dispatch, VMLag: 500 * time.Millisecond, Tune: r.tune})
 	if err != nil {
 		return err
 	}
-	r.f = f
+	r.fleet = f
 	if err := r.startFleet(); err != nil {
 		f.Close()
 		return err
@@ -122,13 +122,13 @@
 }
 
 func (r *run) startFleet() error {
-	d, err := r.s.document()
+	d, err := r.scenario.document()
 	if err != nil {
 		return err
 	}
-	for i := range r.s.Engines {
-		t, err := r.f.AddEngine(r.s.names.modelPool, r.f.Hall(i), standin.EngineConfig{
-			Name: fmt.Sprintf("engine-%02d-%s", i, r.f.Hall(i)), Slots: r.s.Slots, FirstToken: r.s.FirstToken, TokenGap: r.s.TokenGap,
+	for i := range r.scenario.Engines {
+		t, err := r.fleet.AddEngine(r.scenario.names.modelPool, r.fleet.Hall(i), standin.EngineConfig{
+			Name: fmt.Sprintf("engine-%02d-%s", i, r.fleet.Hall(i)), Slots: r.scenario.Slots, FirstToken: r.scenario.FirstToken, TokenGap: r.scenario.TokenGap,
 			LoadLag: time.Second, CacheSize: 32,
 			OnService: func(account string, prompt, output int) {
 				r.modelService.add(account, promptWeight*float64(prompt)+float64(output))
@@ -139,9 +139,9 @@
 		}
 		d.Targets = append(d.Targets, t)
 	}
-	for i := range r.s.Plains {
-		t, err := r.f.AddPlain(r.s.names.plainPool, r.f.Hall(i), standin.PlainConfig{
-			Name: fmt.Sprintf("plain-%02d-%s", i, r.f.Hall(i)), Slots: r.s.PlainSlots, Duration: r.s.PlainDuration, LoadLag: time.Second,
+	for i := range r.scenario.Plains {
+		t, err := r.fleet.AddPlain(r.scenario.names.plainPool, r.fleet.Hall(i), standin.PlainConfig{
+			Name: fmt.Sprintf("plain-%02d-%s", i, r.fleet.Hall(i)), Slots: r.scenario.PlainSlots, Duration: r.scenario.PlainDuration, LoadLag: time.Second,
 			OnRun: func(account string, took time.Duration) {
 				r.plainService.add(account, milliWeight*float64(took.Milliseconds()))
 			},
@@ -151,15 +151,15 @@
 		}
 		d.Targets = append(d.Targets, t)
 	}
-	if err := r.f.StartRouters(); err != nil {
+	if err := r.fleet.StartRouters(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	if _, err := r.f.Apply(ctx, d, "measure"); err != nil {
+	if _, err := r.fleet.Apply(ctx, d, "measure"); err != nil {
 		return err
 	}
-	if err := r.f.AwaitReady(ctx); err != nil {
+	if err := r.fleet.AwaitReady(ctx); err != nil {
 		return err
 	}
 	time.Sleep(settleTime)
@@ -174,10 +174,10 @@
 
 // measureOverhead compares calls through a router with direct calls, on an idle fleet.
 func (r *run) measureOverhead() {
-	node := r.f.Live()[0]
-	account := r.s.Accounts[0].Name
+	node := r.fleet.Live()[0]
+	account := r.scenario.Accounts[0].Name
 	direct, through := load.NewHistogram(), load.NewHistogram()
-	chat := load.Chat{Model: r.s.names.model, Prompt: "overhead", MaxTokens: 1, Tokens: 1}
+	chat := load.Chat{Model: r.scenario.names.model, Prompt: "overhead", MaxTokens: 1, Tokens: 1}
 	address := r.engineAddress()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*finishTimeout)
 	defer cancel()
@@ -189,18 +189,18 @@
 		a := r.client.Chat(ctx, node.Settings.Caller.Listen, fleet.Key(account), chat)
 		through.Add(a.FirstEvent - time.Duration(base*float64(time.Millisecond)))
 	}
-	r.res.OverheadMS = through.Percentiles()
+	r.result.OverheadMS = through.Percentiles()
 }
 
 func (r *run) engineAddress() string {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	reply, err := r.f.Client(r.f.Live()[0]).Get(ctx)
+	reply, err := r.fleet.Client(r.fleet.Live()[0]).Get(ctx)
 	if err != nil {
 		return ""
 	}
 	for _, t := range reply.Document.Targets {
-		if t.Pool == r.s.names.modelPool {
+		if t.Pool == r.scenario.names.modelPool {
 			return t.Address
 		}
 	}
@@ -213,7 +213,7 @@
 	r.start = time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers, meters sync.WaitGroup
-	for i, a := range r.s.Accounts {
+	for i, a := range r.scenario.Accounts {
 		for k, st := range a.Streams {
 			r.startStream(ctx, &callers, a, st, int64(i*100+k))
 		}
@@ -224,15 +224,15 @@
 		r.sampleLoop()
 	}()
 	r.injectFaults(ctx)
-	r.sleepUntil(r.s.Duration)
+	r.sleepUntil(r.scenario.Duration)
 	elapsed := time.Since(r.start)
 	bytesAfter, nanosAfter := r.traffic()
 	close(r.stop)
 	meters.Wait()
-	r.res.Seconds = elapsed.Seconds()
-	routers := float64(r.s.Routers)
-	r.res.ControlBytesPerRouter = float64(bytesAfter-bytesBefore) / elapsed.Seconds() / routers
-	r.res.ControlCPUFraction = float64(nanosAfter-nanosBefore) / 1e9 / elapsed.Seconds() / routers
+	r.result.Seconds = elapsed.Seconds()
+	routers := float64(r.scenario.Routers)
+	r.result.ControlBytesPerRouter = float64(bytesAfter-bytesBefore) / elapsed.Seconds() / routers
+	r.result.ControlCPUFraction = float64(nanosAfter-nanosBefore) / 1e9 / elapsed.Seconds() / routers
 	r.opts.Progress("load ended, waiting for the last answers")
 	time.AfterFunc(finishTimeout, cancel)
 	callers.Wait()
@@ -242,7 +242,7 @@
 // traffic sums the control traffic in bytes and the time spent on it. The counters of a killed
 // router are lost, so the sum is a little low under churn.
 func (r *run) traffic() (bytes uint64, nanos int64) {
-	for _, n := range r.f.Nodes() {
+	for _, n := range r.fleet.Nodes() {
 		b, t := n.Router.Traffic()
 		bytes += b
 		nanos += t
@@ -255,16 +255,16 @@
 }
 
 func (r *run) injectFaults(ctx context.Context) {
-	if r.s.Faults == nil {
+	if r.scenario.Faults == nil {
 		return
 	}
-	for _, f := range r.s.Faults(r.s) {
+	for _, f := range r.scenario.Faults(r.scenario) {
 		r.sleepUntil(f.At)
 		if ctx.Err() != nil {
 			return
 		}
-		f.Do(r.f)
-		r.res.Events = append(r.res.Events, fmt.Sprintf("%.1f s: %s", f.At.Seconds(), f.Name))
+		f.Do(r.fleet)
+		r.result.Events = append(r.result.Events, fmt.Sprintf("%.1f s: %s", f.At.Seconds(), f.Name))
 		r.opts.Progress("%.1f s: %s", f.At.Seconds(), f.Name)
 	}
 }
@@ -285,13 +285,13 @@
 
 func (r *run) sample(now time.Time, n int) {
 	busy, slots, starts := 0, 0, map[string]int{}
-	for _, e := range r.f.Engines {
+	for _, e := range r.fleet.Engines {
 		if e.Aborted() {
 			continue
 		}
 		running, _, _ := e.Load()
-		busy += min(running, r.s.Slots)
-		slots += r.s.Slots
+		busy += min(running, r.scenario.Slots)
+		slots += r.scenario.Slots
 		e.RunningByAccount(starts)
 	}
 	asked := r.outstanding.byAccount()
@@ -299,11 +299,11 @@
 	for _, a := range asked {
 		total += a
 	}
-	if total > busy && total-busy >= r.s.Routers {
+	if total > busy && total-busy >= r.scenario.Routers {
 		r.busySlots += float64(busy)
 		r.totalSlots += float64(slots)
 	}
-	if n%gapEvery == 0 {
+	if n%samplesPerGap == 0 {
 		r.gap.sample(now, now.Sub(r.start), r.modelService.snapshot(), func(account string) bool { return asked[account] > starts[account] })
 	}
 	if n%int(3*time.Second/sampleEvery) == 0 {
@@ -321,18 +321,18 @@
 	if r.opts.TallyBudget >= 0 {
 		control.TallyBudget = r.opts.TallyBudget
 	}
-	age := sched.TallyInterval(r.s.Routers-1, len(r.s.Accounts), least, control.TallyBudget)
-	r.res.CounterAgeSeconds = age.Seconds()
-	slots := r.s.Engines * r.s.Slots
+	age := sched.TallyInterval(r.scenario.Routers-1, len(r.scenario.Accounts), least, control.TallyBudget)
+	r.result.CounterAgeSeconds = age.Seconds()
+	slots := r.scenario.Engines * r.scenario.Slots
 	return fair.Bound(fair.BoundParams{
-		Slots: slots, MaxCost: r.maxCost(), MaxCharge: min(float64(r.s.MaxTokens)/2, maxCharge),
-		Rate: float64(slots) / r.s.TokenGap.Seconds(), CounterAge: age, Lag: reportLag, HeadStart: r.s.HeadStart,
+		Slots: slots, MaxCost: r.maxCost(), MaxCharge: min(float64(r.scenario.MaxTokens)/2, maxCharge),
+		Rate: float64(slots) / r.scenario.TokenGap.Seconds(), CounterAge: age, Lag: reportLag, HeadStart: r.scenario.HeadStart,
 	})
 }
 
 func (r *run) maxCost() float64 {
 	most := 0
-	for _, a := range r.s.Accounts {
+	for _, a := range r.scenario.Accounts {
 		for _, st := range a.Streams {
 			most = max(most, st.MaxTokens)
 		}
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -113,9 +113,9 @@
 
 // node picks a router as a load balancer would: the account's fixed one, else a random live one.
 func (r *run) node(a Account, rng *rand.Rand) *fleet.Node {
-	live := r.f.Live()
+	live := r.fleet.Live()
 	if a.Router >= 0 {
-		nodes := r.f.Nodes()
+		nodes := r.fleet.Nodes()
 		if n := nodes[a.Router%len(nodes)]; !n.Down {
 			return n
 		}
@@ -132,7 +132,7 @@
 
 func (r *run) sendCompletion(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
 	chat := load.Chat{
-		Model: r.s.names.model, Class: classOf(st.Kind), MaxTokens: r.s.MaxTokens, Tokens: st.MinTokens + rng.Intn(st.MaxTokens-st.MinTokens+1),
+		Model: r.scenario.names.model, Class: classOf(st.Kind), MaxTokens: r.scenario.MaxTokens, Tokens: st.MinTokens + rng.Intn(st.MaxTokens-st.MinTokens+1),
 		Prompt: fmt.Sprintf("%s, brief %d", a.Name, rng.Intn(prompts)),
 	}
 	r.outstanding.add(a.Name, 1)
@@ -152,17 +152,17 @@
 	switch {
 	case answer.Complete():
 		r.checkAnswer(answer, chat.Tokens)
-		wait := max(answer.FirstEvent-r.s.FirstToken, 0)
-		r.rec.Done(a.Name, classOf(st.Kind), wait, answer, resumed)
+		wait := max(answer.FirstEvent-r.scenario.FirstToken, 0)
+		r.recorder.Done(a.Name, classOf(st.Kind), wait, answer, resumed)
 		r.recordFloodWait(a.Name, st.Kind, time.Since(started), wait)
 	case answer.Err != nil:
-		r.rec.Refused(a.Name, answer)
+		r.recorder.Refused(a.Name, answer)
 		return true
 	case answer.RequestID == "":
 		// A router was killed before it accepted the request; the caller may send it again.
 		return true
 	default:
-		r.rec.Lost(a.Name)
+		r.recorder.Lost(a.Name)
 	}
 	return false
 }
@@ -189,11 +189,11 @@
 }
 
 func (r *run) recordFloodWait(account string, k Kind, total, wait time.Duration) {
-	if r.s.FloodStart == 0 || k != KindShort || account == "flooder" {
+	if r.scenario.FloodStart == 0 || k != KindShort || account == "flooder" {
 		return
 	}
 	// The time of sending decides, not that of the answer.
-	if time.Since(r.start)-total < r.s.FloodStart {
+	if time.Since(r.start)-total < r.scenario.FloodStart {
 		r.waitBeforeFlood.Add(wait)
 	} else {
 		r.waitDuringFlood.Add(wait)
@@ -220,20 +220,20 @@
 }
 
 func (r *run) sendKeyedOnce(ctx context.Context, a Account, address, key string) {
-	answer := r.client.Plain(ctx, address, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
+	answer := r.client.Plain(ctx, address, fleet.Key(a.Name), r.scenario.names.submitPath(), key, []byte("interval of "+key))
 	switch {
 	case answer.Err != nil:
-		r.rec.Refused(a.Name, answer)
+		r.recorder.Refused(a.Name, answer)
 	case answer.Broken:
 		// The router was killed; a retry with the same key returns the recorded
 		// outcome, or that it is unknown.
-		again := r.client.Plain(ctx, r.f.Live()[0].Settings.Caller.Listen, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
+		again := r.client.Plain(ctx, r.fleet.Live()[0].Settings.Caller.Listen, fleet.Key(a.Name), r.scenario.names.submitPath(), key, []byte("interval of "+key))
 		if again.Err != nil {
-			r.rec.Refused(a.Name, again)
+			r.recorder.Refused(a.Name, again)
 		} else if !again.Broken {
-			r.rec.Done(a.Name, "keyed", again.Total-r.s.PlainDuration, again, false)
+			r.recorder.Done(a.Name, "keyed", again.Total-r.scenario.PlainDuration, again, false)
 		} else {
-			r.rec.Lost(a.Name)
+			r.recorder.Lost(a.Name)
 		}
 	default:
 		if !strings.Contains(string(answer.Body), key) {
@@ -241,56 +241,56 @@
 			r.badAnswers++
 			r.mu.Unlock()
 		}
-		r.rec.Done(a.Name, "keyed", max(answer.Total-r.s.PlainDuration, 0), answer, false)
+		r.recorder.Done(a.Name, "keyed", max(answer.Total-r.scenario.PlainDuration, 0), answer, false)
 	}
 }
 
 // collectResults checks the answers that callers got against the runs that the targets counted.
 func (r *run) collectResults() {
-	res := r.res
+	res := r.result
 	res.FairnessGap, res.FairnessGapPair = r.gap.gap, r.gap.worst
 	res.FairnessGapAt = r.gap.at.Seconds()
 	res.FairnessBound = r.bound()
 	if r.totalSlots > 0 {
 		res.Utilisation = r.busySlots / r.totalSlots
 	}
-	for _, p := range r.f.Plains {
+	for _, p := range r.fleet.Plains {
 		for _, n := range p.RunsByKey() {
 			res.Duplicates += max(n-1, 0)
 		}
 	}
-	for _, id := range r.rec.NotRun() {
+	for _, id := range r.recorder.NotRun() {
 		ran := 0
-		for _, e := range r.f.Engines {
+		for _, e := range r.fleet.Engines {
 			ran += e.Runs(id)
 		}
-		for _, p := range r.f.Plains {
+		for _, p := range r.fleet.Plains {
 			ran += p.Runs(id)
 		}
 		if ran > 0 {
 			res.NotRunButRan++
 		}
 	}
-	for _, e := range r.f.Engines {
+	for _, e := range r.fleet.Engines {
 		_, _, most := e.Load()
-		res.OverLimit = max(res.OverLimit, most-r.s.Slots)
+		res.OverLimit = max(res.OverLimit, most-r.scenario.Slots)
 	}
 	res.Incomplete = r.badAnswers
 	r.collectAccounts()
 	r.collectRouters()
-	if r.s.FloodStart > 0 {
+	if r.scenario.FloodStart > 0 {
 		before, during := r.waitBeforeFlood.Percentiles(), r.waitDuringFlood.Percentiles()
 		res.OthersWaitBeforeFlood, res.OthersWaitDuringFlood = &before, &during
 	}
 }
 
 func (r *run) collectAccounts() {
-	res := r.res
-	res.WaitMS = r.rec.Classes()
+	res := r.result
+	res.WaitMS = r.recorder.Classes()
 	units, desk := r.modelService.snapshot(), r.plainService.snapshot()
-	records := r.rec.Accounts()
+	records := r.recorder.Accounts()
 	tokens := 0.0
-	for _, a := range r.s.Accounts {
+	for _, a := range r.scenario.Accounts {
 		tokens += units[a.Name]
 		rec := records[a.Name]
 		if rec == nil {
@@ -312,9 +312,9 @@
 }
 
 func (r *run) collectRouters() {
-	for _, n := range r.f.Live() {
+	for _, n := range r.fleet.Live() {
 		d := n.Router.Dump()
-		r.res.UnusedGrants += d.Control.Admission.Unused
-		r.res.ExpiredGrants += d.Control.Scheduler.Expired
+		r.result.UnusedGrants += d.Control.Admission.Unused
+		r.result.ExpiredGrants += d.Control.Scheduler.Expired
 	}
 }
