--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -37,17 +37,17 @@
 
 // client sends requests of one kind for one account and checks the answers.
 type client struct {
-	site    *Site
-	address func(c *client) string // gateway for the next request
-	uri     func(c *client) string
-	body    func(c *client) string
-	kind    Kind
-	account string
-	key     string
-	rng     *rand.Rand
-	http    *http.Client
-	next    int
-	head    http.Header // headers of the last answer
+	site         *Site
+	address      func(c *client) string // gateway for the next request
+	uri          func(c *client) string
+	body         func(c *client) string
+	kind         Kind
+	account      string
+	key          string
+	rng          *rand.Rand
+	http         *http.Client
+	sent         int
+	answerHeader http.Header // headers of the last answer
 }
 
 func newClient(s *Site, k Kind, account, key string, seed uint64) *client {
@@ -61,14 +61,14 @@
 func anyGateway(c *client) string { return c.site.gateway(c.rng) }
 
 func itemURI(c *client) string {
-	return fmt.Sprintf("%sitem/%%2F%d?q=%d", c.kind.Path, c.next, c.rng.IntN(100))
+	return fmt.Sprintf("%sitem/%%2F%d?q=%d", c.kind.Path, c.sent, c.rng.IntN(100))
 }
 
 func anyBody(c *client) string { return strings.Repeat("x", 50+c.rng.IntN(200)) }
 
-// ask sends a request, retries it once if it is refused with a short Retry-After, and counts
+// sendWithRetry sends a request, retries it once if it is refused with a short Retry-After, and counts
 // the outcome.
-func (c *client) ask(ctx context.Context) {
+func (c *client) sendWithRetry(ctx context.Context) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
 	defer cancel()
@@ -114,7 +114,7 @@
 		body = c.body(c)
 	}
 	uri := c.uri(c)
-	c.next++
+	c.sent++
 	req, err := http.NewRequestWithContext(ctx, c.kind.Method, "http://"+c.address(c)+uri, strings.NewReader(body))
 	if err != nil {
 		c.site.ledger.AddViolation("client: %v", err)
@@ -137,12 +137,12 @@
 		return outcomeFailed, 0
 	}
 	defer resp.Body.Close()
-	c.head = resp.Header
-	return c.judge(id, body, resp, began)
+	c.answerHeader = resp.Header
+	return c.checkAnswer(id, body, resp, began)
 }
 
-// judge checks an answer against the one that the worker must send.
-func (c *client) judge(id, sent string, resp *http.Response, began time.Time) (outcome, time.Duration) {
+// checkAnswer checks an answer against the one that the worker must send.
+func (c *client) checkAnswer(id, sent string, resp *http.Response, began time.Time) (outcome, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
 		c.site.ledger.AddRefusal(id)
@@ -159,7 +159,7 @@
 		c.site.ledger.AddViolation("request %s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
 	}
 	if c.kind.Stream {
-		return c.judgeStream(id, worker, resp, began)
+		return c.checkStream(id, worker, resp, began)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -169,17 +169,17 @@
 	if string(body) != want || resp.Header.Get("Response-Signature") != Signature(worker, id, want) {
 		c.site.ledger.AddViolation("request %s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
 	}
-	return c.inTime(began), 0
+	return c.servedOutcome(began), 0
 }
 
-func (c *client) inTime(began time.Time) outcome {
+func (c *client) servedOutcome(began time.Time) outcome {
 	if time.Since(began) > c.kind.Objective {
 		return outcomeLate
 	}
 	return outcomeServed
 }
 
-func (c *client) judgeStream(id, worker string, resp *http.Response, began time.Time) (outcome, time.Duration) {
+func (c *client) checkStream(id, worker string, resp *http.Response, began time.Time) (outcome, time.Duration) {
 	if resp.Header.Get("Response-Signature") != Signature(worker, id, "") {
 		c.site.ledger.AddViolation("stream of request %s is signed %q", id, resp.Header.Get("Response-Signature"))
 	}
@@ -187,7 +187,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if result == 0 {
-			result = c.inTime(began)
+			result = c.servedOutcome(began)
 		}
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -23,8 +23,8 @@
 // whether the answer was complete. The ledger records violations.
 func (s *Site) AskStream(ctx context.Context, gateway int, account string, seed uint64) bool {
 	kind := Kinds()[0]
-	c := s.single(gateway, kind, account, kind.Path+"item", seed)
-	result, _ := c.once(ctx)
+	c := s.newSingleClient(gateway, kind, account, kind.Path+"item", seed)
+	result, _ := c.sendOnce(ctx)
 	return result == outcomeServed || result == outcomeLate
 }
 
@@ -37,9 +37,9 @@
 
 // Ask sends one request of a kind to a gateway, on a new connection.
 func (s *Site) Ask(ctx context.Context, gateway int, kind Kind, account string, seed uint64) Answer {
-	c := s.single(gateway, kind, account, kind.Path+"item", seed)
-	result, after := c.once(ctx)
-	worker, _, _ := strings.Cut(c.head.Get("Response-Signature"), ".")
+	c := s.newSingleClient(gateway, kind, account, kind.Path+"item", seed)
+	result, after := c.sendOnce(ctx)
+	worker, _, _ := strings.Cut(c.answerHeader.Get("Response-Signature"), ".")
 	return Answer{Served: result == outcomeServed || result == outcomeLate, Refused: result == outcomeRefused, After: after, Worker: worker}
 }
 
@@ -79,22 +79,22 @@
 // and account differ in their headers only. It returns whether the request was refused, and the
 // Retry-After.
 func (s *Site) AskPoison(ctx context.Context, gateway int, kind Kind, account string, seed uint64) (refused bool, after time.Duration) {
-	c := s.single(gateway, kind, account, kind.Path+PoisonMarker, seed)
+	c := s.newSingleClient(gateway, kind, account, kind.Path+PoisonMarker, seed)
 	c.body = func(*client) string { return "the same each time" }
-	result, after := c.once(ctx)
+	result, after := c.sendOnce(ctx)
 	return result == outcomeRefused, after
 }
 
-// single returns a client for one request to a given gateway.
-func (s *Site) single(gateway int, kind Kind, account, uri string, seed uint64) *client {
+// newSingleClient returns a client for one request to a given gateway.
+func (s *Site) newSingleClient(gateway int, kind Kind, account, uri string, seed uint64) *client {
 	c := newClient(s, kind, account, s.keys[account][0], seed)
 	c.address = func(*client) string { return s.gateways[gateway].setting.Callers }
 	c.uri = func(*client) string { return uri }
 	return c
 }
 
-// once sends one request on a new connection.
-func (c *client) once(ctx context.Context) (outcome, time.Duration) {
+// sendOnce sends one request on a new connection.
+func (c *client) sendOnce(ctx context.Context) (outcome, time.Duration) {
 	defer c.http.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
 	defer cancel()
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -299,7 +299,7 @@
 			clients.Add(1)
 			go func() {
 				defer clients.Done()
-				c.arrive(playing, s.ctx)
+				c.sendLoop(playing, s.ctx)
 			}()
 		}
 	}
@@ -314,8 +314,8 @@
 	return s.result(), nil
 }
 
-// arrive sends requests at random times until playing is done, and waits for their answers.
-func (c *client) arrive(playing, all context.Context) {
+// sendLoop sends requests at random times until playing is done, and waits for their answers.
+func (c *client) sendLoop(playing, all context.Context) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	for {
@@ -327,11 +327,11 @@
 		}
 		one := *c
 		one.rng = rand.New(rand.NewPCG(c.rng.Uint64(), 4))
-		c.next++
+		c.sent++
 		open.Add(1)
 		go func() {
 			defer open.Done()
-			one.ask(all)
+			one.sendWithRetry(all)
 		}()
 	}
 }
