--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -11,29 +11,29 @@
 const (
 	outage = 1200 * time.Millisecond // duration of a trouble
 	// Requests sent before a gateway knew of an evacuation reach their worker within this time.
-	underWay       = time.Second
+	inFlightTime   = time.Second
 	evacuationPoll = 10 * time.Millisecond
 )
 
 // Troubles returns the faults that Play can inject, by name.
 func Troubles() map[string]func(*Site) {
 	return map[string]func(*Site){
-		"worker-crash":  func(s *Site) { s.model(0).Crash() },
-		"worker-reborn": func(s *Site) { s.reborn() },
+		"worker-crash":  func(s *Site) { s.worker(0).Crash() },
+		"worker-reborn": func(s *Site) { s.restartWorkers() },
 		"worker-reborn-no-store": func(s *Site) {
 			s.store.SetMode("", StoreBusy)
-			s.reborn()
+			s.restartWorkers()
 			time.Sleep(outage)
 			s.store.SetMode("", StoreServes)
 		},
-		"worker-dark":          func(s *Site) { s.spell(FaultSilent) },
-		"worker-error":         func(s *Site) { s.spell(FaultErrors) },
-		"answer-lost":          func(s *Site) { s.spell(FaultLost) },
-		"answer-cut":           func(s *Site) { s.spell(FaultCut) },
-		"answer-extra":         func(s *Site) { s.spell(FaultExtra) },
-		"worker-shed":          func(s *Site) { s.spell(FaultRefuse) },
+		"worker-dark":          func(s *Site) { s.injectFault(FaultSilent) },
+		"worker-error":         func(s *Site) { s.injectFault(FaultErrors) },
+		"answer-lost":          func(s *Site) { s.injectFault(FaultLost) },
+		"answer-cut":           func(s *Site) { s.injectFault(FaultCut) },
+		"answer-extra":         func(s *Site) { s.injectFault(FaultExtra) },
+		"worker-shed":          func(s *Site) { s.injectFault(FaultRefuse) },
 		"worker-drain":         func(s *Site) { s.replace() },
-		"request-ends-workers": func(s *Site) { s.endWorkers() },
+		"request-ends-workers": func(s *Site) { s.sendPoison() },
 		"gateway-kill":         func(s *Site) { s.kill(0) },
 		"gateways-kill": func(s *Site) {
 			for i := range s.gateways {
@@ -45,11 +45,11 @@
 			s.evacuate("hall-1", false)
 		},
 		"hall-evacuate-no-store": func(s *Site) { s.evacuate("hall-1", true) },
-		"store-busy":             func(s *Site) { s.storeSpell("", StoreBusy) },
-		"store-silent":           func(s *Site) { s.storeSpell("", StoreSilent) },
-		"store-slow":             func(s *Site) { s.storeSpell("", StoreSlow) },
-		"store-refuses":          func(s *Site) { s.storeSpell("gateway-0", StoreBusy) },
-		"store-older":            func(s *Site) { s.storeOlder() },
+		"store-busy":             func(s *Site) { s.injectStoreMode("", StoreBusy) },
+		"store-silent":           func(s *Site) { s.injectStoreMode("", StoreSilent) },
+		"store-slow":             func(s *Site) { s.injectStoreMode("", StoreSlow) },
+		"store-refuses":          func(s *Site) { s.injectStoreMode("gateway-0", StoreBusy) },
+		"store-older":            func(s *Site) { s.restoreOlderStore() },
 		"store-forgets": func(s *Site) {
 			s.PutConfig()
 			s.store.Compact()
@@ -72,22 +72,22 @@
 func (s *Site) evacuate(hall string, outageToo bool) {
 	row := "evacuate/" + hall
 	s.store.Put("op", row, map[string]any{})
-	for !s.allKnow(hall) {
+	for !s.allKnowEvacuated(hall) {
 		time.Sleep(evacuationPoll)
 	}
 	if outageToo {
 		s.store.SetMode("", StoreBusy)
 	}
-	time.Sleep(underWay)
-	s.closeHall(hall, true)
+	time.Sleep(inFlightTime)
+	s.setEvacuated(hall, true)
 	time.Sleep(outage)
-	s.closeHall(hall, false)
+	s.setEvacuated(hall, false)
 	s.store.SetMode("", StoreServes)
 	s.store.Delete("op", row)
 }
 
-// allKnow reports whether every gateway knows that a hall is evacuated.
-func (s *Site) allKnow(hall string) bool {
+// allKnowEvacuated reports whether every gateway knows that a hall is evacuated.
+func (s *Site) allKnowEvacuated(hall string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, g := range s.gateways {
@@ -98,7 +98,7 @@
 	return true
 }
 
-func (s *Site) closeHall(hall string, closed bool) {
+func (s *Site) setEvacuated(hall string, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.workers {
@@ -108,16 +108,16 @@
 	}
 }
 
-func (s *Site) model(i int) *Worker {
+func (s *Site) worker(i int) *Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.workers[i]
 }
 
-// reborn restarts a model worker and a plain worker under the same IDs.
-func (s *Site) reborn() {
+// restartWorkers restarts a model worker and a plain worker under the same IDs.
+func (s *Site) restartWorkers() {
 	for _, i := range []int{0, s.opts.Models} {
-		if _, err := s.RestartWorker(s.model(i)); err != nil {
+		if _, err := s.RestartWorker(s.worker(i)); err != nil {
 			s.ledger.AddViolation("worker: %v", err)
 			return
 		}
@@ -125,31 +125,31 @@
 }
 
 const (
-	endingEvery = 50 * time.Millisecond // interval of requests that crash workers
+	poisonInterval = 50 * time.Millisecond // interval of requests that crash workers
 	// Crashes that one such request may cause: three until it is quarantined, and one for each
 	// attempt in flight at the time.
-	mostEnded = 3 + 3
+	maxCrashes = 3 + 3
 )
 
-// endWorkers sends requests that crash their workers to all gateways for a while, and restarts
+// sendPoison sends requests that crash their workers to all gateways for a while, and restarts
 // crashed workers after each.
-func (s *Site) endWorkers() {
+func (s *Site) sendPoison() {
 	before := s.Crashes()
 	for end, n := time.Now().Add(outage), 0; time.Now().Before(end); n++ {
 		s.AskPoison(s.ctx, n%len(s.gateways), Kinds()[n%len(Kinds())], "account-0", uint64(n))
 		if err := s.RestartCrashed(); err != nil {
 			s.ledger.AddViolation("worker: %v", err)
 		}
-		time.Sleep(endingEvery)
+		time.Sleep(poisonInterval)
 	}
-	if n := s.Crashes() - before; n > mostEnded*len(Kinds()) {
+	if n := s.Crashes() - before; n > maxCrashes*len(Kinds()) {
 		s.ledger.AddViolation("%d workers crashed under %d requests", n, len(Kinds()))
 	}
 }
 
-// spell applies a fault to a model worker and a plain worker for a while.
-func (s *Site) spell(f Fault) {
-	one, other := s.model(0), s.model(s.opts.Models)
+// injectFault applies a fault to a model worker and a plain worker for a while.
+func (s *Site) injectFault(f Fault) {
+	one, other := s.worker(0), s.worker(s.opts.Models)
 	one.SetFault(f)
 	other.SetFault(f)
 	time.Sleep(outage)
@@ -157,16 +157,16 @@
 	other.SetFault(FaultNone)
 }
 
-func (s *Site) storeSpell(gateway string, m StoreMode) {
+func (s *Site) injectStoreMode(gateway string, m StoreMode) {
 	s.store.SetMode(gateway, m)
 	s.PutConfig()
 	time.Sleep(outage)
 	s.store.SetMode(gateway, StoreServes)
 }
 
-// storeOlder changes the configuration and replaces a worker, then restores the store from an
+// restoreOlderStore changes the configuration and replaces a worker, then restores the store from an
 // older snapshot. The operator and the workers write their rows again a while later.
-func (s *Site) storeOlder() {
+func (s *Site) restoreOlderStore() {
 	s.SnapshotStore()
 	s.PutConfig()
 	s.replace()
@@ -184,7 +184,7 @@
 		s.ledger.AddViolation("worker: %v", err)
 		return
 	}
-	old := s.model(0)
+	old := s.worker(0)
 	old.Drain()
 	time.Sleep(2 * outage)
 	old.Stop()
