--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -101,19 +101,19 @@
 	return c.attempt(ctx, time.Now())
 }
 
-// noteEnded records that a request has crashed a worker.
-func (s *Site) noteEnded(w *Worker) {
+// recordCrash records that a request has crashed a worker.
+func (s *Site) recordCrash(w *Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = append(s.ended, w)
-	s.endings++
+	s.crashed = append(s.crashed, w)
+	s.crashes++
 }
 
 // Crashes returns how often a request has crashed a worker.
 func (s *Site) Crashes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endings
+	return s.crashes
 }
 
 // SetStoreDown makes the store answer every call with 503, or serve again.
@@ -158,8 +158,8 @@
 // RestartCrashed restarts the workers that requests have crashed.
 func (s *Site) RestartCrashed() error {
 	s.mu.Lock()
-	ended := s.ended
-	s.ended = nil
+	ended := s.crashed
+	s.crashed = nil
 	s.mu.Unlock()
 	for _, old := range ended {
 		if _, err := s.RestartWorker(old); err != nil {
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -44,20 +44,20 @@
 	ledger *Ledger
 	rng    *rand.Rand
 
-	mu       sync.Mutex
-	gateways []*seat
-	workers  []*Worker
-	version  int
-	config   map[string]any // newest configuration row
-	keys     map[string][]string
-	routes   int // additional routes that no client uses
-	nextID   int
-	ended    []*Worker // workers crashed by a request and not yet restarted
-	endings  int       // all crashes of workers caused by requests
+	mu          sync.Mutex
+	gateways    []*gatewayNode
+	workers     []*Worker
+	version     int
+	config      map[string]any // newest configuration row
+	keys        map[string][]string
+	extraRoutes int // additional routes that no client uses
+	nextID      int
+	crashed     []*Worker // workers crashed by a request and not yet restarted
+	crashes     int       // all crashes of workers caused by requests
 }
 
-// seat holds the name and settings of a gateway across restarts, and the running instance.
-type seat struct {
+// gatewayNode holds the name and settings of a gateway across restarts, and the running instance.
+type gatewayNode struct {
 	name    string
 	setting *setting.Gateway
 	running *router.Gateway
@@ -107,7 +107,7 @@
 func (s *Site) startGateways() error {
 	var seeds []string
 	for i := range s.opts.Gateways {
-		g, err := s.newSeat(i)
+		g, err := s.newNode(i)
 		if err != nil {
 			return err
 		}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (s *Site) newSeat(i int) (*seat, error) {
+func (s *Site) newNode(i int) (*gatewayNode, error) {
 	set := setting.DefaultGateway()
 	name := fmt.Sprint("gateway-", i)
 	set.ID, set.DataHall, set.Region, set.PeerKey = name, fmt.Sprint("hall-", i%3), "region", "a key of the stand-in"
@@ -135,7 +135,7 @@
 	}
 	set.Store, set.RetryExtra = store, 20
 	set.Callers, set.Readiness, set.Peers = s.address(i, portCallers), s.address(i, portReadiness), s.address(i, portPeers)
-	return &seat{name: name, setting: &set}, nil
+	return &gatewayNode{name: name, setting: &set}, nil
 }
 
 // Ports of a gateway, below the ephemeral ports.
@@ -155,7 +155,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%most, s.number%most, 1+gateway, port)
 }
 
-func (s *Site) startGateway(g *seat) error {
+func (s *Site) startGateway(g *gatewayNode) error {
 	running, err := router.StartGateway(g.setting)
 	if err != nil {
 		return err
@@ -193,7 +193,7 @@
 	if model {
 		cfg = WorkerConfig{Service: modelService, Slots: 16, Queue: 16, Model: true, PrefillRate: 40_000, Step: 8 * time.Millisecond, CacheTokens: 40_000, CopyRate: copyRate, PeerAt: s.workerAt}
 	}
-	cfg.Hall, cfg.OnCrash = fmt.Sprint("hall-", s.nextID%3), s.noteEnded
+	cfg.Hall, cfg.OnCrash = fmt.Sprint("hall-", s.nextID%3), s.recordCrash
 	w, err := StartWorker(fmt.Sprint("worker-", s.nextID), cfg, s.store, s.ledger, s.opts.Seed+uint64(s.nextID))
 	if err == nil {
 		s.workers = append(s.workers, w)
@@ -220,7 +220,7 @@
 		}
 		routes = append(routes, route)
 	}
-	for i := range s.routes {
+	for i := range s.extraRoutes {
 		routes = append(routes, map[string]any{
 			"name": fmt.Sprint("more-", i), "host": host, "pathPrefix": fmt.Sprintf("/more/%d/", i), "timeoutMs": 1000, "targetLatencyMs": 200,
 			"maxAttempts": 1, "kind": "unsafe", "service": plainService,
@@ -246,7 +246,7 @@
 func (s *Site) gateway(rng *rand.Rand) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ready []*seat
+	var ready []*gatewayNode
 	for _, g := range s.gateways {
 		if g.ready {
 			ready = append(ready, g)
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -58,7 +58,7 @@
 		"config-storm": func(s *Site) {
 			for range 6 {
 				s.mu.Lock()
-				s.routes += 50
+				s.extraRoutes += 50
 				s.mu.Unlock()
 				s.PutConfig()
 				time.Sleep(outage / 6)
