--- a/lab/platform/kept.go
+++ b/lab/platform/kept.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// fetch copies the cached prefix of a prompt from the worker at an address, as far as it is not
+// copyCached copies the cached prefix of a prompt from the worker at an address, as far as it is not
 // cached here, and returns the duration of the transfer.
-func (w *Worker) fetch(address, parts string) time.Duration {
+func (w *Worker) copyCached(address, parts string) time.Duration {
 	if address == "" || w.cfg.PeerAt == nil {
 		return 0
 	}
@@ -25,7 +25,7 @@
 	var held []string
 	for _, part := range strings.Split(parts, ",") {
 		id, _, _ := strings.Cut(part, ":")
-		if _, ok := source.kept[id]; !ok {
+		if _, ok := source.cached[id]; !ok {
 			break
 		}
 		held = append(held, part)
@@ -37,10 +37,10 @@
 	for _, part := range held {
 		id, text, _ := strings.Cut(part, ":")
 		n, _ := strconv.Atoi(text)
-		if _, ok := w.kept[id]; !ok {
+		if _, ok := w.cached[id]; !ok {
 			tokens += n
 		}
-		w.keep(id, n)
+		w.addCached(id, n)
 	}
 	if tokens == 0 {
 		return 0
@@ -50,9 +50,9 @@
 	return time.Duration(float64(tokens) / w.cfg.CopyRate * float64(time.Second))
 }
 
-// read adds a prompt to the prefill queue, caches its parts and returns the time until its
+// prefill adds a prompt to the prefill queue, caches its parts and returns the time until its
 // prefill is complete.
-func (w *Worker) read(parts string) time.Duration {
+func (w *Worker) prefill(parts string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	missing, whole := 0, true
@@ -60,53 +60,53 @@
 	for i, part := range list {
 		id, text, _ := strings.Cut(part, ":")
 		tokens, _ := strconv.Atoi(text)
-		if _, ok := w.kept[id]; !ok || !whole {
+		if _, ok := w.cached[id]; !ok || !whole {
 			whole = false
 			missing += tokens
-			if i < len(list)-1 && w.seen[id] {
-				w.reread += tokens
+			if i < len(list)-1 && w.everCached[id] {
+				w.reprefilled += tokens
 			}
 		}
-		w.keep(id, tokens)
+		w.addCached(id, tokens)
 	}
-	w.prompts += missing
+	w.prefilled += missing
 	now := time.Now()
-	if w.readTo.Before(now) {
-		w.readTo = now
+	if w.prefillEnd.Before(now) {
+		w.prefillEnd = now
 	}
-	w.readTo = w.readTo.Add(time.Duration(float64(missing) / w.cfg.PrefillRate * float64(time.Second)))
-	return w.readTo.Sub(now)
+	w.prefillEnd = w.prefillEnd.Add(time.Duration(float64(missing) / w.cfg.PrefillRate * float64(time.Second)))
+	return w.prefillEnd.Sub(now)
 }
 
-// listKept serves the list of cached parts.
-func (w *Worker) listKept(rw http.ResponseWriter) {
+// serveCacheList serves the list of cached parts.
+func (w *Worker) serveCacheList(rw http.ResponseWriter) {
 	w.mu.Lock()
-	held := make([][]any, 0, len(w.order))
-	for _, id := range w.order {
-		held = append(held, []any{"", id, w.kept[id], "m"})
+	held := make([][]any, 0, len(w.lru))
+	for _, id := range w.lru {
+		held = append(held, []any{"", id, w.cached[id], "m"})
 	}
 	w.mu.Unlock()
 	rw.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(rw).Encode(map[string]any{"epoch": 1, "nextPageToken": 0, "held": held})
 }
 
-func (w *Worker) keep(id string, tokens int) {
-	w.seen[id] = true
-	if _, ok := w.kept[id]; ok {
-		for i, other := range w.order {
+func (w *Worker) addCached(id string, tokens int) {
+	w.everCached[id] = true
+	if _, ok := w.cached[id]; ok {
+		for i, other := range w.lru {
 			if other == id {
-				w.order = append(w.order[:i], w.order[i+1:]...)
+				w.lru = append(w.lru[:i], w.lru[i+1:]...)
 				break
 			}
 		}
 	} else {
-		w.kept[id] = tokens
-		w.keptSize += tokens
+		w.cached[id] = tokens
+		w.cachedTokens += tokens
 	}
-	w.order = append(w.order, id)
-	for w.keptSize > w.cfg.CacheTokens {
-		w.keptSize -= w.kept[w.order[0]]
-		delete(w.kept, w.order[0])
-		w.order = w.order[1:]
+	w.lru = append(w.lru, id)
+	for w.cachedTokens > w.cfg.CacheTokens {
+		w.cachedTokens -= w.cached[w.lru[0]]
+		delete(w.cached, w.lru[0])
+		w.lru = w.lru[1:]
 	}
 }
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -47,8 +47,8 @@
 	OnCrash func(w *Worker)
 }
 
-// keptPath serves the list of cached prompt parts.
-const keptPath = "/-/kv-list"
+// cacheListPath serves the list of cached prompt parts.
+const cacheListPath = "/-/kv-list"
 
 // PoisonMarker in the path of a request crashes every worker that starts it.
 const PoisonMarker = "ends-worker"
@@ -66,29 +66,29 @@
 	listener net.Listener
 	server   *http.Server
 
-	mu      sync.Mutex
-	fault   Fault
-	leaving bool
-	state   string // state in its entry in the store
-	ended   bool
-	rest    string // Retry-After of refusals, or empty
-	arrived int    // requests, refused ones included
-	listed  int    // listings of the cache
-	running int
-	waiting int
-	freed   chan struct{}
-	readTo  time.Time      // end of the prefill of all prompts so far
-	kept    map[string]int // cached prompt parts and their tokens
-	order   []string       // cached parts, least recently used first
+	mu         sync.Mutex
+	fault      Fault
+	leaving    bool
+	state      string // state in its entry in the store
+	ended      bool
+	rest       string // Retry-After of refusals, or empty
+	arrived    int    // requests, refused ones included
+	listed     int    // listings of the cache
+	running    int
+	waiting    int
+	freed      chan struct{}
+	prefillEnd time.Time      // end of the prefill of all prompts so far
+	cached     map[string]int // cached prompt parts and their tokens
+	lru        []string       // cached parts, least recently used first
 	// The worker's hall is evacuated and every gateway knows it: no request may arrive.
-	closed   bool
-	keptSize int             // tokens in the cache
-	reread   int             // prefilled tokens of shared parts that had been cached before
-	prompts  int             // all prefilled tokens
-	copies   int             // transfers from other workers
-	copied   int             // tokens of these transfers
-	seen     map[string]bool // parts that have ever been cached
-	count    int             // requests that started to run
+	closed       bool
+	cachedTokens int             // tokens in the cache
+	reprefilled  int             // prefilled tokens of shared parts that had been cached before
+	prefilled    int             // all prefilled tokens
+	copies       int             // transfers from other workers
+	copied       int             // tokens of these transfers
+	everCached   map[string]bool // parts that have ever been cached
+	count        int             // requests that started to run
 }
 
 // StartWorker starts a worker and writes its entry into the store.
@@ -110,7 +110,7 @@
 	}
 	w := &Worker{
 		ID: id, born: born, seed: seed, cfg: cfg, store: store, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 1)), listener: l,
-		freed: make(chan struct{}), kept: map[string]int{}, seen: map[string]bool{},
+		freed: make(chan struct{}), cached: map[string]int{}, everCached: map[string]bool{},
 	}
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: time.Second}
 	go func() { _ = w.server.Serve(l) }()
@@ -198,7 +198,7 @@
 func (w *Worker) Prefilled() (again, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.reread, w.prompts
+	return w.reprefilled, w.prefilled
 }
 
 // Copied returns the number of transfers from other workers' caches and their tokens.
@@ -210,7 +210,7 @@
 
 // ServeHTTP implements http.Handler.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	isRequest := r.URL.Path != keptPath
+	isRequest := r.URL.Path != cacheListPath
 	if isRequest && r.Header.Get("Expect-Instance") != w.ID {
 		rw.Header().Set("Instance-Id", w.ID)
 		rw.WriteHeader(http.StatusMisdirectedRequest)
@@ -218,7 +218,7 @@
 	}
 	w.sayOfItself(rw, isRequest)
 	if !isRequest {
-		w.listKept(rw)
+		w.serveCacheList(rw)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -344,7 +344,7 @@
 
 // stream prefills the prompt, then sends the events after Last-Event-Id.
 func (w *Worker) stream(rw http.ResponseWriter, r *http.Request, id string, fault Fault) {
-	if !pause(r, w.fetch(r.Header.Get("Kv-Fetch"), r.Header.Get("Prompt-Prefix"))) || !pause(r, w.read(r.Header.Get("Prompt-Prefix"))) {
+	if !pause(r, w.copyCached(r.Header.Get("Kv-Fetch"), r.Header.Get("Prompt-Prefix"))) || !pause(r, w.prefill(r.Header.Get("Prompt-Prefix"))) {
 		panic(http.ErrAbortHandler)
 	}
 	events := Events(id)
--- a/lab/platform/worker_test.go
+++ b/lab/platform/worker_test.go
@@ -14,28 +14,28 @@
 // there, and prefills the rest.
 func TestWorkerCopiesWhatAnotherKeeps(t *testing.T) {
 	cfg := WorkerConfig{Model: true, Slots: 4, Queue: 4, PrefillRate: 1000, CopyRate: 10_000, CacheTokens: 10_000}
-	source := &Worker{cfg: cfg, kept: map[string]int{}, seen: map[string]bool{}}
+	source := &Worker{cfg: cfg, cached: map[string]int{}, everCached: map[string]bool{}}
 	cfg.PeerAt = func(address string) *Worker {
 		if address == "source" {
 			return source
 		}
 		return nil
 	}
-	w := &Worker{cfg: cfg, kept: map[string]int{}, seen: map[string]bool{}}
-	source.read("a:1000,b:500")
-	if took := w.fetch("gone", "a:1000,b:500,c:100"); took != 0 {
+	w := &Worker{cfg: cfg, cached: map[string]int{}, everCached: map[string]bool{}}
+	source.prefill("a:1000,b:500")
+	if took := w.copyCached("gone", "a:1000,b:500,c:100"); took != 0 {
 		t.Errorf("copy from an unknown worker took %v, want 0", took)
 	}
-	if took := w.fetch("source", "a:1000,c:100,b:500"); took != 100*time.Millisecond {
+	if took := w.copyCached("source", "a:1000,c:100,b:500"); took != 100*time.Millisecond {
 		t.Errorf("the copy took %v, want 100ms for 1000 tokens at 10,000 a second", took)
 	}
 	if copies, tokens := w.Copied(); copies != 1 || tokens != 1000 {
 		t.Errorf("got %d copies of %d tokens, want 1 of 1000", copies, tokens)
 	}
-	if took := w.fetch("source", "a:1000"); took != 0 {
+	if took := w.copyCached("source", "a:1000"); took != 0 {
 		t.Errorf("copy of a cached part took %v, want 0", took)
 	}
-	w.read("a:1000,b:500,c:100")
+	w.prefill("a:1000,b:500,c:100")
 	if again, all := w.Prefilled(); again != 0 || all != 600 {
 		t.Errorf("%d tokens prefilled, %d of them again, want 600 and 0", all, again)
 	}
