--- a/lab/platform/saying.go
+++ b/lab/platform/saying.go
@@ -18,7 +18,7 @@
 func (w *Worker) AskForPause(value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rest, w.fault = value, FaultNone
+	w.retryAfter, w.fault = value, FaultNone
 	if value != "" {
 		w.fault = FaultRefuse
 	}
@@ -31,8 +31,8 @@
 	return w.arrived, w.listed
 }
 
-// sayOfItself counts a call and sets the headers that announce that the worker leaves.
-func (w *Worker) sayOfItself(rw http.ResponseWriter, isRequest bool) {
+// announce counts a call and sets the headers that announce that the worker leaves.
+func (w *Worker) announce(rw http.ResponseWriter, isRequest bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if isRequest {
@@ -46,13 +46,13 @@
 	}
 }
 
-// turnAway refuses a request as not run, with the Retry-After of WantRest.
-func (w *Worker) turnAway(rw http.ResponseWriter) {
+// refuse refuses a request as not run, with the Retry-After of WantRest.
+func (w *Worker) refuse(rw http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	rw.Header().Set("Not-Executed", "1")
-	if w.rest != "" {
-		rw.Header().Set("Retry-After", w.rest)
+	if w.retryAfter != "" {
+		rw.Header().Set("Retry-After", w.retryAfter)
 	}
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -139,7 +139,7 @@
 	s.mu.Unlock()
 	s.store.Put("op", "config", config)
 	for _, w := range workers {
-		w.listAgain()
+		w.rewriteEntry()
 	}
 }
 
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -70,8 +70,8 @@
 	fault      Fault
 	leaving    bool
 	state      string // state in its entry in the store
-	ended      bool
-	rest       string // Retry-After of refusals, or empty
+	crashed    bool
+	retryAfter string // Retry-After of refusals, or empty
 	arrived    int    // requests, refused ones included
 	listed     int    // listings of the cache
 	running    int
@@ -81,14 +81,14 @@
 	cached     map[string]int // cached prompt parts and their tokens
 	lru        []string       // cached parts, least recently used first
 	// The worker's hall is evacuated and every gateway knows it: no request may arrive.
-	closed       bool
+	evacuated    bool
 	cachedTokens int             // tokens in the cache
 	reprefilled  int             // prefilled tokens of shared parts that had been cached before
 	prefilled    int             // all prefilled tokens
 	copies       int             // transfers from other workers
 	copied       int             // tokens of these transfers
 	everCached   map[string]bool // parts that have ever been cached
-	count        int             // requests that started to run
+	started      int             // requests that started to run
 }
 
 // StartWorker starts a worker and writes its entry into the store.
@@ -114,21 +114,21 @@
 	}
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: time.Second}
 	go func() { _ = w.server.Serve(l) }()
-	w.list("ready")
+	w.writeEntry("ready")
 	return w, nil
 }
 
-// listAgain writes the worker's entry again, unless it has crashed.
-func (w *Worker) listAgain() {
+// rewriteEntry writes the worker's entry again, unless it has crashed.
+func (w *Worker) rewriteEntry() {
 	w.mu.Lock()
-	state, ended := w.state, w.ended
+	state, ended := w.state, w.crashed
 	w.mu.Unlock()
 	if !ended {
-		w.list(state)
+		w.writeEntry(state)
 	}
 }
 
-func (w *Worker) list(state string) {
+func (w *Worker) writeEntry(state string) {
 	w.mu.Lock()
 	w.state = state
 	w.mu.Unlock()
@@ -149,13 +149,13 @@
 func (w *Worker) SetEvacuated(closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.closed = closed
+	w.evacuated = closed
 }
 
-func (w *Worker) isClosed() bool {
+func (w *Worker) isEvacuated() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.closed
+	return w.evacuated
 }
 
 // Drain announces in the worker's entry and answers that it leaves.
@@ -163,7 +163,7 @@
 	w.mu.Lock()
 	w.leaving = true
 	w.mu.Unlock()
-	w.list("draining")
+	w.writeEntry("draining")
 }
 
 // Stop ends the worker and deletes its entry.
@@ -175,17 +175,17 @@
 // Crash ends the worker and leaves its entry unchanged.
 func (w *Worker) Crash() {
 	w.mu.Lock()
-	w.ended = true
+	w.crashed = true
 	w.mu.Unlock()
 	_ = w.server.Close()
 }
 
-// endsAfter is the time that a request runs before it crashes its worker.
-const endsAfter = 20 * time.Millisecond
+// crashDelay is the time that a request runs before it crashes its worker.
+const crashDelay = 20 * time.Millisecond
 
-// end crashes the worker and aborts everything that runs there.
-func (w *Worker) end(r *http.Request) {
-	if pause(r, endsAfter) {
+// crashUnder crashes the worker and aborts everything that runs there.
+func (w *Worker) crashUnder(r *http.Request) {
+	if pause(r, crashDelay) {
 		w.Crash()
 		if w.cfg.OnCrash != nil {
 			w.cfg.OnCrash(w)
@@ -216,7 +216,7 @@
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.sayOfItself(rw, isRequest)
+	w.announce(rw, isRequest)
 	if !isRequest {
 		w.serveCacheList(rw)
 		return
@@ -226,11 +226,11 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !w.admit(r) {
-		w.turnAway(rw)
+		w.refuse(rw)
 		return
 	}
 	defer w.release()
-	if w.isClosed() {
+	if w.isEvacuated() {
 		w.ledger.AddViolation("worker %s in the evacuated %s got a request", w.ID, w.cfg.Hall)
 	}
 	w.ledger.AddRun(w.ID, r.Header.Get("Attempt-Id"), r, body)
@@ -272,12 +272,12 @@
 
 func (w *Worker) run(rw http.ResponseWriter, r *http.Request, body []byte) {
 	if strings.Contains(r.URL.Path, PoisonMarker) {
-		w.end(r)
+		w.crashUnder(r)
 	}
 	w.mu.Lock()
 	fault := w.fault
-	w.count++
-	odd := w.count%2 == 0
+	w.started++
+	odd := w.started%2 == 0
 	w.mu.Unlock()
 	id := r.Header.Get("Attempt-Id")
 	switch {
@@ -285,7 +285,7 @@
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	case fault == FaultErrors && odd:
-		w.head(rw, id, "")
+		w.setHeaders(rw, id, "")
 		rw.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(rw, "failed")
 		return
@@ -300,7 +300,7 @@
 	w.plain(rw, id, body, fault, odd)
 }
 
-func (w *Worker) head(rw http.ResponseWriter, id, content string) {
+func (w *Worker) setHeaders(rw http.ResponseWriter, id, content string) {
 	rw.Header().Set("Attempt-Id", id)
 	rw.Header().Set("Response-Signature", Signature(w.ID, id, content))
 }
@@ -316,16 +316,16 @@
 		panic(http.ErrAbortHandler)
 	}
 	if (fault == FaultExtra || fault == FaultCut) && odd {
-		w.spoil(rw, id, body, fault)
+		w.writeBroken(rw, id, body, fault)
 		return
 	}
-	w.head(rw, id, body)
+	w.setHeaders(rw, id, body)
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = io.WriteString(rw, body)
 }
 
-// spoil writes an answer twice (FaultExtra) or only half of it (FaultCut).
-func (w *Worker) spoil(rw http.ResponseWriter, id, body string, fault Fault) {
+// writeBroken writes an answer twice (FaultExtra) or only half of it (FaultCut).
+func (w *Worker) writeBroken(rw http.ResponseWriter, id, body string, fault Fault) {
 	conn, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -349,7 +349,7 @@
 	}
 	events := Events(id)
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	w.head(rw, id, "")
+	w.setHeaders(rw, id, "")
 	rw.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(rw)
 	for n := from + 1; n <= events; n++ {
