--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -12,11 +12,11 @@
 // Ledger records each request, its runs and its answer, and detects violated guarantees such as
 // a second run of a request that must not be repeated.
 type Ledger struct {
-	mu      sync.Mutex
-	asked   map[string]*asked
-	broken  []string
-	counts  Counts
-	account map[string]*Counts
+	mu         sync.Mutex
+	requests   map[string]*request
+	violations []string
+	counts     Counts
+	accounts   map[string]*Counts
 }
 
 // Counts counts the outcomes of requests.
@@ -24,7 +24,7 @@
 	Sent, Served, Late, Refused, Failed, Duplicates int // Served includes Late
 }
 
-type asked struct {
+type request struct {
 	account    string
 	repeatable bool
 	method     string
@@ -35,12 +35,14 @@
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{asked: map[string]*asked{}, account: map[string]*Counts{}} }
+func NewLedger() *Ledger {
+	return &Ledger{requests: map[string]*request{}, accounts: map[string]*Counts{}}
+}
 
-func (l *Ledger) breakRule(format string, args ...any) {
+func (l *Ledger) add(format string, args ...any) {
 	const most = 20
-	if len(l.broken) < most {
-		l.broken = append(l.broken, fmt.Sprintf(format, args...))
+	if len(l.violations) < most {
+		l.violations = append(l.violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -48,31 +50,31 @@
 func (l *Ledger) AddRequest(id, account, method, uri, body string, repeatable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[id] = &asked{account: account, repeatable: repeatable, method: method, uri: uri, body: body}
+	l.requests[id] = &request{account: account, repeatable: repeatable, method: method, uri: uri, body: body}
 }
 
 // AddRun records that a worker runs a request, and checks what the worker got.
 func (l *Ledger) AddRun(worker, id string, r *http.Request, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.asked[id]
+	a := l.requests[id]
 	if a == nil {
-		l.breakRule("%s ran %q, which no client sent", worker, id)
+		l.add("%s ran %q, which no client sent", worker, id)
 		return
 	}
 	a.runs++
 	if a.method != r.Method || a.uri != r.RequestURI || a.body != string(body) || a.account != r.Header.Get("Tenant") {
-		l.breakRule("%s ran %s %s for %q, sent was %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
+		l.add("%s ran %s %s for %q, sent was %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
 	}
 	if r.Header.Get("Authorization") != "" || r.Header.Get("Deadline-Ms") == "" {
-		l.breakRule("%s saw a key, or no deadline", worker)
+		l.add("%s saw a key, or no deadline", worker)
 	}
 	if a.runs > 1 && !a.repeatable {
 		l.counts.Duplicates++
-		l.breakRule("%s ran %s a second time", worker, id)
+		l.add("%s ran %s a second time", worker, id)
 	}
 	if a.refused && !a.repeatable {
-		l.breakRule("%s ran %s after it was refused as not run", worker, id)
+		l.add("%s ran %s after it was refused as not run", worker, id)
 	}
 }
 
@@ -80,10 +82,10 @@
 func (l *Ledger) AddRefusal(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.asked[id]
+	a := l.requests[id]
 	a.refused = true
 	if a.runs > 0 && !a.repeatable {
-		l.breakRule("%s was refused as not run, but ran", id)
+		l.add("%s was refused as not run, but ran", id)
 	}
 }
 
@@ -91,17 +93,17 @@
 func (l *Ledger) AddViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breakRule(format, args...)
+	l.add(format, args...)
 }
 
 // AddOutcome counts the outcome of a client's request.
 func (l *Ledger) AddOutcome(account string, count func(c *Counts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.account[account] == nil {
-		l.account[account] = &Counts{}
+	if l.accounts[account] == nil {
+		l.accounts[account] = &Counts{}
 	}
-	for _, c := range []*Counts{&l.counts, l.account[account]} {
+	for _, c := range []*Counts{&l.counts, l.accounts[account]} {
 		c.Sent++
 		count(c)
 	}
@@ -111,7 +113,7 @@
 func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.broken...)
+	return append([]string(nil), l.violations...)
 }
 
 // Totals returns the counts of all requests and those by account.
@@ -119,7 +121,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]Counts{}
-	for name, c := range l.account {
+	for name, c := range l.accounts {
 		out[name] = *c
 	}
 	return l.counts, out
