--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -19,12 +19,12 @@
 
 // row is one row of the store.
 type row struct {
-	Table string `json:"table"`
-	Part  string `json:"part"`
-	Key   string `json:"tlsKey"`
-	Value []byte `json:"value"`
-	Ver   uint64 `json:"ver"`
-	Gone  bool   `json:"gone,omitempty"`
+	Table   string `json:"table"`
+	Part    string `json:"part"`
+	Key     string `json:"tlsKey"`
+	Value   []byte `json:"value"`
+	Ver     uint64 `json:"ver"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
 // StoreMode is the store's behaviour towards a gateway.
@@ -39,29 +39,29 @@
 )
 
 const (
-	storeSlowness = 300 * time.Millisecond
-	pageLimit     = 500
+	storeDelay = 300 * time.Millisecond
+	pageLimit  = 500
 )
 
 // Store holds versioned rows and serves a feed of changes. Each gateway has its own listener, so
 // that faults can be limited to some gateways.
 type Store struct {
-	mu      sync.Mutex
-	rows    map[string]row // by table and key
-	history []row
-	floor   uint64 // history up to this version is compacted
-	ver     uint64
-	changed chan struct{} // closed and replaced on each change
-	modes   map[string]StoreMode
-	calls   int
-	start   time.Time
-	era     uint64     // incremented when the store is restored from a snapshot
-	kept    *storeCopy // snapshot for GoBack
-	servers []*http.Server
+	mu        sync.Mutex
+	rows      map[string]row // by table and key
+	history   []row
+	compacted uint64 // history up to this version is compacted
+	ver       uint64
+	changed   chan struct{} // closed and replaced on each change
+	modes     map[string]StoreMode
+	calls     int
+	start     time.Time
+	era       uint64         // incremented when the store is restored from a snapshot
+	snapshot  *storeSnapshot // snapshot for GoBack
+	servers   []*http.Server
 }
 
-// storeCopy is a snapshot of a store.
-type storeCopy struct {
+// storeSnapshot is a snapshot of a store.
+type storeSnapshot struct {
 	rows map[string]row
 	ver  uint64
 }
@@ -70,7 +70,7 @@
 func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kept = &storeCopy{maps.Clone(s.rows), s.ver}
+	s.snapshot = &storeSnapshot{maps.Clone(s.rows), s.ver}
 }
 
 // Restore restores the last snapshot and starts a new era. Versions assigned since the snapshot
@@ -78,14 +78,14 @@
 func (s *Store) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows, s.ver, s.history, s.floor = maps.Clone(s.kept.rows), s.kept.ver, nil, s.kept.ver
+	s.rows, s.ver, s.history, s.compacted = maps.Clone(s.snapshot.rows), s.snapshot.ver, nil, s.snapshot.ver
 	s.era++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// sayEra sets the header with the store's era.
-func (s *Store) sayEra(w http.ResponseWriter) {
+// writeEra sets the header with the store's era.
+func (s *Store) writeEra(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.Header().Set("Store-Era", strconv.FormatUint(s.era, 10))
@@ -143,7 +143,7 @@
 func (s *Store) guard(gateway string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mode := s.mode(gateway)
-		s.sayEra(w)
+		s.writeEra(w)
 		switch mode {
 		case StoreBusy:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -152,7 +152,7 @@
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		case StoreSlow:
-			time.Sleep(storeSlowness)
+			time.Sleep(storeDelay)
 		}
 		next.ServeHTTP(w, r)
 	})
@@ -168,7 +168,7 @@
 }
 
 // Delete deletes a row.
-func (s *Store) Delete(table, key string) { s.write(row{Table: table, Key: key, Gone: true}) }
+func (s *Store) Delete(table, key string) { s.write(row{Table: table, Key: key, Deleted: true}) }
 
 func (s *Store) write(r row) {
 	s.mu.Lock()
@@ -180,7 +180,7 @@
 func (s *Store) apply(r row) {
 	s.ver++
 	r.Ver = s.ver
-	if r.Gone {
+	if r.Deleted {
 		delete(s.rows, r.Table+"/"+r.Key)
 	} else {
 		s.rows[r.Table+"/"+r.Key] = r
@@ -194,7 +194,7 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.floor = nil, s.ver
+	s.history, s.compacted = nil, s.ver
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -218,7 +218,7 @@
 	if a.Rows == nil {
 		a.Rows = []row{}
 	}
-	s.sayEra(w)
+	s.writeEra(w)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(a)
 }
@@ -251,7 +251,7 @@
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if since < s.floor || since > s.ver {
+		if since < s.compacted || since > s.ver {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
--- a/lab/platform/transaction.go
+++ b/lab/platform/transaction.go
@@ -16,8 +16,8 @@
 	Delete     []row `json:"delete"`
 }
 
-// ownTables are read-only for gateways; only the operator and the workers write them.
-var ownTables = map[string]bool{"op": true, "servers": true, "status": true}
+// readOnlyTables are read-only for gateways; only the operator and the workers write them.
+var readOnlyTables = map[string]bool{"op": true, "servers": true, "status": true}
 
 func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
 	var tx transaction
@@ -26,7 +26,7 @@
 		return
 	}
 	for _, change := range append(tx.Put, tx.Delete...) {
-		if ownTables[change.Table] {
+		if readOnlyTables[change.Table] {
 			w.WriteHeader(http.StatusForbidden)
 			return
 		}
@@ -43,7 +43,7 @@
 			s.apply(change)
 		}
 		for _, change := range tx.Delete {
-			s.apply(row{Table: change.Table, Key: change.Key, Gone: true})
+			s.apply(row{Table: change.Table, Key: change.Key, Deleted: true})
 		}
 	}
 	a := rowsAnswer{Rows: differing, Ver: s.ver}
