--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -17,7 +17,7 @@
 	"madderway/services/engine"
 )
 
-const streamKept = 30 * time.Second
+const streamRetention = 30 * time.Second
 
 // EngineConfig configures a stand-in for a model engine.
 type EngineConfig struct {
@@ -34,57 +34,57 @@
 
 // Engine is a stand-in for a model engine with continuous batching.
 type Engine struct {
-	switchboard
+	faultInjector
 	cfg EngineConfig
 
-	mu        sync.Mutex
-	streams   map[string]*engineStream
-	running   int
-	waiting   []*engineStream
-	maxLoad   int            // most streams running and queued at once
-	byAccount map[string]int // running streams by account
-	runs      map[string]int // started streams by request ID
-	load      engine.LoadReport
-	loadAt    time.Time
-	epoch     uint64
-	orders    []engine.Order
-	cache     []string
-	events    []place.CacheEvent
-	seq       uint64
-	leaving   bool
-	checking  bool
-	aborted   bool
+	mu               sync.Mutex
+	streams          map[string]*engineStream
+	running          int
+	waiting          []*engineStream
+	peakLoad         int            // most streams running and queued at once
+	runningByAccount map[string]int // running streams by account
+	runs             map[string]int // started streams by request ID
+	report           engine.LoadReport
+	reportedAt       time.Time
+	epoch            uint64
+	orders           []engine.Order
+	cache            []string
+	events           []place.CacheEvent
+	seq              uint64
+	leaving          bool
+	checksEpoch      bool
+	aborted          bool
 }
 
 type engineStream struct {
-	id        string
-	request   string
-	account   string
-	priority  int
-	tokens    int
-	prompt    int
-	cached    int
-	prefix    string
-	start     chan struct{}
-	canceled  chan struct{}
-	cancelOne sync.Once
-
-	mu     sync.Mutex
-	events []string
-	done   bool
-	grown  chan struct{}
+	id         string
+	request    string
+	account    string
+	priority   int
+	tokens     int
+	prompt     int
+	cached     int
+	prefix     string
+	start      chan struct{}
+	canceled   chan struct{}
+	cancelOnce sync.Once
+
+	mu      sync.Mutex
+	events  []string
+	done    bool
+	changed chan struct{}
 }
 
 // NewEngine returns an engine that rejects orders of a lower epoch.
 func NewEngine(cfg EngineConfig) *Engine {
-	return &Engine{cfg: cfg, streams: map[string]*engineStream{}, runs: map[string]int{}, byAccount: map[string]int{}, checking: true}
+	return &Engine{cfg: cfg, streams: map[string]*engineStream{}, runs: map[string]int{}, runningByAccount: map[string]int{}, checksEpoch: true}
 }
 
 // SetEpochCheck sets whether the engine rejects orders of a lower epoch.
 func (e *Engine) SetEpochCheck(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.checking = on
+	e.checksEpoch = on
 }
 
 // SetLeaving sets whether load reports announce that the target leaves.
@@ -112,7 +112,7 @@
 func (e *Engine) Load() (running, waiting, most int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.running, len(e.waiting), e.maxLoad
+	return e.running, len(e.waiting), e.peakLoad
 }
 
 // Abort cancels all streams, as if the machine were lost.
@@ -140,7 +140,7 @@
 func (e *Engine) RunningByAccount(into map[string]int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for account, n := range e.byAccount {
+	for account, n := range e.runningByAccount {
 		into[account] += n
 	}
 }
@@ -194,7 +194,7 @@
 	return &engineStream{
 		id: h.Get(engine.HeaderStreamID), request: h.Get(engine.HeaderRequest), account: h.Get(engine.HeaderAccount),
 		priority: priority, tokens: tokens, prompt: size / 4, prefix: h.Get(engine.HeaderPrefix),
-		start: make(chan struct{}), canceled: make(chan struct{}), grown: make(chan struct{}),
+		start: make(chan struct{}), canceled: make(chan struct{}), changed: make(chan struct{}),
 	}
 }
 
@@ -212,12 +212,12 @@
 		}
 		e.waiting = append(e.waiting[:at], append([]*engineStream{s}, e.waiting[at:]...)...)
 	}
-	e.maxLoad = max(e.maxLoad, e.running+len(e.waiting))
+	e.peakLoad = max(e.peakLoad, e.running+len(e.waiting))
 }
 
 func (e *Engine) begin(s *engineStream) {
 	e.running++
-	e.byAccount[s.account]++
+	e.runningByAccount[s.account]++
 	e.runs[s.request]++
 	s.cached = e.cacheHit(s.prefix, s.prompt)
 	e.serve(s.account, s.prompt-s.cached, 0)
@@ -268,13 +268,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	e.byAccount[s.account]--
+	e.runningByAccount[s.account]--
 	if len(e.waiting) > 0 {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.begin(next)
 	}
-	time.AfterFunc(streamKept, func() {
+	time.AfterFunc(streamRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.streams, s.id)
@@ -307,11 +307,11 @@
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.loadAt) >= e.cfg.LoadLag {
-		e.load = engine.LoadReport{Running: e.running, Waiting: len(e.waiting), Slots: e.cfg.Slots}
-		e.loadAt = time.Now()
+	if time.Since(e.reportedAt) >= e.cfg.LoadLag {
+		e.report = engine.LoadReport{Running: e.running, Waiting: len(e.waiting), Slots: e.cfg.Slots}
+		e.reportedAt = time.Now()
 	}
-	shown := e.load
+	shown := e.report
 	shown.Leaving = e.leaving
 	shown.Running = max(shown.Running+e.Faults().WrongLoad, 0)
 	writeJSON(w, shown)
@@ -347,7 +347,7 @@
 func (e *Engine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.checking && o.Epoch < e.epoch {
+	if e.checksEpoch && o.Epoch < e.epoch {
 		return fmt.Errorf("epoch %d is lower than %d", o.Epoch, e.epoch)
 	}
 	e.epoch = max(e.epoch, o.Epoch)
--- a/lab/standin/enginestream.go
+++ b/lab/standin/enginestream.go
@@ -15,7 +15,7 @@
 	select {
 	case <-s.start:
 	case <-s.canceled:
-		if e.unqueue(s) {
+		if e.dequeue(s) {
 			s.end()
 			return
 		}
@@ -43,7 +43,7 @@
 	s.end()
 }
 
-func (e *Engine) unqueue(s *engineStream) bool {
+func (e *Engine) dequeue(s *engineStream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, w := range e.waiting {
@@ -55,22 +55,22 @@
 	return false
 }
 
-func (s *engineStream) cancel() { s.cancelOne.Do(func() { close(s.canceled) }) }
+func (s *engineStream) cancel() { s.cancelOnce.Do(func() { close(s.canceled) }) }
 
 func (s *engineStream) append(data string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, data)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *engineStream) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.done = true
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *engineStream) after(offset int) (events []string, done bool, grown chan struct{}) {
@@ -79,7 +79,7 @@
 	if offset < len(s.events) {
 		events = s.events[offset:len(s.events):len(s.events)]
 	}
-	return events, s.done, s.grown
+	return events, s.done, s.changed
 }
 
 // send writes a stream's events after an offset. The stream continues if the reader disconnects.
@@ -95,7 +95,7 @@
 		for _, data := range events {
 			if cutAt > 0 && sent == cutAt {
 				_ = flush.Flush() // deliver the events before the cut
-				cut()
+				abortConnection()
 			}
 			offset++
 			sent++
--- a/lab/standin/enginestream_test.go
+++ b/lab/standin/enginestream_test.go
@@ -18,7 +18,7 @@
 	const cutAfter = 10
 	e := NewEngine(EngineConfig{})
 	e.SetFaults(Faults{CutAfter: cutAfter})
-	s := &engineStream{done: true, grown: make(chan struct{})}
+	s := &engineStream{done: true, changed: make(chan struct{})}
 	for i := range 3 * cutAfter {
 		s.events = append(s.events, fmt.Sprint("event ", i))
 	}
--- a/lab/standin/fault.go
+++ b/lab/standin/fault.go
@@ -30,29 +30,29 @@
 	Hang       bool   `json:"hang"`       // never answer a call
 }
 
-// switchboard holds the faults of a stand-in.
-type switchboard struct {
+// faultInjector holds the faults of a stand-in.
+type faultInjector struct {
 	mu      sync.Mutex
 	faults  Faults
 	refused int // calls refused as not run
 }
 
 // SetFaults replaces the faults.
-func (s *switchboard) SetFaults(f Faults) {
+func (s *faultInjector) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
 // Faults returns the current faults.
-func (s *switchboard) Faults() Faults {
+func (s *faultInjector) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// take decrements a counted fault and reports whether it applies.
-func (s *switchboard) take(counter func(*Faults) *int) bool {
+// consume decrements a counted fault and reports whether it applies.
+func (s *faultInjector) consume(counter func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := counter(&s.faults)
@@ -66,8 +66,8 @@
 }
 
 // refuse refuses a call as not run if Faults.Refuse applies, and reports whether it did.
-func (s *switchboard) refuse(w http.ResponseWriter) bool {
-	if !s.take(func(f *Faults) *int { return &f.Refuse }) {
+func (s *faultInjector) refuse(w http.ResponseWriter) bool {
+	if !s.consume(func(f *Faults) *int { return &f.Refuse }) {
 		return false
 	}
 	s.mu.Lock()
@@ -82,14 +82,14 @@
 }
 
 // Refused returns the number of calls refused as not run.
-func (s *switchboard) Refused() int {
+func (s *faultInjector) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused
 }
 
 // guard applies the faults common to all stand-ins, and serves /fault, which reads and sets them.
-func (s *switchboard) guard(next http.Handler) http.Handler {
+func (s *faultInjector) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fault" {
 			s.serveFault(w, r)
@@ -115,7 +115,7 @@
 	})
 }
 
-func (s *switchboard) serveFault(w http.ResponseWriter, r *http.Request) {
+func (s *faultInjector) serveFault(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var f Faults
 		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -132,8 +132,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// cut closes the connection of a call without an answer.
-func cut() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection of a call without an answer.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
 // Server serves a stand-in on a loopback address.
 type Server struct {
--- a/lab/standin/object.go
+++ b/lab/standin/object.go
@@ -17,7 +17,7 @@
 
 // Objects is a stand-in for the platform's object store.
 type Objects struct {
-	switchboard
+	faultInjector
 	mu      sync.Mutex
 	content map[string][]byte
 	times   map[string]time.Time
@@ -52,8 +52,8 @@
 			return
 		}
 		o.Put(key, content)
-		if o.take(func(f *Faults) *int { return &f.LoseAnswer }) {
-			cut()
+		if o.consume(func(f *Faults) *int { return &f.LoseAnswer }) {
+			abortConnection()
 		}
 	case http.MethodDelete:
 		o.mu.Lock()
--- a/lab/standin/plain.go
+++ b/lab/standin/plain.go
@@ -26,7 +26,7 @@
 // Plain is a stand-in for a plain service. It echoes request bodies and counts runs, so that
 // forbidden repetitions show.
 type Plain struct {
-	switchboard
+	faultInjector
 	cfg   PlainConfig
 	slots chan struct{}
 
@@ -66,8 +66,8 @@
 	p.slots <- struct{}{}
 	defer func() { <-p.slots }()
 	p.run(r)
-	if p.take(func(f *Faults) *int { return &f.LoseAnswer }) {
-		cut()
+	if p.consume(func(f *Faults) *int { return &f.LoseAnswer }) {
+		abortConnection()
 	}
 	w.Header().Set("Content-Type", r.Header.Get("Content-Type"))
 	fmt.Fprintf(w, "%s ran %s %s: %s", p.cfg.Name, r.Method, r.URL.Path, body)
--- a/lab/standin/table.go
+++ b/lab/standin/table.go
@@ -17,7 +17,7 @@
 
 // Table is a stand-in for the platform's transactional table.
 type Table struct {
-	switchboard
+	faultInjector
 	mu     sync.Mutex
 	rows   map[string]platform.Row
 	next   uint64
@@ -43,14 +43,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if t.take(func(f *Faults) *int { return &f.LateWrite }) {
+	if t.consume(func(f *Faults) *int { return &f.LateWrite }) {
 		late := time.Duration(t.Faults().LateMS) * time.Millisecond
 		time.AfterFunc(late, func() { t.Apply(tx) })
-		cut()
+		abortConnection()
 	}
 	res := t.Apply(tx)
-	if t.take(func(f *Faults) *int { return &f.LoseAnswer }) {
-		cut()
+	if t.consume(func(f *Faults) *int { return &f.LoseAnswer }) {
+		abortConnection()
 	}
 	if res.Outcome == platform.OutcomeConflict {
 		w.Header().Set("Content-Type", "application/json")
--- a/lab/standin/vms.go
+++ b/lab/standin/vms.go
@@ -14,7 +14,7 @@
 
 // VMs is a stand-in for the platform's VM list, which lags behind changes.
 type VMs struct {
-	switchboard
+	faultInjector
 	lag    time.Duration
 	mu     sync.Mutex
 	vms    map[string]vm.VM
