--- a/lab/standin/plain.go
+++ b/lab/standin/plain.go
@@ -30,19 +30,19 @@
 	cfg   PlainConfig
 	slots chan struct{}
 
-	mu      sync.Mutex
-	running int
-	maxLoad int            // most calls running and waiting at once
-	byKey   map[string]int // runs by account and idempotency key
-	byID    map[string]int // runs by request ID
-	load    engine.LoadReport
-	loadAt  time.Time
-	leaving bool
+	mu         sync.Mutex
+	running    int
+	peakLoad   int            // most calls running and waiting at once
+	runsByKey  map[string]int // runs by account and idempotency key
+	runsByID   map[string]int // runs by request ID
+	report     engine.LoadReport
+	reportedAt time.Time
+	leaving    bool
 }
 
 // NewPlain returns a plain service without faults.
 func NewPlain(cfg PlainConfig) *Plain {
-	return &Plain{cfg: cfg, slots: make(chan struct{}, cfg.Slots), byKey: map[string]int{}, byID: map[string]int{}}
+	return &Plain{cfg: cfg, slots: make(chan struct{}, cfg.Slots), runsByKey: map[string]int{}, runsByID: map[string]int{}}
 }
 
 // Handler returns the service's HTTP API.
@@ -76,9 +76,9 @@
 func (p *Plain) run(r *http.Request) {
 	p.mu.Lock()
 	if key := r.Header.Get("Idempotency-Key"); key != "" {
-		p.byKey[r.Header.Get(engine.HeaderAccount)+"/"+key]++
+		p.runsByKey[r.Header.Get(engine.HeaderAccount)+"/"+key]++
 	}
-	p.byID[r.Header.Get(engine.HeaderRequest)]++
+	p.runsByID[r.Header.Get(engine.HeaderRequest)]++
 	p.mu.Unlock()
 	time.Sleep(p.cfg.Duration)
 	if p.cfg.OnRun != nil {
@@ -90,7 +90,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running++
-	p.maxLoad = max(p.maxLoad, p.running)
+	p.peakLoad = max(p.peakLoad, p.running)
 }
 
 func (p *Plain) leave() {
@@ -109,11 +109,11 @@
 func (p *Plain) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if time.Since(p.loadAt) >= p.cfg.LoadLag {
-		p.load = engine.LoadReport{Running: p.running, Slots: p.cfg.Slots}
-		p.loadAt = time.Now()
+	if time.Since(p.reportedAt) >= p.cfg.LoadLag {
+		p.report = engine.LoadReport{Running: p.running, Slots: p.cfg.Slots}
+		p.reportedAt = time.Now()
 	}
-	shown := p.load
+	shown := p.report
 	shown.Leaving = p.leaving
 	writeJSON(w, shown)
 }
@@ -122,8 +122,8 @@
 func (p *Plain) RunsByKey() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]int, len(p.byKey))
-	for k, n := range p.byKey {
+	out := make(map[string]int, len(p.runsByKey))
+	for k, n := range p.runsByKey {
 		out[k] = n
 	}
 	return out
@@ -133,12 +133,12 @@
 func (p *Plain) Runs(requestID string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.byID[requestID]
+	return p.runsByID[requestID]
 }
 
 // Load returns the calls that run or wait, and their peak.
 func (p *Plain) Load() (running, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.running, p.maxLoad
+	return p.running, p.peakLoad
 }
--- a/lab/standin/table.go
+++ b/lab/standin/table.go
@@ -18,11 +18,11 @@
 // Table is a stand-in for the platform's transactional table.
 type Table struct {
 	faultInjector
-	mu     sync.Mutex
-	rows   map[string]platform.Row
-	next   uint64
-	writes uint64
-	reads  uint64
+	mu          sync.Mutex
+	rows        map[string]platform.Row
+	lastVersion uint64
+	writes      uint64
+	reads       uint64
 }
 
 // NewTable returns an empty table.
@@ -70,10 +70,10 @@
 	}
 	res := platform.TxResult{Outcome: platform.OutcomeOK}
 	for _, p := range tx.Puts {
-		t.next++
+		t.lastVersion++
 		t.writes++
-		t.rows[p.Key] = platform.Row{Key: p.Key, Version: t.next, Value: p.Value}
-		res.Rows = append(res.Rows, platform.Row{Key: p.Key, Version: t.next})
+		t.rows[p.Key] = platform.Row{Key: p.Key, Version: t.lastVersion, Value: p.Value}
+		res.Rows = append(res.Rows, platform.Row{Key: p.Key, Version: t.lastVersion})
 	}
 	for _, key := range tx.Deletes {
 		t.writes++
--- a/lab/standin/vms.go
+++ b/lab/standin/vms.go
@@ -15,11 +15,11 @@
 // VMs is a stand-in for the platform's VM list, which lags behind changes.
 type VMs struct {
 	faultInjector
-	lag    time.Duration
-	mu     sync.Mutex
-	vms    map[string]vm.VM
-	shown  []vm.VM
-	shownT time.Time
+	lag     time.Duration
+	mu      sync.Mutex
+	vms     map[string]vm.VM
+	shown   []vm.VM
+	shownAt time.Time
 }
 
 // NewVMs returns an empty list that shows changes up to lag late.
@@ -48,10 +48,10 @@
 func (l *VMs) List() []vm.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shown != nil && time.Since(l.shownT) < l.lag {
+	if l.shown != nil && time.Since(l.shownAt) < l.lag {
 		return l.shown
 	}
-	l.shown, l.shownT = []vm.VM{}, time.Now()
+	l.shown, l.shownAt = []vm.VM{}, time.Now()
 	for _, v := range l.vms {
 		l.shown = append(l.shown, v)
 	}
