--- a/examples/core-logging/policy.star
+++ b/examples/core-logging/policy.star
@@ -1,4 +1,4 @@
-# Who goes first, what may be retried, where work may go.
+# Priorities, retries and placement of requests.
 
 def order(request, account):
     """Quick tags go before drafts; drafts are kept when their caller is cut off."""
--- a/examples/haddad/policy.star
+++ b/examples/haddad/policy.star
@@ -1,4 +1,4 @@
-# Who goes first, what may be retried, where work may go.
+# Priorities, retries and placement of requests.
 
 def order(request, account):
     """Reminders and booking checks go before rota rebuilds."""
--- a/lab/fleet/ending.go
+++ b/lab/fleet/ending.go
@@ -15,7 +15,7 @@
 // PoisonMarker in the body of a request crashes every target that starts it.
 const PoisonMarker = "ends-target"
 
-// crashable wraps a target's handler so that a request with EndsTarget crashes the target and
+// crashable wraps a target's handler so that a request with PoisonMarker crashes the target and
 // aborts everything that runs there.
 func (f *Fleet) crashable(name string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/lab/measure/gap.go
+++ b/lab/measure/gap.go
@@ -33,7 +33,8 @@
 	return out
 }
 
-// backloggedPair holds the range of the service difference of two accounts since both became backlogged.
+// backloggedPair holds the range of the service difference of two accounts since both became
+// backlogged.
 type backloggedPair struct {
 	low, high float64
 	since     time.Time
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -66,8 +66,8 @@
 
 func anyBody(c *client) string { return strings.Repeat("x", 50+c.rng.IntN(200)) }
 
-// sendWithRetry sends a request, retries it once if it is refused with a short Retry-After, and counts
-// the outcome.
+// sendWithRetry sends a request, retries it once if it is refused with a short Retry-After, and
+// counts the outcome.
 func (c *client) sendWithRetry(ctx context.Context) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
--- a/lab/platform/saying.go
+++ b/lab/platform/saying.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// refuse refuses a request as not run, with the Retry-After of WantRest.
+// refuse refuses a request as not run, with the Retry-After of AskForPause.
 func (w *Worker) refuse(rw http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -93,7 +93,7 @@
 	return c
 }
 
-// sendOnce sends one request on a new connection.
+// sendOnce sends one request without retry, on a new connection.
 func (c *client) sendOnce(ctx context.Context) (outcome, time.Duration) {
 	defer c.http.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
@@ -125,10 +125,10 @@
 	s.store.SetMode("", mode)
 }
 
-// SnapshotStore takes a snapshot of the store, for StoreBack.
+// SnapshotStore takes a snapshot of the store, for RestoreStore.
 func (s *Site) SnapshotStore() { s.store.Snapshot() }
 
-// RestoreStore restores the store from the snapshot of CopyStore.
+// RestoreStore restores the store from the snapshot of SnapshotStore.
 func (s *Site) RestoreStore() { s.store.Restore() }
 
 // RewriteRows writes the configuration and the workers' entries again, which a restored store may
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Start starts a store with a configuration, the workers and the gateways. Play starts the
+// Start starts a store with a configuration, the workers and the gateways. Run starts the
 // clients.
 func Start(o Options) (*Site, error) {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -56,7 +56,7 @@
 	calls     int
 	start     time.Time
 	era       uint64         // incremented when the store is restored from a snapshot
-	snapshot  *storeSnapshot // snapshot for GoBack
+	snapshot  *storeSnapshot // for Restore
 	servers   []*http.Server
 }
 
@@ -66,7 +66,7 @@
 	ver  uint64
 }
 
-// Snapshot takes a snapshot of the store, for GoBack.
+// Snapshot takes a snapshot of the store, for Restore.
 func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -15,7 +15,7 @@
 	evacuationPoll = 10 * time.Millisecond
 )
 
-// Troubles returns the faults that Play can inject, by name.
+// Troubles returns the faults that Run can inject, by name.
 func Troubles() map[string]func(*Site) {
 	return map[string]func(*Site){
 		"worker-crash":  func(s *Site) { s.worker(0).Crash() },
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -19,7 +19,8 @@
 // Fault is a misbehaviour of a worker.
 type Fault int
 
-// Faults of a worker. Those of answers affect every second plain request and every stream.
+// Faults of a worker. FaultLost, FaultCut and FaultExtra spoil every second plain answer;
+// FaultLost and FaultCut also every stream.
 const (
 	FaultNone   Fault = iota
 	FaultSilent       // accepts requests and never answers
--- a/spec/attempt.pml
+++ b/spec/attempt.pml
@@ -1,29 +1,29 @@
-/* What a caller is told of a request (core/attempt, services/forward).
+/* Attempts of a request and the answer to its caller (core/attempt,
+ * services/forward).
  *
- * A gateway sends a request to up to two targets in turn. A send may find no
- * connection, be turned away, be answered, or be lost on the way: before the
- * target has it, or after it was run and before the answer came. A send that
- * was given up may still arrive and run later. The caller may leave. A stream
- * that breaks after its first event may be resumed at the second target, where
- * the route allows it.
+ * A gateway sends a request to up to two targets in turn. An attempt may get no
+ * connection, be refused, be answered, or be lost: before the target receives
+ * the request, or after it ran and before the answer arrived. An abandoned
+ * attempt may still arrive and run later. A stream that breaks after its first
+ * event may be resumed at the second target if the route allows it.
  *
- * Checked: "not run" (503) is told only where nothing has run and nothing will
- * (TRUTH); what may not be repeated runs at most once (ONCE); no two targets
- * make the same stream at a time, once the gateway has cut the first (ONE).
+ * Properties: the caller gets "not run" (503) only if nothing has run and
+ * nothing will (truth); a request that must not be repeated runs at most once
+ * (once); two targets never generate the same stream at a time (one).
  *
- * Broken on purpose by -D: REFUSE_AFTER_SEND calls a lost send "not run";
- * RETRY_ALWAYS repeats whatever the route says; RESUME_UNCUT goes on at another
- * target without ending the first connection.
+ * Mutants by -D: REFUSE_AFTER_SEND answers "not run" after a lost attempt;
+ * RETRY_ALWAYS retries whatever the route allows; RESUME_UNCUT resumes at
+ * another target without closing the first connection.
  */
 #define TARGETS 2
 
 mtype = { none, flying, turned, running, answered, dead };
 
-bool repeatable;             /* the route's word, drawn at the start */
-mtype state[TARGETS] = none; /* of the send to each target */
-bool cut[TARGETS];           /* the gateway ended the connection */
+bool repeatable;             /* set by the route, chosen at the start */
+mtype state[TARGETS] = none; /* of the attempt at each target */
+bool cut[TARGETS];           /* the gateway closed the connection */
 byte runs = 0;
-byte streams = 0;            /* targets that make the stream and are not cut */
+byte streams = 0;            /* targets that generate the stream and are not cut */
 bool told503 = false;
 bool finished = false;
 
@@ -54,7 +54,7 @@
 	:: t < TARGETS ->
 		again = false;
 		if
-		:: skip -> again = true                     /* no connection: nothing was sent */
+		:: skip -> again = true                     /* no connection, nothing was sent */
 		:: skip ->
 			state[t] = flying;
 			if
@@ -63,14 +63,14 @@
 			:: state[t] == running -> head = true; /* first event passed on */
 				if
 				:: state[t] == answered -> break
-				:: skip ->                     /* broke off, or so it seems */
+				:: skip ->                     /* the stream broke, or seems to have */
 					may_have = true;
 #ifndef RESUME_UNCUT
 					cutOff(t);
 #endif
 					again = repeatable
 				fi
-			:: skip ->                             /* no answer in time, or a reset */
+			:: skip ->                             /* timeout or reset */
 				may_have = true;
 				cutOff(t);
 				again = repeatable
@@ -89,7 +89,7 @@
 #else
 			:: !head && !may_have -> told503 = true
 #endif
-			:: else -> skip                        /* 502, or the connection ends */
+			:: else -> skip                        /* 502, or the connection is closed */
 			fi;
 			break
 		fi
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Checks the models with spin: each property must hold, and must fail on each
-# model that is broken on purpose. Prints the states explored.
+# Checks the models with spin: each property must hold on the model and fail on
+# its mutants. Prints the number of explored states.
 set -euo pipefail
 cd "$(dirname "$0")"
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# check MODEL PROPERTY EXPECT [DEFINE] - PROPERTY is an ltl name, or "assert".
+# check MODEL PROPERTY holds|fails [MUTANT]. PROPERTY is the name of an ltl formula, or "assert".
 check() {
 	local model=$1 property=$2 expect=$3 define=${4:-} flags=()
 	local dir="$work/$model-$property-${define:-whole}"
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,19 +1,17 @@
 /* Claims of calls that must not be repeated (core/claim).
  *
- * ROUTERS routers get the same call under the same key. The table is one row,
- * changed by conditional writes; a write may be delayed after its answer was
- * lost, and the answer may be lost after the write. A router may pause at any
- * step (that is the model checker's choice of who moves), die and start again
- * with no memory. No clock and no lease is used.
+ * Several routers get the same call under the same idempotency key. The table
+ * has one row, changed by conditional writes. A write may be delayed, and its
+ * answer may be lost. A router may pause at any step, die, and restart with
+ * empty memory. Claims use no clock and no lease.
  *
- * Checked: the call is sent at most once (SENT), a call that a router refused
- * as "not run" was not sent by it (NOTRUN), and a recorded outcome is never
- * lost or overwritten (RECORD).
+ * Properties: the call is sent at most once (SENT); a router that refused the
+ * call as "not run" did not send it (NOTRUN); a recorded outcome is never lost
+ * or overwritten (RECORD).
  *
- * Broken on purpose by -D: SEND_BEFORE_INSERT sends before the claim is
- * confirmed; TRUST_LEASE lets another router take a claim over after a time;
- * NO_READBACK takes an unknown write as done; FORGET_RELEASE refuses without
- * releasing but lets others claim an absent row's late insert be sent.
+ * Mutants by -D: SEND_BEFORE_INSERT sends before the claim is confirmed;
+ * TRUST_LEASE lets another router take over a claim; NO_READBACK treats a write
+ * with unknown result as successful.
  */
 #define ROUTERS 2
 #define ABSENT 0
@@ -21,11 +19,11 @@
 #define RELEASED 2
 #define DONE 3
 
-byte state = ABSENT;      /* state of the row */
-byte holder = 0;          /* attempt that wrote it; attempts are numbered from 1 */
-byte version = 0;         /* version of the row */
-byte sent = 0;            /* how often the call reached a target */
-byte attempts = 0;        /* attempts numbered so far */
+byte state = ABSENT;      /* of the row */
+byte holder = 0;          /* attempt that wrote the row, numbered from 1 */
+byte version = 0;         /* of the row */
+byte sent = 0;            /* runs at targets */
+byte attempts = 0;        /* attempts so far */
 bool recorded = false;
 byte done_by = 0;
 
@@ -37,20 +35,20 @@
 	fi
 }
 
-/* A delayed write of each router: in flight, to take effect at any later time. */
+/* A delayed write of each router, which may take effect at any later time. */
 bool late[ROUTERS];
 byte late_attempt[ROUTERS];
 byte late_if[ROUTERS];
 
 inline apply(me, cond, st) {
-	/* one conditional write, atomically */
+	/* atomic conditional write */
 	if
 	:: version == cond -> state = st; holder = me; version = version + 1; ok = true
 	:: else -> ok = false
 	fi
 }
 
-/* A late write of a claim takes effect, or fails on its condition. */
+/* A delayed write of a claim takes effect, or fails on its condition. */
 proctype Delay(byte r) {
 	end: do
 	:: atomic { late[r] ->
@@ -77,14 +75,14 @@
 	atomic { sent = sent + 1; mysent = true }
 #endif
 	if
-	:: true -> atomic { apply(me, cond, CLAIMED) };             /* the answer comes */
+	:: true -> atomic { apply(me, cond, CLAIMED) };             /* the answer arrives */
 		if
 		:: ok -> goto send
 		:: else -> goto read
 		fi
 	:: true -> atomic { apply(me, cond, CLAIMED) }; goto lost    /* written, the answer is lost */
 	:: atomic { !late[r] -> late[r] = true; late_attempt[r] = me; late_if[r] = cond }; goto lost
-	:: true -> goto giveup                                       /* the deadline comes first */
+	:: true -> goto giveup                                       /* deadline exceeded */
 	:: true -> goto die
 	fi;
 lost:
@@ -101,7 +99,7 @@
 #ifdef TRUST_LEASE
 		cond = ver; goto insert
 #else
-		goto finish                                      /* in progress, or unknown for ever */
+		goto finish                                      /* in progress, or outcome unknown */
 #endif
 	:: st == DONE -> goto finish                         /* the recorded answer */
 	:: true -> goto giveup
@@ -111,8 +109,8 @@
 #ifndef SEND_BEFORE_INSERT
 	if
 	:: atomic { sent = sent + 1; mysent = true }
-	:: true -> goto release                                      /* the target says that it did not run */
-	:: true -> goto die                                          /* paused or dead between claim and send */
+	:: true -> goto release                                      /* refused by the target as not run */
+	:: true -> goto die                                          /* died between claim and send */
 	fi;
 #endif
 record:
@@ -129,7 +127,7 @@
 	:: else -> goto finish
 	fi;
 giveup:
-	/* decided in memory: never send, refuse as not run, release */
+	/* never send from here: refuse as not run, release the claim */
 	refused = true;
 	assert(!mysent);
 release:
@@ -142,10 +140,10 @@
 		:: ok -> goto finish
 		:: else -> goto release
 		fi
-	:: else -> goto finish                               /* another attempt's row stays */
+	:: else -> goto finish                               /* the row belongs to another attempt */
 	fi;
 die:
-	/* all memory is lost; the caller asks again */
+	/* the router restarts with empty memory; the caller retries */
 	if
 	:: lives < 1 -> lives = lives + 1; goto start
 	:: lives >= 1 -> skip
--- a/spec/head.pml
+++ b/spec/head.pml
@@ -1,17 +1,17 @@
 /* The head row of the configuration (core/head).
  *
- * Two operators race to change the head; each submits under an operation ID,
+ * Two operators change the head concurrently, each with an operation ID that is
  * written in the same transaction. Answers may be lost after the write, and a
- * write may be delayed. Followers read the head, also from peers, and may
- * restart with no memory.
+ * write may be delayed. Followers read the head from the store or from peers,
+ * and may restart with empty memory.
  *
- * Checked: each operation takes effect at most once (ONCE); an operation that
- * was answered "conflict" never takes effect (TRUTH); one that was answered
- * "accepted" did (TRUTH); no follower goes back while it runs (FORWARD).
+ * Properties: each operation takes effect at most once (once); an operation
+ * answered with "conflict" never takes effect, and one answered with "accepted"
+ * did (truth); the version of a running follower never decreases (assert).
  *
- * Broken on purpose by -D: NO_OPERATION_ROW submits again without looking for
- * the operation; BLIND_WRITE writes the head without its version;
- * LAST_HEARD lets a follower take what it heard last. FOLLOW adds followers.
+ * Mutants by -D: NO_OPERATION_ROW resubmits without reading the operation's
+ * row; BLIND_WRITE writes the head unconditionally; LAST_HEARD lets a follower
+ * take any version that it hears. FOLLOW adds the followers to the model.
  */
 #ifdef LAST_HEARD
 #define FOLLOW
@@ -19,10 +19,10 @@
 #define OPERATORS 2
 #define FOLLOWERS 2
 
-byte head = 0;              /* version in force */
-byte applied[OPERATORS];    /* how often each operation took effect */
-bool settled[OPERATORS];       /* the operation's row */
-byte told[OPERATORS];       /* 0 nothing, 1 accepted, 2 conflict */
+byte head = 0;              /* active version */
+byte applied[OPERATORS];    /* times each operation took effect */
+bool settled[OPERATORS];       /* the operation's row exists */
+byte told[OPERATORS];       /* answer: 0 none, 1 accepted, 2 conflict */
 bool late[OPERATORS];
 byte late_if[OPERATORS];
 byte force[FOLLOWERS];
@@ -51,9 +51,9 @@
 proctype Operator(byte o) {
 	byte base; byte now; bool seen; bool ok; bool written = false; byte tries = 0;
 read:
-	now = head;                                /* the head first */
+	now = head;                                /* read the head first */
 #ifndef NO_OPERATION_ROW
-	seen = settled[o];                            /* then the operation */
+	seen = settled[o];                            /* then the operation's row */
 	if
 	:: seen -> told[o] = 1; goto finish
 	:: else -> skip
@@ -64,7 +64,7 @@
 	:: else -> base = now
 	fi;
 	if
-	:: tries == 2 -> goto finish               /* undecided: the operator is told so */
+	:: tries == 2 -> goto finish               /* answer: outcome unknown */
 	:: else -> tries = tries + 1
 	fi;
 	if
@@ -87,8 +87,8 @@
 		steps = steps + 1;
 		if
 		:: heard = head                        /* reads the head row */
-		:: other = 1 - f; heard = force[other] /* hears of a peer */
-		:: atomic { force[f] = 0 }; goto again  /* restarts with no memory */
+		:: other = 1 - f; heard = force[other] /* hears from a peer */
+		:: atomic { force[f] = 0 }; goto again  /* restarts with empty memory */
 		fi;
 		if
 #ifdef LAST_HEARD
--- a/spec/versions.pml
+++ b/spec/versions.pml
@@ -1,22 +1,21 @@
-/* Versions of the configuration between store and peers (services/follow).
+/* Distribution of configuration versions from store and peers (services/follow).
  *
- * An operator writes versions into the store. Gateways read it, at times late:
- * an answer may be on its way while newer ones are written. They tell each
- * other what they have, and fetch from peers what is newer. They restart with
- * no memory.
+ * An operator writes versions into the store. Gateways read them; an answer may
+ * be in flight while newer versions are written. Gateways also exchange
+ * versions with each other, and may restart with empty memory.
  *
- * Checked: within one life a gateway never goes back (assert).
+ * Property: between restarts a gateway's version never decreases (assert).
  *
- * Broken on purpose by -D: LAST_HEARD takes whatever comes last from a peer;
- * LATE_ANSWER takes a late answer of the store without looking at its version.
+ * Mutants by -D: LAST_HEARD adopts any version from a peer; LATE_ANSWER adopts
+ * any answer of the store without comparing versions.
  */
 #define GATEWAYS 2
 #define NEWEST 3
 
 byte store = 1;
-byte force[GATEWAYS];   /* version in force, 0 for none */
-byte coming[GATEWAYS];  /* an answer of the store that is on its way, 0 for none */
-byte offered[GATEWAYS]; /* what a peer sends, 0 for nothing */
+byte force[GATEWAYS];   /* active version, 0 for none */
+byte coming[GATEWAYS];  /* answer of the store in flight, 0 for none */
+byte offered[GATEWAYS]; /* version sent by a peer, 0 for none */
 
 inline adopt(g, v) {
 	assert(v >= force[g]);
--- a/tools/mutate.sh
+++ b/tools/mutate.sh
@@ -1,7 +1,11 @@
 #!/usr/bin/env bash
-# Takes decisions out of a copy of the repository, one at a time, and runs the test that should
-# notice: tools/mutate.sh [NAME...]. tools/mutations.txt holds them. Prints "killed", "survived"
-# or "stale" (its lines are not there exactly once) for each, and fails unless all are killed.
+# Mutation tests: applies each mutation of tools/mutations.txt, or those given by NAME, to a copy
+# of the repository and runs the test that must then fail.
+#
+#   tools/mutate.sh [NAME...]
+#
+# Prints "killed", "survived" or "stale" for each. A mutation is stale if its lines do not occur
+# exactly once or the mutated code does not pass go vet. Fails unless all are killed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
