--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -50,7 +50,7 @@
 
 // When a router dies in mid-stream, its caller can resume at another router and gets every event
 // exactly once.
-func TestRouterKilledMidStream(t *testing.T) {
+func TestStreamResumesAfterRouterKill(t *testing.T) {
 	f := small(t, 3, 5*time.Millisecond)
 	victim, other := f.Nodes()[0], f.Nodes()[1]
 	c := load.NewClient()
@@ -93,7 +93,7 @@
 
 // The answer of a caller that disconnected is stored even if the object store is down when it
 // ends, and only the account that sent the request can fetch it.
-func TestKeptAnswerSurvivesStoreOutage(t *testing.T) {
+func TestStoredAnswerSurvivesObjectStoreOutage(t *testing.T) {
 	f := small(t, 2, 2*time.Millisecond)
 	n := f.Nodes()[0]
 	c := load.NewClient()
@@ -152,7 +152,7 @@
 }
 
 // The target's connection breaks repeatedly; the router resumes and the answer is complete.
-func TestTargetCutsStream(t *testing.T) {
+func TestStreamResumesAfterTargetCut(t *testing.T) {
 	f := small(t, 1, time.Millisecond)
 	for _, e := range f.Engines {
 		e.SetFaults(standin.Faults{CutAfter: 10})
@@ -165,7 +165,7 @@
 
 // During an outage of the table, keyed calls must not run and everything else is served; a router
 // that starts gets its configuration from peers. After the outage the same key runs once.
-func TestStoreDownForLong(t *testing.T) {
+func TestTableOutage(t *testing.T) {
 	f := small(t, 3, time.Millisecond)
 	f.Table.SetFaults(standin.Faults{Down: true})
 	n := f.Nodes()[0]
@@ -198,7 +198,7 @@
 
 // A drain completes the streams in flight before the router stops, and new requests are served
 // by the other routers.
-func TestPlannedStop(t *testing.T) {
+func TestDrainCompletesStreams(t *testing.T) {
 	f := small(t, 2, 5*time.Millisecond)
 	n := f.Nodes()[0]
 	c := load.NewClient()
@@ -223,7 +223,7 @@
 }
 
 // A target marked as leaving gets no new requests, and those that run there complete.
-func TestTargetLeavesMidStream(t *testing.T) {
+func TestLeavingTargetCompletesStream(t *testing.T) {
 	f := small(t, 2, 5*time.Millisecond)
 	c := load.NewClient()
 	defer c.Close()
@@ -261,7 +261,7 @@
 }
 
 // Orders carry a rising epoch, and an engine that checks it refuses an order of a lower one.
-func TestFencedOrders(t *testing.T) {
+func TestEngineRejectsOrderOfLowerEpoch(t *testing.T) {
 	f := small(t, 2, time.Millisecond)
 	for i, n := range f.Nodes() {
 		reply, err := f.Client(n).Order(context.Background(), operator.OrderRequest{Target: "engine-1", Action: "load", Model: "m"})
@@ -275,7 +275,7 @@
 	}
 }
 
-func TestExplain(t *testing.T) {
+func TestExplainShowsRequestEvents(t *testing.T) {
 	f := small(t, 2, time.Millisecond)
 	resp, _ := send(t, f.Nodes()[0], "POST", "/services/samples/submit", "alder", "k", "box")
 	records, err := f.Client(f.Nodes()[1]).Explain(context.Background(), resp.Header.Get(api.HeaderRequestID))
@@ -294,7 +294,7 @@
 }
 
 // Bad input gets its specific error code and does not affect the router.
-func TestBadInput(t *testing.T) {
+func TestBadInputGetsErrorCode(t *testing.T) {
 	f := small(t, 1, time.Millisecond)
 	n := f.Nodes()[0]
 	base := "http://" + n.Settings.Caller.Listen
@@ -354,7 +354,7 @@
 	waitFor(t, "the noise is refused", func() bool { return n.Router.Dump().PeersRefused >= 3 })
 }
 
-func TestWrongOperatorToken(t *testing.T) {
+func TestOperatorAPIRejectsBadTokenAndPolicy(t *testing.T) {
 	f := small(t, 1, time.Millisecond)
 	resp, err := http.Get("http://" + f.Nodes()[0].Settings.Operator.Listen + "/operator/dump")
 	if err != nil {
