--- a/lab/fleet/claim_test.go
+++ b/lab/fleet/claim_test.go
@@ -15,8 +15,8 @@
 
 // A key sent to all routers at once runs only once, even if the table loses answers after the
 // write or applies writes late.
-func TestSameKeyEverywhereWithLostAnswers(t *testing.T) {
-	f := small(t, 3, time.Millisecond)
+func TestKeyedCallRunsOnceWithLostAnswers(t *testing.T) {
+	f := newSmallFleet(t, 3, time.Millisecond)
 	for round, faults := range []standin.Faults{{}, {LoseAnswer: 2}, {LateWrite: 2, LateMS: 300}, {LoseAnswer: 1, LateWrite: 1, LateMS: 100}} {
 		f.Table.SetFaults(faults)
 		key := fmt.Sprintf("key-%d", round)
@@ -50,7 +50,7 @@
 // When a service runs a call and its answer is lost, every later call with the same key gets
 // OutcomeUnknown and does not run.
 func TestLostAnswerOfServiceStaysUnknown(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+	f := newSmallFleet(t, 2, time.Millisecond)
 	f.Plains["samples-1"].SetFaults(standin.Faults{LoseAnswer: 1})
 	for _, n := range f.Nodes() {
 		_, answer := send(t, n, "POST", "/services/samples/submit", "alder", "k", "box 7")
@@ -68,8 +68,8 @@
 }
 
 // A call that its target refuses as not run is retried and runs at most once.
-func TestRefusedByTargetRunsOnce(t *testing.T) {
-	f := small(t, 1, time.Millisecond)
+func TestRefusedCallRunsOnce(t *testing.T) {
+	f := newSmallFleet(t, 1, time.Millisecond)
 	f.Plains["samples-1"].SetFaults(standin.Faults{Refuse: 1})
 	resp, answer := send(t, f.Nodes()[0], "POST", "/services/samples/submit", "alder", "k", "box 7")
 	runs := f.Plains["samples-1"].RunsByKey()["alder/k"]
@@ -82,8 +82,8 @@
 }
 
 // A slow table delays only keyed calls; the same call at two routers still runs once.
-func TestSlowTable(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+func TestSlowTableDelaysOnlyKeyedCalls(t *testing.T) {
+	f := newSmallFleet(t, 2, time.Millisecond)
 	f.Table.SetFaults(standin.Faults{DelayMS: 150})
 	var wg sync.WaitGroup
 	for _, n := range f.Nodes() {
--- a/lab/fleet/config_test.go
+++ b/lab/fleet/config_test.go
@@ -28,8 +28,8 @@
 
 // Of two concurrent changes to the same version, one succeeds and the other gets a conflict. A
 // lost answer to the write of the head row must not apply a change twice.
-func TestOperatorsRace(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+func TestConcurrentConfigChangesConflict(t *testing.T) {
+	f := newSmallFleet(t, 2, time.Millisecond)
 	d := f.document(t)
 	base := uint64(1)
 	type outcome struct {
@@ -70,8 +70,8 @@
 
 // A change stays pending and names a router that is partitioned from its peers; once the router
 // rejoins, the change is active everywhere.
-func TestPartitionedRouterIsNamed(t *testing.T) {
-	f := small(t, 3, time.Millisecond)
+func TestChangePendingWhileRouterPartitioned(t *testing.T) {
+	f := newSmallFleet(t, 3, time.Millisecond)
 	far := f.Nodes()[2]
 	f.Partition(far, true)
 	d := f.document(t)
--- a/lab/fleet/ending_test.go
+++ b/lab/fleet/ending_test.go
@@ -13,7 +13,7 @@
 
 // A request that crashes every target that starts it must be refused by all routers after three
 // crashes, while other requests are served.
-func TestRoutersSendNoFurtherWhatEndsTargets(t *testing.T) {
+func TestPoisonRequestIsRefused(t *testing.T) {
 	bad := chatBody(5, true)
 	bad["messages"] = []map[string]string{{"role": "user", "content": PoisonMarker}}
 	for _, c := range []struct {
@@ -25,14 +25,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			endTargets(t, c.path, c.body)
+			sendPoison(t, c.path, c.body)
 		})
 	}
 }
 
-func endTargets(t *testing.T, path string, body any) {
+func sendPoison(t *testing.T, path string, body any) {
 	const enough, underWay, rounds = 3, 3, 8
-	f := small(t, 3, time.Millisecond)
+	f := newSmallFleet(t, 3, time.Millisecond)
 	refusals := 0
 	for range rounds {
 		for _, n := range f.Nodes() {
--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -51,7 +51,7 @@
 // When a router dies in mid-stream, its caller can resume at another router and gets every event
 // exactly once.
 func TestStreamResumesAfterRouterKill(t *testing.T) {
-	f := small(t, 3, 5*time.Millisecond)
+	f := newSmallFleet(t, 3, 5*time.Millisecond)
 	victim, other := f.Nodes()[0], f.Nodes()[1]
 	c := load.NewClient()
 	defer c.Close()
@@ -59,7 +59,7 @@
 	go func() {
 		got <- c.Chat(context.Background(), victim.Settings.Caller.Listen, Key("alder"), longChat(300))
 	}()
-	waitFor(t, "the stream runs", func() bool { return runningAt(f) == 1 })
+	waitFor(t, "the stream runs", func() bool { return runningStreams(f) == 1 })
 	f.Kill(victim)
 	a := <-got
 	if !a.Broken || a.RequestID == "" || a.Resume == "" {
@@ -82,7 +82,7 @@
 	}
 }
 
-func runningAt(f *Fleet) int {
+func runningStreams(f *Fleet) int {
 	n := 0
 	for _, e := range f.Engines {
 		running, _, _ := e.Load()
@@ -94,7 +94,7 @@
 // The answer of a caller that disconnected is stored even if the object store is down when it
 // ends, and only the account that sent the request can fetch it.
 func TestStoredAnswerSurvivesObjectStoreOutage(t *testing.T) {
-	f := small(t, 2, 2*time.Millisecond)
+	f := newSmallFleet(t, 2, 2*time.Millisecond)
 	n := f.Nodes()[0]
 	c := load.NewClient()
 	defer c.Close()
@@ -113,7 +113,7 @@
 	f.Objects.SetFaults(standin.Faults{Down: true})
 	cancel()
 	_ = resp.Body.Close()
-	waitFor(t, "the stream ends", func() bool { return runningAt(f) == 0 })
+	waitFor(t, "the stream ends", func() bool { return runningStreams(f) == 0 })
 	f.Objects.SetFaults(standin.Faults{})
 	waitFor(t, "the answer is kept", func() bool { return len(f.Objects.List("answer/")) == 1 })
 	lost := load.Answer{RequestID: id} // the caller has lost even its token
@@ -129,7 +129,7 @@
 
 // The read timeout applies to requests only; it must not abort a long answer.
 func TestReadTimeoutDoesNotCutLongAnswers(t *testing.T) {
-	f := tuned(t, 1, 5*time.Millisecond, func(s *setting.Settings) { s.Caller.ReadTimeout.Duration = 200 * time.Millisecond })
+	f := newTunedFleet(t, 1, 5*time.Millisecond, func(s *setting.Settings) { s.Caller.ReadTimeout.Duration = 200 * time.Millisecond })
 	c := load.NewClient()
 	defer c.Close()
 	a := c.Chat(context.Background(), f.Nodes()[0].Settings.Caller.Listen, Key("alder"), longChat(200))
@@ -153,7 +153,7 @@
 
 // The target's connection breaks repeatedly; the router resumes and the answer is complete.
 func TestStreamResumesAfterTargetCut(t *testing.T) {
-	f := small(t, 1, time.Millisecond)
+	f := newSmallFleet(t, 1, time.Millisecond)
 	for _, e := range f.Engines {
 		e.SetFaults(standin.Faults{CutAfter: 10})
 	}
@@ -166,7 +166,7 @@
 // During an outage of the table, keyed calls must not run and everything else is served; a router
 // that starts gets its configuration from peers. After the outage the same key runs once.
 func TestTableOutage(t *testing.T) {
-	f := small(t, 3, time.Millisecond)
+	f := newSmallFleet(t, 3, time.Millisecond)
 	f.Table.SetFaults(standin.Faults{Down: true})
 	n := f.Nodes()[0]
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -199,7 +199,7 @@
 // A drain completes the streams in flight before the router stops, and new requests are served
 // by the other routers.
 func TestDrainCompletesStreams(t *testing.T) {
-	f := small(t, 2, 5*time.Millisecond)
+	f := newSmallFleet(t, 2, 5*time.Millisecond)
 	n := f.Nodes()[0]
 	c := load.NewClient()
 	defer c.Close()
@@ -207,7 +207,7 @@
 	go func() {
 		got <- c.Chat(context.Background(), n.Settings.Caller.Listen, Key("alder"), longChat(200))
 	}()
-	waitFor(t, "the stream runs", func() bool { return runningAt(f) == 1 })
+	waitFor(t, "the stream runs", func() bool { return runningStreams(f) == 1 })
 	if err := f.Client(n).Drain(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 
 // A target marked as leaving gets no new requests, and those that run there complete.
 func TestLeavingTargetCompletesStream(t *testing.T) {
-	f := small(t, 2, 5*time.Millisecond)
+	f := newSmallFleet(t, 2, 5*time.Millisecond)
 	c := load.NewClient()
 	defer c.Close()
 	got := make(chan load.Answer, 1)
@@ -262,7 +262,7 @@
 
 // Orders carry a rising epoch, and an engine that checks it refuses an order of a lower one.
 func TestEngineRejectsOrderOfLowerEpoch(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+	f := newSmallFleet(t, 2, time.Millisecond)
 	for i, n := range f.Nodes() {
 		reply, err := f.Client(n).Order(context.Background(), operator.OrderRequest{Target: "engine-1", Action: "load", Model: "m"})
 		if err != nil || reply.Epoch != uint64(i+1) {
@@ -276,7 +276,7 @@
 }
 
 func TestExplainShowsRequestEvents(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+	f := newSmallFleet(t, 2, time.Millisecond)
 	resp, _ := send(t, f.Nodes()[0], "POST", "/services/samples/submit", "alder", "k", "box")
 	records, err := f.Client(f.Nodes()[1]).Explain(context.Background(), resp.Header.Get(api.HeaderRequestID))
 	if err != nil || len(records) != 1 {
@@ -295,7 +295,7 @@
 
 // Bad input gets its specific error code and does not affect the router.
 func TestBadInputGetsErrorCode(t *testing.T) {
-	f := small(t, 1, time.Millisecond)
+	f := newSmallFleet(t, 1, time.Millisecond)
 	n := f.Nodes()[0]
 	base := "http://" + n.Settings.Caller.Listen
 	for _, c := range []struct {
@@ -355,7 +355,7 @@
 }
 
 func TestOperatorAPIRejectsBadTokenAndPolicy(t *testing.T) {
-	f := small(t, 1, time.Millisecond)
+	f := newSmallFleet(t, 1, time.Millisecond)
 	resp, err := http.Get("http://" + f.Nodes()[0].Settings.Operator.Listen + "/operator/dump")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -32,14 +32,14 @@
     return attempt.outcome == "not_run" or request.method == "GET"
 `
 
-// small starts a fleet with a pool of three engines and a plain service.
-func small(t *testing.T, routers int, gap time.Duration) *Fleet {
+// newSmallFleet starts a fleet with a pool of three engines and a plain service.
+func newSmallFleet(t *testing.T, routers int, gap time.Duration) *Fleet {
 	t.Helper()
-	return tuned(t, routers, gap, nil)
+	return newTunedFleet(t, routers, gap, nil)
 }
 
-// tuned starts the fleet of small with changed settings.
-func tuned(t *testing.T, routers int, gap time.Duration, tune func(*setting.Settings)) *Fleet {
+// newTunedFleet starts the fleet of small with changed settings.
+func newTunedFleet(t *testing.T, routers int, gap time.Duration, tune func(*setting.Settings)) *Fleet {
 	t.Helper()
 	f, err := New(Options{Routers: routers, Tune: tune})
 	if err != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-func TestWholePath(t *testing.T) {
-	f := small(t, 3, time.Millisecond)
+func TestAllRoutersServe(t *testing.T) {
+	f := newSmallFleet(t, 3, time.Millisecond)
 	for _, n := range f.Nodes() {
 		resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(20, false))
 		if resp.StatusCode != 200 || strings.Count(string(answer), "-20 ") != 1 {
--- a/lab/fleet/rest_test.go
+++ b/lab/fleet/rest_test.go
@@ -14,8 +14,8 @@
 
 // Routers must send nothing to a target during the Retry-After of its refusal, and pass the
 // remaining time on to callers if no other target is left.
-func TestRoutersLetTargetsRest(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+func TestNoRequestsDuringPause(t *testing.T) {
+	f := newSmallFleet(t, 2, time.Millisecond)
 	n := f.Nodes()[0]
 	chat := func() (*http.Response, []byte) {
 		return send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(5, false))
