--- a/lab/platform/input_test.go
+++ b/lab/platform/input_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// calm starts a small site without clients or faults.
-func calm(t *testing.T) *Site {
+// startSmallSite starts a small site without clients or faults.
+func startSmallSite(t *testing.T) *Site {
 	t.Helper()
 	s, err := Start(SmallSite(5, time.Second))
 	if err != nil {
@@ -28,9 +28,9 @@
 	return s
 }
 
-// raw sends bytes to a gateway and returns the status of the first answer, or 0 if the connection
+// sendRaw sends bytes to a gateway and returns the status of the first answer, or 0 if the connection
 // ends without one.
-func raw(t *testing.T, s *Site, text string) int {
+func sendRaw(t *testing.T, s *Site, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp4", s.gateways[0].setting.Callers)
 	if err != nil {
@@ -52,7 +52,7 @@
 // Malformed and unauthorized requests get a specific status and never reach a worker.
 func TestBadInputReachesNoWorker(t *testing.T) {
 	t.Parallel()
-	s := calm(t)
+	s := startSmallSite(t)
 	for _, c := range []struct {
 		name string
 		text string
@@ -72,7 +72,7 @@
 		{"long body", "POST /submit/x HTTP/1.1\r\nHost: site.example\r\n" + key + fmt.Sprintf("Content-Length: %d\r\n\r\n", 2<<20), 413},
 		{"long body in chunks", "POST /submit/x HTTP/1.1\r\nHost: site.example\r\n" + key + "Transfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 0x200000) + "\r\n0\r\n\r\n", 413},
 	} {
-		if got := raw(t, s, c.text); got != c.want {
+		if got := sendRaw(t, s, c.text); got != c.want {
 			t.Errorf("%s: status %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -83,22 +83,22 @@
 
 // Request smuggling: with Transfer-Encoding and Content-Length both set, bytes after the body must
 // never reach a worker as a request of their own.
-func TestNothingIsSmuggled(t *testing.T) {
+func TestRequestSmuggling(t *testing.T) {
 	t.Parallel()
-	s := calm(t)
+	s := startSmallSite(t)
 	inner := "GET /look/hidden HTTP/1.1\r\nHost: site.example\r\n" + key + "Attempt-Id: hidden\r\n\r\n"
 	body := "5\r\nhello\r\n0\r\n\r\n" + inner
 	s.ledger.AddRequest("outer", "account-0", "POST", "/submit/x", "hello", false)
-	_ = raw(t, s, "POST /submit/x HTTP/1.1\r\nHost: site.example\r\n"+key+"Attempt-Id: outer\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n"+body)
+	_ = sendRaw(t, s, "POST /submit/x HTTP/1.1\r\nHost: site.example\r\n"+key+"Attempt-Id: outer\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n"+body)
 	for _, b := range s.ledger.Violations() {
 		t.Error(b)
 	}
 }
 
 // A request whose body is cut off must not reach a worker.
-func TestTornRequestReachesNoWorker(t *testing.T) {
+func TestIncompleteRequestReachesNoWorker(t *testing.T) {
 	t.Parallel()
-	s := calm(t)
+	s := startSmallSite(t)
 	c, err := net.Dial("tcp4", s.gateways[0].setting.Callers)
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 }
 
 // A gateway that has no configuration is not ready and refuses requests as not run.
-func TestWithoutConfigurationNothingRuns(t *testing.T) {
+func TestGatewayWithoutConfigurationRefuses(t *testing.T) {
 	t.Parallel()
 	o := SmallSite(5, time.Second)
 	s := &Site{opts: o, number: int(sites.Add(1)), store: NewStore(), ledger: NewLedger(), cancel: func() {}}
@@ -125,7 +125,7 @@
 	if s.gateways[0].running.Ready() {
 		t.Error("ready without a configuration")
 	}
-	if got := raw(t, s, "GET /look/x HTTP/1.1\r\nHost: site.example\r\n"+key+"\r\n"); got != 503 {
+	if got := sendRaw(t, s, "GET /look/x HTTP/1.1\r\nHost: site.example\r\n"+key+"\r\n"); got != 503 {
 		t.Errorf("status %d, want 503", got)
 	}
 }
--- a/lab/platform/site_test.go
+++ b/lab/platform/site_test.go
@@ -17,9 +17,9 @@
 	m.Run()
 }
 
-// play runs a small site with a trouble. It fails the test on a violated guarantee, or if less
+// runSite runs a small site with a trouble. It fails the test on a violated guarantee, or if less
 // than half of the requests are served.
-func play(t *testing.T, trouble string, length time.Duration) Result {
+func runSite(t *testing.T, trouble string, length time.Duration) Result {
 	t.Helper()
 	o := SmallSite(11, length)
 	o.Trouble = trouble
@@ -42,12 +42,12 @@
 	return r
 }
 
-func TestCalm(t *testing.T) {
+func TestSiteWithoutFaults(t *testing.T) {
 	t.Parallel()
-	play(t, "", 3*time.Second)
+	runSite(t, "", 3*time.Second)
 }
 
-func TestTroubles(t *testing.T) {
+func TestSiteWithFaults(t *testing.T) {
 	t.Parallel()
 	var names []string
 	for name := range Troubles() {
@@ -57,7 +57,7 @@
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, name, 4*time.Second)
+			runSite(t, name, 4*time.Second)
 		})
 	}
 }
--- a/lab/platform/worker_test.go
+++ b/lab/platform/worker_test.go
@@ -12,7 +12,7 @@
 
 // A worker copies uncached parts from the given worker up to the first part that is not cached
 // there, and prefills the rest.
-func TestWorkerCopiesWhatAnotherKeeps(t *testing.T) {
+func TestWorkerCopiesCachedParts(t *testing.T) {
 	cfg := WorkerConfig{Model: true, Slots: 4, Queue: 4, PrefillRate: 1000, CopyRate: 10_000, CacheTokens: 10_000}
 	source := &Worker{cfg: cfg, cached: map[string]int{}, everCached: map[string]bool{}}
 	cfg.PeerAt = func(address string) *Worker {
@@ -42,7 +42,7 @@
 }
 
 // A transaction must be atomic, and must not write the tables of the operator and the workers.
-func TestStoreTransactions(t *testing.T) {
+func TestTransactionIsAtomic(t *testing.T) {
 	s := NewStore()
 	address, err := s.Listen("g")
 	if err != nil {
