--- a/lab/seconds/seconds_test.go
+++ b/lab/seconds/seconds_test.go
@@ -37,7 +37,7 @@
 	return out
 }
 
-func TestSecondsAreSummedOverGateways(t *testing.T) {
+func TestGatherSumsOverGateways(t *testing.T) {
 	all := Gather(lines(t))
 	if len(all) != 2 || all[0].At != 0 || all[1].At != 1 {
 		t.Fatalf("got %d seconds, want 0 and 1", len(all))
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTableAndPicture(t *testing.T) {
+func TestWriteTableAndSVG(t *testing.T) {
 	all := Gather(lines(t))
 	var table, picture bytes.Buffer
 	if err := WriteTable(&table, all); err != nil {
