--- a/lab/standin/enginestream_test.go
+++ b/lab/standin/enginestream_test.go
@@ -14,7 +14,7 @@
 
 // The events before a cut must be flushed, even if more were available at once; otherwise a reader
 // makes no progress and gives up resuming.
-func TestCutComesAfterTheEvents(t *testing.T) {
+func TestEventsBeforeCutAreFlushed(t *testing.T) {
 	const cutAfter = 10
 	e := NewEngine(EngineConfig{})
 	e.SetFaults(Faults{CutAfter: cutAfter})
