--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -52,5 +52,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(seconds.WritePicture(f, all), f.Close())
+	return errors.Join(seconds.WriteSVG(f, all), f.Close())
 }
--- a/lab/seconds/picture.go
+++ b/lab/seconds/picture.go
@@ -41,12 +41,12 @@
 		{"thousand prompt tokens a second", []series{
 			{"asked", "#999", func(s *Second) float64 { return float64(s.AskedTokens) / 1000 }},
 			{"placed", "#27a", func(s *Second) float64 { return float64(s.PlacedTokens) / 1000 }},
-			{"read", "#2a7", func(s *Second) float64 { return float64(s.Read) / 1000 }},
-			{"read again", "#c33", func(s *Second) float64 { return float64(s.Anew) / 1000 }},
+			{"read", "#2a7", func(s *Second) float64 { return float64(s.Prefilled) / 1000 }},
+			{"read again", "#c33", func(s *Second) float64 { return float64(s.Reprefilled) / 1000 }},
 			{"copied", "#939", func(s *Second) float64 { return float64(s.Copied) / 1000 }},
 		}},
 		{"engines' time, percent", []series{
-			{"reading", "#27a", func(s *Second) float64 { return 100 * s.ReadingShare() }},
+			{"reading", "#27a", func(s *Second) float64 { return 100 * s.PrefillShare() }},
 		}},
 		{"streams running, requests refused while an engine had room", []series{
 			{"streams", "#27a", func(s *Second) float64 { return float64(s.Streams) }},
@@ -55,8 +55,8 @@
 	}
 }
 
-// WritePicture writes the seconds as an SVG chart with one panel per topic.
-func WritePicture(w io.Writer, all []*Second) error {
+// WriteSVG writes the seconds as an SVG chart with one panel per topic.
+func WriteSVG(w io.Writer, all []*Second) error {
 	list := panels()
 	height := len(list)*(panelHeight+panelGap) + marginTop
 	var b strings.Builder
--- a/lab/seconds/seconds.go
+++ b/lab/seconds/seconds.go
@@ -26,17 +26,17 @@
 type Second struct {
 	At int // seconds since the first line of a scheduler
 	// From the schedulers:
-	Asked, Placed, Refused, WithRoom, Waiting int
-	AskedTokens, PlacedTokens, Read, Anew     int
-	Copies, Copied, Targets, Streams          int
-	readingTime                               float64       // share of the time spent on prefill, times targets, summed over all cells
-	booked                                    time.Duration // queued prefill times targets, summed over all cells
+	Asked, Placed, Refused, WithRoom, Waiting         int
+	AskedTokens, PlacedTokens, Prefilled, Reprefilled int
+	Copies, Copied, Targets, Streams                  int
+	readingTime                                       float64       // share of the time spent on prefill, times targets, summed over all cells
+	booked                                            time.Duration // queued prefill times targets, summed over all cells
 	// Requests by outcome, from the gateways.
 	Outcomes map[string]int
 }
 
-// ReadingShare returns the share of the engines' time spent on prefill.
-func (s *Second) ReadingShare() float64 { return s.readingTime / float64(max(s.Targets, 1)) }
+// PrefillShare returns the share of the engines' time spent on prefill.
+func (s *Second) PrefillShare() float64 { return s.readingTime / float64(max(s.Targets, 1)) }
 
 // Booked returns the prefill time queued at an engine, on average.
 func (s *Second) Booked() time.Duration { return s.booked / time.Duration(max(s.Targets, 1)) }
@@ -105,7 +105,7 @@
 	}
 	for name, sum := range map[string]*int{
 		"asked": &s.Asked, "placed": &s.Placed, "refused": &s.Refused, "with_room": &s.WithRoom, "waiting": &s.Waiting,
-		"asked_tokens": &s.AskedTokens, "placed_tokens": &s.PlacedTokens, "read": &s.Read, "anew": &s.Anew,
+		"asked_tokens": &s.AskedTokens, "placed_tokens": &s.PlacedTokens, "read": &s.Prefilled, "anew": &s.Reprefilled,
 		"copies": &s.Copies, "copied": &s.Copied, "targets": &s.Targets, "streams": &s.Streams,
 	} {
 		*sum += number(name)
@@ -136,8 +136,8 @@
 		}
 		_, err = fmt.Fprintf(w, "%6d %6d %6d %7d %6d %7d | %10d %6d %5d %5d %6d | %7d %7d %6.0f%% %4dms | %7d %5d %5d %7d %6d\n",
 			s.At, s.Asked, s.Placed, s.Refused, s.WithRoom, s.Waiting,
-			s.AskedTokens/1000, s.PlacedTokens/1000, s.Read/1000, s.Anew/1000, s.Copied/1000,
-			s.Targets, s.Streams, 100*s.ReadingShare(), s.Booked().Milliseconds(),
+			s.AskedTokens/1000, s.PlacedTokens/1000, s.Prefilled/1000, s.Reprefilled/1000, s.Copied/1000,
+			s.Targets, s.Streams, 100*s.PrefillShare(), s.Booked().Milliseconds(),
 			o["in_time"], o["late"], o["refused_at_entry"], o["not_in_time"], failed)
 	}
 	return err
--- a/lab/seconds/seconds_test.go
+++ b/lab/seconds/seconds_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("%+v", s)
 	}
 	// Weighted by engines: four at 0.5, two at 0.2.
-	if got := s.ReadingShare(); got < 0.39 || got > 0.41 {
+	if got := s.PrefillShare(); got < 0.39 || got > 0.41 {
 		t.Errorf("reading share %.2f, want 0.40", got)
 	}
 	if got := s.Booked(); got != 80*time.Millisecond {
@@ -71,7 +71,7 @@
 	if len(rows) != 3 || !strings.Contains(rows[1], "40%") || !strings.HasSuffix(rows[1], "3") {
 		t.Errorf("%s", table.String())
 	}
-	if err := WritePicture(&picture, all); err != nil {
+	if err := WriteSVG(&picture, all); err != nil {
 		t.Fatal(err)
 	}
 	decoder := xml.NewDecoder(&picture)
