--- a/lab/seconds/seconds.go
+++ b/lab/seconds/seconds.go
@@ -29,21 +29,21 @@
 	Asked, Placed, Refused, WithRoom, Waiting         int
 	AskedTokens, PlacedTokens, Prefilled, Reprefilled int
 	Copies, Copied, Targets, Streams                  int
-	readingTime                                       float64       // share of the time spent on prefill, times targets, summed over all cells
+	prefillTime                                       float64       // share of the time spent on prefill, times targets, summed over all cells
 	booked                                            time.Duration // queued prefill times targets, summed over all cells
 	// Requests by outcome, from the gateways.
 	Outcomes map[string]int
 }
 
 // PrefillShare returns the share of the engines' time spent on prefill.
-func (s *Second) PrefillShare() float64 { return s.readingTime / float64(max(s.Targets, 1)) }
+func (s *Second) PrefillShare() float64 { return s.prefillTime / float64(max(s.Targets, 1)) }
 
 // Booked returns the prefill time queued at an engine, on average.
 func (s *Second) Booked() time.Duration { return s.booked / time.Duration(max(s.Targets, 1)) }
 
 // Gather sums the lines of all processes by second, starting at the first line of a scheduler.
 func Gather(lines []log.Line) []*Second {
-	start, found := firstCell(lines)
+	start, found := firstCellTime(lines)
 	if !found {
 		return nil
 	}
@@ -72,7 +72,7 @@
 	return out
 }
 
-func firstCell(lines []log.Line) (time.Time, bool) {
+func firstCellTime(lines []log.Line) (time.Time, bool) {
 	var first time.Time
 	found := false
 	for _, l := range lines {
@@ -111,7 +111,7 @@
 		*sum += number(name)
 	}
 	if share, err := strconv.ParseFloat(l.Values["reading_share"], 64); err == nil {
-		s.readingTime += share * float64(number("targets"))
+		s.prefillTime += share * float64(number("targets"))
 	}
 	if booked, err := time.ParseDuration(l.Values["booked"]); err == nil {
 		s.booked += booked * time.Duration(number("targets"))
