--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	sampleEvery   = 5 * time.Millisecond
-	samplesPerGap = 10 // samples per measurement of the gap
-	settleTime    = 500 * time.Millisecond
-	overheadCalls = 300
-	startTimeout  = 20 * time.Second
-	finishTimeout = 12 * time.Second
-	promptWeight  = 0.25
-	milliWeight   = 1
-	maxCharge     = 1024 // max_cost of the model pool, the upper bound of estimates
-	reportLag     = 100 * time.Millisecond
+	sampleInterval = 5 * time.Millisecond
+	samplesPerGap  = 10 // samples per measurement of the gap
+	settleTime     = 500 * time.Millisecond
+	overheadCalls  = 300
+	startTimeout   = 20 * time.Second
+	finishTimeout  = 12 * time.Second
+	promptWeight   = 0.25
+	milliWeight    = 1
+	maxCharge      = 1024 // max_cost of the model pool, the upper bound of estimates
+	reportLag      = 100 * time.Millisecond
 )
 
 // Options configures a run.
@@ -271,7 +271,7 @@
 
 // sampleLoop samples utilisation and the fairness gap until the run stops.
 func (r *run) sampleLoop() {
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -306,7 +306,7 @@
 	if n%samplesPerGap == 0 {
 		r.gap.sample(now, now.Sub(r.start), r.modelService.snapshot(), func(account string) bool { return asked[account] > starts[account] })
 	}
-	if n%int(3*time.Second/sampleEvery) == 0 {
+	if n%int(3*time.Second/sampleInterval) == 0 {
 		r.opts.Progress("%4.1f s: %d of %d slots busy, %d requests outstanding", now.Sub(r.start).Seconds(), busy, slots, total)
 	}
 }
--- a/lab/measure/scenario.go
+++ b/lab/measure/scenario.go
@@ -272,15 +272,15 @@
 	f.Objects.SetFaults(faults)
 }
 
-const churnEvery = 3 * time.Second
+const churnInterval = 3 * time.Second
 
 func routerChurn() Scenario {
 	s := coreLogging()
 	s.Name, s.Description = "router-churn", "as core-logging; every three seconds a router is killed and starts with no memory a second later"
 	s.Faults = func(s Scenario) []Fault {
 		var faults []Fault
-		for i := 0; time.Duration(i+1)*churnEvery < s.Duration-2*time.Second; i++ {
-			at, victim := time.Duration(i+1)*churnEvery, i%s.Routers
+		for i := 0; time.Duration(i+1)*churnInterval < s.Duration-2*time.Second; i++ {
+			at, victim := time.Duration(i+1)*churnInterval, i%s.Routers
 			faults = append(faults,
 				Fault{At: at, Name: fmt.Sprintf("router-%d killed", victim+1), Do: func(f *fleet.Fleet) { f.Kill(f.Nodes()[victim]) }},
 				Fault{At: at + time.Second, Name: fmt.Sprintf("router-%d starts", victim+1), Do: func(f *fleet.Fleet) { _, _ = f.StartRouter(victim) }},
@@ -362,7 +362,7 @@
 	}
 	for i, account := range d.Accounts {
 		a := light(i, -1, 300*time.Millisecond)
-		if i < largeInExample {
+		if i < largeAccounts {
 			a = large(i, -1, 36)
 		}
 		a.Name = account.Name
@@ -371,4 +371,4 @@
 	return s, nil
 }
 
-const largeInExample = 3
+const largeAccounts = 3
