--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	printPlay(r)
+	printResult(r)
 	if len(r.Violations) > 0 {
 		return errors.New("broken: " + strings.Join(r.Violations, "; "))
 	}
@@ -64,7 +64,7 @@
 	return names
 }
 
-func printPlay(r platform.Result) {
+func printResult(r platform.Result) {
 	fmt.Printf("asked %d, served %d (late %d), refused %d, failed %d, doubled %d\n", r.Sent, r.Served, r.Late, r.Refused, r.Failed, r.Duplicates)
 	fmt.Printf("prompt tokens read %d, of shared parts again %d\n", r.Prefilled, r.Reprefilled)
 	fmt.Printf("copied between workers %d times, %d tokens\n", r.Copies, r.Copied)
