--- a/cmd/madderway-lab/demo.go
+++ b/cmd/madderway-lab/demo.go
@@ -27,18 +27,18 @@
 	if err := c.setUp(); err != nil {
 		return err
 	}
-	var broken []string
+	var violations []string
 	for _, firm := range []string{examples.CoreLogging, examples.Haddad} {
-		b, err := c.run(firm)
+		v, err := c.run(firm)
 		if err != nil {
 			return err
 		}
-		broken = append(broken, b...)
+		violations = append(violations, v...)
 	}
-	if len(broken) > 0 {
-		return errors.New("broken promises: " + strings.Join(broken, "; "))
+	if len(violations) > 0 {
+		return errors.New("violated guarantees: " + strings.Join(violations, "; "))
 	}
-	fmt.Println("\nno promise was broken")
+	fmt.Println("\nno guarantee was violated")
 	return nil
 }
 
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -58,8 +58,8 @@
 	} else {
 		r.Text(os.Stdout)
 	}
-	if broken := r.Violations(); len(broken) > 0 {
-		return errors.New("broken promises: " + strings.Join(broken, "; "))
+	if violations := r.Violations(); len(violations) > 0 {
+		return errors.New("violated guarantees: " + strings.Join(violations, "; "))
 	}
 	return nil
 }
--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -50,7 +50,7 @@
 	}
 	printResult(r)
 	if len(r.Violations) > 0 {
-		return errors.New("broken: " + strings.Join(r.Violations, "; "))
+		return errors.New("violations: " + strings.Join(r.Violations, "; "))
 	}
 	return nil
 }
@@ -65,10 +65,10 @@
 }
 
 func printResult(r platform.Result) {
-	fmt.Printf("asked %d, served %d (late %d), refused %d, failed %d, doubled %d\n", r.Sent, r.Served, r.Late, r.Refused, r.Failed, r.Duplicates)
-	fmt.Printf("prompt tokens read %d, of shared parts again %d\n", r.Prefilled, r.Reprefilled)
-	fmt.Printf("copied between workers %d times, %d tokens\n", r.Copies, r.Copied)
-	fmt.Printf("fairness %.2f (least share served of an account, of the greatest)\n", r.Fairness)
-	fmt.Printf("control: a gateway sent %.0f bytes and was busy %v in a second\n", r.ControlBytes, r.ControlTime.Round(time.Microsecond))
-	fmt.Printf("calls of the store %d\n", r.StoreCalls)
+	fmt.Printf("sent %d, served %d (late %d), refused %d, failed %d, duplicates %d\n", r.Sent, r.Served, r.Late, r.Refused, r.Failed, r.Duplicates)
+	fmt.Printf("prompt tokens prefilled %d, %d of them again\n", r.Prefilled, r.Reprefilled)
+	fmt.Printf("cache transfers between workers %d, %d tokens\n", r.Copies, r.Copied)
+	fmt.Printf("fairness %.2f (lowest served share of an account / highest)\n", r.Fairness)
+	fmt.Printf("control per gateway and second: %.0f bytes sent, %v busy\n", r.ControlBytes, r.ControlTime.Round(time.Microsecond))
+	fmt.Printf("store calls %d\n", r.StoreCalls)
 }
--- a/lab/fleet/ending_test.go
+++ b/lab/fleet/ending_test.go
@@ -31,7 +31,7 @@
 }
 
 func sendPoison(t *testing.T, path string, body any) {
-	const enough, underWay, rounds = 3, 3, 8
+	const maxCrashes, inFlight, rounds = 3, 3, 8
 	f := newSmallFleet(t, 3, time.Millisecond)
 	refusals := 0
 	for range rounds {
@@ -50,8 +50,8 @@
 			})
 		}
 	}
-	if n := f.Crashes(); n < enough || n > enough+underWay {
-		t.Errorf("one request crashed %d targets, want %d and at most %d more", n, enough, underWay)
+	if n := f.Crashes(); n < maxCrashes || n > maxCrashes+inFlight {
+		t.Errorf("one request crashed %d targets, want %d and at most %d more", n, maxCrashes, inFlight)
 	}
 	if refusals < 3 {
 		t.Errorf("only the last %d attempts were refused, want at least 3", refusals)
--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -115,7 +115,7 @@
 	_ = resp.Body.Close()
 	waitFor(t, "the stream ends", func() bool { return runningStreams(f) == 0 })
 	f.Objects.SetFaults(standin.Faults{})
-	waitFor(t, "the answer is kept", func() bool { return len(f.Objects.List("answer/")) == 1 })
+	waitFor(t, "the answer is stored", func() bool { return len(f.Objects.List("answer/")) == 1 })
 	lost := load.Answer{RequestID: id} // the caller has lost even its token
 	whole := c.Resume(context.Background(), f.Nodes()[1].Settings.Caller.Listen, Key("alder"), lost)
 	if !whole.Complete() || len(whole.Events) != 102 {
@@ -255,8 +255,8 @@
 	for range 12 {
 		send(t, f.Nodes()[1], "POST", "/v1/chat/completions", "birch", "", chatBody(2, false))
 	}
-	if running, _, most := f.Engines[name].Load(); running != 0 || most != 1 {
-		t.Fatalf("the leaving target ran %d at most and runs %d now, want 1 and 0", most, running)
+	if running, _, peak := f.Engines[name].Load(); running != 0 || peak != 1 {
+		t.Fatalf("the leaving target ran %d at most and runs %d now, want 1 and 0", peak, running)
 	}
 }
 
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -212,14 +212,14 @@
 // ports returns the addresses of a router's listeners. Each fleet of each process uses its own
 // loopback addresses: probing for a free port would race with other processes.
 func (f *Fleet) ports(i int) []string {
-	const most = 250
+	const loopbackNets = 250
 	out := make([]string, portsPerRouter)
 	for p := range out {
 		if f.opts.FirstPort > 0 {
 			out[p] = fmt.Sprintf("127.0.0.1:%d", f.opts.FirstPort+portsPerRouter*i+p)
 			continue
 		}
-		out[p] = fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%most, f.number%most, 1+i, firstPort+p)
+		out[p] = fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%loopbackNets, f.number%loopbackNets, 1+i, firstPort+p)
 	}
 	return out
 }
--- a/lab/fleet/rest_test.go
+++ b/lab/fleet/rest_test.go
@@ -26,13 +26,13 @@
 		chat()
 		return engine.Refused() > 0
 	})
-	asked := engine.Refused()
+	before := engine.Refused()
 	for range 20 {
 		if resp, answer := chat(); resp.StatusCode != http.StatusOK {
 			t.Errorf("got status %d %s, want 200 from one of the two other engines", resp.StatusCode, answer)
 		}
 	}
-	if n := engine.Refused() - asked; n > 0 {
+	if n := engine.Refused() - before; n > 0 {
 		t.Errorf("%d of 20 chats were sent to an engine that asked for a pause", n)
 	}
 	plain := f.Plains["samples-1"]
@@ -41,7 +41,7 @@
 		return send(t, n, "POST", "/services/samples/look", "alder", "", "a box")
 	}
 	call()
-	asked = plain.Refused()
+	before = plain.Refused()
 	for range 5 {
 		resp, answer := call()
 		e := errorOf(t, answer)
@@ -49,7 +49,7 @@
 			t.Errorf("got status %d %s, want a refusal with the rest of the pause as Retry-After", resp.StatusCode, answer)
 		}
 	}
-	if n := plain.Refused() - asked; n > 0 {
+	if n := plain.Refused() - before; n > 0 {
 		t.Errorf("%d calls were sent to a target that asked for a pause", n)
 	}
 }
--- a/lab/measure/result.go
+++ b/lab/measure/result.go
@@ -62,20 +62,20 @@
 
 // Violations lists the violated guarantees, such as duplicate runs or lost requests.
 func (r *Result) Violations() []string {
-	var broken []string
+	var violations []string
 	add := func(n int, what string) {
 		if n > 0 {
-			broken = append(broken, fmt.Sprintf("%d %s", n, what))
+			violations = append(violations, fmt.Sprintf("%d %s", n, what))
 		}
 	}
-	add(r.Duplicates, "calls that may not be repeated ran more than once")
-	add(r.Lost, "requests got neither an answer nor a numbered error")
+	add(r.Duplicates, "calls that must not be repeated ran more than once")
+	add(r.Lost, "requests got neither an answer nor an error response")
 	add(r.NotRunButRan, "requests were refused as not run but ran")
 	add(r.Incomplete, "answers were not complete or not the caller's own")
 	if r.Dispatch == "fleet" && r.FairnessGap > r.FairnessBound {
-		broken = append(broken, fmt.Sprintf("the fairness gap of %.0f is over the bound of %.0f", r.FairnessGap, r.FairnessBound))
+		violations = append(violations, fmt.Sprintf("the fairness gap of %.0f is over the bound of %.0f", r.FairnessGap, r.FairnessBound))
 	}
-	return broken
+	return violations
 }
 
 // Text writes the result as a human-readable report.
@@ -99,7 +99,7 @@
 	}
 	fmt.Fprintf(w, "over a target limit %d requests at most\n", r.OverLimit)
 	fmt.Fprintf(w, "resumed %d, restarted %d, refused %v\n", r.Resumed, r.Restarted, r.Refused)
-	fmt.Fprintf(w, "doubled submissions %d, lost %d, not run but ran %d, incomplete %d\n", r.Duplicates, r.Lost, r.NotRunButRan, r.Incomplete)
+	fmt.Fprintf(w, "duplicate runs %d, lost %d, not run but ran %d, incomplete %d\n", r.Duplicates, r.Lost, r.NotRunButRan, r.Incomplete)
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -284,7 +284,7 @@
 }
 
 func (r *run) sample(now time.Time, n int) {
-	busy, slots, starts := 0, 0, map[string]int{}
+	busy, slots, runningBy := 0, 0, map[string]int{}
 	for _, e := range r.fleet.Engines {
 		if e.Aborted() {
 			continue
@@ -292,11 +292,11 @@
 		running, _, _ := e.Load()
 		busy += min(running, r.scenario.Slots)
 		slots += r.scenario.Slots
-		e.RunningByAccount(starts)
+		e.RunningByAccount(runningBy)
 	}
-	asked := r.outstanding.byAccount()
+	outstanding := r.outstanding.byAccount()
 	total := 0
-	for _, a := range asked {
+	for _, a := range outstanding {
 		total += a
 	}
 	if total > busy && total-busy >= r.scenario.Routers {
@@ -304,7 +304,7 @@
 		r.totalSlots += float64(slots)
 	}
 	if n%samplesPerGap == 0 {
-		r.gap.sample(now, now.Sub(r.start), r.modelService.snapshot(), func(account string) bool { return asked[account] > starts[account] })
+		r.gap.sample(now, now.Sub(r.start), r.modelService.snapshot(), func(account string) bool { return outstanding[account] > runningBy[account] })
 	}
 	if n%int(3*time.Second/sampleInterval) == 0 {
 		r.opts.Progress("%4.1f s: %d of %d slots busy, %d requests outstanding", now.Sub(r.start).Seconds(), busy, slots, total)
@@ -331,11 +331,11 @@
 }
 
 func (r *run) maxCost() float64 {
-	most := 0
+	maxTokens := 0
 	for _, a := range r.scenario.Accounts {
 		for _, st := range a.Streams {
-			most = max(most, st.MaxTokens)
+			maxTokens = max(maxTokens, st.MaxTokens)
 		}
 	}
-	return float64(most) + 32
+	return float64(maxTokens) + 32
 }
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -272,8 +272,8 @@
 		}
 	}
 	for _, e := range r.fleet.Engines {
-		_, _, most := e.Load()
-		res.OverLimit = max(res.OverLimit, most-r.scenario.Slots)
+		_, _, peak := e.Load()
+		res.OverLimit = max(res.OverLimit, peak-r.scenario.Slots)
 	}
 	res.Incomplete = r.badAnswers
 	r.collectAccounts()
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -69,13 +69,13 @@
 // sendWithRetry sends a request, retries it once if it is refused with a short Retry-After, and
 // counts the outcome.
 func (c *client) sendWithRetry(ctx context.Context) {
-	began := time.Now()
+	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
 	defer cancel()
-	result, after := c.attempt(ctx, began)
-	if result == outcomeRefused && after < c.kind.Deadline/3 {
+	result, retryAfter := c.attempt(ctx, started)
+	if result == outcomeRefused && retryAfter < c.kind.Deadline/3 {
 		select {
-		case <-time.After(after):
+		case <-time.After(retryAfter):
 			result, _ = c.attempt(ctx, time.Now())
 		case <-ctx.Done():
 		}
@@ -107,7 +107,7 @@
 	outcomeFailed
 )
 
-func (c *client) attempt(ctx context.Context, began time.Time) (outcome, time.Duration) {
+func (c *client) attempt(ctx context.Context, started time.Time) (outcome, time.Duration) {
 	id := fmt.Sprintf("%016x", c.rng.Uint64())
 	body := ""
 	if c.kind.Method == http.MethodPost {
@@ -138,11 +138,11 @@
 	}
 	defer resp.Body.Close()
 	c.answerHeader = resp.Header
-	return c.checkAnswer(id, body, resp, began)
+	return c.checkAnswer(id, body, resp, started)
 }
 
 // checkAnswer checks an answer against the one that the worker must send.
-func (c *client) checkAnswer(id, sent string, resp *http.Response, began time.Time) (outcome, time.Duration) {
+func (c *client) checkAnswer(id, sent string, resp *http.Response, started time.Time) (outcome, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
 		c.site.ledger.AddRefusal(id)
@@ -159,7 +159,7 @@
 		c.site.ledger.AddViolation("request %s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
 	}
 	if c.kind.Stream {
-		return c.checkStream(id, worker, resp, began)
+		return c.checkStream(id, worker, resp, started)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -169,17 +169,17 @@
 	if string(body) != want || resp.Header.Get("Response-Signature") != Signature(worker, id, want) {
 		c.site.ledger.AddViolation("request %s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
 	}
-	return c.servedOutcome(began), 0
+	return c.servedOutcome(started), 0
 }
 
-func (c *client) servedOutcome(began time.Time) outcome {
-	if time.Since(began) > c.kind.Objective {
+func (c *client) servedOutcome(started time.Time) outcome {
+	if time.Since(started) > c.kind.Objective {
 		return outcomeLate
 	}
 	return outcomeServed
 }
 
-func (c *client) checkStream(id, worker string, resp *http.Response, began time.Time) (outcome, time.Duration) {
+func (c *client) checkStream(id, worker string, resp *http.Response, started time.Time) (outcome, time.Duration) {
 	if resp.Header.Get("Response-Signature") != Signature(worker, id, "") {
 		c.site.ledger.AddViolation("stream of request %s is signed %q", id, resp.Header.Get("Response-Signature"))
 	}
@@ -187,7 +187,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if result == 0 {
-			result = c.servedOutcome(began)
+			result = c.servedOutcome(started)
 		}
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
--- a/lab/platform/kept.go
+++ b/lab/platform/kept.go
@@ -22,19 +22,19 @@
 		return 0
 	}
 	source.mu.Lock()
-	var held []string
+	var found []string
 	for _, part := range strings.Split(parts, ",") {
 		id, _, _ := strings.Cut(part, ":")
 		if _, ok := source.cached[id]; !ok {
 			break
 		}
-		held = append(held, part)
+		found = append(found, part)
 	}
 	source.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	tokens := 0
-	for _, part := range held {
+	for _, part := range found {
 		id, text, _ := strings.Cut(part, ":")
 		n, _ := strconv.Atoi(text)
 		if _, ok := w.cached[id]; !ok {
@@ -55,13 +55,13 @@
 func (w *Worker) prefill(parts string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	missing, whole := 0, true
+	missing, hit := 0, true
 	list := strings.Split(parts, ",")
 	for i, part := range list {
 		id, text, _ := strings.Cut(part, ":")
 		tokens, _ := strconv.Atoi(text)
-		if _, ok := w.cached[id]; !ok || !whole {
-			whole = false
+		if _, ok := w.cached[id]; !ok || !hit {
+			hit = false
 			missing += tokens
 			if i < len(list)-1 && w.everCached[id] {
 				w.reprefilled += tokens
--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -40,8 +40,8 @@
 }
 
 func (l *Ledger) add(format string, args ...any) {
-	const most = 20
-	if len(l.violations) < most {
+	const limit = 20
+	if len(l.violations) < limit {
 		l.violations = append(l.violations, fmt.Sprintf(format, args...))
 	}
 }
@@ -59,22 +59,22 @@
 	defer l.mu.Unlock()
 	a := l.requests[id]
 	if a == nil {
-		l.add("%s ran %q, which no client sent", worker, id)
+		l.add("worker %s ran %q, which no client sent", worker, id)
 		return
 	}
 	a.runs++
 	if a.method != r.Method || a.uri != r.RequestURI || a.body != string(body) || a.account != r.Header.Get("Tenant") {
-		l.add("%s ran %s %s for %q, sent was %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
+		l.add("worker %s ran %s %s for %q, but the client sent %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
 	}
 	if r.Header.Get("Authorization") != "" || r.Header.Get("Deadline-Ms") == "" {
-		l.add("%s saw a key, or no deadline", worker)
+		l.add("worker %s got an API key or no deadline", worker)
 	}
 	if a.runs > 1 && !a.repeatable {
 		l.counts.Duplicates++
-		l.add("%s ran %s a second time", worker, id)
+		l.add("worker %s ran %s again", worker, id)
 	}
 	if a.refused && !a.repeatable {
-		l.add("%s ran %s after it was refused as not run", worker, id)
+		l.add("worker %s ran %s after it was refused as not run", worker, id)
 	}
 }
 
@@ -85,7 +85,7 @@
 	a := l.requests[id]
 	a.refused = true
 	if a.runs > 0 && !a.repeatable {
-		l.add("%s was refused as not run, but ran", id)
+		l.add("request %s was refused as not run, but ran", id)
 	}
 }
 
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -117,9 +117,9 @@
 }
 
 // SetStoreDown makes the store answer every call with 503, or serve again.
-func (s *Site) SetStoreDown(away bool) {
+func (s *Site) SetStoreDown(down bool) {
 	mode := StoreServes
-	if away {
+	if down {
 		mode = StoreBusy
 	}
 	s.store.SetMode("", mode)
@@ -158,10 +158,10 @@
 // RestartCrashed restarts the workers that requests have crashed.
 func (s *Site) RestartCrashed() error {
 	s.mu.Lock()
-	ended := s.crashed
+	crashed := s.crashed
 	s.crashed = nil
 	s.mu.Unlock()
-	for _, old := range ended {
+	for _, old := range crashed {
 		if _, err := s.RestartWorker(old); err != nil {
 			return err
 		}
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -69,7 +69,7 @@
 	plainService = "plain"
 )
 
-// Kinds returns the kinds of requests that clients send.
+// Kinds returns the kinds of requests that clients send. The first two are streams.
 func Kinds() []Kind {
 	return []Kind{
 		{Name: "long", Path: "/long/", Method: "POST", Stream: true, Prefixes: 8, SharedTokens: 2000, OwnTokens: 400, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 8, Attempts: 1},
@@ -151,8 +151,8 @@
 // address returns a listen address of a gateway. Each site of each process uses its own loopback
 // addresses, so that concurrent runs do not conflict.
 func (s *Site) address(gateway, port int) string {
-	const most = 250
-	return fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%most, s.number%most, 1+gateway, port)
+	const loopbackNets = 250
+	return fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%loopbackNets, s.number%loopbackNets, 1+gateway, port)
 }
 
 func (s *Site) startGateway(g *gatewayNode) error {
@@ -288,7 +288,7 @@
 		return Result{}, err
 	}
 	var clients sync.WaitGroup
-	playing, stop := context.WithTimeout(s.ctx, s.opts.Length)
+	sending, stop := context.WithTimeout(s.ctx, s.opts.Length)
 	defer stop()
 	seed := s.opts.Seed * 1000
 	for account, keys := range s.keys {
@@ -299,7 +299,7 @@
 			clients.Add(1)
 			go func() {
 				defer clients.Done()
-				c.sendLoop(playing, s.ctx)
+				c.sendLoop(sending, s.ctx)
 			}()
 		}
 	}
@@ -307,22 +307,22 @@
 		select {
 		case <-time.After(s.opts.Length / 3):
 			trouble(s)
-		case <-playing.Done():
+		case <-sending.Done():
 		}
 	}
 	clients.Wait()
 	return s.result(), nil
 }
 
-// sendLoop sends requests at random times until playing is done, and waits for their answers.
-func (c *client) sendLoop(playing, all context.Context) {
+// sendLoop sends requests at random times until sending is done, and waits for their answers.
+func (c *client) sendLoop(sending, answering context.Context) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	for {
 		gap := time.Duration(c.rng.ExpFloat64() / c.kind.PerSecond * float64(time.Second))
 		select {
 		case <-time.After(gap):
-		case <-playing.Done():
+		case <-sending.Done():
 			return
 		}
 		one := *c
@@ -331,7 +331,7 @@
 		open.Add(1)
 		go func() {
 			defer open.Done()
-			one.sendWithRetry(all)
+			one.sendWithRetry(answering)
 		}()
 	}
 }
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -68,14 +68,14 @@
 }
 
 // evacuate evacuates a data hall for a while. Once every gateway knows and requests in flight have
-// arrived, its workers must get no request. outageToo takes the store down meanwhile.
-func (s *Site) evacuate(hall string, outageToo bool) {
+// arrived, its workers must get no request. The store may be down meanwhile.
+func (s *Site) evacuate(hall string, storeDown bool) {
 	row := "evacuate/" + hall
 	s.store.Put("op", row, map[string]any{})
 	for !s.allKnowEvacuated(hall) {
 		time.Sleep(evacuationPoll)
 	}
-	if outageToo {
+	if storeDown {
 		s.store.SetMode("", StoreBusy)
 	}
 	time.Sleep(inFlightTime)
@@ -98,12 +98,12 @@
 	return true
 }
 
-func (s *Site) setEvacuated(hall string, closed bool) {
+func (s *Site) setEvacuated(hall string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.workers {
 		if w.cfg.Hall == hall {
-			w.SetEvacuated(closed)
+			w.SetEvacuated(on)
 		}
 	}
 }
@@ -149,12 +149,12 @@
 
 // injectFault applies a fault to a model worker and a plain worker for a while.
 func (s *Site) injectFault(f Fault) {
-	one, other := s.worker(0), s.worker(s.opts.Models)
-	one.SetFault(f)
-	other.SetFault(f)
+	model, plain := s.worker(0), s.worker(s.opts.Models)
+	model.SetFault(f)
+	plain.SetFault(f)
 	time.Sleep(outage)
-	one.SetFault(FaultNone)
-	other.SetFault(FaultNone)
+	model.SetFault(FaultNone)
+	plain.SetFault(FaultNone)
 }
 
 func (s *Site) injectStoreMode(gateway string, m StoreMode) {
@@ -164,8 +164,8 @@
 	s.store.SetMode(gateway, StoreServes)
 }
 
-// restoreOlderStore changes the configuration and replaces a worker, then restores the store from an
-// older snapshot. The operator and the workers write their rows again a while later.
+// restoreOlderStore changes the configuration and replaces a worker, then restores the store from
+// an older snapshot. The operator and the workers write their rows again a while later.
 func (s *Site) restoreOlderStore() {
 	s.SnapshotStore()
 	s.PutConfig()
@@ -190,7 +190,7 @@
 	old.Stop()
 }
 
-// kill stops a gateway without draining and starts it again.
+// kill stops a gateway without draining it, and starts it again.
 func (s *Site) kill(i int) {
 	s.mu.Lock()
 	g := s.gateways[i]
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -122,9 +122,9 @@
 // rewriteEntry writes the worker's entry again, unless it has crashed.
 func (w *Worker) rewriteEntry() {
 	w.mu.Lock()
-	state, ended := w.state, w.crashed
+	state, crashed := w.state, w.crashed
 	w.mu.Unlock()
-	if !ended {
+	if !crashed {
 		w.writeEntry(state)
 	}
 }
@@ -146,11 +146,12 @@
 	w.fault = f
 }
 
-// SetEvacuated sets whether the worker's hall is evacuated, so that requests count as violations.
-func (w *Worker) SetEvacuated(closed bool) {
+// SetEvacuated sets whether the worker's hall is evacuated, during which each request is a
+// violation.
+func (w *Worker) SetEvacuated(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.evacuated = closed
+	w.evacuated = on
 }
 
 func (w *Worker) isEvacuated() bool {
@@ -184,7 +185,7 @@
 // crashDelay is the time that a request runs before it crashes its worker.
 const crashDelay = 20 * time.Millisecond
 
-// crashUnder crashes the worker and aborts everything that runs there.
+// crashUnder crashes the worker while it runs a request, and aborts everything that runs there.
 func (w *Worker) crashUnder(r *http.Request) {
 	if pause(r, crashDelay) {
 		w.Crash()
@@ -195,7 +196,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Prefilled returns the prefilled tokens: those of shared parts that had been cached before, and all.
+// Prefilled returns the prefilled tokens: those of shared parts that had been cached before, and
+// all.
 func (w *Worker) Prefilled() (again, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/seconds/picture.go
+++ b/lab/seconds/picture.go
@@ -39,14 +39,14 @@
 			{"refused at the entry", "#939", count("refused_at_entry")},
 		}},
 		{"thousand prompt tokens a second", []series{
-			{"asked", "#999", func(s *Second) float64 { return float64(s.AskedTokens) / 1000 }},
+			{"requested", "#999", func(s *Second) float64 { return float64(s.AskedTokens) / 1000 }},
 			{"placed", "#27a", func(s *Second) float64 { return float64(s.PlacedTokens) / 1000 }},
-			{"read", "#2a7", func(s *Second) float64 { return float64(s.Prefilled) / 1000 }},
-			{"read again", "#c33", func(s *Second) float64 { return float64(s.Reprefilled) / 1000 }},
+			{"prefilled", "#2a7", func(s *Second) float64 { return float64(s.Prefilled) / 1000 }},
+			{"prefilled again", "#c33", func(s *Second) float64 { return float64(s.Reprefilled) / 1000 }},
 			{"copied", "#939", func(s *Second) float64 { return float64(s.Copied) / 1000 }},
 		}},
 		{"engines' time, percent", []series{
-			{"reading", "#27a", func(s *Second) float64 { return 100 * s.PrefillShare() }},
+			{"prefill", "#27a", func(s *Second) float64 { return 100 * s.PrefillShare() }},
 		}},
 		{"streams running, requests refused while an engine had room", []series{
 			{"streams", "#27a", func(s *Second) float64 { return float64(s.Streams) }},
@@ -72,23 +72,23 @@
 }
 
 func (p panel) draw(b *strings.Builder, all []*Second, top int) {
-	last, most := 1, 1.0
+	last, highest := 1, 1.0
 	for _, s := range all {
 		last = max(last, s.At)
 		for _, line := range p.lines {
-			most = max(most, line.value(s))
+			highest = max(highest, line.value(s))
 		}
 	}
 	fmt.Fprintf(b, `<text x="%d" y="%d" font-weight="bold">%s</text>`+"\n", marginLeft, top-8, p.title)
 	fmt.Fprintf(b, `<rect x="%d" y="%d" width="%d" height="%d" fill="none" stroke="#ccc"/>`+"\n", marginLeft, top, panelWidth, panelHeight)
 	fmt.Fprintf(b, `<text x="%d" y="%d" text-anchor="end">%.0f</text><text x="%d" y="%d" text-anchor="end">0</text>`+"\n",
-		marginLeft-6, top+10, most, marginLeft-6, top+panelHeight)
+		marginLeft-6, top+10, highest, marginLeft-6, top+panelHeight)
 	fmt.Fprintf(b, `<text x="%d" y="%d" text-anchor="end">%d s</text>`+"\n", marginLeft+panelWidth, top+panelHeight+14, last)
 	for i, line := range p.lines {
 		points := make([]string, 0, len(all))
 		for _, s := range all {
 			x := marginLeft + float64(s.At)/float64(last)*panelWidth
-			y := float64(top+panelHeight) - line.value(s)/most*panelHeight
+			y := float64(top+panelHeight) - line.value(s)/highest*panelHeight
 			points = append(points, fmt.Sprintf("%.1f,%.1f", x, y))
 		}
 		fmt.Fprintf(b, `<polyline fill="none" stroke="%s" stroke-width="1.5" points="%s"/>`+"\n", line.color, strings.Join(points, " "))
--- a/lab/standin/engine.go
+++ b/lab/standin/engine.go
@@ -109,7 +109,7 @@
 }
 
 // Load returns the running and queued streams, and the peak of their sum.
-func (e *Engine) Load() (running, waiting, most int) {
+func (e *Engine) Load() (running, waiting, peak int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running, len(e.waiting), e.peakLoad
--- a/lab/standin/plain.go
+++ b/lab/standin/plain.go
@@ -137,7 +137,7 @@
 }
 
 // Load returns the calls that run or wait, and their peak.
-func (p *Plain) Load() (running, most int) {
+func (p *Plain) Load() (running, peak int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.running, p.peakLoad
