--- a/lab/platform/input_test.go
+++ b/lab/platform/input_test.go
@@ -116,7 +116,7 @@
 func TestGatewayWithoutConfigurationRefuses(t *testing.T) {
 	t.Parallel()
 	o := SmallSite(5, time.Second)
-	s := &Site{opts: o, number: int(sites.Add(1)), store: NewStore(), ledger: NewLedger(), cancel: func() {}}
+	s := &Site{opts: o, number: int(siteCount.Add(1)), store: NewStore(), ledger: NewLedger(), cancel: func() {}}
 	t.Cleanup(s.Close)
 	s.store.SetMode("", StoreBusy)
 	if err := s.startGateways(); err != nil {
--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -39,7 +39,7 @@
 	return &Ledger{requests: map[string]*request{}, accounts: map[string]*Counts{}}
 }
 
-func (l *Ledger) add(format string, args ...any) {
+func (l *Ledger) addLocked(format string, args ...any) {
 	const limit = 20
 	if len(l.violations) < limit {
 		l.violations = append(l.violations, fmt.Sprintf(format, args...))
@@ -59,22 +59,22 @@
 	defer l.mu.Unlock()
 	a := l.requests[id]
 	if a == nil {
-		l.add("worker %s ran %q, which no client sent", worker, id)
+		l.addLocked("worker %s ran %q, which no client sent", worker, id)
 		return
 	}
 	a.runs++
 	if a.method != r.Method || a.uri != r.RequestURI || a.body != string(body) || a.account != r.Header.Get("Tenant") {
-		l.add("worker %s ran %s %s for %q, but the client sent %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
+		l.addLocked("worker %s ran %s %s for %q, but the client sent %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
 	}
 	if r.Header.Get("Authorization") != "" || r.Header.Get("Deadline-Ms") == "" {
-		l.add("worker %s got an API key or no deadline", worker)
+		l.addLocked("worker %s got an API key or no deadline", worker)
 	}
 	if a.runs > 1 && !a.repeatable {
 		l.counts.Duplicates++
-		l.add("worker %s ran %s again", worker, id)
+		l.addLocked("worker %s ran %s again", worker, id)
 	}
 	if a.refused && !a.repeatable {
-		l.add("worker %s ran %s after it was refused as not run", worker, id)
+		l.addLocked("worker %s ran %s after it was refused as not run", worker, id)
 	}
 }
 
@@ -85,7 +85,7 @@
 	a := l.requests[id]
 	a.refused = true
 	if a.runs > 0 && !a.repeatable {
-		l.add("request %s was refused as not run, but ran", id)
+		l.addLocked("request %s was refused as not run, but ran", id)
 	}
 }
 
@@ -93,7 +93,7 @@
 func (l *Ledger) AddViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.add(format, args...)
+	l.addLocked(format, args...)
 }
 
 // AddOutcome counts the outcome of a client's request.
--- a/lab/platform/saying.go
+++ b/lab/platform/saying.go
@@ -28,7 +28,7 @@
 func (w *Worker) Arrived() (requests, listed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.arrived, w.listed
+	return w.arrived, w.cacheListings
 }
 
 // announce counts a call and sets the headers that announce that the worker leaves.
@@ -38,7 +38,7 @@
 	if isRequest {
 		w.arrived++
 	} else {
-		w.listed++
+		w.cacheListings++
 	}
 	if w.leaving {
 		rw.Header().Set("Server-Leaving", "1")
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -57,7 +57,7 @@
 }
 
 // RestartGateway kills a gateway and starts it again.
-func (s *Site) RestartGateway(gateway int) { s.kill(gateway) }
+func (s *Site) RestartGateway(gateway int) { s.killAndRestart(gateway) }
 
 // RestartWorker restarts a worker under the same ID and returns its new incarnation.
 func (s *Site) RestartWorker(old *Worker) (*Worker, error) {
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -84,7 +84,7 @@
 func Start(o Options) (*Site, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Site{
-		opts: o, number: int(sites.Add(1)), ctx: ctx, cancel: cancel, store: NewStore(), ledger: NewLedger(), rng: rand.New(rand.NewPCG(o.Seed, 3)), keys: map[string][]string{},
+		opts: o, number: int(siteCount.Add(1)), ctx: ctx, cancel: cancel, store: NewStore(), ledger: NewLedger(), rng: rand.New(rand.NewPCG(o.Seed, 3)), keys: map[string][]string{},
 	}
 	for i := range o.Accounts {
 		name := fmt.Sprint("account-", i)
@@ -145,8 +145,8 @@
 	portPeers
 )
 
-// sites counts the sites of this process.
-var sites atomic.Int64
+// siteCount counts the siteCount of this process.
+var siteCount atomic.Int64
 
 // address returns a listen address of a gateway. Each site of each process uses its own loopback
 // addresses, so that concurrent runs do not conflict.
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -32,15 +32,15 @@
 		"answer-cut":           func(s *Site) { s.injectFault(FaultCut) },
 		"answer-extra":         func(s *Site) { s.injectFault(FaultExtra) },
 		"worker-shed":          func(s *Site) { s.injectFault(FaultRefuse) },
-		"worker-drain":         func(s *Site) { s.replace() },
+		"worker-drain":         func(s *Site) { s.replaceWorker() },
 		"request-ends-workers": func(s *Site) { s.sendPoison() },
-		"gateway-kill":         func(s *Site) { s.kill(0) },
+		"gateway-kill":         func(s *Site) { s.killAndRestart(0) },
 		"gateways-kill": func(s *Site) {
 			for i := range s.gateways {
-				s.kill(i)
+				s.killAndRestart(i)
 			}
 		},
-		"gateway-stop": func(s *Site) { s.stop(0) },
+		"gateway-stop": func(s *Site) { s.drainAndRestart(0) },
 		"hall-evacuate": func(s *Site) {
 			s.evacuate("hall-1", false)
 		},
@@ -53,7 +53,7 @@
 		"store-forgets": func(s *Site) {
 			s.PutConfig()
 			s.store.Compact()
-			s.replace()
+			s.replaceWorker()
 		},
 		"config-storm": func(s *Site) {
 			for range 6 {
@@ -169,7 +169,7 @@
 func (s *Site) restoreOlderStore() {
 	s.SnapshotStore()
 	s.PutConfig()
-	s.replace()
+	s.replaceWorker()
 	s.store.SetMode("", StoreBusy)
 	time.Sleep(outage / 4)
 	s.RestoreStore()
@@ -178,8 +178,8 @@
 	s.RewriteRows()
 }
 
-// replace starts a model worker and drains an old one.
-func (s *Site) replace() {
+// replaceWorker starts a model worker and drains an old one.
+func (s *Site) replaceWorker() {
 	if err := s.AddWorker(true); err != nil {
 		s.ledger.AddViolation("worker: %v", err)
 		return
@@ -190,8 +190,8 @@
 	old.Stop()
 }
 
-// kill stops a gateway without draining it, and starts it again.
-func (s *Site) kill(i int) {
+// killAndRestart stops a gateway without draining it, and starts it again.
+func (s *Site) killAndRestart(i int) {
 	s.mu.Lock()
 	g := s.gateways[i]
 	g.ready = false
@@ -202,8 +202,8 @@
 	}
 }
 
-// stop drains a gateway and starts it again.
-func (s *Site) stop(i int) {
+// drainAndRestart drains a gateway and starts it again.
+func (s *Site) drainAndRestart(i int) {
 	s.mu.Lock()
 	g := s.gateways[i]
 	g.ready = false
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -56,31 +56,31 @@
 
 // Worker is a stand-in for a model worker or a plain worker.
 type Worker struct {
-	ID     string
-	born   int64 // start of this incarnation in Unix milliseconds
-	seed   uint64
-	cfg    WorkerConfig
-	store  *Store
-	ledger *Ledger
-	rng    *rand.Rand
+	ID          string
+	incarnation int64 // start of this incarnation in Unix milliseconds
+	seed        uint64
+	cfg         WorkerConfig
+	store       *Store
+	ledger      *Ledger
+	rng         *rand.Rand
 
 	listener net.Listener
 	server   *http.Server
 
-	mu         sync.Mutex
-	fault      Fault
-	leaving    bool
-	state      string // state in its entry in the store
-	crashed    bool
-	retryAfter string // Retry-After of refusals, or empty
-	arrived    int    // requests, refused ones included
-	listed     int    // listings of the cache
-	running    int
-	waiting    int
-	freed      chan struct{}
-	prefillEnd time.Time      // end of the prefill of all prompts so far
-	cached     map[string]int // cached prompt parts and their tokens
-	lru        []string       // cached parts, least recently used first
+	mu            sync.Mutex
+	fault         Fault
+	leaving       bool
+	state         string // state in its entry in the store
+	crashed       bool
+	retryAfter    string // Retry-After of refusals, or empty
+	arrived       int    // requests, refused ones included
+	cacheListings int    // listings of the cache
+	running       int
+	waiting       int
+	freed         chan struct{}
+	prefillEnd    time.Time      // end of the prefill of all prompts so far
+	cached        map[string]int // cached prompt parts and their tokens
+	lru           []string       // cached parts, least recently used first
 	// The worker's hall is evacuated and every gateway knows it: no request may arrive.
 	evacuated    bool
 	cachedTokens int             // tokens in the cache
@@ -101,7 +101,7 @@
 // empty cache.
 func (w *Worker) Restart() (*Worker, error) {
 	w.Crash()
-	return startWorker(w.ID, w.cfg, w.store, w.ledger, w.seed+1, w.listener.Addr().String(), max(time.Now().UnixMilli(), w.born+1))
+	return startWorker(w.ID, w.cfg, w.store, w.ledger, w.seed+1, w.listener.Addr().String(), max(time.Now().UnixMilli(), w.incarnation+1))
 }
 
 func startWorker(id string, cfg WorkerConfig, store *Store, ledger *Ledger, seed uint64, address string, born int64) (*Worker, error) {
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	w := &Worker{
-		ID: id, born: born, seed: seed, cfg: cfg, store: store, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 1)), listener: l,
+		ID: id, incarnation: born, seed: seed, cfg: cfg, store: store, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 1)), listener: l,
 		freed: make(chan struct{}), cached: map[string]int{}, everCached: map[string]bool{},
 	}
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: time.Second}
@@ -135,7 +135,7 @@
 	w.mu.Unlock()
 	w.store.Put("servers", w.ID, map[string]any{
 		"service": w.cfg.Service, "address": w.listener.Addr().String(), "zone": w.cfg.Hall, "version": "v1",
-		"slots": w.cfg.Slots, "state": state, "coldRemainingMs": 0, "seq": 1, "born": w.born,
+		"slots": w.cfg.Slots, "state": state, "coldRemainingMs": 0, "seq": 1, "born": w.incarnation,
 	})
 }
 
