--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -82,7 +82,7 @@
 		o.Region = "region-1"
 	}
 	f := &Fleet{
-		opts: o, number: int(fleets.Add(1)), Table: standin.NewTable(), Objects: standin.NewObjects(), VMs: standin.NewVMs(o.VMLag),
+		opts: o, number: int(fleetCount.Add(1)), Table: standin.NewTable(), Objects: standin.NewObjects(), VMs: standin.NewVMs(o.VMLag),
 		Engines: map[string]*standin.Engine{}, Plains: map[string]*standin.Plain{}, targets: map[string]*standin.Server{}, handlers: map[string]http.Handler{},
 	}
 	for i, h := range []interface{ Handler() http.Handler }{f.Table, f.Objects, f.VMs} {
@@ -206,8 +206,8 @@
 	firstPort = 8101
 )
 
-// fleets counts the fleets of this process.
-var fleets atomic.Int64
+// fleetCount counts the fleetCount of this process.
+var fleetCount atomic.Int64
 
 // ports returns the addresses of a router's listeners. Each fleet of each process uses its own
 // loopback addresses: probing for a free port would race with other processes.
