--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -206,7 +206,7 @@
 	firstPort = 8101
 )
 
-// fleetCount counts the fleetCount of this process.
+// fleetCount is the number of fleets started in this process.
 var fleetCount atomic.Int64
 
 // ports returns the addresses of a router's listeners. Each fleet of each process uses its own
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -38,7 +38,7 @@
 	return newTunedFleet(t, routers, gap, nil)
 }
 
-// newTunedFleet starts the fleet of small with changed settings.
+// newTunedFleet starts the fleet of newSmallFleet with changed settings.
 func newTunedFleet(t *testing.T, routers int, gap time.Duration, tune func(*setting.Settings)) *Fleet {
 	t.Helper()
 	f, err := New(Options{Routers: routers, Tune: tune})
--- a/lab/measure/scenario.go
+++ b/lab/measure/scenario.go
@@ -87,9 +87,9 @@
 
 func (n names) submitPath() string { return "/services/" + n.plainPool + "/submit" }
 
-func base(name, about string) Scenario {
+func base(name, description string) Scenario {
 	return Scenario{
-		Name: name, Description: about, Routers: 9, Engines: 9, Slots: 8, Plains: 3, PlainSlots: 8,
+		Name: name, Description: description, Routers: 9, Engines: 9, Slots: 8, Plains: 3, PlainSlots: 8,
 		FirstToken: 20 * time.Millisecond, TokenGap: 5 * time.Millisecond, PlainDuration: 20 * time.Millisecond,
 		Duration: 24 * time.Second, HeadStart: 200, MaxTokens: 2048,
 		names: names{"chat", "desk", "lab-model"},
@@ -195,7 +195,7 @@
 }
 
 func flood() Scenario {
-	s := base("flood", "15 ordinary accounts; from the middle on one account floods every router")
+	s := base("flood", "15 ordinary accounts; in the second half one account floods every router")
 	s.FloodStart = s.Duration / 2
 	for i := range 2 {
 		s.Accounts = append(s.Accounts, large(i, -1, 40))
@@ -226,7 +226,7 @@
 
 func hallLoss() Scenario {
 	s := coreLogging()
-	s.Name, s.Description = "hall-loss", "as core-logging; a whole data hall goes, routers and targets"
+	s.Name, s.Description = "hall-loss", "as core-logging; a whole data hall is lost, routers and targets"
 	s.Faults = func(s Scenario) []Fault {
 		return []Fault{{At: s.Duration / 3, Name: "hall-c is lost", Do: loseHall}}
 	}
@@ -276,7 +276,7 @@
 
 func routerChurn() Scenario {
 	s := coreLogging()
-	s.Name, s.Description = "router-churn", "as core-logging; every three seconds a router is killed and starts with no memory a second later"
+	s.Name, s.Description = "router-churn", "as core-logging; every three seconds a router is killed and restarts with empty memory a second later"
 	s.Faults = func(s Scenario) []Fault {
 		var faults []Fault
 		for i := 0; time.Duration(i+1)*churnInterval < s.Duration-2*time.Second; i++ {
--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -39,6 +39,7 @@
 	return &Ledger{requests: map[string]*request{}, accounts: map[string]*Counts{}}
 }
 
+// addLocked adds a violation, up to a limit. The caller holds l.mu.
 func (l *Ledger) addLocked(format string, args ...any) {
 	const limit = 20
 	if len(l.violations) < limit {
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -145,7 +145,7 @@
 	portPeers
 )
 
-// siteCount counts the siteCount of this process.
+// siteCount is the number of sites started in this process.
 var siteCount atomic.Int64
 
 // address returns a listen address of a gateway. Each site of each process uses its own loopback
@@ -280,7 +280,7 @@
 	return true
 }
 
-// Run sends requests for the length of the run, injects the trouble after a third of it, and
+// Run sends requests for the length of the run, injects the fault of Options.Trouble after a third of it, and
 // returns the result.
 func (s *Site) Run() (Result, error) {
 	defer s.cancel()
--- a/lab/platform/site_test.go
+++ b/lab/platform/site_test.go
@@ -17,7 +17,7 @@
 	m.Run()
 }
 
-// runSite runs a small site with a trouble. It fails the test on a violated guarantee, or if less
+// runSite runs a small site with a fault. It fails the test on a violated guarantee, or if less
 // than half of the requests are served.
 func runSite(t *testing.T, trouble string, length time.Duration) Result {
 	t.Helper()
--- a/lab/platform/trouble.go
+++ b/lab/platform/trouble.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	outage = 1200 * time.Millisecond // duration of a trouble
+	outage = 1200 * time.Millisecond // duration of most faults
 	// Requests sent before a gateway knew of an evacuation reach their worker within this time.
 	inFlightTime   = time.Second
 	evacuationPoll = 10 * time.Millisecond
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -57,7 +57,7 @@
 // Worker is a stand-in for a model worker or a plain worker.
 type Worker struct {
 	ID          string
-	incarnation int64 // start of this incarnation in Unix milliseconds
+	incarnation int64 // start time in Unix milliseconds
 	seed        uint64
 	cfg         WorkerConfig
 	store       *Store
@@ -104,13 +104,13 @@
 	return startWorker(w.ID, w.cfg, w.store, w.ledger, w.seed+1, w.listener.Addr().String(), max(time.Now().UnixMilli(), w.incarnation+1))
 }
 
-func startWorker(id string, cfg WorkerConfig, store *Store, ledger *Ledger, seed uint64, address string, born int64) (*Worker, error) {
+func startWorker(id string, cfg WorkerConfig, store *Store, ledger *Ledger, seed uint64, address string, incarnation int64) (*Worker, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
 	w := &Worker{
-		ID: id, incarnation: born, seed: seed, cfg: cfg, store: store, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 1)), listener: l,
+		ID: id, incarnation: incarnation, seed: seed, cfg: cfg, store: store, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 1)), listener: l,
 		freed: make(chan struct{}), cached: map[string]int{}, everCached: map[string]bool{},
 	}
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: time.Second}
@@ -280,14 +280,14 @@
 	w.mu.Lock()
 	fault := w.fault
 	w.started++
-	odd := w.started%2 == 0
+	everySecond := w.started%2 == 0
 	w.mu.Unlock()
 	id := r.Header.Get("Attempt-Id")
 	switch {
 	case fault == FaultSilent:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case fault == FaultErrors && odd:
+	case fault == FaultErrors && everySecond:
 		w.setHeaders(rw, id, "")
 		rw.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(rw, "failed")
@@ -300,7 +300,7 @@
 	if !pause(r, w.cfg.Step) {
 		panic(http.ErrAbortHandler)
 	}
-	w.plain(rw, id, body, fault, odd)
+	w.plain(rw, id, body, fault, everySecond)
 }
 
 func (w *Worker) setHeaders(rw http.ResponseWriter, id, content string) {
@@ -313,12 +313,12 @@
 	return fmt.Sprintf("answer to %s with %d bytes", id, len(request))
 }
 
-func (w *Worker) plain(rw http.ResponseWriter, id string, request []byte, fault Fault, odd bool) {
+func (w *Worker) plain(rw http.ResponseWriter, id string, request []byte, fault Fault, everySecond bool) {
 	body := PlainBody(id, request)
-	if fault == FaultLost && odd {
+	if fault == FaultLost && everySecond {
 		panic(http.ErrAbortHandler)
 	}
-	if (fault == FaultExtra || fault == FaultCut) && odd {
+	if (fault == FaultExtra || fault == FaultCut) && everySecond {
 		w.writeBroken(rw, id, body, fault)
 		return
 	}
