--- a/cmd/madderway-lab/demo.go
+++ b/cmd/madderway-lab/demo.go
@@ -27,18 +27,18 @@
 	if err := c.setUpLog(); err != nil {
 		return err
 	}
-	var broken []string
+	var violations []string
 	for _, firm := range []string{examples.CoreLogging, examples.Haddad} {
-		b, err := c.run(firm)
+		v, err := c.run(firm)
 		if err != nil {
 			return err
 		}
-		broken = append(broken, b...)
+		violations = append(violations, v...)
 	}
-	if len(broken) > 0 {
-		return errors.New("failed checks: " + strings.Join(broken, "; "))
+	if len(violations) > 0 {
+		return errors.New("violated guarantees: " + strings.Join(violations, "; "))
 	}
-	fmt.Println("\nall checks passed")
+	fmt.Println("\nno guarantee was violated")
 	return nil
 }
 
@@ -56,5 +56,5 @@
 		return nil, err
 	}
 	r.Text(os.Stdout)
-	return r.Broken(), nil
+	return r.Violations(), nil
 }
--- a/cmd/madderway-lab/main.go
+++ b/cmd/madderway-lab/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Command madderway-lab demonstrates and measures routers and gateways against stand-ins for the
-// platform and the targets. It is not linked into madderway.
+// Command madderway-lab runs routers against stand-ins for the platform and the targets, for
+// demonstrations and measurements. It is not part of the madderway binary.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	exitUsage  = 2
 )
 
-// commonOptions are the flags of most commands.
+// common holds the flags shared by commands that run routers.
 type commonOptions struct {
 	Verbosity int    `long:"verbosity" default:"0" description:"log verbosity, from 0 to 4"`
 	LogFile   string `long:"log" description:"file to write logs to; discarded by default"`
@@ -50,9 +50,9 @@
 		data        any
 	}{
 		{"demo", "Run stand-ins, four routers and 30 s of mixed load", &demoCommand{}},
-		{"measure", "Run a scenario and print its measurements", &measureCommand{}},
+		{"measure", "Run a load scenario and print its measurements", &measureCommand{}},
 		{"platform", "Run gateways against a simulated platform", &platformCommand{}},
-		{"seconds", "Show per-second figures of a run from gateway logs", &secondsCommand{}},
+		{"seconds", "Show the activity of gateways second by second, from their logs", &secondsCommand{}},
 		{"standins", "Serve the stand-ins of a configuration for routers in other processes", &standinsCommand{}},
 	}
 	for _, c := range commands {
--- a/cmd/madderway-lab/measure.go
+++ b/cmd/madderway-lab/measure.go
@@ -31,19 +31,19 @@
 func (c *measureCommand) Execute([]string) error {
 	if c.Scenario == "list" {
 		for _, name := range measure.Names() {
-			fmt.Printf("%-14s %s\n", name, measure.Scenarios()[name].About)
+			fmt.Printf("%-14s %s\n", name, measure.Scenarios()[name].Description)
 		}
 		return nil
 	}
 	s, ok := measure.Scenarios()[c.Scenario]
 	if !ok {
-		return fmt.Errorf("unknown scenario %q, want one of %s", c.Scenario, strings.Join(measure.Names(), ", "))
+		return fmt.Errorf("unknown scenario %q; known: %s", c.Scenario, strings.Join(measure.Names(), ", "))
 	}
 	if err := c.setUpLog(); err != nil {
 		return err
 	}
 	r, err := measure.Run(measure.Options{
-		Scenario: s, Dispatch: c.Dispatch, Seed: c.Seed, CounterAge: c.CounterAge, TallyBudget: c.Budget, Reserve: c.Reserve,
+		Scenario: s, Dispatch: c.Dispatch, Seed: c.Seed, CounterAge: c.CounterAge, TallyBudget: c.Budget, ReserveShare: c.Reserve,
 		HeadStart: c.HeadStart, Duration: time.Duration(c.Seconds) * time.Second, Progress: c.progress,
 	})
 	if err != nil {
@@ -58,8 +58,8 @@
 	} else {
 		r.Text(os.Stdout)
 	}
-	if broken := r.Broken(); len(broken) > 0 {
-		return errors.New("failed checks: " + strings.Join(broken, "; "))
+	if violations := r.Violations(); len(violations) > 0 {
+		return errors.New("violated guarantees: " + strings.Join(violations, "; "))
 	}
 	return nil
 }
--- a/cmd/madderway-lab/platform.go
+++ b/cmd/madderway-lab/platform.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	if c.Trouble != "" && platform.Troubles()[c.Trouble] == nil {
-		return fmt.Errorf("unknown trouble %q, want one of %s", c.Trouble, strings.Join(troubleNames(), ", "))
+		return fmt.Errorf("unknown trouble %q; known: %s", c.Trouble, strings.Join(troubleNames(), ", "))
 	}
 	if err := c.setUpLog(); err != nil {
 		return err
@@ -44,13 +44,13 @@
 		return err
 	}
 	defer s.Close()
-	r, err := s.Play()
+	r, err := s.Run()
 	if err != nil {
 		return err
 	}
 	printResult(r)
-	if len(r.Broken) > 0 {
-		return errors.New("failed checks: " + strings.Join(r.Broken, "; "))
+	if len(r.Violations) > 0 {
+		return errors.New("violations: " + strings.Join(r.Violations, "; "))
 	}
 	return nil
 }
@@ -65,10 +65,10 @@
 }
 
 func printResult(r platform.Result) {
-	fmt.Printf("asked %d, served %d (late %d), refused %d, failed %d, doubled %d\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed, r.Doubled)
-	fmt.Printf("prompt tokens prefilled %d, of shared parts repeatedly %d\n", r.Read, r.Reread)
-	fmt.Printf("copies between workers %d, %d tokens\n", r.Copies, r.Copied)
-	fmt.Printf("fairness %.2f (smallest served share of an account over the largest)\n", r.Fairness)
+	fmt.Printf("sent %d, served %d (late %d), refused %d, failed %d, duplicates %d\n", r.Sent, r.Served, r.Late, r.Refused, r.Failed, r.Duplicates)
+	fmt.Printf("prompt tokens prefilled %d, %d of them again\n", r.Prefilled, r.Reprefilled)
+	fmt.Printf("cache transfers between workers %d, %d tokens\n", r.Copies, r.Copied)
+	fmt.Printf("fairness %.2f (lowest served share of an account / highest)\n", r.Fairness)
 	fmt.Printf("control per gateway and second: %.0f bytes sent, %v busy\n", r.ControlBytes, r.ControlTime.Round(time.Microsecond))
 	fmt.Printf("store calls %d\n", r.StoreCalls)
 }
--- a/cmd/madderway-lab/seconds.go
+++ b/cmd/madderway-lab/seconds.go
@@ -40,7 +40,7 @@
 	}
 	all := seconds.Gather(lines)
 	if len(all) == 0 {
-		return errors.New("no per-second line of a scheduler in these logs")
+		return errors.New("the logs contain no per-second lines of a scheduler")
 	}
 	if err := seconds.WriteTable(os.Stdout, all); err != nil {
 		return err
@@ -52,5 +52,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(seconds.WritePicture(f, all), f.Close())
+	return errors.Join(seconds.WriteSVG(f, all), f.Close())
 }
--- a/lab/fleet/ending.go
+++ b/lab/fleet/ending.go
@@ -12,18 +12,19 @@
 	"madderway/lab/standin"
 )
 
-// EndsTarget in the body of a request ends each target that begins to run it.
-const EndsTarget = "ends-target"
+// PoisonMarker in the body of a request crashes every target that starts it.
+const PoisonMarker = "ends-target"
 
-// endable lets a target end under a request that says so, with all that runs there.
-func (f *Fleet) endable(name string, h http.Handler) http.Handler {
+// crashable wraps a target's handler so that a request with PoisonMarker crashes the target and
+// aborts everything that runs there.
+func (f *Fleet) crashable(name string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		if bytes.Contains(body, []byte(EndsTarget)) {
-			f.endTarget(name)
+		if bytes.Contains(body, []byte(PoisonMarker)) {
+			f.crashTarget(name)
 			panic(http.ErrAbortHandler)
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
@@ -31,39 +32,38 @@
 	})
 }
 
-func (f *Fleet) endTarget(name string) {
+func (f *Fleet) crashTarget(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.targets[name].Close()
-	f.ended = append(f.ended, name)
-	f.endings++
+	f.crashed = append(f.crashed, name)
+	f.crashes++
 }
 
-// Endings returns how many targets requests have ended.
-func (f *Fleet) Endings() int {
+// Crashes returns how often a request has crashed a target.
+func (f *Fleet) Crashes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.endings
+	return f.crashes
 }
 
-// restartTakes is how long a target that has ended takes to start again: those of platforms
-// take some seconds.
-const restartTakes = 1200 * time.Millisecond
+// restartDelay stands for the startup time of a target, which is seconds on a real platform.
+const restartDelay = 1200 * time.Millisecond
 
-// RestartEnded starts the targets again that requests have ended.
-func (f *Fleet) RestartEnded() error {
+// RestartCrashed restarts the targets that requests have crashed.
+func (f *Fleet) RestartCrashed() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.ended) > 0 {
-		time.Sleep(restartTakes)
+	if len(f.crashed) > 0 {
+		time.Sleep(restartDelay)
 	}
-	for _, name := range f.ended {
+	for _, name := range f.crashed {
 		s, err := standin.Serve(f.targets[name].Address, f.handlers[name])
 		if err != nil {
 			return err
 		}
 		f.targets[name] = s
 	}
-	f.ended = nil
+	f.crashed = nil
 	return nil
 }
--- a/lab/fleet/ending_test.go
+++ b/lab/fleet/ending_test.go
@@ -11,29 +11,28 @@
 	"madderway/models/result"
 )
 
-// Routers forgot what a request had done when its answer was over, as gateways did: one that
-// ended each target which began to run it ended 24 and more in 24 tries. Under three of them it is
-// refused, at any router, and other requests go on.
-func TestRoutersSendNoFurtherWhatEndsTargets(t *testing.T) {
+// A request that crashes every target that starts it must be refused by all routers after three
+// crashes, while other requests are served.
+func TestPoisonRequestIsRefused(t *testing.T) {
 	bad := chatBody(5, true)
-	bad["messages"] = []map[string]string{{"role": "user", "content": EndsTarget}}
+	bad["messages"] = []map[string]string{{"role": "user", "content": PoisonMarker}}
 	for _, c := range []struct {
 		name, path string
 		body       any
 	}{
 		{"a stream", "/v1/chat/completions", bad},
-		{"a plain call", "/services/samples/look", EndsTarget},
+		{"a plain call", "/services/samples/look", PoisonMarker},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			endTargets(t, c.path, c.body)
+			sendPoison(t, c.path, c.body)
 		})
 	}
 }
 
-func endTargets(t *testing.T, path string, body any) {
-	const enough, underWay, rounds = 3, 3, 8
-	f := small(t, 3, time.Millisecond)
+func sendPoison(t *testing.T, path string, body any) {
+	const maxCrashes, inFlight, rounds = 3, 3, 8
+	f := newSmallFleet(t, 3, time.Millisecond)
 	refusals := 0
 	for range rounds {
 		for _, n := range f.Nodes() {
@@ -42,7 +41,7 @@
 			if resp.StatusCode != http.StatusServiceUnavailable || errorOf(t, answer).Code != result.EndsTargets {
 				refusals = 0
 			}
-			if err := f.RestartEnded(); err != nil {
+			if err := f.RestartCrashed(); err != nil {
 				t.Fatal(err)
 			}
 			waitFor(t, "another request is served", func() bool {
@@ -51,10 +50,10 @@
 			})
 		}
 	}
-	if n := f.Endings(); n < enough || n > enough+underWay {
-		t.Errorf("%d targets ended under one request, want %d and at most %d more", n, enough, underWay)
+	if n := f.Crashes(); n < maxCrashes || n > maxCrashes+inFlight {
+		t.Errorf("one request crashed %d targets, want %d and at most %d more", n, maxCrashes, inFlight)
 	}
 	if refusals < 3 {
-		t.Errorf("the last %d tries were refused", refusals)
+		t.Errorf("only the last %d attempts were refused, want at least 3", refusals)
 	}
 }
--- a/lab/fleet/failure_test.go
+++ b/lab/fleet/failure_test.go
@@ -23,14 +23,13 @@
 	"madderway/modules/setting"
 )
 
-// waitFor polls a condition; it fails the test only after a time that no
-// working run comes near.
+// waitFor polls a condition and fails the test after a generous timeout.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
@@ -40,7 +39,7 @@
 	t.Helper()
 	var body api.ErrorBody
 	if err := json.Unmarshal(answer, &body); err != nil {
-		t.Fatalf("not a numbered error: %s", answer)
+		t.Fatalf("the response is no API error: %s", answer)
 	}
 	return body.Error
 }
@@ -49,10 +48,10 @@
 	return load.Chat{Model: "core-describer", Prompt: "Describe the core.", Class: "long", MaxTokens: 4096, Tokens: tokens}
 }
 
-// A router is killed in mid-stream; the caller goes on at another one and gets
-// the same bytes as if nothing had happened.
-func TestRouterKilledMidStream(t *testing.T) {
-	f := small(t, 3, 5*time.Millisecond)
+// When a router dies in mid-stream, its caller can resume at another router and gets every event
+// exactly once.
+func TestStreamResumesAfterRouterKill(t *testing.T) {
+	f := newSmallFleet(t, 3, 5*time.Millisecond)
 	victim, other := f.Nodes()[0], f.Nodes()[1]
 	c := load.NewClient()
 	defer c.Close()
@@ -60,30 +59,30 @@
 	go func() {
 		got <- c.Chat(context.Background(), victim.Settings.Caller.Listen, Key("alder"), longChat(300))
 	}()
-	waitFor(t, "the stream runs", func() bool { return runningAt(f) == 1 })
+	waitFor(t, "the stream runs", func() bool { return runningStreams(f) == 1 })
 	f.Kill(victim)
 	a := <-got
 	if !a.Broken || a.RequestID == "" || a.Resume == "" {
-		t.Fatalf("the cut answer: %+v", a)
+		t.Fatalf("answer of the killed router: %+v, want a broken one with ID and resume token", a)
 	}
 	before := len(a.Events)
 	a = c.Resume(context.Background(), other.Settings.Caller.Listen, Key("alder"), a)
 	if !a.Complete() || len(a.Events) != 302 {
-		t.Fatalf("%d events after %d, refused %+v", len(a.Events), before, a.Refused)
+		t.Fatalf("got %d events, %d of them before the kill, error %+v; want 302", len(a.Events), before, a.Err)
 	}
 	for i := range 300 {
 		if !strings.Contains(a.Events[i], fmt.Sprintf("%s-%d ", a.RequestID, i+1)) {
-			t.Fatalf("event %d is %s", i+1, a.Events[i])
+			t.Fatalf("event %d is %s, out of order", i+1, a.Events[i])
 		}
 	}
-	// Only the account that asked gets the rest.
+	// Only the account that sent the request may resume it.
 	stolen := c.Resume(context.Background(), other.Settings.Caller.Listen, Key("birch"), load.Answer{RequestID: a.RequestID, Resume: a.Resume})
-	if stolen.Refused == nil || stolen.Refused.Code != result.BadResumeToken {
+	if stolen.Err == nil || stolen.Err.Code != result.BadResumeToken {
 		t.Fatalf("another account got %+v", stolen)
 	}
 }
 
-func runningAt(f *Fleet) int {
+func runningStreams(f *Fleet) int {
 	n := 0
 	for _, e := range f.Engines {
 		running, _, _ := e.Load()
@@ -92,10 +91,10 @@
 	return n
 }
 
-// The caller of a long answer goes away; the answer is kept, although the
-// object store is down when it ends, and only its owner can fetch it.
-func TestKeptAnswerSurvivesStoreOutage(t *testing.T) {
-	f := small(t, 2, 2*time.Millisecond)
+// The answer of a caller that disconnected is stored even if the object store is down when it
+// ends, and only the account that sent the request can fetch it.
+func TestStoredAnswerSurvivesObjectStoreOutage(t *testing.T) {
+	f := newSmallFleet(t, 2, 2*time.Millisecond)
 	n := f.Nodes()[0]
 	c := load.NewClient()
 	defer c.Close()
@@ -114,33 +113,33 @@
 	f.Objects.SetFaults(standin.Faults{Down: true})
 	cancel()
 	_ = resp.Body.Close()
-	waitFor(t, "the stream ends", func() bool { return runningAt(f) == 0 })
+	waitFor(t, "the stream ends", func() bool { return runningStreams(f) == 0 })
 	f.Objects.SetFaults(standin.Faults{})
-	waitFor(t, "the answer is kept", func() bool { return len(f.Objects.List("answer/")) == 1 })
+	waitFor(t, "the answer is stored", func() bool { return len(f.Objects.List("answer/")) == 1 })
 	lost := load.Answer{RequestID: id} // the caller has lost even its token
 	whole := c.Resume(context.Background(), f.Nodes()[1].Settings.Caller.Listen, Key("alder"), lost)
 	if !whole.Complete() || len(whole.Events) != 102 {
-		t.Fatalf("fetched %d events, %+v", len(whole.Events), whole.Refused)
+		t.Fatalf("fetched %d events, error %+v; want 102", len(whole.Events), whole.Err)
 	}
 	stolen := c.Resume(context.Background(), n.Settings.Caller.Listen, Key("birch"), lost)
-	if stolen.Refused == nil || stolen.Refused.Code != result.NotFound {
+	if stolen.Err == nil || stolen.Err.Code != result.NotFound {
 		t.Fatalf("another account got %+v", stolen)
 	}
 }
 
-// The limit on reading a request does not cut an answer that takes longer.
+// The read timeout applies to requests only; it must not abort a long answer.
 func TestReadTimeoutDoesNotCutLongAnswers(t *testing.T) {
-	f := tuned(t, 1, 5*time.Millisecond, func(s *setting.Settings) { s.Caller.ReadTimeout.Duration = 200 * time.Millisecond })
+	f := newTunedFleet(t, 1, 5*time.Millisecond, func(s *setting.Settings) { s.Caller.ReadTimeout.Duration = 200 * time.Millisecond })
 	c := load.NewClient()
 	defer c.Close()
 	a := c.Chat(context.Background(), f.Nodes()[0].Settings.Caller.Listen, Key("alder"), longChat(200))
 	if !a.Complete() {
-		t.Fatalf("cut off after %d events", len(a.Events))
+		t.Fatalf("aborted after %d events", len(a.Events))
 	}
 	if n := len(f.Objects.List("answer/")); n != 0 {
-		t.Fatal("the router believed that its caller had gone")
+		t.Fatal("the router took its caller for disconnected")
 	}
-	// A caller that does not send its request in time is cut off.
+	// A caller that does not send its request in time gets an error.
 	conn, err := net.Dial("tcp", f.Nodes()[0].Settings.Caller.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -152,23 +151,22 @@
 	}
 }
 
-// The target's connection breaks again and again; the answer is whole.
-func TestTargetCutsStream(t *testing.T) {
-	f := small(t, 1, time.Millisecond)
+// The target's connection breaks repeatedly; the router resumes and the answer is complete.
+func TestStreamResumesAfterTargetCut(t *testing.T) {
+	f := newSmallFleet(t, 1, time.Millisecond)
 	for _, e := range f.Engines {
 		e.SetFaults(standin.Faults{CutAfter: 10})
 	}
 	resp, answer := send(t, f.Nodes()[0], "POST", "/v1/chat/completions", "alder", "", chatBody(50, true))
 	if events := dataLines(answer); len(events) != 52 || events[51] != "[DONE]" {
-		t.Fatalf("%d: %d events", resp.StatusCode, len(events))
+		t.Fatalf("status %d with %d events, want 52 that end with [DONE]", resp.StatusCode, len(events))
 	}
 }
 
-// The table is down for long: keyed calls are refused as not run and never run,
-// all else goes on; a router that starts then takes its configuration from its
-// peers; after the outage the same key runs.
-func TestStoreDownForLong(t *testing.T) {
-	f := small(t, 3, time.Millisecond)
+// During an outage of the table, keyed calls must not run and everything else is served; a router
+// that starts gets its configuration from peers. After the outage the same key runs once.
+func TestTableOutage(t *testing.T) {
+	f := newSmallFleet(t, 3, time.Millisecond)
 	f.Table.SetFaults(standin.Faults{Down: true})
 	n := f.Nodes()[0]
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -176,11 +174,11 @@
 	c := load.NewClient()
 	defer c.Close()
 	c.Plain(ctx, n.Settings.Caller.Listen, Key("alder"), "/services/samples/submit", "k", []byte("box"))
-	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 0 {
-		t.Fatalf("ran %d times without a claim", runs)
+	if runs := f.Plains["samples-1"].RunsByKey()["alder/k"]; runs != 0 {
+		t.Fatalf("ran %d times without a claim, want 0", runs)
 	}
 	if resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(5, false)); resp.StatusCode != 200 {
-		t.Fatalf("a completion: %d %s", resp.StatusCode, answer)
+		t.Fatalf("completion: got status %d %s", resp.StatusCode, answer)
 	}
 	f.Kill(f.Nodes()[2])
 	restarted, err := f.StartRouter(2)
@@ -193,15 +191,15 @@
 		resp, _ := send(t, n, "POST", "/services/samples/submit", "alder", "k", "box")
 		return resp.StatusCode == 200
 	})
-	if runs := f.Plains["samples-1"].RunsOfKeys()["alder/k"]; runs != 1 {
-		t.Fatalf("ran %d times", runs)
+	if runs := f.Plains["samples-1"].RunsByKey()["alder/k"]; runs != 1 {
+		t.Fatalf("ran %d times, want 1", runs)
 	}
 }
 
-// A planned stop cuts off nothing: a stream that outlasts the stop's start
-// ends whole, new requests are refused as not run, then the router ends.
-func TestPlannedStop(t *testing.T) {
-	f := small(t, 2, 5*time.Millisecond)
+// A drain completes the streams in flight before the router stops, and new requests are served
+// by the other routers.
+func TestDrainCompletesStreams(t *testing.T) {
+	f := newSmallFleet(t, 2, 5*time.Millisecond)
 	n := f.Nodes()[0]
 	c := load.NewClient()
 	defer c.Close()
@@ -209,24 +207,24 @@
 	go func() {
 		got <- c.Chat(context.Background(), n.Settings.Caller.Listen, Key("alder"), longChat(200))
 	}()
-	waitFor(t, "the stream runs", func() bool { return runningAt(f) == 1 })
+	waitFor(t, "the stream runs", func() bool { return runningStreams(f) == 1 })
 	if err := f.Client(n).Drain(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "readiness fails", func() bool { return n.Router.Ready() != nil })
 	if a := <-got; !a.Complete() || len(a.Events) != 202 {
-		t.Fatalf("cut off: %d events, %+v", len(a.Events), a.Refused)
+		t.Fatalf("aborted after %d events, error %+v; want 202 events", len(a.Events), a.Err)
 	}
 	<-n.Router.Dead()
 	n.Down = true
 	if resp, answer := send(t, f.Nodes()[1], "POST", "/v1/chat/completions", "alder", "", chatBody(5, false)); resp.StatusCode != 200 {
-		t.Fatalf("the other router: %d %s", resp.StatusCode, answer)
+		t.Fatalf("other router: got status %d %s", resp.StatusCode, answer)
 	}
 }
 
-// A target leaves: it gets no new work, and what runs there ends.
-func TestTargetLeavesMidStream(t *testing.T) {
-	f := small(t, 2, 5*time.Millisecond)
+// A target marked as leaving gets no new requests, and those that run there complete.
+func TestLeavingTargetCompletesStream(t *testing.T) {
+	f := newSmallFleet(t, 2, 5*time.Millisecond)
 	c := load.NewClient()
 	defer c.Close()
 	got := make(chan load.Answer, 1)
@@ -252,19 +250,19 @@
 		t.Fatal(err)
 	}
 	if a := <-got; !a.Complete() {
-		t.Fatalf("cut off after %d events", len(a.Events))
+		t.Fatalf("aborted after %d events", len(a.Events))
 	}
 	for range 12 {
 		send(t, f.Nodes()[1], "POST", "/v1/chat/completions", "birch", "", chatBody(2, false))
 	}
-	if running, _, most := f.Engines[name].Load(); running != 0 || most != 1 {
-		t.Fatalf("the leaving target ran %d at most, %d now", most, running)
+	if running, _, peak := f.Engines[name].Load(); running != 0 || peak != 1 {
+		t.Fatalf("the leaving target ran %d at most and runs %d now, want 1 and 0", peak, running)
 	}
 }
 
-// An order goes out under an epoch; an engine that checks refuses a lower one.
-func TestFencedOrders(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+// Orders carry a rising epoch, and an engine that checks it refuses an order of a lower one.
+func TestEngineRejectsOrderOfLowerEpoch(t *testing.T) {
+	f := newSmallFleet(t, 2, time.Millisecond)
 	for i, n := range f.Nodes() {
 		reply, err := f.Client(n).Order(context.Background(), operator.OrderRequest{Target: "engine-1", Action: "load", Model: "m"})
 		if err != nil || reply.Epoch != uint64(i+1) {
@@ -273,12 +271,12 @@
 	}
 	orders := f.Engines["engine-1"].Orders()
 	if err := f.Engines["engine-1"].Order(context.Background(), orders[0]); err == nil {
-		t.Fatal("an order of a lower epoch was taken")
+		t.Fatal("an order of a lower epoch was accepted")
 	}
 }
 
-func TestExplain(t *testing.T) {
-	f := small(t, 2, time.Millisecond)
+func TestExplainShowsRequestEvents(t *testing.T) {
+	f := newSmallFleet(t, 2, time.Millisecond)
 	resp, _ := send(t, f.Nodes()[0], "POST", "/services/samples/submit", "alder", "k", "box")
 	records, err := f.Client(f.Nodes()[1]).Explain(context.Background(), resp.Header.Get(api.HeaderRequestID))
 	if err != nil || len(records) != 1 {
@@ -290,14 +288,14 @@
 	}
 	for _, what := range []string{"order", "claim", "grant", "attempt", "outcome"} {
 		if !seen[what] {
-			t.Errorf("nothing on %q in %+v", what, records[0].Events)
+			t.Errorf("no %q event in %+v", what, records[0].Events)
 		}
 	}
 }
 
-// Bad input gets a clear numbered error and disturbs nothing.
-func TestBadInput(t *testing.T) {
-	f := small(t, 1, time.Millisecond)
+// Bad input gets its specific error code and does not affect the router.
+func TestBadInputGetsErrorCode(t *testing.T) {
+	f := newSmallFleet(t, 1, time.Millisecond)
 	n := f.Nodes()[0]
 	base := "http://" + n.Settings.Caller.Listen
 	for _, c := range []struct {
@@ -326,7 +324,7 @@
 		answer, _ := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if e := errorOf(t, answer); e.Code != c.want || e.Ran != result.RanNo || resp.StatusCode != result.Lookup(c.want).Status {
-			t.Errorf("%s: %d %+v", c.name, resp.StatusCode, e)
+			t.Errorf("%s: got status %d, error %+v", c.name, resp.StatusCode, e)
 		}
 	}
 	garbagePeer(t, n)
@@ -335,14 +333,14 @@
 	}
 	resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(5, false))
 	if e := errorOf(t, answer); resp.StatusCode != 502 || e.Code != result.StreamBroken || e.Ran != result.RanUnknown {
-		t.Errorf("broken events: %d %+v", resp.StatusCode, e)
+		t.Errorf("broken events: got status %d, error %+v", resp.StatusCode, e)
 	}
 	if n.Router.Ready() != nil {
-		t.Error("the router is not ready any more")
+		t.Error("the router is no longer ready")
 	}
 }
 
-// garbagePeer sends noise to the peer port, and a hello without the key.
+// garbagePeer sends garbage and a hello without the shared key to the peer port.
 func garbagePeer(t *testing.T, n *Node) {
 	t.Helper()
 	for _, noise := range []string{"GET / HTTP/1.1\r\n\r\n", strings.Repeat("\xff", 100), "\x05\x08\x01\x12\x01x"} {
@@ -356,8 +354,8 @@
 	waitFor(t, "the noise is refused", func() bool { return n.Router.Dump().PeersRefused >= 3 })
 }
 
-func TestWrongOperatorToken(t *testing.T) {
-	f := small(t, 1, time.Millisecond)
+func TestOperatorAPIRejectsBadTokenAndPolicy(t *testing.T) {
+	f := newSmallFleet(t, 1, time.Millisecond)
 	resp, err := http.Get("http://" + f.Nodes()[0].Settings.Operator.Listen + "/operator/dump")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -32,14 +32,14 @@
     return attempt.outcome == "not_run" or request.method == "GET"
 `
 
-// small starts a fleet with one model pool and one plain service.
-func small(t *testing.T, routers int, gap time.Duration) *Fleet {
+// newSmallFleet starts a fleet with a pool of three engines and a plain service.
+func newSmallFleet(t *testing.T, routers int, gap time.Duration) *Fleet {
 	t.Helper()
-	return tuned(t, routers, gap, nil)
+	return newTunedFleet(t, routers, gap, nil)
 }
 
-// tuned is small with changed settings.
-func tuned(t *testing.T, routers int, gap time.Duration, tune func(*setting.Settings)) *Fleet {
+// newTunedFleet starts the fleet of newSmallFleet with changed settings.
+func newTunedFleet(t *testing.T, routers int, gap time.Duration, tune func(*setting.Settings)) *Fleet {
 	t.Helper()
 	f, err := New(Options{Routers: routers, Tune: tune})
 	if err != nil {
@@ -65,7 +65,7 @@
 		}
 		d.Targets = append(d.Targets, tg)
 	}
-	tg, err := f.AddPlain("samples", f.Hall(0), standin.PlainConfig{Name: "samples-1", Slots: 4, Takes: time.Millisecond})
+	tg, err := f.AddPlain("samples", f.Hall(0), standin.PlainConfig{Name: "samples-1", Slots: 4, Duration: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,24 +117,24 @@
 	}
 }
 
-func TestWholePath(t *testing.T) {
-	f := small(t, 3, time.Millisecond)
+func TestAllRoutersServe(t *testing.T) {
+	f := newSmallFleet(t, 3, time.Millisecond)
 	for _, n := range f.Nodes() {
 		resp, answer := send(t, n, "POST", "/v1/chat/completions", "alder", "", chatBody(20, false))
 		if resp.StatusCode != 200 || strings.Count(string(answer), "-20 ") != 1 {
-			t.Fatalf("%s: %d %s", n.ID, resp.StatusCode, answer)
+			t.Fatalf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 		}
 		resp, answer = send(t, n, "POST", "/v1/chat/completions", "birch", "", chatBody(20, true))
 		if events := dataLines(answer); len(events) != 22 || events[21] != "[DONE]" {
-			t.Fatalf("%s: %d %s", n.ID, resp.StatusCode, answer)
+			t.Fatalf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 		}
 		resp, answer = send(t, n, "POST", "/services/samples/submit", "birch", "the-key", "box 7")
 		if resp.StatusCode != 200 {
-			t.Fatalf("%s: %d %s", n.ID, resp.StatusCode, answer)
+			t.Fatalf("%s: got status %d %s", n.ID, resp.StatusCode, answer)
 		}
 	}
-	if runs := f.Plains["samples-1"].RunsOfKeys()["birch/the-key"]; runs != 1 {
-		t.Fatalf("the keyed call ran %d times", runs)
+	if runs := f.Plains["samples-1"].RunsByKey()["birch/the-key"]; runs != 1 {
+		t.Fatalf("the keyed call ran %d times, want 1", runs)
 	}
 }
 
--- a/lab/measure/result.go
+++ b/lab/measure/result.go
@@ -12,7 +12,7 @@
 	"madderway/models/result"
 )
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Scenario                string                      `json:"scenario"`
 	Dispatch                string                      `json:"dispatch"`
@@ -50,7 +50,7 @@
 	Events                  []string                    `json:"events"`
 }
 
-// AccountResult is what one account got.
+// AccountResult holds the measurements of one account.
 type AccountResult struct {
 	Account  string           `json:"account"`
 	Requests int              `json:"requests"`
@@ -60,25 +60,25 @@
 	WaitMS   load.Percentiles `json:"wait_ms"`
 }
 
-// Broken lists the promises that the run saw broken.
-func (r *Result) Broken() []string {
-	var broken []string
+// Violations lists the violated guarantees, such as duplicate runs or lost requests.
+func (r *Result) Violations() []string {
+	var violations []string
 	add := func(n int, what string) {
 		if n > 0 {
-			broken = append(broken, fmt.Sprintf("%d %s", n, what))
+			violations = append(violations, fmt.Sprintf("%d %s", n, what))
 		}
 	}
-	add(r.Duplicates, "calls that may not be repeated ran more than once")
-	add(r.Lost, "requests got neither an answer nor a numbered error")
+	add(r.Duplicates, "calls that must not be repeated ran more than once")
+	add(r.Lost, "requests got neither an answer nor an error response")
 	add(r.NotRunButRan, "requests were refused as not run but ran")
 	add(r.Incomplete, "answers were not complete or not the caller's own")
 	if r.Dispatch == "fleet" && r.FairnessGap > r.FairnessBound {
-		broken = append(broken, fmt.Sprintf("the fairness gap of %.0f is over the bound of %.0f", r.FairnessGap, r.FairnessBound))
+		violations = append(violations, fmt.Sprintf("the fairness gap of %.0f is over the bound of %.0f", r.FairnessGap, r.FairnessBound))
 	}
-	return broken
+	return violations
 }
 
-// Text writes the result for people.
+// Text writes the result as a human-readable report.
 func (r *Result) Text(w io.Writer) {
 	fmt.Fprintf(w, "\n%-12s %9s %7s %8s %10s %12s %12s\n", "account", "requests", "done", "refused", "service", "wait p50 ms", "wait p99 ms")
 	for _, a := range r.Accounts {
@@ -99,7 +99,7 @@
 	}
 	fmt.Fprintf(w, "over a target limit %d requests at most\n", r.OverLimit)
 	fmt.Fprintf(w, "resumed %d, restarted %d, refused %v\n", r.Resumed, r.Restarted, r.Refused)
-	fmt.Fprintf(w, "doubled submissions %d, lost %d, not run but ran %d, incomplete %d\n", r.Duplicates, r.Lost, r.NotRunButRan, r.Incomplete)
+	fmt.Fprintf(w, "duplicate runs %d, lost %d, not run but ran %d, incomplete %d\n", r.Duplicates, r.Lost, r.NotRunButRan, r.Incomplete)
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -19,56 +19,56 @@
 )
 
 const (
-	sampleEvery   = 5 * time.Millisecond
-	gapEvery      = 10 // every so many samples the gap is measured
-	settleTime    = 500 * time.Millisecond
-	overheadCalls = 300
-	startTimeout  = 20 * time.Second
-	finishTimeout = 12 * time.Second
-	promptWeight  = 0.25
-	milliWeight   = 1
-	maxCharge     = 1024 // the pool's max_cost, which bounds estimates
-	reportLag     = 100 * time.Millisecond
+	sampleInterval = 5 * time.Millisecond
+	samplesPerGap  = 10 // samples per measurement of the gap
+	settleTime     = 500 * time.Millisecond
+	overheadCalls  = 300
+	startTimeout   = 20 * time.Second
+	finishTimeout  = 12 * time.Second
+	promptWeight   = 0.25
+	milliWeight    = 1
+	maxCharge      = 1024 // max_cost of the model pool, the upper bound of estimates
+	reportLag      = 100 * time.Millisecond
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Scenario   Scenario
 	Dispatch   string
 	Seed       int64
-	CounterAge time.Duration // CounterAge is the interval of the service counters; 0 for the default.
-	// TallyBudget overrides the routers' where it is not negative.
-	TallyBudget float64
-	Reserve     float64       // Reserve is the share of slots kept from long work while short work arrives.
-	HeadStart   float64       // HeadStart overrides the scenario's where it is not negative.
-	Duration    time.Duration // Duration overrides the scenario's where it is not 0.
-	Progress    func(format string, args ...any)
+	CounterAge time.Duration // interval of the service counters; 0 for the default
+	// Overrides the routers' setting if not negative.
+	TallyBudget  float64
+	ReserveShare float64       // share of slots withheld from long requests while short ones arrive
+	HeadStart    float64       // overrides the scenario's if not negative
+	Duration     time.Duration // overrides the scenario's if not 0
+	Progress     func(format string, args ...any)
 }
 
-// run is a scenario under way.
+// run is the state of a running scenario.
 type run struct {
-	opts     Options
-	s        Scenario
-	f        *fleet.Fleet
-	client   *load.Client
-	rec      *load.Recorder
-	chat     *service // chat is the service of the model pool, in units.
-	desk     *service
-	gap      *gapMeter
-	out      *outstanding
-	before   *load.Histogram
-	during   *load.Histogram
-	start    time.Time
-	res      *Result
-	busy     float64
-	possible float64
-	keys     map[string]bool
-	mu       sync.Mutex
-	bad      int
-	stop     chan struct{}
+	opts            Options
+	scenario        Scenario
+	fleet           *fleet.Fleet
+	client          *load.Client
+	recorder        *load.Recorder
+	modelService    *serviceCounter // service units of the model pool
+	plainService    *serviceCounter // service units of the plain pool
+	gap             *gapMeter
+	outstanding     *outstanding
+	waitBeforeFlood *load.Histogram // waiting times before the flood
+	waitDuringFlood *load.Histogram // waiting times during the flood
+	start           time.Time
+	result          *Result
+	busySlots       float64 // sum of busy slots over all samples with a backlog
+	totalSlots      float64 // sum of all slots over the same samples
+	keys            map[string]bool
+	mu              sync.Mutex
+	badAnswers      int // incomplete or foreign answers
+	stop            chan struct{}
 }
 
-// Run runs a scenario.
+// Run runs a scenario against a new fleet and returns its measurements.
 func Run(o Options) (*Result, error) {
 	s := o.Scenario
 	if o.Duration > 0 {
@@ -81,29 +81,29 @@
 		o.Progress = func(string, ...any) {}
 	}
 	r := &run{
-		opts: o, s: s, client: load.NewClient(), rec: load.NewRecorder(), chat: newService(), desk: newService(),
-		gap: newGapMeter(s.Accounts), out: newOutstanding(), before: load.NewHistogram(), during: load.NewHistogram(),
+		opts: o, scenario: s, client: load.NewClient(), recorder: load.NewRecorder(), modelService: newServiceCounter(), plainService: newServiceCounter(),
+		gap: newGapMeter(s.Accounts), outstanding: newOutstanding(), waitBeforeFlood: load.NewHistogram(), waitDuringFlood: load.NewHistogram(),
 		keys: map[string]bool{}, stop: make(chan struct{}),
-		res: &Result{Scenario: s.Name, Dispatch: o.Dispatch, Seed: o.Seed, Routers: s.Routers, Targets: s.Engines + s.Plains, Refused: map[string]int{}, Events: []string{}},
+		result: &Result{Scenario: s.Name, Dispatch: o.Dispatch, Seed: o.Seed, Routers: s.Routers, Targets: s.Engines + s.Plains, Refused: map[string]int{}, Events: []string{}},
 	}
 	if err := r.setUp(); err != nil {
 		return nil, err
 	}
-	defer r.f.Close()
+	defer r.fleet.Close()
 	defer r.client.Close()
 	o.Progress("%d routers and %d targets are ready", s.Routers, s.Engines+s.Plains)
 	r.measureOverhead()
-	r.drive()
-	r.conclude()
-	return r.res, nil
+	r.runLoad()
+	r.collectResults()
+	return r.result, nil
 }
 
 func (r *run) setUp() error {
-	f, err := fleet.New(fleet.Options{Routers: r.s.Routers, Dispatch: r.opts.Dispatch, VMLag: 500 * time.Millisecond, Tune: r.tune})
+	f, err := fleet.New(fleet.Options{Routers: r.scenario.Routers, Dispatch: r.opts.Dispatch, VMLag: 500 * time.Millisecond, Tune: r.tune})
 	if err != nil {
 		return err
 	}
-	r.f = f
+	r.fleet = f
 	if err := r.startFleet(); err != nil {
 		f.Close()
 		return err
@@ -118,20 +118,20 @@
 	if r.opts.TallyBudget >= 0 {
 		s.Control.TallyBudget = r.opts.TallyBudget
 	}
-	s.Control.ReserveShare = r.opts.Reserve
+	s.Control.ReserveShare = r.opts.ReserveShare
 }
 
 func (r *run) startFleet() error {
-	d, err := r.s.document()
+	d, err := r.scenario.document()
 	if err != nil {
 		return err
 	}
-	for i := range r.s.Engines {
-		t, err := r.f.AddEngine(r.s.names.chat, r.f.Hall(i), standin.EngineConfig{
-			Name: fmt.Sprintf("engine-%02d-%s", i, r.f.Hall(i)), Slots: r.s.Slots, FirstToken: r.s.FirstToken, TokenGap: r.s.TokenGap,
+	for i := range r.scenario.Engines {
+		t, err := r.fleet.AddEngine(r.scenario.names.modelPool, r.fleet.Hall(i), standin.EngineConfig{
+			Name: fmt.Sprintf("engine-%02d-%s", i, r.fleet.Hall(i)), Slots: r.scenario.Slots, FirstToken: r.scenario.FirstToken, TokenGap: r.scenario.TokenGap,
 			LoadLag: time.Second, CacheSize: 32,
 			OnService: func(account string, prompt, output int) {
-				r.chat.add(account, promptWeight*float64(prompt)+float64(output))
+				r.modelService.add(account, promptWeight*float64(prompt)+float64(output))
 			},
 		})
 		if err != nil {
@@ -139,11 +139,11 @@
 		}
 		d.Targets = append(d.Targets, t)
 	}
-	for i := range r.s.Plains {
-		t, err := r.f.AddPlain(r.s.names.desk, r.f.Hall(i), standin.PlainConfig{
-			Name: fmt.Sprintf("plain-%02d-%s", i, r.f.Hall(i)), Slots: r.s.PlainSlots, Takes: r.s.PlainTakes, LoadLag: time.Second,
+	for i := range r.scenario.Plains {
+		t, err := r.fleet.AddPlain(r.scenario.names.plainPool, r.fleet.Hall(i), standin.PlainConfig{
+			Name: fmt.Sprintf("plain-%02d-%s", i, r.fleet.Hall(i)), Slots: r.scenario.PlainSlots, Duration: r.scenario.PlainDuration, LoadLag: time.Second,
 			OnRun: func(account string, took time.Duration) {
-				r.desk.add(account, milliWeight*float64(took.Milliseconds()))
+				r.plainService.add(account, milliWeight*float64(took.Milliseconds()))
 			},
 		})
 		if err != nil {
@@ -151,34 +151,33 @@
 		}
 		d.Targets = append(d.Targets, t)
 	}
-	if err := r.f.StartRouters(); err != nil {
+	if err := r.fleet.StartRouters(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	if _, err := r.f.Apply(ctx, d, "measure"); err != nil {
+	if _, err := r.fleet.Apply(ctx, d, "measure"); err != nil {
 		return err
 	}
-	if err := r.f.AwaitReady(ctx); err != nil {
+	if err := r.fleet.AwaitReady(ctx); err != nil {
 		return err
 	}
 	time.Sleep(settleTime)
 	return nil
 }
 
-// targetHall returns the data hall of a target by its name.
+// targetHall returns the data hall in a target's name.
 func targetHall(name string) string {
 	parts := strings.SplitN(name, "-", 3)
 	return parts[len(parts)-1]
 }
 
-// measureOverhead compares calls through a router with direct ones, before any
-// other load.
+// measureOverhead compares calls through a router with direct calls, on an idle fleet.
 func (r *run) measureOverhead() {
-	node := r.f.Live()[0]
-	account := r.s.Accounts[0].Name
+	node := r.fleet.Live()[0]
+	account := r.scenario.Accounts[0].Name
 	direct, through := load.NewHistogram(), load.NewHistogram()
-	chat := load.Chat{Model: r.s.names.model, Prompt: "overhead", MaxTokens: 1, Tokens: 1}
+	chat := load.Chat{Model: r.scenario.names.model, Prompt: "overhead", MaxTokens: 1, Tokens: 1}
 	address := r.engineAddress()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*finishTimeout)
 	defer cancel()
@@ -190,31 +189,31 @@
 		a := r.client.Chat(ctx, node.Settings.Caller.Listen, fleet.Key(account), chat)
 		through.Add(a.FirstEvent - time.Duration(base*float64(time.Millisecond)))
 	}
-	r.res.OverheadMS = through.Percentiles()
+	r.result.OverheadMS = through.Percentiles()
 }
 
 func (r *run) engineAddress() string {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	reply, err := r.f.Client(r.f.Live()[0]).Get(ctx)
+	reply, err := r.fleet.Client(r.fleet.Live()[0]).Get(ctx)
 	if err != nil {
 		return ""
 	}
 	for _, t := range reply.Document.Targets {
-		if t.Pool == r.s.names.chat {
+		if t.Pool == r.scenario.names.modelPool {
 			return t.Address
 		}
 	}
 	return ""
 }
 
-// drive runs the load, the faults and the meters for the scenario's time.
-func (r *run) drive() {
+// runLoad runs load, faults and sampling for the scenario's duration.
+func (r *run) runLoad() {
 	bytesBefore, nanosBefore := r.traffic()
 	r.start = time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers, meters sync.WaitGroup
-	for i, a := range r.s.Accounts {
+	for i, a := range r.scenario.Accounts {
 		for k, st := range a.Streams {
 			r.startStream(ctx, &callers, a, st, int64(i*100+k))
 		}
@@ -224,26 +223,26 @@
 		defer meters.Done()
 		r.sampleLoop()
 	}()
-	r.faults(ctx)
-	r.sleepUntil(r.s.Duration)
+	r.injectFaults(ctx)
+	r.sleepUntil(r.scenario.Duration)
 	elapsed := time.Since(r.start)
 	bytesAfter, nanosAfter := r.traffic()
 	close(r.stop)
 	meters.Wait()
-	r.res.Seconds = elapsed.Seconds()
-	routers := float64(r.s.Routers)
-	r.res.ControlBytesPerRouter = float64(bytesAfter-bytesBefore) / elapsed.Seconds() / routers
-	r.res.ControlCPUFraction = float64(nanosAfter-nanosBefore) / 1e9 / elapsed.Seconds() / routers
-	r.opts.Progress("load ends, the last answers are awaited")
+	r.result.Seconds = elapsed.Seconds()
+	routers := float64(r.scenario.Routers)
+	r.result.ControlBytesPerRouter = float64(bytesAfter-bytesBefore) / elapsed.Seconds() / routers
+	r.result.ControlCPUFraction = float64(nanosAfter-nanosBefore) / 1e9 / elapsed.Seconds() / routers
+	r.opts.Progress("load ended, waiting for the last answers")
 	time.AfterFunc(finishTimeout, cancel)
 	callers.Wait()
 	cancel()
 }
 
-// traffic sums what the live routers have spent; a killed router's share is
-// lost with it, so churn reads a little low.
+// traffic sums the control traffic in bytes and the time spent on it. The counters of a killed
+// router are lost, so the sum is a little low under churn.
 func (r *run) traffic() (bytes uint64, nanos int64) {
-	for _, n := range r.f.Nodes() {
+	for _, n := range r.fleet.Nodes() {
 		b, t := n.Router.Traffic()
 		bytes += b
 		nanos += t
@@ -255,24 +254,24 @@
 	time.Sleep(time.Until(r.start.Add(at)))
 }
 
-func (r *run) faults(ctx context.Context) {
-	if r.s.Faults == nil {
+func (r *run) injectFaults(ctx context.Context) {
+	if r.scenario.Faults == nil {
 		return
 	}
-	for _, f := range r.s.Faults(r.s) {
+	for _, f := range r.scenario.Faults(r.scenario) {
 		r.sleepUntil(f.At)
 		if ctx.Err() != nil {
 			return
 		}
-		f.Do(r.f)
-		r.res.Events = append(r.res.Events, fmt.Sprintf("%.1f s: %s", f.At.Seconds(), f.Name))
+		f.Do(r.fleet)
+		r.result.Events = append(r.result.Events, fmt.Sprintf("%.1f s: %s", f.At.Seconds(), f.Name))
 		r.opts.Progress("%.1f s: %s", f.At.Seconds(), f.Name)
 	}
 }
 
-// sampleLoop measures utilisation and the gap.
+// sampleLoop samples utilisation and the fairness gap until the run stops.
 func (r *run) sampleLoop() {
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -285,34 +284,34 @@
 }
 
 func (r *run) sample(now time.Time, n int) {
-	busy, slots, starts := 0, 0, map[string]int{}
-	for _, e := range r.f.Engines {
+	busy, slots, runningBy := 0, 0, map[string]int{}
+	for _, e := range r.fleet.Engines {
 		if e.Aborted() {
 			continue
 		}
 		running, _, _ := e.Load()
-		busy += min(running, r.s.Slots)
-		slots += r.s.Slots
-		e.RunningByAccount(starts)
+		busy += min(running, r.scenario.Slots)
+		slots += r.scenario.Slots
+		e.RunningByAccount(runningBy)
 	}
-	asked := r.out.byAccount()
+	outstanding := r.outstanding.byAccount()
 	total := 0
-	for _, a := range asked {
+	for _, a := range outstanding {
 		total += a
 	}
-	if total > busy && total-busy >= r.s.Routers {
-		r.busy += float64(busy)
-		r.possible += float64(slots)
+	if total > busy && total-busy >= r.scenario.Routers {
+		r.busySlots += float64(busy)
+		r.totalSlots += float64(slots)
 	}
-	if n%gapEvery == 0 {
-		r.gap.sample(now, now.Sub(r.start), r.chat.snapshot(), func(account string) bool { return asked[account] > starts[account] })
+	if n%samplesPerGap == 0 {
+		r.gap.sample(now, now.Sub(r.start), r.modelService.snapshot(), func(account string) bool { return outstanding[account] > runningBy[account] })
 	}
-	if n%int(3*time.Second/sampleEvery) == 0 {
+	if n%int(3*time.Second/sampleInterval) == 0 {
 		r.opts.Progress("%4.1f s: %d of %d slots busy, %d requests outstanding", now.Sub(r.start).Seconds(), busy, slots, total)
 	}
 }
 
-// bound is what the formula of docs/design/fairness.md gives for this run.
+// bound returns the fairness bound of docs/design/fairness.md for this run.
 func (r *run) bound() float64 {
 	control := setting.Default().Control
 	least := control.TallyInterval.Duration
@@ -322,21 +321,21 @@
 	if r.opts.TallyBudget >= 0 {
 		control.TallyBudget = r.opts.TallyBudget
 	}
-	age := sched.TallyInterval(r.s.Routers-1, len(r.s.Accounts), least, control.TallyBudget)
-	r.res.CounterAgeSeconds = age.Seconds()
-	slots := r.s.Engines * r.s.Slots
+	age := sched.TallyInterval(r.scenario.Routers-1, len(r.scenario.Accounts), least, control.TallyBudget)
+	r.result.CounterAgeSeconds = age.Seconds()
+	slots := r.scenario.Engines * r.scenario.Slots
 	return fair.Bound(fair.BoundParams{
-		Slots: slots, MaxCost: r.maxCost(), MaxCharge: min(float64(r.s.MaxTokens)/2, maxCharge),
-		Rate: float64(slots) / r.s.TokenGap.Seconds(), CounterAge: age, Lag: reportLag, HeadStart: r.s.HeadStart,
+		Slots: slots, MaxCost: r.maxCost(), MaxCharge: min(float64(r.scenario.MaxTokens)/2, maxCharge),
+		Rate: float64(slots) / r.scenario.TokenGap.Seconds(), CounterAge: age, Lag: reportLag, HeadStart: r.scenario.HeadStart,
 	})
 }
 
 func (r *run) maxCost() float64 {
-	most := 0
-	for _, a := range r.s.Accounts {
+	maxTokens := 0
+	for _, a := range r.scenario.Accounts {
 		for _, st := range a.Streams {
-			most = max(most, st.Max)
+			maxTokens = max(maxTokens, st.MaxTokens)
 		}
 	}
-	return float64(most) + 32
+	return float64(maxTokens) + 32
 }
--- a/lab/measure/scenario.go
+++ b/lab/measure/scenario.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package measure runs load scenarios against a fleet and measures what the
-// users measure: the fairness gap, utilisation and control traffic.
+// Package measure runs load scenarios against a fleet and measures the fairness gap, utilisation,
+// control traffic, waiting times and violated guarantees.
 package measure
 
 import (
@@ -20,77 +20,77 @@
 
 // The kinds of request.
 const (
-	KindLong  Kind = "long"  // a long draft
-	KindShort Kind = "short" // a quick tag or reminder
-	KindKeyed Kind = "keyed" // a submission that may not be repeated, sent twice through two routers
+	KindLong  Kind = "long"  // completion of up to hundreds of tokens
+	KindShort Kind = "short" // interactive completion of a few tokens
+	KindKeyed Kind = "keyed" // plain call that must run once, sent twice through two routers
 )
 
 // Stream is a flow of requests of one account.
 type Stream struct {
-	Kind    Kind
-	Workers int           // Workers each have one request outstanding at any time, in a closed loop.
-	Every   time.Duration // Every is the mean time between arrivals of an open loop; used where Workers is 0.
-	Min     int           // Min and Max bound the output tokens.
-	Max     int
-	From    time.Duration // From is when the stream starts.
+	Kind      Kind
+	Workers   int           // closed loop: each worker has one request outstanding at any time
+	Interval  time.Duration // open loop, if Workers is 0: mean time between arrivals
+	MinTokens int           // output tokens
+	MaxTokens int
+	Start     time.Duration // start of the stream, since the start of the load
 }
 
 // Account is the load of one client account.
 type Account struct {
 	Name    string
-	Router  int // Router is the one that all its requests land on; -1 for all in turn.
+	Router  int // index of the router that gets all its requests; -1 for random ones
 	Streams []Stream
 	Weight  float64
 }
 
-// Backlogged tells whether the account always has work waiting.
+// Backlogged reports whether the account has requests outstanding throughout the run.
 func (a Account) Backlogged() bool {
 	for _, s := range a.Streams {
-		if s.Workers > 0 && s.From == 0 {
+		if s.Workers > 0 && s.Start == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Fault is something that happens during a run.
+// Fault is an event injected at a given time of a run.
 type Fault struct {
 	At   time.Duration
 	Name string
 	Do   func(f *fleet.Fleet)
 }
 
-// Scenario is a load with its faults.
+// Scenario describes a fleet, the load on it and the faults.
 type Scenario struct {
-	Name       string
-	About      string
-	Routers    int
-	Engines    int
-	Slots      int
-	Plains     int
-	PlainSlots int
-	FirstToken time.Duration
-	TokenGap   time.Duration
-	PlainTakes time.Duration
-	Accounts   []Account
-	Duration   time.Duration
-	HeadStart  float64 // HeadStart of the model pool, in service units.
-	MaxTokens  int     // MaxTokens is what callers state, whatever the answer's length.
-	Faults     func(s Scenario) []Fault
-	FloodFrom  time.Duration // FloodFrom splits the waits into before and during a flood.
-	Example    string        // Example names the sample configuration to run under; the laboratory's own where empty.
-	names      names
+	Name          string
+	Description   string
+	Routers       int
+	Engines       int
+	Slots         int
+	Plains        int
+	PlainSlots    int
+	FirstToken    time.Duration
+	TokenGap      time.Duration
+	PlainDuration time.Duration
+	Accounts      []Account
+	Duration      time.Duration
+	HeadStart     float64 // of interactive work in the model pool, in service units
+	MaxTokens     int     // max_tokens of each request, whatever the answer's length
+	Faults        func(s Scenario) []Fault
+	FloodStart    time.Duration // start of the flood, which splits the waiting times; 0 for none
+	Example       string        // sample configuration to run under; empty for that of the lab
+	names         names
 }
 
-// names are those of a scenario's pools and model.
-type names struct{ chat, desk, model string }
+// names holds the names of the model pool, the plain pool and the model.
+type names struct{ modelPool, plainPool, model string }
 
-func (n names) submitPath() string { return "/services/" + n.desk + "/submit" }
+func (n names) submitPath() string { return "/services/" + n.plainPool + "/submit" }
 
-func base(name, about string) Scenario {
+func base(name, description string) Scenario {
 	return Scenario{
-		Name: name, About: about, Routers: 9, Engines: 9, Slots: 8, Plains: 3, PlainSlots: 8,
-		FirstToken: 20 * time.Millisecond, TokenGap: 5 * time.Millisecond, PlainTakes: 20 * time.Millisecond,
+		Name: name, Description: description, Routers: 9, Engines: 9, Slots: 8, Plains: 3, PlainSlots: 8,
+		FirstToken: 20 * time.Millisecond, TokenGap: 5 * time.Millisecond, PlainDuration: 20 * time.Millisecond,
 		Duration: 24 * time.Second, HeadStart: 200, MaxTokens: 2048,
 		names: names{"chat", "desk", "lab-model"},
 	}
@@ -107,7 +107,7 @@
 	return all
 }
 
-// Names returns the names of all scenarios in order.
+// Names returns the sorted names of all scenarios.
 func Names() []string {
 	var names []string
 	for name := range Scenarios() {
@@ -120,7 +120,7 @@
 func large(i, router, workers int) Account {
 	return Account{
 		Name: fmt.Sprintf("large-%02d", i), Router: router,
-		Streams: []Stream{{Kind: KindLong, Workers: workers, Min: 60, Max: 400}},
+		Streams: []Stream{{Kind: KindLong, Workers: workers, MinTokens: 60, MaxTokens: 400}},
 	}
 }
 
@@ -128,8 +128,8 @@
 	return Account{
 		Name: fmt.Sprintf("light-%02d", i), Router: router,
 		Streams: []Stream{
-			{Kind: KindShort, Every: every, Min: 4, Max: 16},
-			{Kind: KindKeyed, Every: 2 * every},
+			{Kind: KindShort, Interval: every, MinTokens: 4, MaxTokens: 16},
+			{Kind: KindKeyed, Interval: 2 * every},
 		},
 	}
 }
@@ -149,7 +149,7 @@
 	s := base("haddad", "16 accounts; three large owners rebuild rotas, receptionists' reminders and booking checks beside them")
 	for i := range 3 {
 		a := large(i, -1, 34)
-		a.Streams[0].Min, a.Streams[0].Max = 200, 600
+		a.Streams[0].MinTokens, a.Streams[0].MaxTokens = 200, 600
 		s.Accounts = append(s.Accounts, a)
 	}
 	for i := range 13 {
@@ -158,8 +158,8 @@
 	return s
 }
 
-// unevenLanding is the router of each backlogged account: four share one, two
-// share another, the others have one each.
+// unevenLanding holds the router of each backlogged account: four share one, two share another,
+// the others have one each.
 var unevenLanding = []int{0, 0, 0, 0, 1, 1, 2, 3, 4, 5}
 
 func uneven() Scenario {
@@ -168,7 +168,7 @@
 	for i := range unevenLanding {
 		a := large(i, unevenLanding[i], 30)
 		if i%3 == 1 {
-			a.Streams[0].Min, a.Streams[0].Max = 10, 60
+			a.Streams[0].MinTokens, a.Streams[0].MaxTokens = 10, 60
 			a.Streams[0].Workers = 50
 		}
 		s.Accounts = append(s.Accounts, a)
@@ -181,12 +181,12 @@
 
 func unevenWrong() Scenario {
 	s := uneven()
-	s.Name, s.About = "uneven-wrong", "as uneven, with estimates that are wrong by up to 100 times"
+	s.Name, s.Description = "uneven-wrong", "as uneven, with estimates that are wrong by up to 100 times"
 	for i := range s.Accounts {
 		for k := range s.Accounts[i].Streams {
 			st := &s.Accounts[i].Streams[k]
 			if st.Kind == KindLong {
-				st.Min, st.Max = 5, 500
+				st.MinTokens, st.MaxTokens = 5, 500
 			}
 		}
 	}
@@ -195,8 +195,8 @@
 }
 
 func flood() Scenario {
-	s := base("flood", "15 ordinary accounts; from the middle on one account floods every router")
-	s.FloodFrom = s.Duration / 2
+	s := base("flood", "15 ordinary accounts; in the second half one account floods every router")
+	s.FloodStart = s.Duration / 2
 	for i := range 2 {
 		s.Accounts = append(s.Accounts, large(i, -1, 40))
 	}
@@ -204,7 +204,7 @@
 		s.Accounts = append(s.Accounts, light(i, -1, 300*time.Millisecond))
 	}
 	s.Accounts = append(s.Accounts, Account{Name: "flooder", Router: -1, Streams: []Stream{
-		{Kind: KindShort, Workers: 700, Min: 4, Max: 200, From: s.FloodFrom},
+		{Kind: KindShort, Workers: 700, MinTokens: 4, MaxTokens: 200, Start: s.FloodStart},
 	}})
 	return s
 }
@@ -214,8 +214,8 @@
 	s.Engines, s.Routers, s.HeadStart = 3, 9, 200
 	for i := range 3 {
 		a := large(i, -1, 20)
-		a.Streams[0].Min, a.Streams[0].Max = 300, 600
-		a.Streams = append(a.Streams, Stream{Kind: KindShort, Every: 500 * time.Millisecond, Min: 4, Max: 16})
+		a.Streams[0].MinTokens, a.Streams[0].MaxTokens = 300, 600
+		a.Streams = append(a.Streams, Stream{Kind: KindShort, Interval: 500 * time.Millisecond, MinTokens: 4, MaxTokens: 16})
 		s.Accounts = append(s.Accounts, a)
 	}
 	for i := range 8 {
@@ -226,7 +226,7 @@
 
 func hallLoss() Scenario {
 	s := coreLogging()
-	s.Name, s.About = "hall-loss", "as core-logging; a whole data hall goes, routers and targets"
+	s.Name, s.Description = "hall-loss", "as core-logging; a whole data hall is lost, routers and targets"
 	s.Faults = func(s Scenario) []Fault {
 		return []Fault{{At: s.Duration / 3, Name: "hall-c is lost", Do: loseHall}}
 	}
@@ -255,7 +255,7 @@
 
 func storeDown() Scenario {
 	s := coreLogging()
-	s.Name, s.About = "store-down", "as core-logging; the table and the object store are down for the middle third"
+	s.Name, s.Description = "store-down", "as core-logging; the table and the object store are down for the middle third"
 	s.Faults = func(s Scenario) []Fault {
 		return []Fault{
 			{At: s.Duration / 3, Name: "table and object store down", Do: func(f *fleet.Fleet) { setStore(f, true) }},
@@ -272,15 +272,15 @@
 	f.Objects.SetFaults(faults)
 }
 
-const churnEvery = 3 * time.Second
+const churnInterval = 3 * time.Second
 
 func routerChurn() Scenario {
 	s := coreLogging()
-	s.Name, s.About = "router-churn", "as core-logging; every three seconds a router is killed and starts with no memory a second later"
+	s.Name, s.Description = "router-churn", "as core-logging; every three seconds a router is killed and restarts with empty memory a second later"
 	s.Faults = func(s Scenario) []Fault {
 		var faults []Fault
-		for i := 0; time.Duration(i+1)*churnEvery < s.Duration-2*time.Second; i++ {
-			at, victim := time.Duration(i+1)*churnEvery, i%s.Routers
+		for i := 0; time.Duration(i+1)*churnInterval < s.Duration-2*time.Second; i++ {
+			at, victim := time.Duration(i+1)*churnInterval, i%s.Routers
 			faults = append(faults,
 				Fault{At: at, Name: fmt.Sprintf("router-%d killed", victim+1), Do: func(f *fleet.Fleet) { f.Kill(f.Nodes()[victim]) }},
 				Fault{At: at + time.Second, Name: fmt.Sprintf("router-%d starts", victim+1), Do: func(f *fleet.Fleet) { _, _ = f.StartRouter(victim) }},
@@ -291,8 +291,8 @@
 	return s
 }
 
-// routerBudget gives each router 11 requests and 4,400 tokens a second, which
-// is a router's share of the fleet's target.
+// routerBudget gives each router 11 requests and 4,400 tokens a second, its share of the load that
+// a fleet must carry.
 func routerBudget() Scenario {
 	s := base("router-budget", "each router gets 11 requests and 4,400 tokens a second; a tenth of the accounts is backlogged")
 	s.Slots, s.TokenGap, s.FirstToken = 32, 20*time.Millisecond, 50*time.Millisecond
@@ -301,13 +301,13 @@
 	every := time.Second * accounts / time.Duration(perRouter*s.Routers)
 	for i := range accounts {
 		s.Accounts = append(s.Accounts, Account{Name: fmt.Sprintf("steady-%02d", i), Router: -1, Streams: []Stream{
-			{Kind: KindLong, Every: every, Min: 300, Max: 500},
+			{Kind: KindLong, Interval: every, MinTokens: 300, MaxTokens: 500},
 		}})
 	}
 	return s
 }
 
-// document returns the configuration of a scenario without its targets.
+// document returns the configuration of a scenario, without targets.
 func (s Scenario) document() (*conf.Document, error) {
 	if s.Example != "" {
 		d, err := examples.Load(s.Example)
@@ -320,8 +320,8 @@
 	d := &conf.Document{
 		Policies: []conf.Policy{{Name: "lab", Source: labPolicy}},
 		Pools: []conf.Pool{
-			{Name: s.names.chat, Kind: conf.KindModel, Models: []string{s.names.model}, HeadStart: s.HeadStart, MaxCost: maxCharge},
-			{Name: s.names.desk, Kind: conf.KindService, Quantum: 200, MaxCost: 1000},
+			{Name: s.names.modelPool, Kind: conf.KindModel, Models: []string{s.names.model}, HeadStart: s.HeadStart, MaxCost: maxCharge},
+			{Name: s.names.plainPool, Kind: conf.KindService, Quantum: 200, MaxCost: 1000},
 		},
 	}
 	for _, a := range s.Accounts {
@@ -344,8 +344,8 @@
     return attempt.outcome == "not_run" or request.model != ""
 `
 
-// Example returns the scenario of a sample configuration: its first three
-// accounts are large, the others light.
+// Example returns a scenario for a sample configuration: the first three accounts send large
+// loads, the others light ones.
 func Example(name string, routers int, duration time.Duration) (Scenario, error) {
 	d, err := examples.Load(name)
 	if err != nil {
@@ -355,14 +355,14 @@
 	s.Routers, s.Duration, s.Example = routers, duration, name
 	for _, p := range d.Pools {
 		if p.Kind == conf.KindService {
-			s.names.desk = p.Name
+			s.names.plainPool = p.Name
 			continue
 		}
-		s.names.chat, s.names.model, s.HeadStart = p.Name, p.Models[0], p.HeadStart
+		s.names.modelPool, s.names.model, s.HeadStart = p.Name, p.Models[0], p.HeadStart
 	}
 	for i, account := range d.Accounts {
 		a := light(i, -1, 300*time.Millisecond)
-		if i < largeInExample {
+		if i < largeAccounts {
 			a = large(i, -1, 36)
 		}
 		a.Name = account.Name
@@ -371,4 +371,4 @@
 	return s, nil
 }
 
-const largeInExample = 3
+const largeAccounts = 3
--- a/lab/measure/stream.go
+++ b/lab/measure/stream.go
@@ -22,8 +22,7 @@
 	prompts      = 8
 )
 
-// outstanding counts the completions that were asked for and have not begun to
-// end, by account.
+// outstanding counts the unfinished completions by account.
 type outstanding struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -76,9 +75,9 @@
 	}
 }
 
-// closedLoop always has one request outstanding.
+// closedLoop sends the next request as soon as the last one is finished.
 func (r *run) closedLoop(ctx context.Context, a Account, st Stream, rng *rand.Rand) {
-	if !r.pause(ctx, st.From+time.Duration(rng.Int63n(int64(20*time.Millisecond)))) {
+	if !r.pause(ctx, st.Start+time.Duration(rng.Int63n(int64(20*time.Millisecond)))) {
 		return
 	}
 	for {
@@ -87,36 +86,36 @@
 			return
 		default:
 		}
-		if refused := r.one(ctx, a, st, rng); refused && !r.pause(ctx, refusedPause) {
+		if refused := r.send(ctx, a, st, rng); refused && !r.pause(ctx, refusedPause) {
 			return
 		}
 	}
 }
 
-// openLoop sends at random times, whatever became of earlier requests.
+// openLoop sends requests at random times, independent of earlier ones.
 func (r *run) openLoop(ctx context.Context, wg *sync.WaitGroup, a Account, st Stream, rng *rand.Rand) {
-	if !r.pause(ctx, st.From) {
+	if !r.pause(ctx, st.Start) {
 		return
 	}
 	for {
-		gap := time.Duration(rng.ExpFloat64() * float64(st.Every))
-		if !r.pause(ctx, min(gap, 4*st.Every)) {
+		gap := time.Duration(rng.ExpFloat64() * float64(st.Interval))
+		if !r.pause(ctx, min(gap, 4*st.Interval)) {
 			return
 		}
 		child := rand.New(rand.NewSource(rng.Int63()))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.one(ctx, a, st, child)
+			r.send(ctx, a, st, child)
 		}()
 	}
 }
 
-// node picks the router that the balancer would: the account's own, or any.
+// node picks a router as a load balancer would: the account's fixed one, else a random live one.
 func (r *run) node(a Account, rng *rand.Rand) *fleet.Node {
-	live := r.f.Live()
+	live := r.fleet.Live()
 	if a.Router >= 0 {
-		nodes := r.f.Nodes()
+		nodes := r.fleet.Nodes()
 		if n := nodes[a.Router%len(nodes)]; !n.Down {
 			return n
 		}
@@ -124,47 +123,46 @@
 	return live[rng.Intn(len(live))]
 }
 
-func (r *run) one(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
+func (r *run) send(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
 	if st.Kind == KindKeyed {
-		return r.keyed(ctx, a, rng)
+		return r.sendKeyed(ctx, a, rng)
 	}
-	return r.completion(ctx, a, st, rng)
+	return r.sendCompletion(ctx, a, st, rng)
 }
 
-func (r *run) completion(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
+func (r *run) sendCompletion(ctx context.Context, a Account, st Stream, rng *rand.Rand) (refused bool) {
 	chat := load.Chat{
-		Model: r.s.names.model, Class: classOf(st.Kind), MaxTokens: r.s.MaxTokens, Tokens: st.Min + rng.Intn(st.Max-st.Min+1),
+		Model: r.scenario.names.model, Class: classOf(st.Kind), MaxTokens: r.scenario.MaxTokens, Tokens: st.MinTokens + rng.Intn(st.MaxTokens-st.MinTokens+1),
 		Prompt: fmt.Sprintf("%s, brief %d", a.Name, rng.Intn(prompts)),
 	}
-	r.out.add(a.Name, 1)
-	defer r.out.add(a.Name, -1)
+	r.outstanding.add(a.Name, 1)
+	defer r.outstanding.add(a.Name, -1)
 	started := time.Now()
 	answer := r.client.Chat(ctx, r.node(a, rng).Settings.Caller.Listen, fleet.Key(a.Name), chat)
 	resumed := false
 	for try := 0; answer.Broken && answer.RequestID != "" && try < resumeLimit && ctx.Err() == nil; try++ {
-		// The caller was cut off: it goes on at any other router.
+		// The connection broke: resume at any router.
 		resumed = true
 		time.Sleep(time.Duration(try) * resumePause / 4)
 		answer = r.client.Resume(ctx, r.node(a, rng).Settings.Caller.Listen, fleet.Key(a.Name), answer)
-		if answer.Refused != nil {
+		if answer.Err != nil {
 			answer.Broken = true
 		}
 	}
 	switch {
 	case answer.Complete():
 		r.checkAnswer(answer, chat.Tokens)
-		wait := max(answer.FirstEvent-r.s.FirstToken, 0)
-		r.rec.Done(a.Name, classOf(st.Kind), wait, answer, resumed)
-		r.noteFlood(a.Name, st.Kind, time.Since(started), wait)
-	case answer.Refused != nil:
-		r.rec.Refused(a.Name, answer)
+		wait := max(answer.FirstEvent-r.scenario.FirstToken, 0)
+		r.recorder.Done(a.Name, classOf(st.Kind), wait, answer, resumed)
+		r.recordFloodWait(a.Name, st.Kind, time.Since(started), wait)
+	case answer.Err != nil:
+		r.recorder.Refused(a.Name, answer)
 		return true
 	case answer.RequestID == "":
-		// No router took the request: the caller was not answered by a router
-		// that was killed, and asks again.
+		// A router was killed before it accepted the request; the caller may send it again.
 		return true
 	default:
-		r.rec.Lost(a.Name)
+		r.recorder.Lost(a.Name)
 	}
 	return false
 }
@@ -176,8 +174,8 @@
 	return "interactive"
 }
 
-// checkAnswer verifies that an answer is whole and the caller's own: each event
-// of the stand-in names the request and counts up.
+// checkAnswer verifies that an answer is complete and belongs to its request: each event of the
+// stand-in holds the request ID and its own number.
 func (r *run) checkAnswer(a load.Answer, tokens int) {
 	good := len(a.Events) == tokens+2
 	for i := 0; good && i < tokens; i++ {
@@ -185,25 +183,25 @@
 	}
 	if !good {
 		r.mu.Lock()
-		r.bad++
+		r.badAnswers++
 		r.mu.Unlock()
 	}
 }
 
-func (r *run) noteFlood(account string, k Kind, total, wait time.Duration) {
-	if r.s.FloodFrom == 0 || k != KindShort || account == "flooder" {
+func (r *run) recordFloodWait(account string, k Kind, total, wait time.Duration) {
+	if r.scenario.FloodStart == 0 || k != KindShort || account == "flooder" {
 		return
 	}
-	// A request counts for the time at which it was sent.
-	if time.Since(r.start)-total < r.s.FloodFrom {
-		r.before.Add(wait)
+	// The time of sending decides, not that of the answer.
+	if time.Since(r.start)-total < r.scenario.FloodStart {
+		r.waitBeforeFlood.Add(wait)
 	} else {
-		r.during.Add(wait)
+		r.waitDuringFlood.Add(wait)
 	}
 }
 
-// keyed sends a call that may not be repeated twice, through two routers.
-func (r *run) keyed(ctx context.Context, a Account, rng *rand.Rand) (refused bool) {
+// sendKeyed sends the same sendKeyed call through two routers at once; it must run only once.
+func (r *run) sendKeyed(ctx context.Context, a Account, rng *rand.Rand) (refused bool) {
 	key := fmt.Sprintf("%s-%d", a.Name, rng.Int63())
 	r.mu.Lock()
 	r.keys[a.Name+"/"+key] = true
@@ -214,85 +212,85 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.keyedOnce(ctx, a, address, key)
+			r.sendKeyedOnce(ctx, a, address, key)
 		}()
 	}
 	wg.Wait()
 	return false
 }
 
-func (r *run) keyedOnce(ctx context.Context, a Account, address, key string) {
-	answer := r.client.Plain(ctx, address, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
+func (r *run) sendKeyedOnce(ctx context.Context, a Account, address, key string) {
+	answer := r.client.Plain(ctx, address, fleet.Key(a.Name), r.scenario.names.submitPath(), key, []byte("interval of "+key))
 	switch {
-	case answer.Refused != nil:
-		r.rec.Refused(a.Name, answer)
+	case answer.Err != nil:
+		r.recorder.Refused(a.Name, answer)
 	case answer.Broken:
-		// The router was killed; the caller asks again under the same key and
-		// learns the recorded outcome, or that it is unknown.
-		again := r.client.Plain(ctx, r.f.Live()[0].Settings.Caller.Listen, fleet.Key(a.Name), r.s.names.submitPath(), key, []byte("interval of "+key))
-		if again.Refused != nil {
-			r.rec.Refused(a.Name, again)
+		// The router was killed; a retry with the same key returns the recorded
+		// outcome, or that it is unknown.
+		again := r.client.Plain(ctx, r.fleet.Live()[0].Settings.Caller.Listen, fleet.Key(a.Name), r.scenario.names.submitPath(), key, []byte("interval of "+key))
+		if again.Err != nil {
+			r.recorder.Refused(a.Name, again)
 		} else if !again.Broken {
-			r.rec.Done(a.Name, "keyed", again.Total-r.s.PlainTakes, again, false)
+			r.recorder.Done(a.Name, "keyed", again.Total-r.scenario.PlainDuration, again, false)
 		} else {
-			r.rec.Lost(a.Name)
+			r.recorder.Lost(a.Name)
 		}
 	default:
 		if !strings.Contains(string(answer.Body), key) {
 			r.mu.Lock()
-			r.bad++
+			r.badAnswers++
 			r.mu.Unlock()
 		}
-		r.rec.Done(a.Name, "keyed", max(answer.Total-r.s.PlainTakes, 0), answer, false)
+		r.recorder.Done(a.Name, "keyed", max(answer.Total-r.scenario.PlainDuration, 0), answer, false)
 	}
 }
 
-// conclude compares what callers were told with what the targets saw.
-func (r *run) conclude() {
-	res := r.res
+// collectResults checks the answers that callers got against the runs that the targets counted.
+func (r *run) collectResults() {
+	res := r.result
 	res.FairnessGap, res.FairnessGapPair = r.gap.gap, r.gap.worst
 	res.FairnessGapAt = r.gap.at.Seconds()
 	res.FairnessBound = r.bound()
-	if r.possible > 0 {
-		res.Utilisation = r.busy / r.possible
+	if r.totalSlots > 0 {
+		res.Utilisation = r.busySlots / r.totalSlots
 	}
-	for _, p := range r.f.Plains {
-		for _, n := range p.RunsOfKeys() {
+	for _, p := range r.fleet.Plains {
+		for _, n := range p.RunsByKey() {
 			res.Duplicates += max(n-1, 0)
 		}
 	}
-	for _, id := range r.rec.NotRun() {
+	for _, id := range r.recorder.NotRun() {
 		ran := 0
-		for _, e := range r.f.Engines {
+		for _, e := range r.fleet.Engines {
 			ran += e.Runs(id)
 		}
-		for _, p := range r.f.Plains {
+		for _, p := range r.fleet.Plains {
 			ran += p.Runs(id)
 		}
 		if ran > 0 {
 			res.NotRunButRan++
 		}
 	}
-	for _, e := range r.f.Engines {
-		_, _, most := e.Load()
-		res.OverLimit = max(res.OverLimit, most-r.s.Slots)
+	for _, e := range r.fleet.Engines {
+		_, _, peak := e.Load()
+		res.OverLimit = max(res.OverLimit, peak-r.scenario.Slots)
 	}
-	res.Incomplete = r.bad
-	r.concludeAccounts()
-	r.concludeRouters()
-	if r.s.FloodFrom > 0 {
-		before, during := r.before.Percentiles(), r.during.Percentiles()
+	res.Incomplete = r.badAnswers
+	r.collectAccounts()
+	r.collectRouters()
+	if r.scenario.FloodStart > 0 {
+		before, during := r.waitBeforeFlood.Percentiles(), r.waitDuringFlood.Percentiles()
 		res.OthersWaitBeforeFlood, res.OthersWaitDuringFlood = &before, &during
 	}
 }
 
-func (r *run) concludeAccounts() {
-	res := r.res
-	res.WaitMS = r.rec.Classes()
-	units, desk := r.chat.snapshot(), r.desk.snapshot()
-	records := r.rec.Accounts()
+func (r *run) collectAccounts() {
+	res := r.result
+	res.WaitMS = r.recorder.Classes()
+	units, desk := r.modelService.snapshot(), r.plainService.snapshot()
+	records := r.recorder.Accounts()
 	tokens := 0.0
-	for _, a := range r.s.Accounts {
+	for _, a := range r.scenario.Accounts {
 		tokens += units[a.Name]
 		rec := records[a.Name]
 		if rec == nil {
@@ -313,10 +311,10 @@
 	res.RequestsPerRouterSecond, res.TokensPerRouterSecond = float64(res.Requests)/perRouter, tokens/perRouter
 }
 
-func (r *run) concludeRouters() {
-	for _, n := range r.f.Live() {
+func (r *run) collectRouters() {
+	for _, n := range r.fleet.Live() {
 		d := n.Router.Dump()
-		r.res.UnusedGrants += d.Control.Admission.Unused
-		r.res.ExpiredGrants += d.Control.Scheduler.Expired
+		r.result.UnusedGrants += d.Control.Admission.Unused
+		r.result.ExpiredGrants += d.Control.Scheduler.Expired
 	}
 }
--- a/lab/platform/client.go
+++ b/lab/platform/client.go
@@ -16,38 +16,38 @@
 	"time"
 )
 
-// Kind is a kind of request.
+// Kind describes a kind of request and its load.
 type Kind struct {
-	Name       string
-	Path       string
-	Method     string
-	Stream     bool
-	Repeatable bool
-	Resumable  bool
-	Subjects   int
-	Shared     int
-	Own        int
-	Objective  time.Duration
-	Deadline   time.Duration
-	PerSecond  float64
-	Attempts   int
+	Name         string
+	Path         string
+	Method       string
+	Stream       bool
+	Repeatable   bool
+	Resumable    bool
+	Prefixes     int           // different shared prompt prefixes
+	SharedTokens int           // tokens of a shared prompt prefix
+	OwnTokens    int           // mean tokens of the rest of a prompt
+	Objective    time.Duration // latency beyond which an answer is late
+	Deadline     time.Duration
+	PerSecond    float64 // requests of all accounts
+	Attempts     int     // attempts that a gateway may make
 }
 
 const host = "site.example"
 
-// client sends requests of one kind and account, and checks the answers.
+// client sends requests of one kind for one account and checks the answers.
 type client struct {
-	site    *Site
-	address func(c *client) string // address is that of the gateway that takes the next request.
-	uri     func(c *client) string
-	body    func(c *client) string
-	kind    Kind
-	account string
-	key     string
-	rng     *rand.Rand
-	http    *http.Client
-	next    int
-	head    http.Header // head is that of the last answer.
+	site         *Site
+	address      func(c *client) string // gateway for the next request
+	uri          func(c *client) string
+	body         func(c *client) string
+	kind         Kind
+	account      string
+	key          string
+	rng          *rand.Rand
+	http         *http.Client
+	sent         int
+	answerHeader http.Header // headers of the last answer
 }
 
 func newClient(s *Site, k Kind, account, key string, seed uint64) *client {
@@ -61,28 +61,29 @@
 func anyGateway(c *client) string { return c.site.gateway(c.rng) }
 
 func itemURI(c *client) string {
-	return fmt.Sprintf("%sitem/%%2F%d?q=%d", c.kind.Path, c.next, c.rng.IntN(100))
+	return fmt.Sprintf("%sitem/%%2F%d?q=%d", c.kind.Path, c.sent, c.rng.IntN(100))
 }
 
 func anyBody(c *client) string { return strings.Repeat("x", 50+c.rng.IntN(200)) }
 
-// ask sends a request and, where it was told to come back, sends it once more.
-func (c *client) ask(ctx context.Context) {
-	began := time.Now()
+// sendWithRetry sends a request, retries it once if it is refused with a short Retry-After, and
+// counts the outcome.
+func (c *client) sendWithRetry(ctx context.Context) {
+	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
 	defer cancel()
-	result, after := c.attempt(ctx, began)
-	if result == outcomeRefused && after < c.kind.Deadline/3 {
+	result, retryAfter := c.attempt(ctx, started)
+	if result == outcomeRefused && retryAfter < c.kind.Deadline/3 {
 		select {
-		case <-time.After(after):
+		case <-time.After(retryAfter):
 			result, _ = c.attempt(ctx, time.Now())
 		case <-ctx.Done():
 		}
 	}
 	if c.site.ctx.Err() != nil {
-		return // the play has ended meanwhile
+		return // the run has ended meanwhile
 	}
-	c.site.ledger.Ends(c.account, func(n *Counts) {
+	c.site.ledger.AddOutcome(c.account, func(n *Counts) {
 		switch result {
 		case outcomeServed:
 			n.Served++
@@ -106,17 +107,17 @@
 	outcomeFailed
 )
 
-func (c *client) attempt(ctx context.Context, began time.Time) (outcome, time.Duration) {
+func (c *client) attempt(ctx context.Context, started time.Time) (outcome, time.Duration) {
 	id := fmt.Sprintf("%016x", c.rng.Uint64())
 	body := ""
 	if c.kind.Method == http.MethodPost {
 		body = c.body(c)
 	}
 	uri := c.uri(c)
-	c.next++
+	c.sent++
 	req, err := http.NewRequestWithContext(ctx, c.kind.Method, "http://"+c.address(c)+uri, strings.NewReader(body))
 	if err != nil {
-		c.site.ledger.Wrong("client: %v", err)
+		c.site.ledger.AddViolation("client: %v", err)
 		return outcomeFailed, 0
 	}
 	req.Host = host
@@ -125,26 +126,26 @@
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(c.kind.Deadline.Milliseconds(), 10))
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	if c.kind.Stream {
-		own := 1 + c.rng.IntN(2*c.kind.Own)
+		own := 1 + c.rng.IntN(2*c.kind.OwnTokens)
 		req.Header.Set("Model", "m")
-		req.Header.Set("Token-Usage", fmt.Sprintf("%d,%d", c.kind.Shared+own, 64))
-		req.Header.Set("Prompt-Prefix", fmt.Sprintf("%s%x:%d,%s:%d", c.kind.Name, c.rng.IntN(c.kind.Subjects), c.kind.Shared, id, own))
+		req.Header.Set("Token-Usage", fmt.Sprintf("%d,%d", c.kind.SharedTokens+own, 64))
+		req.Header.Set("Prompt-Prefix", fmt.Sprintf("%s%x:%d,%s:%d", c.kind.Name, c.rng.IntN(c.kind.Prefixes), c.kind.SharedTokens, id, own))
 	}
-	c.site.ledger.Sends(id, c.account, c.kind.Method, uri, body, c.kind.Repeatable || c.kind.Resumable)
+	c.site.ledger.AddRequest(id, c.account, c.kind.Method, uri, body, c.kind.Repeatable || c.kind.Resumable)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return outcomeFailed, 0
 	}
 	defer resp.Body.Close()
-	c.head = resp.Header
-	return c.judge(id, body, resp, began)
+	c.answerHeader = resp.Header
+	return c.checkAnswer(id, body, resp, started)
 }
 
-// judge checks an answer against what the worker must have sent.
-func (c *client) judge(id, sent string, resp *http.Response, began time.Time) (outcome, time.Duration) {
+// checkAnswer checks an answer against the one that the worker must send.
+func (c *client) checkAnswer(id, sent string, resp *http.Response, started time.Time) (outcome, time.Duration) {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
-		c.site.ledger.Refused(id)
+		c.site.ledger.AddRefusal(id)
 		_, _ = io.Copy(io.Discard, resp.Body)
 		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		return outcomeRefused, time.Duration(seconds * float64(time.Second))
@@ -155,10 +156,10 @@
 	}
 	worker, _, _ := strings.Cut(resp.Header.Get("Response-Signature"), ".")
 	if resp.Header.Get("Attempt-Id") != id {
-		c.site.ledger.Wrong("%s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
+		c.site.ledger.AddViolation("request %s got the answer to %s", id, resp.Header.Get("Attempt-Id"))
 	}
 	if c.kind.Stream {
-		return c.judgeStream(id, worker, resp, began)
+		return c.checkStream(id, worker, resp, started)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -166,27 +167,27 @@
 	}
 	want := PlainBody(id, []byte(sent))
 	if string(body) != want || resp.Header.Get("Response-Signature") != Signature(worker, id, want) {
-		c.site.ledger.Wrong("%s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
+		c.site.ledger.AddViolation("request %s got %q, signed %q", id, body, resp.Header.Get("Response-Signature"))
 	}
-	return c.inTime(began), 0
+	return c.servedOutcome(started), 0
 }
 
-func (c *client) inTime(began time.Time) outcome {
-	if time.Since(began) > c.kind.Objective {
+func (c *client) servedOutcome(started time.Time) outcome {
+	if time.Since(started) > c.kind.Objective {
 		return outcomeLate
 	}
 	return outcomeServed
 }
 
-func (c *client) judgeStream(id, worker string, resp *http.Response, began time.Time) (outcome, time.Duration) {
+func (c *client) checkStream(id, worker string, resp *http.Response, started time.Time) (outcome, time.Duration) {
 	if resp.Header.Get("Response-Signature") != Signature(worker, id, "") {
-		c.site.ledger.Wrong("stream of %s is signed %q", id, resp.Header.Get("Response-Signature"))
+		c.site.ledger.AddViolation("stream of request %s is signed %q", id, resp.Header.Get("Response-Signature"))
 	}
 	result, n, of := outcome(0), 0, Events(id)
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if result == 0 {
-			result = c.inTime(began)
+			result = c.servedOutcome(started)
 		}
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
@@ -194,7 +195,7 @@
 		}
 		if data != EventData(id, n+1, of) {
 			if lines.Scan(); lines.Err() == nil && n < of {
-				c.site.ledger.Wrong("stream of %s has %q after event %d", id, data, n)
+				c.site.ledger.AddViolation("stream of request %s has %q after event %d", id, data, n)
 			}
 			return outcomeFailed, 0
 		}
@@ -204,7 +205,7 @@
 		return outcomeFailed, 0
 	}
 	if n != of {
-		c.site.ledger.Wrong("stream of %s ended as whole after %d of %d events", id, n, of)
+		c.site.ledger.AddViolation("stream of request %s ended without an error after %d of %d events", id, n, of)
 	}
 	return result, 0
 }
--- a/lab/platform/kept.go
+++ b/lab/platform/kept.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// fetch copies what the worker at an address keeps of the beginning of a prompt
-// beyond what this one keeps, and returns how long that takes.
-func (w *Worker) fetch(address, parts string) time.Duration {
-	if address == "" || w.cfg.Peer == nil {
+// copyCached copies the cached prefix of a prompt from the worker at an address, as far as it is not
+// cached here, and returns the duration of the transfer.
+func (w *Worker) copyCached(address, parts string) time.Duration {
+	if address == "" || w.cfg.PeerAt == nil {
 		return 0
 	}
-	source := w.cfg.Peer(address)
+	source := w.cfg.PeerAt(address)
 	if source == nil || source == w {
 		return 0
 	}
 	source.mu.Lock()
-	var held []string
+	var found []string
 	for _, part := range strings.Split(parts, ",") {
 		id, _, _ := strings.Cut(part, ":")
-		if _, ok := source.kept[id]; !ok {
+		if _, ok := source.cached[id]; !ok {
 			break
 		}
-		held = append(held, part)
+		found = append(found, part)
 	}
 	source.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	tokens := 0
-	for _, part := range held {
+	for _, part := range found {
 		id, text, _ := strings.Cut(part, ":")
 		n, _ := strconv.Atoi(text)
-		if _, ok := w.kept[id]; !ok {
+		if _, ok := w.cached[id]; !ok {
 			tokens += n
 		}
-		w.keep(id, n)
+		w.addCached(id, n)
 	}
 	if tokens == 0 {
 		return 0
@@ -50,63 +50,63 @@
 	return time.Duration(float64(tokens) / w.cfg.CopyRate * float64(time.Second))
 }
 
-// read returns how long it takes until the prompt is read, behind all others,
-// and keeps its parts.
-func (w *Worker) read(parts string) time.Duration {
+// prefill adds a prompt to the prefill queue, caches its parts and returns the time until its
+// prefill is complete.
+func (w *Worker) prefill(parts string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	missing, whole := 0, true
+	missing, hit := 0, true
 	list := strings.Split(parts, ",")
 	for i, part := range list {
 		id, text, _ := strings.Cut(part, ":")
 		tokens, _ := strconv.Atoi(text)
-		if _, ok := w.kept[id]; !ok || !whole {
-			whole = false
+		if _, ok := w.cached[id]; !ok || !hit {
+			hit = false
 			missing += tokens
-			if i < len(list)-1 && w.seen[id] {
-				w.reread += tokens
+			if i < len(list)-1 && w.everCached[id] {
+				w.reprefilled += tokens
 			}
 		}
-		w.keep(id, tokens)
+		w.addCached(id, tokens)
 	}
-	w.prompts += missing
+	w.prefilled += missing
 	now := time.Now()
-	if w.readTo.Before(now) {
-		w.readTo = now
+	if w.prefillEnd.Before(now) {
+		w.prefillEnd = now
 	}
-	w.readTo = w.readTo.Add(time.Duration(float64(missing) / w.cfg.ReadRate * float64(time.Second)))
-	return w.readTo.Sub(now)
+	w.prefillEnd = w.prefillEnd.Add(time.Duration(float64(missing) / w.cfg.PrefillRate * float64(time.Second)))
+	return w.prefillEnd.Sub(now)
 }
 
-// listKept answers which parts are kept.
-func (w *Worker) listKept(rw http.ResponseWriter) {
+// serveCacheList serves the list of cached parts.
+func (w *Worker) serveCacheList(rw http.ResponseWriter) {
 	w.mu.Lock()
-	held := make([][]any, 0, len(w.order))
-	for _, id := range w.order {
-		held = append(held, []any{"", id, w.kept[id], "m"})
+	held := make([][]any, 0, len(w.lru))
+	for _, id := range w.lru {
+		held = append(held, []any{"", id, w.cached[id], "m"})
 	}
 	w.mu.Unlock()
 	rw.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(rw).Encode(map[string]any{"epoch": 1, "nextPageToken": 0, "held": held})
 }
 
-func (w *Worker) keep(id string, tokens int) {
-	w.seen[id] = true
-	if _, ok := w.kept[id]; ok {
-		for i, other := range w.order {
+func (w *Worker) addCached(id string, tokens int) {
+	w.everCached[id] = true
+	if _, ok := w.cached[id]; ok {
+		for i, other := range w.lru {
 			if other == id {
-				w.order = append(w.order[:i], w.order[i+1:]...)
+				w.lru = append(w.lru[:i], w.lru[i+1:]...)
 				break
 			}
 		}
 	} else {
-		w.kept[id] = tokens
-		w.keptSize += tokens
+		w.cached[id] = tokens
+		w.cachedTokens += tokens
 	}
-	w.order = append(w.order, id)
-	for w.keptSize > w.cfg.Memory {
-		w.keptSize -= w.kept[w.order[0]]
-		delete(w.kept, w.order[0])
-		w.order = w.order[1:]
+	w.lru = append(w.lru, id)
+	for w.cachedTokens > w.cfg.CacheTokens {
+		w.cachedTokens -= w.cached[w.lru[0]]
+		delete(w.cached, w.lru[0])
+		w.lru = w.lru[1:]
 	}
 }
--- a/lab/platform/ledger.go
+++ b/lab/platform/ledger.go
@@ -9,22 +9,22 @@
 	"sync"
 )
 
-// Ledger notes which worker ran which request and what clients were told, and
-// finds what must not be.
+// Ledger records each request, its runs and its answer, and detects violated guarantees such as
+// a second run of a request that must not be repeated.
 type Ledger struct {
-	mu      sync.Mutex
-	asked   map[string]*asked
-	broken  []string
-	counts  Counts
-	account map[string]*Counts
+	mu         sync.Mutex
+	requests   map[string]*request
+	violations []string
+	counts     Counts
+	accounts   map[string]*Counts
 }
 
-// Counts are the outcomes of requests.
+// Counts counts the outcomes of requests.
 type Counts struct {
-	Asked, Served, Late, Refused, Failed, Doubled int
+	Sent, Served, Late, Refused, Failed, Duplicates int // Served includes Late
 }
 
-type asked struct {
+type request struct {
 	account    string
 	repeatable bool
 	method     string
@@ -35,92 +35,94 @@
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{asked: map[string]*asked{}, account: map[string]*Counts{}} }
+func NewLedger() *Ledger {
+	return &Ledger{requests: map[string]*request{}, accounts: map[string]*Counts{}}
+}
 
-func (l *Ledger) breakRule(format string, args ...any) {
-	const most = 20
-	if len(l.broken) < most {
-		l.broken = append(l.broken, fmt.Sprintf(format, args...))
+// addLocked adds a violation, up to a limit. The caller holds l.mu.
+func (l *Ledger) addLocked(format string, args ...any) {
+	const limit = 20
+	if len(l.violations) < limit {
+		l.violations = append(l.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Sends notes a request that a client is about to send.
-func (l *Ledger) Sends(id, account, method, uri, body string, repeatable bool) {
+// AddRequest records a request before a client sends it.
+func (l *Ledger) AddRequest(id, account, method, uri, body string, repeatable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[id] = &asked{account: account, repeatable: repeatable, method: method, uri: uri, body: body}
+	l.requests[id] = &request{account: account, repeatable: repeatable, method: method, uri: uri, body: body}
 }
 
-// Ran notes that a worker runs a request.
-func (l *Ledger) Ran(worker, id string, r *http.Request, body []byte) {
+// AddRun records that a worker runs a request, and checks what the worker got.
+func (l *Ledger) AddRun(worker, id string, r *http.Request, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.asked[id]
+	a := l.requests[id]
 	if a == nil {
-		l.breakRule("%s ran %q, which no client sent", worker, id)
+		l.addLocked("worker %s ran %q, which no client sent", worker, id)
 		return
 	}
 	a.runs++
 	if a.method != r.Method || a.uri != r.RequestURI || a.body != string(body) || a.account != r.Header.Get("Tenant") {
-		l.breakRule("%s ran %s %s for %q, sent was %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
+		l.addLocked("worker %s ran %s %s for %q, but the client sent %s %s for %q", worker, r.Method, r.RequestURI, r.Header.Get("Tenant"), a.method, a.uri, a.account)
 	}
 	if r.Header.Get("Authorization") != "" || r.Header.Get("Deadline-Ms") == "" {
-		l.breakRule("%s saw a key, or no deadline", worker)
+		l.addLocked("worker %s got an API key or no deadline", worker)
 	}
 	if a.runs > 1 && !a.repeatable {
-		l.counts.Doubled++
-		l.breakRule("%s ran %s a second time", worker, id)
+		l.counts.Duplicates++
+		l.addLocked("worker %s ran %s again", worker, id)
 	}
 	if a.refused && !a.repeatable {
-		l.breakRule("%s ran %s after it was refused as not run", worker, id)
+		l.addLocked("worker %s ran %s after it was refused as not run", worker, id)
 	}
 }
 
-// Refused notes that a client was told that its request did not and will not
-// run.
-func (l *Ledger) Refused(id string) {
+// AddRefusal records an answer that promises that the request did not run and never will.
+func (l *Ledger) AddRefusal(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.asked[id]
+	a := l.requests[id]
 	a.refused = true
 	if a.runs > 0 && !a.repeatable {
-		l.breakRule("%s was refused as not run, but ran", id)
+		l.addLocked("request %s was refused as not run, but ran", id)
 	}
 }
 
-// Wrong notes an answer that must not be.
-func (l *Ledger) Wrong(format string, args ...any) {
+// AddViolation records a violation.
+func (l *Ledger) AddViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breakRule(format, args...)
+	l.addLocked(format, args...)
 }
 
-// Ends notes how a client's request came out.
-func (l *Ledger) Ends(account string, count func(c *Counts)) {
+// AddOutcome counts the outcome of a client's request.
+func (l *Ledger) AddOutcome(account string, count func(c *Counts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.account[account] == nil {
-		l.account[account] = &Counts{}
+	if l.accounts[account] == nil {
+		l.accounts[account] = &Counts{}
 	}
-	for _, c := range []*Counts{&l.counts, l.account[account]} {
-		c.Asked++
+	for _, c := range []*Counts{&l.counts, l.accounts[account]} {
+		c.Sent++
 		count(c)
 	}
 }
 
-// Broken returns what was found.
-func (l *Ledger) Broken() []string {
+// Violations returns the first violations found.
+func (l *Ledger) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.broken...)
+	return append([]string(nil), l.violations...)
 }
 
-// Totals returns the counts of all and of each account.
+// Totals returns the counts of all requests and those by account.
 func (l *Ledger) Totals() (Counts, map[string]Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]Counts{}
-	for name, c := range l.account {
+	for name, c := range l.accounts {
 		out[name] = *c
 	}
 	return l.counts, out
--- a/lab/platform/saying.go
+++ b/lab/platform/saying.go
@@ -5,40 +5,40 @@
 
 import "net/http"
 
-// SayLeaving has all answers of the worker say that it leaves, while its entry does not.
-func (w *Worker) SayLeaving() {
+// AnnounceLeaving makes the worker announce in the headers of its answers that it leaves. Its entry in
+// the store stays unchanged.
+func (w *Worker) AnnounceLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = true
 }
 
-// WantRest has the worker turn all requests away and ask for a time of rest, written as it is;
-// empty ends that.
-func (w *Worker) WantRest(value string) {
+// AskForPause makes the worker refuse all requests with the given Retry-After value; an empty value
+// ends that.
+func (w *Worker) AskForPause(value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rest, w.fault = value, FaultNone
+	w.retryAfter, w.fault = value, FaultNone
 	if value != "" {
-		w.fault = FaultShed
+		w.fault = FaultRefuse
 	}
 }
 
-// Arrived returns how many requests have come to the worker, and how often it was asked what
-// it keeps.
+// Arrived returns the number of requests, refused ones included, and of listings of the cache.
 func (w *Worker) Arrived() (requests, listed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.arrived, w.listed
+	return w.arrived, w.cacheListings
 }
 
-// sayOfItself writes what all answers of the worker say, and counts the request.
-func (w *Worker) sayOfItself(rw http.ResponseWriter, isRequest bool) {
+// announce counts a call and sets the headers that announce that the worker leaves.
+func (w *Worker) announce(rw http.ResponseWriter, isRequest bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if isRequest {
 		w.arrived++
 	} else {
-		w.listed++
+		w.cacheListings++
 	}
 	if w.leaving {
 		rw.Header().Set("Server-Leaving", "1")
@@ -46,13 +46,13 @@
 	}
 }
 
-// turnAway answers that a request was not run, with the rest that is asked for.
-func (w *Worker) turnAway(rw http.ResponseWriter) {
+// refuse refuses a request as not run, with the Retry-After of AskForPause.
+func (w *Worker) refuse(rw http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	rw.Header().Set("Not-Executed", "1")
-	if w.rest != "" {
-		rw.Header().Set("Retry-After", w.rest)
+	if w.retryAfter != "" {
+		rw.Header().Set("Retry-After", w.retryAfter)
 	}
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/lab/platform/single.go
+++ b/lab/platform/single.go
@@ -19,27 +19,27 @@
 	return s.gateways[i].running
 }
 
-// AskAt sends one request for a long stream to a gateway, on a connection of its own. It
-// reports whether the answer was whole; the ledger notes whatever else was wrong.
-func (s *Site) AskAt(ctx context.Context, gateway int, account string, seed uint64) bool {
+// AskStream sends one request for a long stream to a gateway, on a new connection, and reports
+// whether the answer was complete. The ledger records violations.
+func (s *Site) AskStream(ctx context.Context, gateway int, account string, seed uint64) bool {
 	kind := Kinds()[0]
-	c := s.single(gateway, kind, account, kind.Path+"item", seed)
-	result, _ := c.once(ctx)
+	c := s.newSingleClient(gateway, kind, account, kind.Path+"item", seed)
+	result, _ := c.sendOnce(ctx)
 	return result == outcomeServed || result == outcomeLate
 }
 
-// Answer is what a caller got.
+// Answer is the outcome of a request for its caller.
 type Answer struct {
 	Served, Refused bool
-	After           time.Duration // After is when the caller may come back.
-	Worker          string        // Worker is the one that signed the answer, or empty.
+	After           time.Duration // Retry-After
+	Worker          string        // worker that signed the answer, or empty
 }
 
-// Ask sends one request of a kind to a gateway, on a connection of its own.
+// Ask sends one request of a kind to a gateway, on a new connection.
 func (s *Site) Ask(ctx context.Context, gateway int, kind Kind, account string, seed uint64) Answer {
-	c := s.single(gateway, kind, account, kind.Path+"item", seed)
-	result, after := c.once(ctx)
-	worker, _, _ := strings.Cut(c.head.Get("Response-Signature"), ".")
+	c := s.newSingleClient(gateway, kind, account, kind.Path+"item", seed)
+	result, after := c.sendOnce(ctx)
+	worker, _, _ := strings.Cut(c.answerHeader.Get("Response-Signature"), ".")
 	return Answer{Served: result == outcomeServed || result == outcomeLate, Refused: result == outcomeRefused, After: after, Worker: worker}
 }
 
@@ -56,12 +56,12 @@
 	return out
 }
 
-// Restart ends a gateway at once and starts it again.
-func (s *Site) Restart(gateway int) { s.kill(gateway) }
+// RestartGateway kills a gateway and starts it again.
+func (s *Site) RestartGateway(gateway int) { s.killAndRestart(gateway) }
 
-// RebornWorker starts a worker again under its name and returns its new life.
-func (s *Site) RebornWorker(old *Worker) (*Worker, error) {
-	w, err := old.Reborn()
+// RestartWorker restarts a worker under the same ID and returns its new incarnation.
+func (s *Site) RestartWorker(old *Worker) (*Worker, error) {
+	w, err := old.Restart()
 	if err != nil {
 		return nil, err
 	}
@@ -75,98 +75,99 @@
 	return w, nil
 }
 
-// AskEnding sends a request that ends each worker which begins to run it. The same kind and
-// account make the same request, but for its headers. It reports whether the answer was a
-// refusal, and after which time the caller may come back.
-func (s *Site) AskEnding(ctx context.Context, gateway int, kind Kind, account string, seed uint64) (refused bool, after time.Duration) {
-	c := s.single(gateway, kind, account, kind.Path+EndsWorker, seed)
+// AskPoison sends a request that crashes every worker that starts it. Requests of the same kind
+// and account differ in their headers only. It returns whether the request was refused, and the
+// Retry-After.
+func (s *Site) AskPoison(ctx context.Context, gateway int, kind Kind, account string, seed uint64) (refused bool, after time.Duration) {
+	c := s.newSingleClient(gateway, kind, account, kind.Path+PoisonMarker, seed)
 	c.body = func(*client) string { return "the same each time" }
-	result, after := c.once(ctx)
+	result, after := c.sendOnce(ctx)
 	return result == outcomeRefused, after
 }
 
-// single returns a client that sends one request to a gateway.
-func (s *Site) single(gateway int, kind Kind, account, uri string, seed uint64) *client {
+// newSingleClient returns a client for one request to a given gateway.
+func (s *Site) newSingleClient(gateway int, kind Kind, account, uri string, seed uint64) *client {
 	c := newClient(s, kind, account, s.keys[account][0], seed)
 	c.address = func(*client) string { return s.gateways[gateway].setting.Callers }
 	c.uri = func(*client) string { return uri }
 	return c
 }
 
-// once sends the one request of a client, on a connection of its own.
-func (c *client) once(ctx context.Context) (outcome, time.Duration) {
+// sendOnce sends one request without retry, on a new connection.
+func (c *client) sendOnce(ctx context.Context) (outcome, time.Duration) {
 	defer c.http.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, c.kind.Deadline)
 	defer cancel()
 	return c.attempt(ctx, time.Now())
 }
 
-// noteEnded notes that a request has ended a worker.
-func (s *Site) noteEnded(w *Worker) {
+// recordCrash records that a request has crashed a worker.
+func (s *Site) recordCrash(w *Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = append(s.ended, w)
-	s.endings++
+	s.crashed = append(s.crashed, w)
+	s.crashes++
 }
 
-// Endings returns how many workers requests have ended.
-func (s *Site) Endings() int {
+// Crashes returns how often a request has crashed a worker.
+func (s *Site) Crashes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endings
+	return s.crashes
 }
 
-// StoreAway makes the store answer no call, or serve again.
-func (s *Site) StoreAway(away bool) {
+// SetStoreDown makes the store answer every call with 503, or serve again.
+func (s *Site) SetStoreDown(down bool) {
 	mode := StoreServes
-	if away {
+	if down {
 		mode = StoreBusy
 	}
 	s.store.SetMode("", mode)
 }
 
-// CopyStore keeps what the store holds now; StoreBack has it come back from that.
-func (s *Site) CopyStore() { s.store.Copy() }
+// SnapshotStore takes a snapshot of the store, for RestoreStore.
+func (s *Site) SnapshotStore() { s.store.Snapshot() }
 
-// StoreBack has the store come back as it was when it was copied.
-func (s *Site) StoreBack() { s.store.GoBack() }
+// RestoreStore restores the store from the snapshot of SnapshotStore.
+func (s *Site) RestoreStore() { s.store.Restore() }
 
-// WriteAgain has the operator and the workers write what the store may have lost.
-func (s *Site) WriteAgain() {
+// RewriteRows writes the configuration and the workers' entries again, which a restored store may
+// have lost.
+func (s *Site) RewriteRows() {
 	s.mu.Lock()
 	config, workers := s.config, slices.Clone(s.workers)
 	s.mu.Unlock()
 	s.store.Put("op", "config", config)
 	for _, w := range workers {
-		w.listAgain()
+		w.rewriteEntry()
 	}
 }
 
-// KillGateways ends all gateways at once and starts them again.
+// KillGateways kills all gateways, then starts them again.
 func (s *Site) KillGateways() {
 	for _, g := range s.gateways {
 		g.running.Stop()
 	}
 	for _, g := range s.gateways {
 		if err := s.startGateway(g); err != nil {
-			s.ledger.Wrong("gateway: %v", err)
+			s.ledger.AddViolation("gateway: %v", err)
 		}
 	}
 }
 
-// RestartEnded starts the workers again that requests have ended.
-func (s *Site) RestartEnded() error {
+// RestartCrashed restarts the workers that requests have crashed.
+func (s *Site) RestartCrashed() error {
 	s.mu.Lock()
-	ended := s.ended
-	s.ended = nil
+	crashed := s.crashed
+	s.crashed = nil
 	s.mu.Unlock()
-	for _, old := range ended {
-		if _, err := s.RebornWorker(old); err != nil {
+	for _, old := range crashed {
+		if _, err := s.RestartWorker(old); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Broken returns what was seen that must never be.
-func (s *Site) Broken() []string { return s.ledger.Broken() }
+// Violations returns the violations that the ledger found.
+func (s *Site) Violations() []string { return s.ledger.Violations() }
--- a/lab/platform/site.go
+++ b/lab/platform/site.go
@@ -17,47 +17,47 @@
 	"madderway/router"
 )
 
-// Options say what is played.
+// Options configures a run of a site.
 type Options struct {
 	Gateways int
 	Models   int
 	Plains   int
 	Accounts int
 	Length   time.Duration
-	Load     float64 // Load multiplies the rates of all kinds.
+	Load     float64 // factor for the request rates of all kinds
 	Seed     uint64
-	Trouble  string // Trouble is the name of one of Troubles, or empty.
+	Trouble  string // name of one of Troubles, or empty
 }
 
-// SmallSite is a site that a laptop carries.
+// SmallSite returns the options of a site that runs on a laptop.
 func SmallSite(seed uint64, length time.Duration) Options {
 	return Options{Gateways: 3, Models: 4, Plains: 2, Accounts: 4, Length: length, Load: 1, Seed: seed}
 }
 
-// Site is a running stand-in of the platform with real gateways before it.
+// Site is a running stand-in of the platform behind real gateways.
 type Site struct {
 	opts   Options
-	number int // number is the site's own in this process.
+	number int // unique in this process, part of the loopback addresses
 	ctx    context.Context
 	cancel context.CancelFunc
 	store  *Store
 	ledger *Ledger
 	rng    *rand.Rand
 
-	mu       sync.Mutex
-	gateways []*seat
-	workers  []*Worker
-	version  int
-	config   map[string]any // config is the operator's newest row.
-	keys     map[string][]string
-	routes   int
-	nextID   int
-	ended    []*Worker // ended are the workers that requests have ended and that are not back.
-	endings  int       // endings counts all of them.
+	mu          sync.Mutex
+	gateways    []*gatewayNode
+	workers     []*Worker
+	version     int
+	config      map[string]any // newest configuration row
+	keys        map[string][]string
+	extraRoutes int // additional routes that no client uses
+	nextID      int
+	crashed     []*Worker // workers crashed by a request and not yet restarted
+	crashes     int       // all crashes of workers caused by requests
 }
 
-// seat is the place of a gateway, which may be stopped and started again.
-type seat struct {
+// gatewayNode holds the name and settings of a gateway across restarts, and the running instance.
+type gatewayNode struct {
 	name    string
 	setting *setting.Gateway
 	running *router.Gateway
@@ -69,22 +69,22 @@
 	plainService = "plain"
 )
 
-// Kinds are the kinds of requests that clients send.
+// Kinds returns the kinds of requests that clients send. The first two are streams.
 func Kinds() []Kind {
 	return []Kind{
-		{Name: "long", Path: "/long/", Method: "POST", Stream: true, Subjects: 8, Shared: 2000, Own: 400, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 8, Attempts: 1},
-		{Name: "resume", Path: "/resume/", Method: "POST", Stream: true, Resumable: true, Subjects: 8, Shared: 800, Own: 300, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 6, Attempts: 2},
+		{Name: "long", Path: "/long/", Method: "POST", Stream: true, Prefixes: 8, SharedTokens: 2000, OwnTokens: 400, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 8, Attempts: 1},
+		{Name: "resume", Path: "/resume/", Method: "POST", Stream: true, Resumable: true, Prefixes: 8, SharedTokens: 800, OwnTokens: 300, Objective: 800 * time.Millisecond, Deadline: 5 * time.Second, PerSecond: 6, Attempts: 2},
 		{Name: "submit", Path: "/submit/", Method: "POST", Objective: 200 * time.Millisecond, Deadline: 2 * time.Second, PerSecond: 6, Attempts: 1},
 		{Name: "look", Path: "/look/", Method: "GET", Repeatable: true, Objective: 200 * time.Millisecond, Deadline: 2 * time.Second, PerSecond: 6, Attempts: 2},
 	}
 }
 
-// Start starts a site: the store with a configuration, the workers, the
-// gateways. Clients begin with Play.
+// Start starts a store with a configuration, the workers and the gateways. Run starts the
+// clients.
 func Start(o Options) (*Site, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Site{
-		opts: o, number: int(sites.Add(1)), ctx: ctx, cancel: cancel, store: NewStore(), ledger: NewLedger(), rng: rand.New(rand.NewPCG(o.Seed, 3)), keys: map[string][]string{},
+		opts: o, number: int(siteCount.Add(1)), ctx: ctx, cancel: cancel, store: NewStore(), ledger: NewLedger(), rng: rand.New(rand.NewPCG(o.Seed, 3)), keys: map[string][]string{},
 	}
 	for i := range o.Accounts {
 		name := fmt.Sprint("account-", i)
@@ -107,7 +107,7 @@
 func (s *Site) startGateways() error {
 	var seeds []string
 	for i := range s.opts.Gateways {
-		g, err := s.newSeat(i)
+		g, err := s.newNode(i)
 		if err != nil {
 			return err
 		}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (s *Site) newSeat(i int) (*seat, error) {
+func (s *Site) newNode(i int) (*gatewayNode, error) {
 	set := setting.DefaultGateway()
 	name := fmt.Sprint("gateway-", i)
 	set.ID, set.DataHall, set.Region, set.PeerKey = name, fmt.Sprint("hall-", i%3), "region", "a key of the stand-in"
@@ -135,28 +135,27 @@
 	}
 	set.Store, set.RetryExtra = store, 20
 	set.Callers, set.Readiness, set.Peers = s.address(i, portCallers), s.address(i, portReadiness), s.address(i, portPeers)
-	return &seat{name: name, setting: &set}, nil
+	return &gatewayNode{name: name, setting: &set}, nil
 }
 
-// Ports of a gateway. They lie below those that the system gives to outgoing
-// connections.
+// Ports of a gateway, below the ephemeral ports.
 const (
 	portCallers = 8001 + iota
 	portReadiness
 	portPeers
 )
 
-// sites counts the sites of this process.
-var sites atomic.Int64
+// siteCount is the number of sites started in this process.
+var siteCount atomic.Int64
 
-// address returns a loopback address of a gateway. Each site of each process has
-// numbers of its own, so that plays beside each other never want the same one.
+// address returns a listen address of a gateway. Each site of each process uses its own loopback
+// addresses, so that concurrent runs do not conflict.
 func (s *Site) address(gateway, port int) string {
-	const most = 250
-	return fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%most, s.number%most, 1+gateway, port)
+	const loopbackNets = 250
+	return fmt.Sprintf("127.%d.%d.%d:%d", 1+os.Getpid()%loopbackNets, s.number%loopbackNets, 1+gateway, port)
 }
 
-func (s *Site) startGateway(g *seat) error {
+func (s *Site) startGateway(g *gatewayNode) error {
 	running, err := router.StartGateway(g.setting)
 	if err != nil {
 		return err
@@ -167,10 +166,10 @@
 	return nil
 }
 
-// Model workers copy kept parts ten times faster than they read.
+// Model workers copy cached tokens ten times faster than they prefill.
 const (
 	copyRate   = 400_000.0 // tokens a second
-	tokenBytes = 100_000.0
+	tokenBytes = 100_000.0 // cache bytes of a token
 )
 
 // workerAt returns the worker that listens at an address, or nil.
@@ -185,16 +184,16 @@
 	return nil
 }
 
-// AddWorker starts one more worker.
+// AddWorker starts another model worker or plain worker.
 func (s *Site) AddWorker(model bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextID++
 	cfg := WorkerConfig{Service: plainService, Slots: 4, Queue: 8, Step: 10 * time.Millisecond}
 	if model {
-		cfg = WorkerConfig{Service: modelService, Slots: 16, Queue: 16, Model: true, ReadRate: 40_000, Step: 8 * time.Millisecond, Memory: 40_000, CopyRate: copyRate, Peer: s.workerAt}
+		cfg = WorkerConfig{Service: modelService, Slots: 16, Queue: 16, Model: true, PrefillRate: 40_000, Step: 8 * time.Millisecond, CacheTokens: 40_000, CopyRate: copyRate, PeerAt: s.workerAt}
 	}
-	cfg.Hall, cfg.Ended = fmt.Sprint("hall-", s.nextID%3), s.noteEnded
+	cfg.Hall, cfg.OnCrash = fmt.Sprint("hall-", s.nextID%3), s.recordCrash
 	w, err := StartWorker(fmt.Sprint("worker-", s.nextID), cfg, s.store, s.ledger, s.opts.Seed+uint64(s.nextID))
 	if err == nil {
 		s.workers = append(s.workers, w)
@@ -221,7 +220,7 @@
 		}
 		routes = append(routes, route)
 	}
-	for i := range s.routes {
+	for i := range s.extraRoutes {
 		routes = append(routes, map[string]any{
 			"name": fmt.Sprint("more-", i), "host": host, "pathPrefix": fmt.Sprintf("/more/%d/", i), "timeoutMs": 1000, "targetLatencyMs": 200,
 			"maxAttempts": 1, "kind": "unsafe", "service": plainService,
@@ -242,12 +241,12 @@
 	s.store.Put("op", "config", s.config)
 }
 
-// gateway returns the address of a gateway as the balancer would: one that is
-// ready, or any where none is.
+// gateway picks a gateway as a load balancer would, a random ready one or any if none is ready,
+// and returns its address.
 func (s *Site) gateway(rng *rand.Rand) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ready []*seat
+	var ready []*gatewayNode
 	for _, g := range s.gateways {
 		if g.ready {
 			ready = append(ready, g)
@@ -259,7 +258,7 @@
 	return ready[rng.IntN(len(ready))].setting.Callers
 }
 
-// AwaitReady waits until all gateways take requests.
+// AwaitReady waits until all gateways are ready and know each other.
 func (s *Site) AwaitReady(limit time.Duration) error {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
 		if s.allReady() {
@@ -267,7 +266,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return errors.New("the gateways do not become ready")
+	return errors.New("timed out: not all gateways are ready")
 }
 
 func (s *Site) allReady() bool {
@@ -281,15 +280,15 @@
 	return true
 }
 
-// Play sends requests for the length of the play, makes the trouble in its
-// middle, and returns what came of it.
-func (s *Site) Play() (Result, error) {
+// Run sends requests for the length of the run, injects the fault of Options.Trouble after a third of it, and
+// returns the result.
+func (s *Site) Run() (Result, error) {
 	defer s.cancel()
 	if err := s.AwaitReady(10 * time.Second); err != nil {
 		return Result{}, err
 	}
 	var clients sync.WaitGroup
-	playing, stop := context.WithTimeout(s.ctx, s.opts.Length)
+	sending, stop := context.WithTimeout(s.ctx, s.opts.Length)
 	defer stop()
 	seed := s.opts.Seed * 1000
 	for account, keys := range s.keys {
@@ -300,7 +299,7 @@
 			clients.Add(1)
 			go func() {
 				defer clients.Done()
-				c.arrive(playing, s.ctx)
+				c.sendLoop(sending, s.ctx)
 			}()
 		}
 	}
@@ -308,37 +307,36 @@
 		select {
 		case <-time.After(s.opts.Length / 3):
 			trouble(s)
-		case <-playing.Done():
+		case <-sending.Done():
 		}
 	}
 	clients.Wait()
 	return s.result(), nil
 }
 
-// arrive sends requests at random times until the play ends, and waits for
-// their answers.
-func (c *client) arrive(playing, all context.Context) {
+// sendLoop sends requests at random times until sending is done, and waits for their answers.
+func (c *client) sendLoop(sending, answering context.Context) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	for {
 		gap := time.Duration(c.rng.ExpFloat64() / c.kind.PerSecond * float64(time.Second))
 		select {
 		case <-time.After(gap):
-		case <-playing.Done():
+		case <-sending.Done():
 			return
 		}
 		one := *c
 		one.rng = rand.New(rand.NewPCG(c.rng.Uint64(), 4))
-		c.next++
+		c.sent++
 		open.Add(1)
 		go func() {
 			defer open.Done()
-			one.ask(all)
+			one.sendWithRetry(answering)
 		}()
 	}
 }
 
-// Close ends everything.
+// Close stops the gateways, the workers and the store.
 func (s *Site) Close() {
 	s.cancel()
 	s.mu.Lock()
@@ -355,18 +353,18 @@
 	s.store.Close()
 }
 
-// Result is what came of a play.
+// Result holds the measurements of a run.
 type Result struct {
 	Counts
-	Accounts     map[string]Counts
-	Broken       []string
-	StoreCalls   int
-	Reread, Read int
-	Copies       int           // Copies counts the transfers of kept parts between workers.
-	Copied       int           // Copied are the tokens of these.
-	ControlBytes float64       // ControlBytes is what a gateway sent to peers in a second, on average.
-	ControlTime  time.Duration // ControlTime is what a gateway spent on control in a second.
-	Fairness     float64       // Fairness is the least share served of an account, of the greatest.
+	Accounts               map[string]Counts
+	Violations             []string
+	StoreCalls             int
+	Reprefilled, Prefilled int           // prompt tokens: shared ones that were prefilled again, and all
+	Copies                 int           // transfers of cached parts between workers
+	Copied                 int           // tokens of these transfers
+	ControlBytes           float64       // bytes a second that a gateway sent to peers, on average
+	ControlTime            time.Duration // time a gateway spent on control in a second, on average
+	Fairness               float64       // ratio of the lowest to the highest served share of an account
 }
 
 func (s *Site) measureControl(r *Result) {
@@ -381,12 +379,12 @@
 }
 
 func (s *Site) result() Result {
-	r := Result{Broken: s.ledger.Broken(), StoreCalls: s.store.Calls()}
+	r := Result{Violations: s.ledger.Violations(), StoreCalls: s.store.Calls()}
 	r.Counts, r.Accounts = s.ledger.Totals()
 	for _, w := range s.workers {
-		again, all := w.Reread()
-		r.Reread += again
-		r.Read += all
+		again, all := w.Prefilled()
+		r.Reprefilled += again
+		r.Prefilled += all
 		copies, tokens := w.Copied()
 		r.Copies += copies
 		r.Copied += tokens
@@ -394,7 +392,7 @@
 	s.measureControl(&r)
 	low, high := 1.0, 0.0
 	for _, c := range r.Accounts {
-		share := float64(c.Served) / float64(max(c.Asked, 1))
+		share := float64(c.Served) / float64(max(c.Sent, 1))
 		low, high = min(low, share), max(high, share)
 	}
 	if high > 0 {
--- a/lab/platform/site_test.go
+++ b/lab/platform/site_test.go
@@ -17,9 +17,9 @@
 	m.Run()
 }
 
-// play runs real gateways against the stand-in; nothing that must always hold
-// may break, and most requests are served.
-func play(t *testing.T, trouble string, length time.Duration) Result {
+// runSite runs a small site with a fault. It fails the test on a violated guarantee, or if less
+// than half of the requests are served.
+func runSite(t *testing.T, trouble string, length time.Duration) Result {
 	t.Helper()
 	o := SmallSite(11, length)
 	o.Trouble = trouble
@@ -28,26 +28,26 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	r, err := s.Play()
+	r, err := s.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	t.Logf("%+v", r.Counts)
-	if r.Asked == 0 || r.Served < r.Asked/2 {
-		t.Errorf("%d of %d requests were served", r.Served, r.Asked)
+	if r.Sent == 0 || r.Served < r.Sent/2 {
+		t.Errorf("%d of %d requests were served, want at least half", r.Served, r.Sent)
 	}
 	return r
 }
 
-func TestCalm(t *testing.T) {
+func TestSiteWithoutFaults(t *testing.T) {
 	t.Parallel()
-	play(t, "", 3*time.Second)
+	runSite(t, "", 3*time.Second)
 }
 
-func TestTroubles(t *testing.T) {
+func TestSiteWithFaults(t *testing.T) {
 	t.Parallel()
 	var names []string
 	for name := range Troubles() {
@@ -57,7 +57,7 @@
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, name, 4*time.Second)
+			runSite(t, name, 4*time.Second)
 		})
 	}
 }
--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package platform is a stand-in for the users' platform, written from their
-// pages: the store, model workers, plain workers, the operator and clients. It
-// runs real gateways over loopback and checks what must always hold.
+// Package platform runs real gateways over loopback against a stand-in of the users' platform:
+// a store, model workers, plain workers, an operator and clients. It injects faults and checks
+// that no guarantee is violated, such as that a request that must not be repeated runs once.
 package platform
 
 import (
@@ -19,73 +19,73 @@
 
 // row is one row of the store.
 type row struct {
-	Table string `json:"table"`
-	Part  string `json:"part"`
-	Key   string `json:"tlsKey"`
-	Value []byte `json:"value"`
-	Ver   uint64 `json:"ver"`
-	Gone  bool   `json:"gone,omitempty"`
+	Table   string `json:"table"`
+	Part    string `json:"part"`
+	Key     string `json:"tlsKey"`
+	Value   []byte `json:"value"`
+	Ver     uint64 `json:"ver"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
-// StoreMode is how the store treats a gateway.
+// StoreMode is the store's behaviour towards a gateway.
 type StoreMode int
 
-// The modes.
+// Modes of the store.
 const (
 	StoreServes StoreMode = iota
 	StoreBusy             // answers 503
-	StoreSilent           // answers nothing
+	StoreSilent           // never answers
 	StoreSlow             // answers late
 )
 
 const (
-	storeSlowness = 300 * time.Millisecond
-	pageLimit     = 500
+	storeDelay = 300 * time.Millisecond
+	pageLimit  = 500
 )
 
-// Store keeps rows and tells what has changed. Each gateway has a listener of
-// its own, so that the store can turn away some and serve the others.
+// Store holds versioned rows and serves a feed of changes. Each gateway has its own listener, so
+// that faults can be limited to some gateways.
 type Store struct {
-	mu      sync.Mutex
-	rows    map[string]row // by table and key
-	history []row
-	floor   uint64 // floor is the version up to which history is forgotten.
-	ver     uint64
-	changed chan struct{}
-	modes   map[string]StoreMode
-	calls   int
-	start   time.Time
-	era     uint64
-	kept    *storeCopy // kept is the copy that the store comes back from.
-	servers []*http.Server
+	mu        sync.Mutex
+	rows      map[string]row // by table and key
+	history   []row
+	compacted uint64 // history up to this version is compacted
+	ver       uint64
+	changed   chan struct{} // closed and replaced on each change
+	modes     map[string]StoreMode
+	calls     int
+	start     time.Time
+	era       uint64         // incremented when the store is restored from a snapshot
+	snapshot  *storeSnapshot // for Restore
+	servers   []*http.Server
 }
 
-// storeCopy is what a store held at a moment.
-type storeCopy struct {
+// storeSnapshot is a snapshot of a store.
+type storeSnapshot struct {
 	rows map[string]row
 	ver  uint64
 }
 
-// Copy keeps what the store holds now, for GoBack.
-func (s *Store) Copy() {
+// Snapshot takes a snapshot of the store, for Restore.
+func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kept = &storeCopy{maps.Clone(s.rows), s.ver}
+	s.snapshot = &storeSnapshot{maps.Clone(s.rows), s.ver}
 }
 
-// GoBack makes the store hold what it held at its last copy, in the next era. Versions since
-// then are given out once more.
-func (s *Store) GoBack() {
+// Restore restores the last snapshot and starts a new era. Versions assigned since the snapshot
+// are assigned again.
+func (s *Store) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows, s.ver, s.history, s.floor = maps.Clone(s.kept.rows), s.kept.ver, nil, s.kept.ver
+	s.rows, s.ver, s.history, s.compacted = maps.Clone(s.snapshot.rows), s.snapshot.ver, nil, s.snapshot.ver
 	s.era++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// sayEra names the era in an answer.
-func (s *Store) sayEra(w http.ResponseWriter) {
+// writeEra sets the header with the store's era.
+func (s *Store) writeEra(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.Header().Set("Store-Era", strconv.FormatUint(s.era, 10))
@@ -96,7 +96,7 @@
 	return &Store{rows: map[string]row{}, changed: make(chan struct{}), modes: map[string]StoreMode{}, start: time.Now()}
 }
 
-// Listen opens the store for a gateway and returns its address.
+// Listen opens a listener for a gateway and returns its address.
 func (s *Store) Listen(gateway string) (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -114,7 +114,7 @@
 	return l.Addr().String(), nil
 }
 
-// Close ends all listeners.
+// Close closes all listeners.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// SetMode changes how a gateway is treated; "" is all of them.
+// SetMode sets the mode for a gateway, or for all if gateway is empty.
 func (s *Store) SetMode(gateway string, m StoreMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +143,7 @@
 func (s *Store) guard(gateway string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mode := s.mode(gateway)
-		s.sayEra(w)
+		s.writeEra(w)
 		switch mode {
 		case StoreBusy:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -152,23 +152,23 @@
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		case StoreSlow:
-			time.Sleep(storeSlowness)
+			time.Sleep(storeDelay)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Put writes a row, Delete drops one.
+// Put writes a row with a JSON value.
 func (s *Store) Put(table, key string, value any) {
 	content, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // the stand-in's own types
+		panic(err) // own types always encode
 	}
 	s.write(row{Table: table, Key: key, Value: content})
 }
 
-// Delete drops a row.
-func (s *Store) Delete(table, key string) { s.write(row{Table: table, Key: key, Gone: true}) }
+// Delete deletes a row.
+func (s *Store) Delete(table, key string) { s.write(row{Table: table, Key: key, Deleted: true}) }
 
 func (s *Store) write(r row) {
 	s.mu.Lock()
@@ -176,11 +176,11 @@
 	s.apply(r)
 }
 
-// apply changes a row; the caller holds the lock.
+// apply writes or deletes a row under the next version. The caller holds s.mu.
 func (s *Store) apply(r row) {
 	s.ver++
 	r.Ver = s.ver
-	if r.Gone {
+	if r.Deleted {
 		delete(s.rows, r.Table+"/"+r.Key)
 	} else {
 		s.rows[r.Table+"/"+r.Key] = r
@@ -190,16 +190,16 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets the history.
+// Compact drops the history of changes, so that old feed positions get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.floor = nil, s.ver
+	s.history, s.compacted = nil, s.ver
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Calls returns how many calls came.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +218,7 @@
 	if a.Rows == nil {
 		a.Rows = []row{}
 	}
-	s.sayEra(w)
+	s.writeEra(w)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(a)
 }
@@ -251,7 +251,7 @@
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		if since < s.floor || since > s.ver {
+		if since < s.compacted || since > s.ver {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
--- a/lab/platform/worker.go
+++ b/lab/platform/worker.go
@@ -16,195 +16,195 @@
 	"time"
 )
 
-// Fault is what a worker does wrong.
+// Fault is a misbehaviour of a worker.
 type Fault int
 
-// The faults.
+// Faults of a worker. FaultLost, FaultCut and FaultExtra spoil every second plain answer;
+// FaultLost and FaultCut also every stream.
 const (
 	FaultNone   Fault = iota
-	FaultDark         // takes requests and gives no sign
-	FaultErrors       // fails each second request
+	FaultSilent       // accepts requests and never answers
+	FaultErrors       // answers every second request with 500
 	FaultLost         // runs a request and loses its answer
-	FaultCut          // breaks answers off
+	FaultCut          // closes the connection in the middle of an answer
 	FaultExtra        // sends a second answer after the first
-	FaultShed         // turns requests away
+	FaultRefuse       // refuses all requests as not run
 )
 
-// WorkerConfig says what a worker is.
+// WorkerConfig configures a worker.
 type WorkerConfig struct {
-	Service  string
-	Hall     string
-	Slots    int
-	Queue    int
-	Model    bool
-	ReadRate float64       // prompt tokens read in a second
-	Step     time.Duration // time of a token, or of the whole work of a plain request
-	Memory   int           // tokens of kept parts
-	CopyRate float64       // tokens copied in a second from another worker
-	// Peer finds the worker at an address, nil where there is none; parts are
-	// copied from it.
-	Peer func(address string) *Worker
-	// Ended is told of a worker that a request has ended; nil where nobody asks.
-	Ended func(w *Worker)
+	Service     string
+	Hall        string
+	Slots       int
+	Queue       int
+	Model       bool
+	PrefillRate float64       // prefill, in prompt tokens a second
+	Step        time.Duration // duration of an event, or of a plain request
+	CacheTokens int           // cache size in tokens
+	CopyRate    float64       // transfer from another worker's cache, in tokens a second
+	// PeerAt returns the worker at an address to copy cached parts from, or nil.
+	PeerAt func(address string) *Worker
+	// OnCrash, if set, is called after a request has crashed the worker.
+	OnCrash func(w *Worker)
 }
 
-// keptPath is where a worker lists what it keeps.
-const keptPath = "/-/kv-list"
+// cacheListPath serves the list of cached prompt parts.
+const cacheListPath = "/-/kv-list"
 
-// EndsWorker in the path of a request makes each worker that begins to run it end.
-const EndsWorker = "ends-worker"
+// PoisonMarker in the path of a request crashes every worker that starts it.
+const PoisonMarker = "ends-worker"
 
-// Worker is a model worker or a plain worker.
+// Worker is a stand-in for a model worker or a plain worker.
 type Worker struct {
-	ID     string
-	born   int64 // born is the start of this life in Unix milliseconds.
-	seed   uint64
-	cfg    WorkerConfig
-	store  *Store
-	ledger *Ledger
-	rng    *rand.Rand
+	ID          string
+	incarnation int64 // start time in Unix milliseconds
+	seed        uint64
+	cfg         WorkerConfig
+	store       *Store
+	ledger      *Ledger
+	rng         *rand.Rand
 
 	listener net.Listener
 	server   *http.Server
 
-	mu      sync.Mutex
-	fault   Fault
-	leaving bool
-	state   string // state is that of its entry.
-	ended   bool
-	rest    string // rest is the time to come back in answers that turn requests away, or empty.
-	arrived int    // arrived counts the requests that came, those that were turned away included.
-	listed  int    // listed counts the questions what the worker keeps.
-	running int
-	waiting int
-	freed   chan struct{}
-	readTo  time.Time // readTo is when all prompts so far are read.
-	kept    map[string]int
-	order   []string
-	// closed tells that the worker's hall is evacuated, as every gateway knows by now.
-	closed   bool
-	keptSize int
-	reread   int
-	prompts  int
-	copies   int
-	copied   int
-	seen     map[string]bool
-	count    int
+	mu            sync.Mutex
+	fault         Fault
+	leaving       bool
+	state         string // state in its entry in the store
+	crashed       bool
+	retryAfter    string // Retry-After of refusals, or empty
+	arrived       int    // requests, refused ones included
+	cacheListings int    // listings of the cache
+	running       int
+	waiting       int
+	freed         chan struct{}
+	prefillEnd    time.Time      // end of the prefill of all prompts so far
+	cached        map[string]int // cached prompt parts and their tokens
+	lru           []string       // cached parts, least recently used first
+	// The worker's hall is evacuated and every gateway knows it: no request may arrive.
+	evacuated    bool
+	cachedTokens int             // tokens in the cache
+	reprefilled  int             // prefilled tokens of shared parts that had been cached before
+	prefilled    int             // all prefilled tokens
+	copies       int             // transfers from other workers
+	copied       int             // tokens of these transfers
+	everCached   map[string]bool // parts that have ever been cached
+	started      int             // requests that started to run
 }
 
-// StartWorker starts a worker and lists it in the store.
+// StartWorker starts a worker and writes its entry into the store.
 func StartWorker(id string, cfg WorkerConfig, store *Store, ledger *Ledger, seed uint64) (*Worker, error) {
 	return startWorker(id, cfg, store, ledger, seed, "127.0.0.1:0", time.Now().UnixMilli())
 }
 
-// Reborn ends the worker without a word and starts it again under its name and at its
-// address, with nothing kept.
-func (w *Worker) Reborn() (*Worker, error) {
+// Restart crashes the worker and starts a new incarnation under the same ID and address, with an
+// empty cache.
+func (w *Worker) Restart() (*Worker, error) {
 	w.Crash()
-	return startWorker(w.ID, w.cfg, w.store, w.ledger, w.seed+1, w.listener.Addr().String(), max(time.Now().UnixMilli(), w.born+1))
+	return startWorker(w.ID, w.cfg, w.store, w.ledger, w.seed+1, w.listener.Addr().String(), max(time.Now().UnixMilli(), w.incarnation+1))
 }
 
-func startWorker(id string, cfg WorkerConfig, store *Store, ledger *Ledger, seed uint64, address string, born int64) (*Worker, error) {
+func startWorker(id string, cfg WorkerConfig, store *Store, ledger *Ledger, seed uint64, address string, incarnation int64) (*Worker, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
 	w := &Worker{
-		ID: id, born: born, seed: seed, cfg: cfg, store: store, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 1)), listener: l,
-		freed: make(chan struct{}), kept: map[string]int{}, seen: map[string]bool{},
+		ID: id, incarnation: incarnation, seed: seed, cfg: cfg, store: store, ledger: ledger, rng: rand.New(rand.NewPCG(seed, 1)), listener: l,
+		freed: make(chan struct{}), cached: map[string]int{}, everCached: map[string]bool{},
 	}
 	w.server = &http.Server{Handler: w, ReadHeaderTimeout: time.Second}
 	go func() { _ = w.server.Serve(l) }()
-	w.list("ready")
+	w.writeEntry("ready")
 	return w, nil
 }
 
-// listAgain writes the worker's entry once more.
-func (w *Worker) listAgain() {
+// rewriteEntry writes the worker's entry again, unless it has crashed.
+func (w *Worker) rewriteEntry() {
 	w.mu.Lock()
-	state, ended := w.state, w.ended
+	state, crashed := w.state, w.crashed
 	w.mu.Unlock()
-	if !ended {
-		w.list(state)
+	if !crashed {
+		w.writeEntry(state)
 	}
 }
 
-func (w *Worker) list(state string) {
+func (w *Worker) writeEntry(state string) {
 	w.mu.Lock()
 	w.state = state
 	w.mu.Unlock()
 	w.store.Put("servers", w.ID, map[string]any{
 		"service": w.cfg.Service, "address": w.listener.Addr().String(), "zone": w.cfg.Hall, "version": "v1",
-		"slots": w.cfg.Slots, "state": state, "coldRemainingMs": 0, "seq": 1, "born": w.born,
+		"slots": w.cfg.Slots, "state": state, "coldRemainingMs": 0, "seq": 1, "born": w.incarnation,
 	})
 }
 
-// SetFault changes what the worker does wrong.
+// SetFault sets the worker's fault.
 func (w *Worker) SetFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// Close notes whether the worker's hall is evacuated.
-func (w *Worker) Close(closed bool) {
+// SetEvacuated sets whether the worker's hall is evacuated, during which each request is a
+// violation.
+func (w *Worker) SetEvacuated(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.closed = closed
+	w.evacuated = on
 }
 
-func (w *Worker) isClosed() bool {
+func (w *Worker) isEvacuated() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.closed
+	return w.evacuated
 }
 
-// Drain states that the worker leaves.
+// Drain announces in the worker's entry and answers that it leaves.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.leaving = true
 	w.mu.Unlock()
-	w.list("draining")
+	w.writeEntry("draining")
 }
 
-// Stop ends the worker and takes it off the list.
+// Stop ends the worker and deletes its entry.
 func (w *Worker) Stop() {
 	w.Crash()
 	w.store.Delete("servers", w.ID)
 }
 
-// Crash ends the worker without a word.
+// Crash ends the worker and leaves its entry unchanged.
 func (w *Worker) Crash() {
 	w.mu.Lock()
-	w.ended = true
+	w.crashed = true
 	w.mu.Unlock()
 	_ = w.server.Close()
 }
 
-// endsAfter is how long a request that ends its worker runs.
-const endsAfter = 20 * time.Millisecond
+// crashDelay is the time that a request runs before it crashes its worker.
+const crashDelay = 20 * time.Millisecond
 
-// end lets a request end the worker, with all that runs there.
-func (w *Worker) end(r *http.Request) {
-	if pause(r, endsAfter) {
+// crashUnder crashes the worker while it runs a request, and aborts everything that runs there.
+func (w *Worker) crashUnder(r *http.Request) {
+	if pause(r, crashDelay) {
 		w.Crash()
-		if w.cfg.Ended != nil {
-			w.cfg.Ended(w)
+		if w.cfg.OnCrash != nil {
+			w.cfg.OnCrash(w)
 		}
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// Reread returns the tokens of shared parts that were read again, and all that
-// were read.
-func (w *Worker) Reread() (again, all int) {
+// Prefilled returns the prefilled tokens: those of shared parts that had been cached before, and
+// all.
+func (w *Worker) Prefilled() (again, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.reread, w.prompts
+	return w.reprefilled, w.prefilled
 }
 
-// Copied returns how often parts were copied from another worker, and the tokens
-// of these.
+// Copied returns the number of transfers from other workers' caches and their tokens.
 func (w *Worker) Copied() (copies, tokens int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,15 +213,15 @@
 
 // ServeHTTP implements http.Handler.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	isRequest := r.URL.Path != keptPath
+	isRequest := r.URL.Path != cacheListPath
 	if isRequest && r.Header.Get("Expect-Instance") != w.ID {
 		rw.Header().Set("Instance-Id", w.ID)
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.sayOfItself(rw, isRequest)
+	w.announce(rw, isRequest)
 	if !isRequest {
-		w.listKept(rw)
+		w.serveCacheList(rw)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -229,23 +229,22 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !w.admit(r) {
-		w.turnAway(rw)
+		w.refuse(rw)
 		return
 	}
 	defer w.release()
-	if w.isClosed() {
-		w.ledger.Wrong("%s of the evacuated %s got a request", w.ID, w.cfg.Hall)
+	if w.isEvacuated() {
+		w.ledger.AddViolation("worker %s in the evacuated %s got a request", w.ID, w.cfg.Hall)
 	}
-	w.ledger.Ran(w.ID, r.Header.Get("Attempt-Id"), r, body)
+	w.ledger.AddRun(w.ID, r.Header.Get("Attempt-Id"), r, body)
 	w.run(rw, r, body)
 }
 
-// admit waits for a slot; it reports false where the queue is full or the
-// caller has gone.
+// admit waits for a slot. It returns false if the queue is full or the caller disconnects.
 func (w *Worker) admit(r *http.Request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.fault == FaultShed || w.waiting >= w.cfg.Queue {
+	if w.fault == FaultRefuse || w.waiting >= w.cfg.Queue {
 		return false
 	}
 	for w.running >= w.cfg.Slots {
@@ -275,21 +274,21 @@
 }
 
 func (w *Worker) run(rw http.ResponseWriter, r *http.Request, body []byte) {
-	if strings.Contains(r.URL.Path, EndsWorker) {
-		w.end(r)
+	if strings.Contains(r.URL.Path, PoisonMarker) {
+		w.crashUnder(r)
 	}
 	w.mu.Lock()
 	fault := w.fault
-	w.count++
-	odd := w.count%2 == 0
+	w.started++
+	everySecond := w.started%2 == 0
 	w.mu.Unlock()
 	id := r.Header.Get("Attempt-Id")
 	switch {
-	case fault == FaultDark:
+	case fault == FaultSilent:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case fault == FaultErrors && odd:
-		w.head(rw, id, "")
+	case fault == FaultErrors && everySecond:
+		w.setHeaders(rw, id, "")
 		rw.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(rw, "failed")
 		return
@@ -301,35 +300,35 @@
 	if !pause(r, w.cfg.Step) {
 		panic(http.ErrAbortHandler)
 	}
-	w.plain(rw, id, body, fault, odd)
+	w.plain(rw, id, body, fault, everySecond)
 }
 
-func (w *Worker) head(rw http.ResponseWriter, id, content string) {
+func (w *Worker) setHeaders(rw http.ResponseWriter, id, content string) {
 	rw.Header().Set("Attempt-Id", id)
 	rw.Header().Set("Response-Signature", Signature(w.ID, id, content))
 }
 
-// PlainBody is the answer of a plain worker.
+// PlainBody returns the answer of a plain worker.
 func PlainBody(id string, request []byte) string {
 	return fmt.Sprintf("answer to %s with %d bytes", id, len(request))
 }
 
-func (w *Worker) plain(rw http.ResponseWriter, id string, request []byte, fault Fault, odd bool) {
+func (w *Worker) plain(rw http.ResponseWriter, id string, request []byte, fault Fault, everySecond bool) {
 	body := PlainBody(id, request)
-	if fault == FaultLost && odd {
+	if fault == FaultLost && everySecond {
 		panic(http.ErrAbortHandler)
 	}
-	if (fault == FaultExtra || fault == FaultCut) && odd {
-		w.spoil(rw, id, body, fault)
+	if (fault == FaultExtra || fault == FaultCut) && everySecond {
+		w.writeBroken(rw, id, body, fault)
 		return
 	}
-	w.head(rw, id, body)
+	w.setHeaders(rw, id, body)
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = io.WriteString(rw, body)
 }
 
-// spoil writes an answer and another one after it, or half an answer.
-func (w *Worker) spoil(rw http.ResponseWriter, id, body string, fault Fault) {
+// writeBroken writes an answer twice (FaultExtra) or only half of it (FaultCut).
+func (w *Worker) writeBroken(rw http.ResponseWriter, id, body string, fault Fault) {
 	conn, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -346,14 +345,14 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// stream reads the prompt and makes the events.
+// stream prefills the prompt, then sends the events after Last-Event-Id.
 func (w *Worker) stream(rw http.ResponseWriter, r *http.Request, id string, fault Fault) {
-	if !pause(r, w.fetch(r.Header.Get("Kv-Fetch"), r.Header.Get("Prompt-Prefix"))) || !pause(r, w.read(r.Header.Get("Prompt-Prefix"))) {
+	if !pause(r, w.copyCached(r.Header.Get("Kv-Fetch"), r.Header.Get("Prompt-Prefix"))) || !pause(r, w.prefill(r.Header.Get("Prompt-Prefix"))) {
 		panic(http.ErrAbortHandler)
 	}
 	events := Events(id)
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	w.head(rw, id, "")
+	w.setHeaders(rw, id, "")
 	rw.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(rw)
 	for n := from + 1; n <= events; n++ {
@@ -369,10 +368,10 @@
 	}
 }
 
-// Events is how many events the stream of a request has.
+// Events returns the number of events in the stream of a request.
 func Events(id string) int { return 3 + int(hash(id)%8) }
 
-// EventData is the content of an event; the last one says so.
+// EventData returns the data of event n; the last event is marked.
 func EventData(id string, n, of int) string {
 	if n == of {
 		return fmt.Sprintf("%s last %d", id, n)
@@ -380,7 +379,7 @@
 	return fmt.Sprintf("%s part %d", id, n)
 }
 
-// Signature is a worker's mark on an answer.
+// Signature returns a worker's signature of an answer.
 func Signature(worker, id, content string) string {
 	return fmt.Sprintf("%s.%x", worker, hash(worker+"/"+id+"/"+content))
 }
@@ -391,7 +390,7 @@
 	return h.Sum64()
 }
 
-// pause waits and reports false where the caller has gone.
+// pause waits for a duration. It returns false if the caller disconnects first.
 func pause(r *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/lab/seconds/seconds.go
+++ b/lab/seconds/seconds.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The madderway Authors.
 // SPDX-License-Identifier: MIT
 
-// Package seconds puts the lines that gateways write each second together, so that
-// a person can see second by second what was asked for, placed, refused and why,
-// read again, and how the engines' time was spent.
+// Package seconds aggregates the per-second log lines of all gateways into a table or a chart of
+// load, placement, refusals, prefill and engine utilisation.
 package seconds
 
 import (
@@ -16,36 +15,35 @@
 	"madderway/modules/log"
 )
 
-// Messages of the lines, as the mesh and forward services write them.
+// Log messages of the mesh and forward services.
 const (
 	cellMessage    = "Cell statistics."
 	gatewayMessage = "Gateway statistics."
 	timeLayout     = "0102 15:04:05.999999"
 )
 
-// Second is what all gateways did in one second.
+// Second sums the activity of all gateways in one second.
 type Second struct {
-	At int // At is the number of seconds since the first line.
-	// Of the schedulers:
-	Asked, Placed, Refused, WithRoom, Waiting int
-	AskedTokens, PlacedTokens, Read, Anew     int
-	Copies, Copied, Targets, Streams          int
-	readingTime                               float64 // share of the time times targets, over all cells
-	booked                                    time.Duration
-	// Outcomes counts how requests ended at the gateways, by name.
+	At int // seconds since the first line of a scheduler
+	// From the schedulers:
+	Asked, Placed, Refused, WithRoom, Waiting         int
+	AskedTokens, PlacedTokens, Prefilled, Reprefilled int
+	Copies, Copied, Targets, Streams                  int
+	prefillTime                                       float64       // share of the time spent on prefill, times targets, summed over all cells
+	booked                                            time.Duration // queued prefill times targets, summed over all cells
+	// Requests by outcome, from the gateways.
 	Outcomes map[string]int
 }
 
-// ReadingShare returns the part of the engines' time that was spent on reading.
-func (s *Second) ReadingShare() float64 { return s.readingTime / float64(max(s.Targets, 1)) }
+// PrefillShare returns the share of the engines' time spent on prefill.
+func (s *Second) PrefillShare() float64 { return s.prefillTime / float64(max(s.Targets, 1)) }
 
-// Booked returns how much of the engines' reading was given away, on average.
+// Booked returns the prefill time queued at an engine, on average.
 func (s *Second) Booked() time.Duration { return s.booked / time.Duration(max(s.Targets, 1)) }
 
-// Gather sums the lines of all processes by the second, beginning with the first
-// line of a scheduler.
+// Gather sums the lines of all processes by second, starting at the first line of a scheduler.
 func Gather(lines []log.Line) []*Second {
-	start, found := firstCell(lines)
+	start, found := firstCellTime(lines)
 	if !found {
 		return nil
 	}
@@ -74,7 +72,7 @@
 	return out
 }
 
-func firstCell(lines []log.Line) (time.Time, bool) {
+func firstCellTime(lines []log.Line) (time.Time, bool) {
 	var first time.Time
 	found := false
 	for _, l := range lines {
@@ -101,26 +99,26 @@
 	number := func(name string) int {
 		n, err := strconv.Atoi(l.Values[name])
 		if err != nil {
-			return 0 // a line of another version lacks the value
+			return 0 // other versions may lack the value
 		}
 		return n
 	}
 	for name, sum := range map[string]*int{
 		"asked": &s.Asked, "placed": &s.Placed, "refused": &s.Refused, "with_room": &s.WithRoom, "waiting": &s.Waiting,
-		"asked_tokens": &s.AskedTokens, "placed_tokens": &s.PlacedTokens, "read": &s.Read, "reread": &s.Anew,
+		"asked_tokens": &s.AskedTokens, "placed_tokens": &s.PlacedTokens, "read": &s.Prefilled, "reread": &s.Reprefilled,
 		"copies": &s.Copies, "copied": &s.Copied, "targets": &s.Targets, "streams": &s.Streams,
 	} {
 		*sum += number(name)
 	}
 	if share, err := strconv.ParseFloat(l.Values["reading_share"], 64); err == nil {
-		s.readingTime += share * float64(number("targets"))
+		s.prefillTime += share * float64(number("targets"))
 	}
 	if booked, err := time.ParseDuration(l.Values["booked"]); err == nil {
 		s.booked += booked * time.Duration(number("targets"))
 	}
 }
 
-// WriteTable writes a row for each second.
+// WriteTable writes a table with a row for each second.
 func WriteTable(w io.Writer, all []*Second) error {
 	_, err := fmt.Fprintln(w, "second  asked placed refused (room) waiting | ktok asked placed  read  anew copied | engines streams reading booked | in time  late entry refused failed")
 	for _, s := range all {
@@ -138,8 +136,8 @@
 		}
 		_, err = fmt.Fprintf(w, "%6d %6d %6d %7d %6d %7d | %10d %6d %5d %5d %6d | %7d %7d %6.0f%% %4dms | %7d %5d %5d %7d %6d\n",
 			s.At, s.Asked, s.Placed, s.Refused, s.WithRoom, s.Waiting,
-			s.AskedTokens/1000, s.PlacedTokens/1000, s.Read/1000, s.Anew/1000, s.Copied/1000,
-			s.Targets, s.Streams, 100*s.ReadingShare(), s.Booked().Milliseconds(),
+			s.AskedTokens/1000, s.PlacedTokens/1000, s.Prefilled/1000, s.Reprefilled/1000, s.Copied/1000,
+			s.Targets, s.Streams, 100*s.PrefillShare(), s.Booked().Milliseconds(),
 			o["in_time"], o["late"], o["refused_at_entry"], o["not_in_time"], failed)
 	}
 	return err
--- a/lab/seconds/seconds_test.go
+++ b/lab/seconds/seconds_test.go
@@ -32,23 +32,23 @@
 		}
 	}
 	if len(out) != 6 {
-		t.Fatalf("%d lines were read", len(out))
+		t.Fatalf("parsed %d lines, want 6", len(out))
 	}
 	return out
 }
 
-func TestSecondsAreSummedOverGateways(t *testing.T) {
+func TestGatherSumsOverGateways(t *testing.T) {
 	all := Gather(lines(t))
 	if len(all) != 2 || all[0].At != 0 || all[1].At != 1 {
-		t.Fatalf("%d seconds", len(all))
+		t.Fatalf("got %d seconds, want 0 and 1", len(all))
 	}
 	s := all[0]
 	if s.Asked != 15 || s.Refused != 2 || s.WithRoom != 1 || s.AskedTokens != 60000 || s.Copied != 9000 || s.Streams != 34 {
 		t.Errorf("%+v", s)
 	}
-	// Four engines read half of the time, two a fifth.
-	if got := s.ReadingShare(); got < 0.39 || got > 0.41 {
-		t.Errorf("reading %.2f of the time, want 0.40", got)
+	// Weighted by engines: four at 0.5, two at 0.2.
+	if got := s.PrefillShare(); got < 0.39 || got > 0.41 {
+		t.Errorf("reading share %.2f, want 0.40", got)
 	}
 	if got := s.Booked(); got != 80*time.Millisecond {
 		t.Errorf("booked %v on average, want 80ms", got)
@@ -57,11 +57,11 @@
 		t.Errorf("%v", s.Outcomes)
 	}
 	if Gather(nil) != nil {
-		t.Error("seconds without lines")
+		t.Error("got seconds without lines")
 	}
 }
 
-func TestTableAndPicture(t *testing.T) {
+func TestWriteTableAndSVG(t *testing.T) {
 	all := Gather(lines(t))
 	var table, picture bytes.Buffer
 	if err := WriteTable(&table, all); err != nil {
@@ -71,7 +71,7 @@
 	if len(rows) != 3 || !strings.Contains(rows[1], "40%") || !strings.HasSuffix(rows[1], "3") {
 		t.Errorf("%s", table.String())
 	}
-	if err := WritePicture(&picture, all); err != nil {
+	if err := WriteSVG(&picture, all); err != nil {
 		t.Fatal(err)
 	}
 	decoder := xml.NewDecoder(&picture)
--- a/lab/standin/object.go
+++ b/lab/standin/object.go
@@ -17,7 +17,7 @@
 
 // Objects is a stand-in for the platform's object store.
 type Objects struct {
-	switchboard
+	faultInjector
 	mu      sync.Mutex
 	content map[string][]byte
 	times   map[string]time.Time
@@ -28,7 +28,7 @@
 	return &Objects{content: map[string][]byte{}, times: map[string]time.Time{}}
 }
 
-// Handler returns the store's HTTP interface.
+// Handler returns the store's HTTP API.
 func (o *Objects) Handler() http.Handler {
 	return o.guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/list" {
@@ -52,8 +52,8 @@
 			return
 		}
 		o.Put(key, content)
-		if o.take(func(f *Faults) *int { return &f.LoseAnswer }) {
-			cut()
+		if o.consume(func(f *Faults) *int { return &f.LoseAnswer }) {
+			abortConnection()
 		}
 	case http.MethodDelete:
 		o.mu.Lock()
@@ -84,7 +84,7 @@
 	return content, ok
 }
 
-// List returns the objects whose keys have the prefix.
+// List returns the objects whose keys start with a prefix, sorted by key.
 func (o *Objects) List(prefix string) []platform.ObjectInfo {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/lab/standin/plain.go
+++ b/lab/standin/plain.go
@@ -13,39 +13,39 @@
 	"madderway/services/engine"
 )
 
-// PlainConfig says how a stand-in for a plain service behaves.
+// PlainConfig configures a stand-in for a plain service.
 type PlainConfig struct {
-	Name    string
-	Slots   int
-	Takes   time.Duration // Takes is how long each call runs.
-	LoadLag time.Duration
-	// OnRun is told of each call that ran, with its account.
+	Name     string
+	Slots    int
+	Duration time.Duration // duration of each call
+	LoadLag  time.Duration
+	// OnRun, if set, is called after each call.
 	OnRun func(account string, took time.Duration)
 }
 
-// Plain is a stand-in for a plain service some of whose calls may not be
-// repeated. It answers with the body it was sent.
+// Plain is a stand-in for a plain service. It echoes request bodies and counts runs, so that
+// forbidden repetitions show.
 type Plain struct {
-	switchboard
+	faultInjector
 	cfg   PlainConfig
 	slots chan struct{}
 
-	mu      sync.Mutex
-	running int
-	maxLoad int
-	byKey   map[string]int // byKey counts runs by idempotency key.
-	byID    map[string]int // byID counts runs by request ID.
-	load    engine.LoadReport
-	loadAt  time.Time
-	leaving bool
+	mu         sync.Mutex
+	running    int
+	peakLoad   int            // most calls running and waiting at once
+	runsByKey  map[string]int // runs by account and idempotency key
+	runsByID   map[string]int // runs by request ID
+	report     engine.LoadReport
+	reportedAt time.Time
+	leaving    bool
 }
 
-// NewPlain returns a plain service.
+// NewPlain returns a plain service without faults.
 func NewPlain(cfg PlainConfig) *Plain {
-	return &Plain{cfg: cfg, slots: make(chan struct{}, cfg.Slots), byKey: map[string]int{}, byID: map[string]int{}}
+	return &Plain{cfg: cfg, slots: make(chan struct{}, cfg.Slots), runsByKey: map[string]int{}, runsByID: map[string]int{}}
 }
 
-// Handler returns the service's HTTP interface.
+// Handler returns the service's HTTP API.
 func (p *Plain) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /load", p.serveLoad)
@@ -66,8 +66,8 @@
 	p.slots <- struct{}{}
 	defer func() { <-p.slots }()
 	p.run(r)
-	if p.take(func(f *Faults) *int { return &f.LoseAnswer }) {
-		cut()
+	if p.consume(func(f *Faults) *int { return &f.LoseAnswer }) {
+		abortConnection()
 	}
 	w.Header().Set("Content-Type", r.Header.Get("Content-Type"))
 	fmt.Fprintf(w, "%s ran %s %s: %s", p.cfg.Name, r.Method, r.URL.Path, body)
@@ -76,13 +76,13 @@
 func (p *Plain) run(r *http.Request) {
 	p.mu.Lock()
 	if key := r.Header.Get("Idempotency-Key"); key != "" {
-		p.byKey[r.Header.Get(engine.HeaderAccount)+"/"+key]++
+		p.runsByKey[r.Header.Get(engine.HeaderAccount)+"/"+key]++
 	}
-	p.byID[r.Header.Get(engine.HeaderRequest)]++
+	p.runsByID[r.Header.Get(engine.HeaderRequest)]++
 	p.mu.Unlock()
-	time.Sleep(p.cfg.Takes)
+	time.Sleep(p.cfg.Duration)
 	if p.cfg.OnRun != nil {
-		p.cfg.OnRun(r.Header.Get(engine.HeaderAccount), p.cfg.Takes)
+		p.cfg.OnRun(r.Header.Get(engine.HeaderAccount), p.cfg.Duration)
 	}
 }
 
@@ -90,7 +90,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running++
-	p.maxLoad = max(p.maxLoad, p.running)
+	p.peakLoad = max(p.peakLoad, p.running)
 }
 
 func (p *Plain) leave() {
@@ -99,7 +99,7 @@
 	p.running--
 }
 
-// SetLeaving makes the load report say that the target leaves.
+// SetLeaving sets whether load reports announce that the target leaves.
 func (p *Plain) SetLeaving(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,36 +109,36 @@
 func (p *Plain) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if time.Since(p.loadAt) >= p.cfg.LoadLag {
-		p.load = engine.LoadReport{Running: p.running, Slots: p.cfg.Slots}
-		p.loadAt = time.Now()
+	if time.Since(p.reportedAt) >= p.cfg.LoadLag {
+		p.report = engine.LoadReport{Running: p.running, Slots: p.cfg.Slots}
+		p.reportedAt = time.Now()
 	}
-	shown := p.load
+	shown := p.report
 	shown.Leaving = p.leaving
 	writeJSON(w, shown)
 }
 
-// RunsOfKeys returns how often each account's idempotency key ran.
-func (p *Plain) RunsOfKeys() map[string]int {
+// RunsByKey returns the number of runs by "account/idempotency key".
+func (p *Plain) RunsByKey() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]int, len(p.byKey))
-	for k, n := range p.byKey {
+	out := make(map[string]int, len(p.runsByKey))
+	for k, n := range p.runsByKey {
 		out[k] = n
 	}
 	return out
 }
 
-// Runs returns how often a request ran.
+// Runs returns the number of runs of a request ID.
 func (p *Plain) Runs(requestID string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.byID[requestID]
+	return p.runsByID[requestID]
 }
 
-// Load returns how many calls run or wait and the most there ever were.
-func (p *Plain) Load() (running, most int) {
+// Load returns the calls that run or wait, and their peak.
+func (p *Plain) Load() (running, peak int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.running, p.maxLoad
+	return p.running, p.peakLoad
 }
--- a/lab/standin/table.go
+++ b/lab/standin/table.go
@@ -17,18 +17,18 @@
 
 // Table is a stand-in for the platform's transactional table.
 type Table struct {
-	switchboard
-	mu     sync.Mutex
-	rows   map[string]platform.Row
-	next   uint64
-	writes uint64
-	reads  uint64
+	faultInjector
+	mu          sync.Mutex
+	rows        map[string]platform.Row
+	lastVersion uint64
+	writes      uint64
+	reads       uint64
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{rows: map[string]platform.Row{}} }
 
-// Handler returns the table's HTTP interface.
+// Handler returns the table's HTTP API.
 func (t *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/tx", t.serveTx)
@@ -43,14 +43,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if t.take(func(f *Faults) *int { return &f.LateWrite }) {
+	if t.consume(func(f *Faults) *int { return &f.LateWrite }) {
 		late := time.Duration(t.Faults().LateMS) * time.Millisecond
 		time.AfterFunc(late, func() { t.Apply(tx) })
-		cut()
+		abortConnection()
 	}
 	res := t.Apply(tx)
-	if t.take(func(f *Faults) *int { return &f.LoseAnswer }) {
-		cut()
+	if t.consume(func(f *Faults) *int { return &f.LoseAnswer }) {
+		abortConnection()
 	}
 	if res.Outcome == platform.OutcomeConflict {
 		w.Header().Set("Content-Type", "application/json")
@@ -59,7 +59,7 @@
 	writeJSON(w, res)
 }
 
-// Apply runs a transaction.
+// Apply runs a transaction, or returns the current rows of its conditions if one does not hold.
 func (t *Table) Apply(tx platform.Tx) platform.TxResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,10 +70,10 @@
 	}
 	res := platform.TxResult{Outcome: platform.OutcomeOK}
 	for _, p := range tx.Puts {
-		t.next++
+		t.lastVersion++
 		t.writes++
-		t.rows[p.Key] = platform.Row{Key: p.Key, Version: t.next, Value: p.Value}
-		res.Rows = append(res.Rows, platform.Row{Key: p.Key, Version: t.next})
+		t.rows[p.Key] = platform.Row{Key: p.Key, Version: t.lastVersion, Value: p.Value}
+		res.Rows = append(res.Rows, platform.Row{Key: p.Key, Version: t.lastVersion})
 	}
 	for _, key := range tx.Deletes {
 		t.writes++
@@ -116,7 +116,7 @@
 	writeJSON(w, t.Scan(q.Get("prefix"), q.Get("after"), limit))
 }
 
-// Scan returns rows in the order of their keys.
+// Scan returns up to limit rows with a key prefix and after a key, sorted by key.
 func (t *Table) Scan(prefix, after string, limit int) []platform.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,7 +135,7 @@
 	return rows
 }
 
-// Counts returns how many rows were written and how many reads were served.
+// Counts returns the number of written rows and of reads.
 func (t *Table) Counts() (writes, reads uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -40,7 +40,7 @@
 	for c := range atOnce {
 		callers.Go(func() {
 			for i := range each {
-				if site.AskAt(t.Context(), 0, "account-0", uint64(c*each+i)) {
+				if site.AskStream(t.Context(), 0, "account-0", uint64(c*each+i)) {
 					served.Add(1)
 				}
 			}
@@ -52,7 +52,7 @@
 	if n := served.Load(); n < each*atOnce*8/10 {
 		t.Errorf("got %d of %d requests served while another gateway of the hall was idle, want at least 80%%", n, each*atOnce)
 	}
-	for _, b := range site.Broken() {
+	for _, b := range site.Violations() {
 		t.Error(b)
 	}
 }
--- a/router/notice_test.go
+++ b/router/notice_test.go
@@ -64,14 +64,14 @@
 
 func newNoticeSite(t *testing.T, kind platform.Kind, gateways int) *noticeSite {
 	t.Helper()
-	kind.Subjects = max(kind.Subjects, 1) << 20 // a prompt that no worker has cached may go to any of them
+	kind.Prefixes = max(kind.Prefixes, 1) << 20 // a prompt that no worker has cached may go to any of them
 	site, err := platform.Start(platform.Options{Gateways: gateways, Models: 3, Plains: 3, Accounts: 1, Length: time.Minute, Seed: 9})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
 	t.Cleanup(func() {
-		for _, b := range site.Broken() {
+		for _, b := range site.Violations() {
 			t.Error(b)
 		}
 	})
@@ -163,20 +163,20 @@
 func testLeavingUnlisted(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 3)
 	w := s.Workers(kind)[0]
-	s.StoreAway(true)
-	w.SayLeaving()
+	s.SetStoreDown(true)
+	w.AnnounceLeaving()
 	s.awaitNotice(0, w)
 	s.expectNone("at the gateway that got the notice", w, 0)
 	s.awaitLeaving(1, 1)
 	s.awaitLeaving(2, 1)
 	s.expectNone("at the others", w, 1, 2)
-	s.Restart(1)
+	s.RestartGateway(1)
 	if err := s.AwaitReady(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	s.awaitLeaving(1, 1)
 	s.expectNone("at a gateway that restarted", w, 1)
-	s.StoreAway(false)
+	s.SetStoreDown(false)
 	targets := s.Gateway(0).Dump().Targets
 	if err := s.AddWorker(kind.Stream); err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 		s.await("a gateway lists a new worker", func() bool { return s.Gateway(g).Dump().Targets > targets })
 	}
 	s.expectNone("after the store is back and lists it as ready", w, 0, 1, 2)
-	restarted, err := s.RebornWorker(w)
+	restarted, err := s.RestartWorker(w)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,10 +196,10 @@
 // testAllLeaving has all workers of a service announce that they leave.
 func testAllLeaving(t *testing.T, kind platform.Kind) {
 	s := newNoticeSite(t, kind, 2)
-	s.StoreAway(true)
+	s.SetStoreDown(true)
 	workers := s.Workers(kind)
 	for _, w := range workers {
-		w.SayLeaving()
+		w.AnnounceLeaving()
 	}
 	s.await("the gateway knows that all leave", func() bool {
 		s.burst(0)
@@ -237,9 +237,9 @@
 func testLeavingInRefusal(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[0], 2)
 	w := s.Workers(s.kind)[0]
-	s.StoreAway(true)
-	w.SayLeaving()
-	w.SetFault(platform.FaultShed)
+	s.SetStoreDown(true)
+	w.AnnounceLeaving()
+	w.SetFault(platform.FaultRefuse)
 	s.awaitNotice(0, w)
 	s.expectNone("after a refusal", w, 0)
 }
@@ -248,8 +248,8 @@
 func testLeavingDuringResume(t *testing.T) {
 	s := newNoticeSite(t, platform.Kinds()[1], 2)
 	workers := s.Workers(s.kind)
-	s.StoreAway(true)
-	workers[0].SayLeaving()
+	s.SetStoreDown(true)
+	workers[0].AnnounceLeaving()
 	s.awaitNotice(0, workers[0])
 	before, _ := workers[0].Arrived()
 	workers[1].SetFault(platform.FaultCut) // its streams are resumed at another worker
@@ -270,8 +270,8 @@
 	defer reporter.Wait()
 	defer close(stop)
 	w := s.Workers(s.kind)[0]
-	s.StoreAway(true)
-	w.SayLeaving()
+	s.SetStoreDown(true)
+	w.AnnounceLeaving()
 	s.awaitNotice(0, w)
 	s.awaitLeaving(0, 1)
 	s.awaitLeaving(3, 1)
@@ -289,20 +289,20 @@
 	w := s.Workers(kind)[0]
 	scheduler := s.schedulerOf()
 	asker, neighbor := (scheduler+1)%3, (scheduler+2)%3
-	w.WantRest("0.2")
+	w.AskForPause("0.2")
 	s.reach(asker, w)
-	w.WantRest("60")
+	w.AskForPause("60")
 	s.reach(asker, w) // after the first pause
 	s.expectNone("at the gateway that was asked", w, asker)
-	w.WantRest("0.1")
+	w.AskForPause("0.1")
 	s.reach(neighbor, w) // a pause binds only the gateway that was asked
 	s.expectNone("after another gateway was asked for a shorter pause", w, asker)
-	s.Restart(scheduler)
+	s.RestartGateway(scheduler)
 	if err := s.AwaitReady(waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	s.expectNone("with another scheduler", w, asker)
-	w.WantRest("")
+	w.AskForPause("")
 	s.reach(neighbor, w)
 }
 
@@ -324,7 +324,7 @@
 	s := newNoticeSite(t, kind, 2)
 	workers := s.Workers(kind)
 	for _, w := range workers {
-		w.WantRest("60")
+		w.AskForPause("60")
 	}
 	s.await("all workers have asked for a pause", func() bool {
 		s.burst(0)
--- a/router/older_test.go
+++ b/router/older_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	s := newNoticeSite(t, platform.Kinds()[2], 3)
 	workers := s.Workers(s.kind)
-	s.CopyStore()
+	s.SnapshotStore()
 	workers[0].Drain()
 	for g := range 3 {
 		s.awaitLeaving(g, 1)
@@ -23,13 +23,13 @@
 	for range 30 { // advances the revision
 		s.PutConfig()
 	}
-	s.WriteAgain()
+	s.RewriteRows()
 	s.awaitStoreFollowed()
-	s.StoreAway(true)
-	s.StoreBack()
-	s.StoreAway(false)
+	s.SetStoreDown(true)
+	s.RestoreStore()
+	s.SetStoreDown(false)
 	s.expectNone("after the restore", workers[0], 0, 1, 2)
-	s.WriteAgain()
+	s.RewriteRows()
 	s.awaitStoreFollowed()
 	workers[1].Drain()
 	for g := range 3 {
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -28,7 +28,7 @@
 func TestPoisonRequestIsQuarantinedWithoutStore(t *testing.T) {
 	t.Parallel()
 	site := newPoisonSite(t, 4)
-	site.StoreAway(true)
+	site.SetStoreDown(true)
 	sendPoison(t, site, 4, platform.Kinds()[0])
 }
 
@@ -61,18 +61,18 @@
 	if err := site.AwaitReady(10 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	before := site.Endings()
+	before := site.Crashes()
 	for gateway := range 4 {
 		for end := time.Now().Add(20 * time.Second); site.Gateway(gateway).Dump().Quarantined == 0; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("gateway %d did not load the quarantine", gateway)
 			}
 		}
-		if refused, _ := site.AskEnding(t.Context(), gateway, kind, "account-0", uint64(1000+gateway)); !refused {
+		if refused, _ := site.AskPoison(t.Context(), gateway, kind, "account-0", uint64(1000+gateway)); !refused {
 			t.Errorf("gateway %d did not refuse the request", gateway)
 		}
 	}
-	if n := site.Endings() - before; n > 0 {
+	if n := site.Crashes() - before; n > 0 {
 		t.Errorf("got %d more deaths of targets, want 0", n)
 	}
 }
@@ -105,25 +105,25 @@
 		for gateway := range gateways {
 			seed++
 			refused := false
-			if refused, after = site.AskEnding(t.Context(), gateway, kind, "account-0", seed); refused {
+			if refused, after = site.AskPoison(t.Context(), gateway, kind, "account-0", seed); refused {
 				refusals++
 			} else {
 				refusals = 0
 			}
-			if err := site.RestartEnded(); err != nil {
+			if err := site.RestartCrashed(); err != nil {
 				t.Fatal(err)
 			}
 			seed++
-			site.AskAt(t.Context(), gateway, "account-1", seed)
+			site.AskStream(t.Context(), gateway, "account-1", seed)
 		}
 	}
-	if n := site.Endings(); n < deathsToQuarantine || n > deathsToQuarantine+maxInFlight {
+	if n := site.Crashes(); n < deathsToQuarantine || n > deathsToQuarantine+maxInFlight {
 		t.Errorf("got %d deaths of targets by one request, want %d and at most %d more", n, deathsToQuarantine, maxInFlight)
 	}
 	if refusals < gateways || after < time.Minute {
 		t.Errorf("got the last %d tries refused, the last one with a retry delay of %v, want a refusal by each gateway and at least a minute", refusals, after)
 	}
-	for _, b := range site.Broken() {
+	for _, b := range site.Violations() {
 		t.Error(b)
 	}
 }
--- a/router/standstill_test.go
+++ b/router/standstill_test.go
@@ -22,13 +22,13 @@
 		t.Fatal(err)
 	}
 	for n, away := range []bool{false, true} {
-		site.StoreAway(away)
+		site.SetStoreDown(away)
 		g := site.Gateway(0)
 		g.ReportStandstill(4 * time.Second)
 		if away && (!g.Resyncing() || g.Ready()) {
 			t.Error("the gateway is ready before it has resynced")
 		}
-		if away && site.AskAt(t.Context(), 0, "account-0", 7) {
+		if away && site.AskStream(t.Context(), 0, "account-0", 7) {
 			t.Error("the gateway serves before it has resynced")
 		}
 		for end := time.Now().Add(20 * time.Second); !g.Ready(); time.Sleep(5 * time.Millisecond) {
@@ -36,11 +36,11 @@
 				t.Fatal("the gateway was not ready again within 20 s")
 			}
 		}
-		if !site.AskAt(t.Context(), 0, "account-0", uint64(100+n)) {
+		if !site.AskStream(t.Context(), 0, "account-0", uint64(100+n)) {
 			t.Error("the gateway does not serve after it has resynced")
 		}
 	}
-	for _, b := range site.Broken() {
+	for _, b := range site.Violations() {
 		t.Error(b)
 	}
 }
