--- a/core/cell/layout.go
+++ b/core/cell/layout.go
@@ -100,8 +100,8 @@
 	l.cells[service] = groups
 }
 
-// cellCount returns a power of two, so that a growing service splits cells in halves and
-// rarely.
+// cellCount returns a power of two, so that the number of cells changes rarely as a
+// service grows; about half of the targets then stay in their cells.
 func cellCount(targets, maxPerCell int) int {
 	n := 1
 	for targets > n*maxPerCell {
--- a/core/cell/tally.go
+++ b/core/cell/tally.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Fairness covers all cells of a service: schedulers tell each other the service given
-// to each account. Tallies between gateways carry totals, so that lost, repeated and
-// late ones do no harm.
+// Fairness covers all cells of a service: schedulers tell each other how many tokens each
+// account got. Tallies between gateways carry totals, so that lost, repeated and late ones
+// do no harm.
 
 const maxRemoteTallies = 1024 // bounds memory as gateways come and go
 
--- a/core/cell/transfer.go
+++ b/core/cell/transfer.go
@@ -14,7 +14,7 @@
 	transferSetup = 3 * time.Millisecond
 	// Slowdown of a transfer between data halls.
 	crossHallFactor = 2
-	// Longest transfer as a part of the time to prefill the same tokens.
+	// Longest transfer, as a share of the time to prefill the same tokens.
 	transferShare = 0.5
 )
 
@@ -32,7 +32,7 @@
 	tokens int
 }
 
-// consider takes a target with more tokens, or with as many and a link that is free
+// consider makes t the holder if it has more tokens, or as many and a link that is free
 // earlier.
 func (h *cacheHolder) consider(t *target, ready int) {
 	if ready > h.tokens || ready == h.tokens && h.target != nil && t.linkFreeAt.Before(h.target.linkFreeAt) {
--- a/core/entry/machine_test.go
+++ b/core/entry/machine_test.go
@@ -17,7 +17,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 // fixture is a machine in a fleet of five gateways with one cell. The machine's
-// gateway is not among that cell's schedulers first and second.
+// gateway is none of the cell's schedulers, of which the test uses the first two.
 type fixture struct {
 	*Machine
 	t             *testing.T
@@ -93,7 +93,7 @@
 	}
 }
 
-// Requests stay with a scheduler that does not answer.
+// Guards against requests that stay with a scheduler that does not answer.
 func TestSilentSchedulerLosesItsAsks(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -124,7 +124,7 @@
 	}
 }
 
-// A scheduler is suspected because this process was late to read its answer.
+// Guards against a scheduler suspected because this process was late to read its answer.
 func TestOwnLagDoesNotSuspectScheduler(t *testing.T) {
 	f := setUp(t)
 	f.Step(f.now, submit(1))
@@ -136,7 +136,7 @@
 	}
 }
 
-// Many schedulers are suspected at once because this process is slow.
+// Guards against many schedulers suspected at once because this process is slow.
 func TestManySilentSchedulersGetLongerTimeout(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8, CacheTokens: 1000}}}})
 	var targets routing.TargetSet
@@ -190,7 +190,7 @@
 	}
 }
 
-// A scheduler is suspected while it holds a request in its queue.
+// Guards against a scheduler suspected while it holds a request in its queue.
 func TestQueuedRequestDoesNotSuspectScheduler(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -203,7 +203,8 @@
 	}
 }
 
-// A late placement by the previous scheduler starts a request twice or keeps its slot.
+// Guards against a late placement by the previous scheduler that starts a request twice or keeps
+// its slot.
 func TestLatePlacementIsWithdrawn(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -232,7 +233,8 @@
 	}
 }
 
-// A new or restarted scheduler places requests before it knows what already runs.
+// Guards against a new or restarted scheduler that places requests before it knows what already
+// runs.
 func TestNewSchedulerGetsInventory(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -248,7 +250,7 @@
 	}
 }
 
-// A lost inventory message is never repaired.
+// Guards against a lost inventory message that is never repaired.
 func TestInventoryIsRepeated(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -258,7 +260,7 @@
 	}
 }
 
-// Gateways with nothing to report send empty inventories forever.
+// Guards against gateways with nothing to report that send empty inventories forever.
 func TestEmptyInventoryStopsRepeating(t *testing.T) {
 	f := setUp(t)
 	f.after(0, submit(1))
@@ -283,8 +285,8 @@
 	}
 }
 
-// A gateway with a saturated link schedules by itself and overloads engines whose
-// load it does not know.
+// Guards against a gateway with a saturated link that schedules by itself and overloads
+// engines whose load it does not know.
 func TestSaturatedGatewayRefusesInsteadOfSchedulingItself(t *testing.T) {
 	f := setUp(t)
 	f.after(0, LinkStateSeen{true})
@@ -332,8 +334,8 @@
 	}
 }
 
-// A starved account's request is refused though another cell has capacity, or moves
-// between cells more than once.
+// Guards against a starved account's request that is refused though another cell has
+// capacity, or that moves between cells more than once.
 func TestStarvedRequestMovesToAnotherCellOnce(t *testing.T) {
 	x := routing.NewIndex(&routing.Configuration{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 8, CacheTokens: 1000}}}})
 	set := &routing.TargetSet{}
@@ -357,7 +359,7 @@
 	}
 }
 
-// Asks list denied targets of other cells.
+// Guards against asks that list denied targets of other cells.
 func TestAskListsOnlyDeniedTargetsOfItsCell(t *testing.T) {
 	f := setUp(t)
 	ev := submit(1)
--- a/core/entry/silence.go
+++ b/core/entry/silence.go
@@ -13,7 +13,8 @@
 	ownDelayFactor = 3
 	// saturatedFactor multiplies answerTimeout while the link is saturated.
 	saturatedFactor = 5
-	// decisionGrace is the grace for a decision on a queued request after its wait ended.
+	// decisionGrace is the time for which a decision on a queued request may arrive after the
+	// longest wait of the request.
 	decisionGrace = 60 * time.Millisecond
 	// suspectFirst is the first period for which a silent scheduler is avoided;
 	// it doubles up to suspectMax while the scheduler stays silent.
@@ -21,7 +22,7 @@
 	suspectMax   = 4 * time.Second
 )
 
-// suspectBackoff is the backoff of a silent scheduler.
+// suspectBackoff says until when a silent scheduler is avoided and how long this period is.
 type suspectBackoff struct {
 	until    time.Time
 	duration time.Duration
--- a/lab/measure/run.go
+++ b/lab/measure/run.go
@@ -39,7 +39,7 @@
 	CounterAge time.Duration // interval of the service counters; 0 for the default
 	// Overrides the routers' setting if not negative.
 	TallyBudget  float64
-	ReserveShare float64       // share of slots withheld from long requests while short ones arrive
+	ReserveShare float64       // share of slots reserved for interactive requests while some arrive
 	HeadStart    float64       // overrides the scenario's if not negative
 	Duration     time.Duration // overrides the scenario's if not 0
 	Progress     func(format string, args ...any)
--- a/services/follow/leaving.go
+++ b/services/follow/leaving.go
@@ -72,7 +72,7 @@
 	return len(added) > 0
 }
 
-// noLeavers is the empty set, used if Options.Leavers is nil.
+// noLeavers is the empty set, used if Options.LeavingTargets is nil.
 type noLeavers struct{}
 
 func (noLeavers) Leaves(string) bool                           { return false }
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// The request waits while the connection is opened, and this gateway is late already.
+	// Short, since a request of an overloaded gateway waits while the connection is opened.
 	dialTimeout = time.Second
-	// Load peaks come seconds apart; the connection should outlast the pause.
+	// Longer than the usual pause between load peaks, so that the next peak finds the connection open.
 	idleTimeout = 10 * time.Second
 	// The connection is closed if the other gateway sends nothing for maxMissedProbes probes in a row
 	// while it serves requests of this one. Heartbeats use another connection and may still arrive.
@@ -91,7 +91,8 @@
 }
 
 // SetPeers replaces the gateways that may take requests over. Requests in flight at a gateway that
-// is no longer listed continue; Disconnect ends them.
+// is no longer listed continue; Disconnect ends them. If the incarnation or address of a gateway
+// has changed, its old connection is closed and the requests on it fail.
 func (s *Service) SetPeers(peers []Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,9 +143,9 @@
 }
 
 // Send hands a request over. The first HeaderSize bytes of the buffer are reserved for the header;
-// the request follows. The answer is written to the caller. Once it has ended, an expired read
-// deadline interrupts pending reads of the caller. Send calls disconnected right before it writes
-// the request, which may be long after the call.
+// the request follows. The answer is written to the caller. When it has ended, the caller's read
+// deadline is set to the past, which interrupts a pending read. A request may wait to be written;
+// right before the write, disconnected is called, and if it returns true the request is dropped.
 func (s *Service) Send(ctx context.Context, buffer []byte, caller net.Conn, disconnected func() bool) (*Handover, error) {
 	err := error(ErrNoPeer)
 	for range maxAttempts {
@@ -219,8 +220,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooser.Ended(p.ID)
-	// A timeout is as likely caused by this process's own overload, and the membership protocol soon
-	// finds a silent member dead.
+	// A timeout does not count against the gateway: the overload of this process is as likely the
+	// cause, and the membership protocol soon finds a dead gateway.
 	if !os.IsTimeout(err) && !errors.Is(err, context.DeadlineExceeded) {
 		s.chooser.Failed(s.opts.Clock.Now(), p.ID)
 	}
--- a/services/relay/serve.go
+++ b/services/relay/serve.go
@@ -250,8 +250,8 @@
 	w.sendFrame(kindEnd)
 }
 
-// startFrame begins a frame, with the response header if that was not sent. complete is set if the
-// handler has written all of the body.
+// startFrame begins a frame, with the response header if that was not sent yet. complete is set if
+// the handler has written all of the body.
 func (w *responseWriter) startFrame(complete bool) {
 	var room [HeaderSize]byte
 	w.frame = append(w.frame[:0], room[:]...)
@@ -297,7 +297,7 @@
 	w.frame = append(w.frame, body...)
 }
 
-// sendFrame sends the frame, unless an intermediate one is empty.
+// sendFrame sends the frame. It skips a kindData frame without payload.
 func (w *responseWriter) sendFrame(k kind) {
 	if w.err != nil || k == kindData && len(w.frame) <= HeaderSize {
 		return
--- a/services/relay/tunnel.go
+++ b/services/relay/tunnel.go
@@ -204,7 +204,8 @@
 	}
 }
 
-// writeRequest writes pending control frames, then the request unless it has become obsolete.
+// writeRequest writes pending control frames, then the request unless its caller
+// has disconnected or it has waited for longer than maxWait.
 func (t *tunnel) writeRequest(o *queuedRequest) error {
 	if t.isClosed() {
 		return net.ErrClosed
@@ -322,7 +323,8 @@
 	}
 }
 
-// probeLoop closes the connection if the other gateway is silent or the connection unused.
+// probeLoop sends probes while requests are in flight. It closes the connection if the other gateway
+// is silent meanwhile, or if the connection is unused for idleTimeout.
 func (t *tunnel) probeLoop(c clock.Clock) {
 	silent, unused := 0, time.Duration(0)
 	for {
--- a/services/upstream/dialect.go
+++ b/services/upstream/dialect.go
@@ -48,15 +48,15 @@
 }
 
 // Observer is called with the header of each answer before the answer is used. That includes
-// late answers to earlier requests and lists of cached parts.
+// late answers to earlier requests and lists of cached parts, but not misdirected answers.
 type Observer func(t *routing.Target, info AnswerInfo)
 
 // Dialect reads and writes the headers between callers, gateways and targets.
 type Dialect interface {
 	ReadCall(h http.Header) Call
-	// PeekCall reads the fields that decide on a refusal from a head that is not parsed yet: the
-	// ID, the key and the prompt's number of tokens, without its parts. It returns false if a
-	// field occurs twice.
+	// PeekCall reads only the fields that are needed to refuse a request, from a head that is not
+	// parsed yet: the ID, the key and the prompt's number of tokens, without its parts. It returns
+	// false if a field occurs twice.
 	PeekCall(get func(values []string, names ...string) (once bool)) (Call, bool)
 	// WriteCall sets the fields of o and removes headers that callers must not set.
 	WriteCall(h http.Header, o Outgoing)
--- a/services/upstream/exchange.go
+++ b/services/upstream/exchange.go
@@ -259,7 +259,8 @@
 	return n, err
 }
 
-// Close returns the connection to the pool, or closes it if any part of the exchange is left.
+// Close returns the connection to the pool, or closes it if the exchange is incomplete or the
+// connection must not be reused.
 func (a *Answer) Close() {
 	canceled := !a.stop()
 	if canceled || !a.complete || a.close || !a.requestWritten() || a.conn.reader.Buffered() > 0 {
